--- a/daisy-workflow/tests/cancel.rs
+++ b/daisy-workflow/tests/cancel.rs
@@ -8,7 +8,9 @@
 use daisy_workflow::{
     Event, Handover, Hop, JobId, JobSpec, Layout, Record, ShardId, StepSpec, TaskId,
 };
-use util::{CORE, FakeWorker, Fault, LASTS_MS, World, job, lasting, task};
+use util::{
+    CORE, FakeWorker, Fault, LONG_RUNNING_WORK_MS, Simulation, job, long_running_step, task,
+};
 
 const LAYOUT: Layout = Layout { shards: 3 };
 const SHARDS: usize = 3;
@@ -18,8 +20,8 @@
 const SOON: Duration = Duration::from_millis(1_500);
 
 /// Three shards, a worker of four cores each, and what is written from one shard to another.
-struct Fleet {
-    worlds: Vec<World>,
+struct ShardedSimulation {
+    shards: Vec<Simulation>,
     /// When the next owner of each shard begins, if it has none.
     ownerless: [Option<Instant>; SHARDS],
     under_way: Vec<UnderWay>,
@@ -34,66 +36,66 @@
     record: Record,
 }
 
-impl Fleet {
-    fn new(seed: u64) -> Fleet {
-        let world = |(shard, name)| {
-            let mut world = World::of_shard(vec![FakeWorker::new(name, 4)], shard, LAYOUT);
-            world.work = |_| LASTS_MS;
-            world
+impl ShardedSimulation {
+    fn new(seed: u64) -> ShardedSimulation {
+        let sim = |(shard, name)| {
+            let mut sim = Simulation::of_shard(vec![FakeWorker::new(name, 4)], shard, LAYOUT);
+            sim.work_ms = |_| LONG_RUNNING_WORK_MS;
+            sim
         };
-        let worlds = LAYOUT.all().zip(["a", "b", "c"]).map(world).collect();
+        let shards = LAYOUT.all().zip(["a", "b", "c"]).map(sim).collect();
         let rng = fastrand::Rng::with_seed(seed);
-        Fleet { worlds, ownerless: [None; SHARDS], under_way: Vec::new(), rng }
+        ShardedSimulation { shards, ownerless: [None; SHARDS], under_way: Vec::new(), rng }
     }
 
     /// One with a job that was handed on as `way` says and runs.
-    fn with_job(way: Way, seed: u64) -> Fleet {
-        let mut fleet = Fleet::new(seed);
-        fleet.hand_in(way);
-        fleet.run_ms(1_000);
-        assert_eq!(fleet.places(), way.places(), "{way:?}");
-        fleet
+    fn with_job(way: Way, seed: u64) -> ShardedSimulation {
+        let mut sim = ShardedSimulation::new(seed);
+        sim.hand_in(way);
+        sim.run_ms(1_000);
+        assert_eq!(sim.workers_running(), way.workers_running(), "{way:?}");
+        sim
     }
 
     /// New owners read a job that was handed on as `way` says.
     fn hand_in(&mut self, way: Way) {
         for (shard, record) in way.records() {
-            let world = &mut self.worlds[shard];
+            let sim = &mut self.shards[shard];
             match record {
-                Record::Submitted(..) | Record::TaskSubmitted(..) => world.write(record),
-                it => drop(world.ledger.fold(it)),
+                Record::Submitted(..) | Record::TaskSubmitted(..) => sim.write(record),
+                it => drop(sim.ledger.fold(it)),
             }
         }
-        self.worlds.iter_mut().for_each(|it| it.change_owner(true));
+        self.shards.iter_mut().for_each(|it| it.change_owner(true));
     }
 
     fn now(&self) -> Instant {
-        self.worlds[0].now
+        self.shards[0].now
     }
 
     fn step(&mut self) {
-        for (at, world) in self.worlds.iter_mut().enumerate() {
+        for (at, sim) in self.shards.iter_mut().enumerate() {
             match self.ownerless[at] {
-                Some(until) if world.now < until => {
-                    world.idle();
+                Some(until) if sim.now < until => {
+                    sim.idle();
                     continue;
                 }
                 Some(_) => {
                     self.ownerless[at] = None;
-                    world.change_owner(true);
+                    sim.change_owner(true);
                 }
                 None => {}
             }
-            world.step();
-            for (shard, record) in world.forwarded.drain(..) {
-                let arrives = world.now + Duration::from_millis(self.rng.u64(10..200));
+            sim.step();
+            for (shard, record) in sim.forwarded.drain(..) {
+                let arrives = sim.now + Duration::from_millis(self.rng.u64(10..200));
                 self.under_way.push(UnderWay { from: at, to: shard, arrives, record });
             }
         }
         let now = self.now();
         for it in std::mem::take(&mut self.under_way) {
             match it.arrives <= now {
-                true => self.worlds[usize::from(it.to.0)].write(it.record),
+                true => self.shards[usize::from(it.to.0)].write(it.record),
                 false => self.under_way.push(it),
             }
         }
@@ -109,20 +111,20 @@
     fn kill_owners(&mut self, killed: [bool; SHARDS], stored: bool) {
         let until = self.now() + OWNERLESS;
         for (at, _) in killed.iter().enumerate().filter(|(_, it)| **it) {
-            self.worlds[at].kill_owner(stored);
+            self.shards[at].kill_owner(stored);
             self.ownerless[at] = Some(until);
         }
         self.under_way.retain(|it| !killed[it.from]);
     }
 
     fn cancel(&mut self) {
-        self.worlds[0].cancel(job_id().0);
+        self.shards[0].cancel(job_id().0);
     }
 
     /// Workers on which the job's tasks run.
-    fn places(&self) -> Vec<String> {
+    fn workers_running(&self) -> Vec<String> {
         let runs = |it: &&FakeWorker| it.runs.iter().any(|run| run.task.job == job_id());
-        let workers = self.worlds.iter().flat_map(|it| &it.workers);
+        let workers = self.shards.iter().flat_map(|it| &it.workers);
         workers.filter(runs).map(|it| it.name.clone()).collect()
     }
 
@@ -132,7 +134,7 @@
             self.step();
         }
         for _ in 0..50 {
-            assert_eq!(self.places(), Vec::<String>::new(), "{what}");
+            assert_eq!(self.workers_running(), Vec::<String>::new(), "{what}");
             self.step();
         }
     }
@@ -179,7 +181,7 @@
     }
 
     /// Workers on which tasks of the job run then.
-    fn places(self) -> &'static [&'static str] {
+    fn workers_running(self) -> &'static [&'static str] {
         match self {
             Way::Stays => &["a"],
             Way::Delegated => &["b"],
@@ -197,8 +199,8 @@
 
 /// Two tasks that last, each of which fills a worker.
 fn spec() -> JobSpec {
-    let need = Resources { cpu_milli: 3 * CORE, ..lasting(1).need };
-    job(vec![StepSpec { need, ..lasting(2) }])
+    let need = Resources { cpu_milli: 3 * CORE, ..long_running_step(1).need };
+    job(vec![StepSpec { need, ..long_running_step(2) }])
 }
 
 /// The second of them.
@@ -220,19 +222,19 @@
 fn a_cancellation_outlives_all_owners() {
     for way in WAYS {
         for killed_at in (0..60).step_by(2) {
-            let mut fleet = Fleet::with_job(way, killed_at);
-            let since = fleet.now() + Duration::from_millis(killed_at * 10) + OWNERLESS;
+            let mut sim = ShardedSimulation::with_job(way, killed_at);
+            let since = sim.now() + Duration::from_millis(killed_at * 10) + OWNERLESS;
             for at in 0..60 {
                 if at == 30 {
-                    fleet.cancel();
+                    sim.cancel();
                 }
                 if at == killed_at {
-                    fleet.kill_owners([true; SHARDS], at % 4 == 0);
+                    sim.kill_owners([true; SHARDS], at % 4 == 0);
                 }
-                fleet.step();
+                sim.step();
             }
 
-            fleet.assert_gone(since, &format!("{way:?}, killed at step {killed_at} of 30"));
+            sim.assert_gone(since, &format!("{way:?}, killed at step {killed_at} of 30"));
         }
     }
 }
@@ -248,23 +250,23 @@
             let kills: Vec<(u64, usize)> =
                 (0..rng.u32(1..6)).map(|_| (rng.u64(..STEPS), rng.usize(..SHARDS))).collect();
             let cancel_at = rng.u64(..STEPS);
-            let mut fleet = Fleet::with_job(way, seed);
+            let mut sim = ShardedSimulation::with_job(way, seed);
             let last = kills.iter().map(|it| it.0).max().unwrap_or_default();
-            let changed = fleet.now() + Duration::from_millis(last * 10) + OWNERLESS;
-            let since = changed.max(fleet.now() + Duration::from_millis(cancel_at * 10));
+            let changed = sim.now() + Duration::from_millis(last * 10) + OWNERLESS;
+            let since = changed.max(sim.now() + Duration::from_millis(cancel_at * 10));
             for at in 0..STEPS {
                 if at == cancel_at {
-                    fleet.cancel();
+                    sim.cancel();
                 }
                 for (_, shard) in kills.iter().filter(|it| it.0 == at) {
                     let mut killed = [false; SHARDS];
                     killed[*shard] = true;
-                    fleet.kill_owners(killed, rng.bool());
+                    sim.kill_owners(killed, rng.bool());
                 }
-                fleet.step();
+                sim.step();
             }
 
-            fleet.assert_gone(since, &format!("{way:?}, seed {seed}"));
+            sim.assert_gone(since, &format!("{way:?}, seed {seed}"));
         }
     }
 }
@@ -275,22 +277,22 @@
     for fault in [Fault::None, Fault::LosesAnswers] {
         for cancel_at in 0..12 {
             for killed_at in 0..=16 {
-                let mut fleet = Fleet::new(killed_at);
-                fleet.run_ms(200);
-                fleet.worlds[0].worker("a").fault = fault;
-                let since = fleet.now() + Duration::from_millis(killed_at * 10) + OWNERLESS;
-                fleet.worlds[0].submit(job_id().0, spec());
+                let mut sim = ShardedSimulation::new(killed_at);
+                sim.run_ms(200);
+                sim.shards[0].worker("a").fault = fault;
+                let since = sim.now() + Duration::from_millis(killed_at * 10) + OWNERLESS;
+                sim.shards[0].submit(job_id().0, spec());
                 for at in 0..16 {
                     if at == cancel_at {
-                        fleet.cancel();
+                        sim.cancel();
                     }
                     if at == killed_at {
-                        fleet.kill_owners([true; SHARDS], cancel_at % 2 == 0);
+                        sim.kill_owners([true; SHARDS], cancel_at % 2 == 0);
                     }
-                    fleet.step();
+                    sim.step();
                 }
 
-                fleet.assert_gone(since, &format!("{fault:?}, {cancel_at}, {killed_at}"));
+                sim.assert_gone(since, &format!("{fault:?}, {cancel_at}, {killed_at}"));
             }
         }
     }
@@ -299,29 +301,29 @@
 /// Fleets in which a shard is about to hand a task to the third: the shard, and how the job came there.
 const GIVERS: [(usize, Way); 3] = [(0, Way::Stays), (1, Way::Delegated), (1, Way::OneHop)];
 
-impl Fleet {
+impl ShardedSimulation {
     /// One in which the second task of the job waits in shard `giver`.
-    fn with_waiting_task(giver: usize, way: Way, seed: u64) -> Fleet {
-        let mut fleet = Fleet::new(seed);
+    fn with_waiting_task(giver: usize, way: Way, seed: u64) -> ShardedSimulation {
+        let mut sim = ShardedSimulation::new(seed);
         if let Way::OneHop = way {
-            fleet.worlds[giver].submit(job_id().0 + 1_000, spec());
-            fleet.run_ms(100);
+            sim.shards[giver].submit(job_id().0 + 1_000, spec());
+            sim.run_ms(100);
         }
-        fleet.hand_in(way);
-        fleet
+        sim.hand_in(way);
+        sim
     }
 
     /// The same step, in which `giver` hears of the third shard's room.
     fn step_told(&mut self, giver: usize) {
-        let third = &self.worlds[2];
+        let third = &self.shards[2];
         let loads = SortedMap::from_iter([(ShardId(2), third.owner.load(third.now))]);
         let now = self.now();
-        self.worlds[giver].owner.step(now, Event::Loads(loads));
+        self.shards[giver].owner.step(now, Event::Loads(loads));
         self.step();
     }
 
     fn is_handed_on(&self, giver: usize) -> bool {
-        let job = self.worlds[giver].ledger.job(job_id());
+        let job = self.shards[giver].ledger.job(job_id());
         job.is_some_and(|it| it.handed_to().contains(&ShardId(2)))
     }
 }
@@ -330,31 +332,31 @@
 #[test]
 fn a_cancellation_during_a_hand_over_is_carried_out() {
     for (giver, way) in GIVERS {
-        let mut fleet = Fleet::with_waiting_task(giver, way, 0);
-        let recorded = (0..600)
+        let mut sim = ShardedSimulation::with_waiting_task(giver, way, 0);
+        let recorded_worker = (0..600)
             .find(|_| {
-                fleet.step_told(giver);
-                fleet.is_handed_on(giver)
+                sim.step_told(giver);
+                sim.is_handed_on(giver)
             })
             .expect("it is handed on");
-        for cancel_at in (recorded - 8..recorded + 28).step_by(3) {
-            for killed_at in (recorded - 6..recorded + 32).step_by(3) {
+        for cancel_at in (recorded_worker - 8..recorded_worker + 28).step_by(3) {
+            for killed_at in (recorded_worker - 6..recorded_worker + 32).step_by(3) {
                 let all = (cancel_at + killed_at) % 2 == 0;
                 let killed = [all || giver == 0, all || giver == 1, all];
-                let mut fleet = Fleet::with_waiting_task(giver, way, killed_at);
+                let mut sim = ShardedSimulation::with_waiting_task(giver, way, killed_at);
                 let last = cancel_at.max(killed_at) * 10;
-                let since = fleet.now() + Duration::from_millis(last) + OWNERLESS;
+                let since = sim.now() + Duration::from_millis(last) + OWNERLESS;
                 for at in 0..=cancel_at.max(killed_at) {
                     if at == cancel_at {
-                        fleet.cancel();
+                        sim.cancel();
                     }
                     if at == killed_at {
-                        fleet.kill_owners(killed, at % 2 == 0);
+                        sim.kill_owners(killed, at % 2 == 0);
                     }
-                    fleet.step_told(giver);
+                    sim.step_told(giver);
                 }
 
-                fleet.assert_gone(since, &format!("{way:?}, {cancel_at}, {killed_at}, {killed:?}"));
+                sim.assert_gone(since, &format!("{way:?}, {cancel_at}, {killed_at}, {killed:?}"));
             }
         }
     }
--- a/daisy-workflow/tests/chaos.rs
+++ b/daisy-workflow/tests/chaos.rs
@@ -4,57 +4,57 @@
 mod util;
 
 use daisy_workflow::JobState;
-use util::{FakeWorker, Fault, World, after, job, lasting, step};
+use util::{FakeWorker, Fault, Simulation, job, long_running_step, step, step_after};
 
 const JOBS: u64 = 12;
 
 /// One schedule: jobs come, workers and the log fail and recover, owners change.
-fn play(seed: u64) -> World {
+fn play(seed: u64) -> Simulation {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut world = World::new((0..5).map(|it| FakeWorker::new(&format!("w{it}"), 4)).collect());
+    let mut sim = Simulation::new((0..5).map(|it| FakeWorker::new(&format!("w{it}"), 4)).collect());
     for round in 0..JOBS {
         let spec = match rng.u8(..4) {
-            0 => vec![step(rng.u32(1..8)), after(&[0], step(rng.u32(1..6)))],
-            1 => vec![lasting(rng.u32(1..3))],
+            0 => vec![step(rng.u32(1..8)), step_after(&[0], step(rng.u32(1..6)))],
+            1 => vec![long_running_step(rng.u32(1..3))],
             _ => vec![step(rng.u32(1..10))],
         };
-        world.submit(round, job(spec));
-        fault(&mut rng, &mut world);
-        world.run_ms(rng.u64(100..1_500));
+        sim.submit(round, job(spec));
+        fault(&mut rng, &mut sim);
+        sim.run_ms(rng.u64(100..1_500));
     }
-    for worker in &mut world.workers {
+    for worker in &mut sim.workers {
         worker.fault = Fault::None;
         worker.listed = true;
         worker.ready = true;
     }
-    world.log_up = true;
-    world
+    sim.log_up = true;
+    sim
 }
 
-fn fault(rng: &mut fastrand::Rng, world: &mut World) {
-    let now = world.now;
-    let at = rng.usize(..world.workers.len());
+fn fault(rng: &mut fastrand::Rng, sim: &mut Simulation) {
+    let now = sim.now;
+    let at = rng.usize(..sim.workers.len());
     match rng.u8(..10) {
-        0 => world.workers[at].fault = Fault::Cut,
-        1 => world.workers[at].fault = Fault::LosesAnswers,
-        2 => world.workers[at].fault = Fault::Late(rng.u64(500..8_000)),
-        3 => world.workers[at].fault = Fault::Hangs,
-        4 => world.workers[at].restart(now),
-        5 => world.log_up = !world.log_up,
-        6 if world.log_up => world.change_owner(false),
-        7 => world.workers[at].listed = !world.workers[at].listed,
-        8 => world.workers[at].ready = !world.workers[at].ready,
-        _ => world.workers.iter_mut().for_each(|it| it.fault = Fault::None),
+        0 => sim.workers[at].fault = Fault::Unreachable,
+        1 => sim.workers[at].fault = Fault::LosesAnswers,
+        2 => sim.workers[at].fault = Fault::DelaysStarts(rng.u64(500..8_000)),
+        3 => sim.workers[at].fault = Fault::Hangs,
+        4 => sim.workers[at].restart(now),
+        5 => sim.log_up = !sim.log_up,
+        6 if sim.log_up => sim.change_owner(false),
+        7 => sim.workers[at].listed = !sim.workers[at].listed,
+        8 => sim.workers[at].ready = !sim.workers[at].ready,
+        _ => sim.workers.iter_mut().for_each(|it| it.fault = Fault::None),
     }
 }
 
 fn check(seed: u64) {
-    let mut world = play(seed);
-    let lasts = |world: &World, id: u64| {
-        let job = world.ledger.job(daisy_workflow::JobId(id)).expect("submitted");
+    let mut sim = play(seed);
+    let lasts = |sim: &Simulation, id: u64| {
+        let job = sim.ledger.job(daisy_workflow::JobId(id)).expect("submitted");
         job.spec.steps[0].long_running
     };
-    let done = world.run_until(60_000, |it| {
+    let done = sim.run_until(60_000, |it| {
         (0..JOBS).all(|id| lasts(it, id) || it.state(id) == JobState::Completed)
     });
     assert!(done, "seed {seed}: jobs are left over");
--- a/daisy-workflow/tests/delegate.rs
+++ b/daisy-workflow/tests/delegate.rs
@@ -8,7 +8,7 @@
     Owner, Progress, Record, Rules, Settings, ShardId,
 };
 use std::time::Duration;
-use util::{CORE, FakeWorker, best_effort, job, lasting, step};
+use util::{CORE, FakeWorker, best_effort, job, long_running_step, step};
 
 const LAYOUT: Layout = Layout { shards: 2 };
 const OWN: ShardId = ShardId(0);
@@ -82,8 +82,8 @@
     let mut owner = owner_of_one_worker(at(1_000));
     let mut own = ids(OWN);
     let (first, second) = (own.next().expect("one"), own.next().expect("another"));
-    submit(&mut owner, first, job(vec![lasting(1)]));
-    submit(&mut owner, second, job(vec![lasting(4)]));
+    submit(&mut owner, first, job(vec![long_running_step(1)]));
+    submit(&mut owner, second, job(vec![long_running_step(4)]));
 
     let batch = owner.try_batch(at(1_020)).expect("the decision is to be recorded");
     let before = forwarded(owner.act(at(1_020)));
@@ -92,7 +92,7 @@
 
     assert!(batch.records.contains(&Record::Delegated(second, OTHER)), "{:?}", batch.records);
     assert_eq!(before, Vec::new());
-    assert_eq!(after, [(OTHER, Record::Submitted(second, job(vec![lasting(4)])))]);
+    assert_eq!(after, [(OTHER, Record::Submitted(second, job(vec![long_running_step(4)])))]);
 }
 
 /// A job is handed on, and the other shard is without an owner for seconds. Callers who ask for the job
@@ -102,9 +102,9 @@
     let mut owner = owner_of_one_worker(at(1_000));
     let mut own = ids(OWN);
     let (stays, goes) = (own.next().expect("one"), own.next().expect("another"));
-    submit(&mut owner, stays, job(vec![lasting(1)]));
+    submit(&mut owner, stays, job(vec![long_running_step(1)]));
 
-    submit(&mut owner, goes, job(vec![lasting(4)]));
+    submit(&mut owner, goes, job(vec![long_running_step(4)]));
 
     let batch = owner.try_batch(at(1_020)).expect("the decision is to be recorded");
     assert!(batch.records.contains(&Record::Delegated(goes, OTHER)), "{:?}", batch.records);
@@ -221,7 +221,7 @@
 fn a_job_of_another_shard_stays() {
     let mut owner = owner_of_one_worker(at(1_000));
     let id = id_of(OTHER);
-    submit(&mut owner, id, job(vec![lasting(8)]));
+    submit(&mut owner, id, job(vec![long_running_step(8)]));
 
     let batch = owner.try_batch(at(1_020));
 
@@ -252,7 +252,7 @@
     others.update(SortedMap::from_iter([(OTHER, load(0, 0, 0))]));
 
     for (own, spec) in [
-        (load(250, 0, 0), lasting(1)),
+        (load(250, 0, 0), long_running_step(1)),
         (load(500, 250, 0), step(1)),
         (load(500, 200, 200), best_effort(1, "a")),
     ] {
@@ -268,7 +268,7 @@
     let mut others = Others::default();
     let shards = [(OTHER, load(0, 0, 0)), (ShardId(2), load(100, 0, 0))];
     others.update(SortedMap::from_iter(shards));
-    let demand = Demand::of(&job(vec![lasting(1)]));
+    let demand = Demand::of(&job(vec![long_running_step(1)]));
     let own =
         Load { capacity: 20 * u64::from(CORE), lasting: 15 * u64::from(CORE), ..load(0, 0, 0) };
     let empty = Load { capacity: 20 * u64::from(CORE), ..load(0, 0, 0) };
@@ -292,7 +292,7 @@
     let cores = |it: u64| it * u64::from(CORE);
     let load = |lasting| Load { capacity: cores(1_000), lasting: cores(lasting), ..load(0, 0, 0) };
     let (emptiest, empty) = (ShardId(8), ShardId(9));
-    let demand = Demand::of(&job(vec![lasting(10)]));
+    let demand = Demand::of(&job(vec![long_running_step(10)]));
     let mut taken = [cores(100), cores(200)];
 
     for owner in 0..4 {
--- a/daisy-workflow/tests/hand_over.rs
+++ b/daisy-workflow/tests/hand_over.rs
@@ -7,24 +7,24 @@
     Copy, Event, Fold, Handover, Hop, JobId, JobSpec, Layout, Ledger, Load, Others, Progress,
     Record, ShardId, StepSpec, TaskId,
 };
-use util::{CORE, FakeWorker, Fleet, job, lasting, task};
+use util::{CORE, FakeWorker, ShardedSimulation, job, long_running_step, task};
 
 const LAYOUT: Layout = Layout { shards: 2 };
 const FULL: ShardId = ShardId(0);
 const ROOMY: ShardId = ShardId(1);
 /// One worker of 4 cores in the first shard, one of 8 in the second.
-fn two_shards() -> Fleet {
-    Fleet::new(vec![vec![FakeWorker::new("a", 4)], vec![FakeWorker::new("b", 8)]])
+fn two_shards() -> ShardedSimulation {
+    ShardedSimulation::new(vec![vec![FakeWorker::new("a", 4)], vec![FakeWorker::new("b", 8)]])
 }
 
 /// The same, with a job in the first shard that has room for one of its two tasks.
-fn with_a_waiting_task() -> Fleet {
-    let mut fleet = two_shards();
-    fleet.run_ms(100);
-    fleet.worlds[0].submit(job_id().0, large_job());
-    fleet.run_ms(100);
-    assert_eq!(fleet.places(of_job(0)), ["a"], "the first of its tasks runs");
-    fleet
+fn with_a_waiting_task() -> ShardedSimulation {
+    let mut sim = two_shards();
+    sim.run_ms(100);
+    sim.shards[0].submit(job_id().0, large_job());
+    sim.run_ms(100);
+    assert_eq!(sim.workers_running(of_job(0)), ["a"], "the first of its tasks runs");
+    sim
 }
 
 /// A job of the first shard.
@@ -38,8 +38,8 @@
 
 /// Two tasks that last, of three cores each.
 fn large_job() -> JobSpec {
-    let need = Resources { cpu_milli: 3 * CORE, ..lasting(1).need };
-    job(vec![StepSpec { need, ..lasting(2) }])
+    let need = Resources { cpu_milli: 3 * CORE, ..long_running_step(1).need };
+    job(vec![StepSpec { need, ..long_running_step(2) }])
 }
 
 fn handover(hop: u32, runs: u32) -> Record {
@@ -61,11 +61,14 @@
 /// as long as others last, and a job that has begun cannot leave its shard. Another shard has room.
 #[test]
 fn a_task_without_room_runs_in_another_shard() {
-    let mut fleet = with_a_waiting_task();
+    let mut sim = with_a_waiting_task();
 
-    fleet.run_told(4_500);
+    sim.run_with_loads_ms(4_500);
 
-    assert_eq!((fleet.places(of_job(0)), fleet.places(of_job(1))), (vec!["a"], vec!["b"]));
+    assert_eq!(
+        (sim.workers_running(of_job(0)), sim.workers_running(of_job(1))),
+        (vec!["a"], vec!["b"])
+    );
 }
 
 /// The same while one owner or the other is killed at any moment of the hand-over, with all that it
@@ -75,13 +78,13 @@
 fn a_hand_over_outlives_its_owners() {
     for at in 0..2 {
         for moment in (280..420).chain((500..1_000).step_by(50)) {
-            let mut fleet = with_a_waiting_task();
-            fleet.run_told(moment * 10);
-            fleet.kill_owner(at);
+            let mut sim = with_a_waiting_task();
+            sim.run_with_loads_ms(moment * 10);
+            sim.kill_owner(at);
 
-            fleet.run_told(9_000);
+            sim.run_with_loads_ms(9_000);
 
-            let places = fleet.places(of_job(1));
+            let places = sim.workers_running(of_job(1));
             assert_eq!(places, ["b"], "owner {at} killed after {} ms", moment * 10);
         }
     }
@@ -92,15 +95,19 @@
 fn a_hand_over_outlives_both_owners() {
     for first in (290..350).step_by(3) {
         for later in 0..12 {
-            let mut fleet = with_a_waiting_task();
-            fleet.run_told(first * 10);
-            fleet.kill_owner(0);
-            fleet.run_told(later * 10);
-            fleet.kill_owner(1);
-
-            fleet.run_told(9_000);
-
-            assert_eq!(fleet.places(of_job(1)), ["b"], "killed at {first} and {later} later");
+            let mut sim = with_a_waiting_task();
+            sim.run_with_loads_ms(first * 10);
+            sim.kill_owner(0);
+            sim.run_with_loads_ms(later * 10);
+            sim.kill_owner(1);
+
+            sim.run_with_loads_ms(9_000);
+
+            assert_eq!(
+                sim.workers_running(of_job(1)),
+                ["b"],
+                "killed at {first} and {later} later"
+            );
         }
     }
 }
@@ -108,40 +115,40 @@
 /// A caller cancels a job of which a task runs in another shard: that task is stopped, too.
 #[test]
 fn a_cancellation_follows_a_task() {
-    let mut fleet = with_a_waiting_task();
-    fleet.run_told(4_500);
+    let mut sim = with_a_waiting_task();
+    sim.run_with_loads_ms(4_500);
 
-    fleet.worlds[0].cancel(job_id().0);
-    fleet.run_ms(500);
+    sim.shards[0].cancel(job_id().0);
+    sim.run_ms(500);
 
-    assert_eq!((fleet.places(of_job(0)), fleet.places(of_job(1))), (vec![], vec![]));
+    assert_eq!((sim.workers_running(of_job(0)), sim.workers_running(of_job(1))), (vec![], vec![]));
 }
 
 /// The worker of a task that was handed on is lost. The shard that has the task starts it anew: what
 /// the first shard knows of its earlier runs is no longer true.
 #[test]
 fn a_task_that_was_handed_on_is_started_anew_where_it_is() {
-    let mut fleet = with_a_waiting_task();
-    fleet.run_told(4_500);
+    let mut sim = with_a_waiting_task();
+    sim.run_with_loads_ms(4_500);
 
-    let now = fleet.worlds[1].now;
-    fleet.worlds[1].worker("b").restart(now);
-    fleet.run_told(3_000);
+    let now = sim.shards[1].now;
+    sim.shards[1].worker("b").restart(now);
+    sim.run_with_loads_ms(3_000);
 
-    assert_eq!(fleet.places(of_job(1)), ["b"]);
+    assert_eq!(sim.workers_running(of_job(1)), ["b"]);
 }
 
 /// While no shard has room, a task stays where it is.
 #[test]
 fn a_task_stays_where_no_other_shard_has_room() {
-    let mut fleet = with_a_waiting_task();
+    let mut sim = with_a_waiting_task();
     let full = Load { capacity: 8_000, lasting: 8_000, ..Load::default() };
-    let now = fleet.worlds[0].now;
-    fleet.worlds[0].owner.step(now, Event::Loads(SortedMap::from_iter([(ROOMY, full)])));
+    let now = sim.shards[0].now;
+    sim.shards[0].owner.step(now, Event::Loads(SortedMap::from_iter([(ROOMY, full)])));
 
-    fleet.run_ms(4_500);
+    sim.run_ms(4_500);
 
-    let handed = fleet.worlds[0].ledger.job(job_id()).map(|it| it.handed_to());
+    let handed = sim.shards[0].ledger.job(job_id()).map(|it| it.handed_to());
     assert_eq!(handed, Some(vec![]));
 }
 
--- a/daisy-workflow/tests/moves.rs
+++ b/daisy-workflow/tests/moves.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::Resources;
 use daisy_workflow::{JobId, JobSpec, Layout, Record, ShardId, StepSpec, TaskId};
-use util::{CORE, FakeWorker, Fleet, job, lasting, task};
+use util::{CORE, FakeWorker, ShardedSimulation, job, long_running_step, task};
 
 const SHARDS: u16 = 3;
 const LAYOUT: Layout = Layout { shards: SHARDS };
@@ -21,25 +21,25 @@
 
 struct Play {
     rng: fastrand::Rng,
-    fleet: Fleet,
+    sim: ShardedSimulation,
     asked: Vec<Asked>,
 }
 
 fn tasks(count: u32, cores: u32, memory_mib: u32) -> JobSpec {
     let need = Resources { cpu_milli: cores * CORE, memory_mib, accelerators: 0 };
-    job(vec![StepSpec { need, ..lasting(count) }])
+    job(vec![StepSpec { need, ..long_running_step(count) }])
 }
 
 fn begin(seed: u64) -> Play {
     let worker = |shard, at| FakeWorker::new(&format!("w{shard}{at}"), 4);
     let workers = |shard| (0..WORKERS).map(|at| worker(shard, at)).collect();
-    let mut fleet = Fleet::new((0..SHARDS).map(workers).collect());
-    fleet.run_ms(500);
+    let mut sim = ShardedSimulation::new((0..SHARDS).map(workers).collect());
+    sim.run_ms(500);
     let mut rng = fastrand::Rng::with_seed(seed);
     if rng.bool() {
-        fleet.slow_writes = Some(rng.fork());
+        sim.extra_write_latency = Some(rng.fork());
     }
-    Play { rng, fleet, asked: Vec::new() }
+    Play { rng, sim, asked: Vec::new() }
 }
 
 impl Play {
@@ -51,7 +51,7 @@
         let id = id.expect("one of many");
         let (count, cores) = (self.rng.u32(1..5), self.rng.u32(1..4));
         let memory = if self.rng.bool() { 100 } else { 30_000 };
-        self.fleet.worlds[usize::from(own.0)].submit(id.0, tasks(count, cores, memory));
+        self.sim.shards[usize::from(own.0)].submit(id.0, tasks(count, cores, memory));
         self.asked.push(Asked { id, count, cancelled: false });
     }
 
@@ -60,7 +60,7 @@
         let it = &mut self.asked[at];
         it.cancelled = true;
         let own = LAYOUT.of_job(it.id);
-        self.fleet.worlds[usize::from(own.0)].write(Record::Cancelled(it.id));
+        self.sim.shards[usize::from(own.0)].write(Record::Cancelled(it.id));
     }
 
     fn event(&mut self) {
@@ -69,18 +69,18 @@
         match self.rng.u8(..10) {
             0..=3 if self.rng.bool() || self.asked.len() < 5 => self.submit(),
             3 if self.asked.len() > 2 => self.cancel(),
-            4 => self.fleet.kill_owner(shard),
+            4 => self.sim.kill_owner(shard),
             5 => {
                 let (by_key, progress_first) = (self.rng.bool(), self.rng.bool());
-                self.fleet.kill_owner_and_read(shard, by_key, progress_first);
+                self.sim.kill_owner_and_replay(shard, by_key, progress_first);
             }
             6..=7 => {
-                let world = &mut self.fleet.worlds[shard];
-                let now = world.now;
-                world.workers[at].restart(now);
+                let sim = &mut self.sim.shards[shard];
+                let now = sim.now;
+                sim.workers[at].restart(now);
             }
             8 => {
-                let it = &mut self.fleet.worlds[shard].workers[at];
+                let it = &mut self.sim.shards[shard].workers[at];
                 it.ready = !it.ready;
             }
             _ => {}
@@ -89,7 +89,7 @@
 
     /// Whether each owner counts the runs that there are, and no others.
     fn is_counted(&self) -> bool {
-        self.fleet.worlds.iter().all(|it| {
+        self.sim.shards.iter().all(|it| {
             it.owner.summary(it.now).runs
                 == it.workers.iter().map(|it| it.runs.len()).sum::<usize>()
         })
@@ -98,7 +98,7 @@
     fn is_settled(&self, it: &Asked) -> bool {
         let expected = usize::from(!it.cancelled);
         let all = (0..it.count).map(|index| task(it.id.0, 0, index));
-        all.into_iter().all(|it| self.fleet.places(it).len() == expected)
+        all.into_iter().all(|it| self.sim.workers_running(it).len() == expected)
     }
 
     /// Cancels the newest jobs until there is room for the others.
@@ -108,14 +108,14 @@
             let it = self.asked.iter_mut().rfind(|it| !it.cancelled).expect("one is alive");
             it.cancelled = true;
             let own = LAYOUT.of_job(it.id);
-            self.fleet.worlds[usize::from(own.0)].write(Record::Cancelled(it.id));
+            self.sim.shards[usize::from(own.0)].write(Record::Cancelled(it.id));
         }
     }
 }
 
-fn places(play: &Play, it: &Asked) -> Vec<(TaskId, Vec<String>)> {
+fn workers_running(play: &Play, it: &Asked) -> Vec<(TaskId, Vec<String>)> {
     let all = (0..it.count).map(|index| task(it.id.0, 0, index));
-    let places = |it| play.fleet.places(it).into_iter().map(str::to_owned).collect();
+    let places = |it| play.sim.workers_running(it).into_iter().map(str::to_owned).collect();
     all.map(|it| (it, places(it))).collect()
 }
 
@@ -125,22 +125,23 @@
         play.event();
         let pause = play.rng.u64(50..1_500);
         match play.rng.u8(..4) {
-            0 => play.fleet.run_ms(pause * 2),
-            _ => play.fleet.run_told(pause),
+            0 => play.sim.run_ms(pause * 2),
+            _ => play.sim.run_with_loads_ms(pause),
         }
     }
-    play.fleet.worlds.iter_mut().flat_map(|it| &mut it.workers).for_each(|it| it.ready = true);
+    play.sim.shards.iter_mut().flat_map(|it| &mut it.workers).for_each(|it| it.ready = true);
     play.make_room();
 
     for _ in 0..12 {
-        play.fleet.run_told(2_000);
+        play.sim.run_with_loads_ms(2_000);
         if play.asked.iter().all(|it| play.is_settled(it)) && play.is_counted() {
             return;
         }
     }
 
     let left: Vec<_> = play.asked.iter().filter(|it| !play.is_settled(it)).collect();
-    let left: Vec<_> = left.into_iter().map(|it| (it.cancelled, places(&play, it))).collect();
+    let left: Vec<_> =
+        left.into_iter().map(|it| (it.cancelled, workers_running(&play, it))).collect();
     panic!("seed {seed}: {left:?}");
 }
 
--- a/daisy-workflow/tests/old_owner.rs
+++ b/daisy-workflow/tests/old_owner.rs
@@ -6,13 +6,13 @@
 
 use std::time::Duration;
 
-use util::{Cluster, Fault, Node, job, lasting, task};
+use util::{Cluster, Fault, Node, job, long_running_step, task};
 
 /// Has a start recorded of which the owner on the first VM has not heard; the worker that it is for.
 fn record_start(cluster: &mut Cluster) -> usize {
-    cluster.submit(2, job(vec![lasting(1)]));
-    assert!(cluster.run_until(200, |it| it.recorded(2).is_some()));
-    cluster.recorded(2).expect("just recorded")
+    cluster.submit(2, job(vec![long_running_step(1)]));
+    assert!(cluster.run_until(200, |it| it.recorded_worker(2).is_some()));
+    cluster.recorded_worker(2).expect("just recorded")
 }
 
 /// Another VM, which does not reach a worker, claims and waits until it starts elsewhere what was
@@ -21,7 +21,7 @@
     cluster.cut(&[Node::Vm(1)], &[Node::Worker(worker)]);
     assert!(cluster.claim(1));
     let moved = cluster.run_until(20_000, |it| {
-        let places = it.places(task(2, 0, 0));
+        let places = it.workers_running(task(2, 0, 0));
         places.iter().any(|name| *name != it.workers[worker].name)
     });
     assert!(moved);
@@ -38,7 +38,7 @@
 
     cluster.run_ms(2_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Guards against a start that an old owner sends again long after it was recorded.
@@ -46,17 +46,17 @@
 fn a_start_sent_again_after_a_freeze_runs_nothing_twice() {
     let mut cluster = Cluster::busy(2, 4);
     let worker = record_start(&mut cluster);
-    cluster.workers[worker].fault = Fault::Late(6_000);
+    cluster.workers[worker].fault = Fault::DelaysStarts(6_000);
     cluster.run_ms(50);
     cluster.freeze(0);
     claim_and_move(&mut cluster, worker);
-    cluster.cut_off(&[Node::Vm(0), Node::Worker(worker)]);
+    cluster.isolate(&[Node::Vm(0), Node::Worker(worker)]);
     cluster.workers[worker].fault = Fault::None;
     cluster.wake(0);
 
     cluster.run_ms(2_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Guards against a start that an old owner without the log sends again and again.
@@ -64,81 +64,82 @@
 fn a_start_sent_again_without_the_log_runs_nothing_twice() {
     let mut cluster = Cluster::busy(2, 4);
     let worker = record_start(&mut cluster);
-    cluster.workers[worker].fault = Fault::Late(6_000);
+    cluster.workers[worker].fault = Fault::DelaysStarts(6_000);
     cluster.run_ms(50);
-    cluster.cut_off(&[Node::Vm(0), Node::Worker(worker)]);
+    cluster.isolate(&[Node::Vm(0), Node::Worker(worker)]);
     claim_and_move(&mut cluster, worker);
     cluster.workers[worker].fault = Fault::None;
 
     cluster.run_ms(2_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Guards against an old owner that takes an answer of the log for a younger one than it is.
 #[test]
 fn a_sign_taken_before_a_freeze_renews_no_longer() {
     let mut cluster = Cluster::busy(2, 4);
-    let worker = cluster.host();
-    assert!(cluster.run_until(500, |it| it.is_answered(0)));
+    let worker = cluster.first_task_worker();
+    assert!(cluster.run_until(500, |it| it.has_log_answer_in_flight(0)));
     cluster.freeze(0);
     cluster.cut(&[Node::Vm(1)], &[Node::Worker(worker)]);
     cluster.run_ms(1_500);
     assert!(cluster.claim(1));
     cluster.run_ms(2_500);
-    cluster.cut_off(&[Node::Vm(0), Node::Worker(worker)]);
+    cluster.isolate(&[Node::Vm(0), Node::Worker(worker)]);
     cluster.wake(0);
 
     cluster.run_ms(20_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Guards against signs of an old owner that are taken until the new one gives its first.
 #[test]
 fn signs_taken_after_a_claim_renew_no_longer() {
     let mut cluster = Cluster::busy(2, 4);
-    let worker = cluster.host();
+    let worker = cluster.first_task_worker();
     let others: Vec<Node> = (0..4).filter(|it| *it != worker).map(Node::Worker).collect();
     cluster.cut(&[Node::Vm(0)], &others);
     cluster.cut(&[Node::Vm(1)], &[Node::Worker(worker)]);
     assert!(cluster.claim(1));
     cluster.cut(&[Node::Vm(1)], &[Node::Store]);
     cluster.run_ms(500);
-    cluster.cut_off(&[Node::Vm(0), Node::Worker(worker)]);
+    cluster.isolate(&[Node::Vm(0), Node::Worker(worker)]);
     cluster.heal(&[Node::Vm(1)], &[Node::Store]);
 
     cluster.run_ms(20_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Guards against a lease that an old owner granted for longer than owners do, after a restart.
 #[test]
 fn a_longer_lease_after_a_restart_runs_nothing_twice() {
     let mut cluster = Cluster::busy(2, 2);
-    let worker = cluster.host();
+    let worker = cluster.first_task_worker();
     cluster.crash(worker, Duration::ZERO, true);
     cluster.run_ms(800);
     cluster.crash(1 - worker, Duration::ZERO, true);
-    let back = cluster.run_until(1_000, |it| it.all_last() && it.host() == worker);
+    let back = cluster
+        .run_until(1_000, |it| it.all_long_running_active() && it.first_task_worker() == worker);
     cluster.kill(0);
     assert!(back && cluster.claim(1));
     cluster.run_ms(200);
-    cluster.cut_off(&[Node::Worker(worker)]);
+    cluster.isolate(&[Node::Worker(worker)]);
 
     cluster.run_ms(12_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Has an order under way that is carried out late, by the next incarnation of its worker.
 fn order_late(cluster: &mut Cluster, late: Duration) -> usize {
     cluster.run_ms(6_000);
     let worker = record_start(cluster);
-    cluster.calls_take = late;
+    cluster.call_latency = late;
     cluster.run_ms(20);
-    cluster.calls_take = Duration::ZERO;
+    cluster.call_latency = Duration::ZERO;
     cluster.crash(worker, Duration::ZERO, true);
     worker
 }
@@ -152,7 +153,7 @@
 
     cluster.run_ms(30_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Guards against the same, where the order is that of an owner before.
@@ -166,7 +167,7 @@
 
     cluster.run_ms(30_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Guards against the same, where no list tells the new owner of the restart.
@@ -175,10 +176,10 @@
     let mut cluster = Cluster::busy(2, 4);
     let worker = order_late(&mut cluster, Duration::from_secs(2));
     cluster.kill(0);
-    cluster.cut_off(&[Node::Worker(worker)]);
+    cluster.isolate(&[Node::Worker(worker)]);
     assert!(cluster.claim(1));
 
     cluster.run_ms(30_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
--- a/daisy-workflow/tests/outlasting.rs
+++ b/daisy-workflow/tests/outlasting.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use util::{Cluster, Fault, Node, job, lasting, task};
+use util::{Cluster, Fault, Node, job, long_running_step, task};
 
 /// Milliseconds until an order carried out as late as any has run for the longest lease, and some.
 const LATE_OVER_MS: u64 = 26_000;
@@ -13,12 +13,12 @@
 fn with_a_restarted_worker() -> (Cluster, usize) {
     let mut cluster = Cluster::busy(2, 4);
     cluster.run_ms(2_000);
-    let own = cluster.host();
+    let own = cluster.first_task_worker();
     cluster.crash(own, Duration::from_millis(300), true);
     assert!(cluster.run_until(2_000, |it| !it.is_down(own)));
     cluster.run_ms(200);
     for id in 2..=9 {
-        cluster.submit(id, job(vec![lasting(1)]));
+        cluster.submit(id, job(vec![long_running_step(1)]));
         cluster.run_ms(100);
     }
     assert!(!cluster.workers[own].runs.is_empty(), "it has got tasks again");
@@ -29,22 +29,22 @@
 #[test]
 fn a_lease_of_a_reborn_worker_runs_nothing_twice() {
     let (mut cluster, own) = with_a_restarted_worker();
-    cluster.cut_off(&[Node::Worker(own)]);
+    cluster.isolate(&[Node::Worker(own)]);
     assert!(cluster.claim(1));
 
     cluster.run_ms(20_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Has a start sent that gets no answer and is carried out some seconds later; its worker.
 fn send_a_late_start(cluster: &mut Cluster) -> usize {
-    cluster.submit(2, job(vec![lasting(1)]));
-    assert!(cluster.run_until(200, |it| it.recorded(2).is_some()));
-    let worker = cluster.recorded(2).expect("just recorded");
-    cluster.workers[worker].fault = Fault::Late(6_000);
+    cluster.submit(2, job(vec![long_running_step(1)]));
+    assert!(cluster.run_until(200, |it| it.recorded_worker(2).is_some()));
+    let worker = cluster.recorded_worker(2).expect("just recorded");
+    cluster.workers[worker].fault = Fault::DelaysStarts(6_000);
     cluster.run_ms(50);
-    assert_eq!(cluster.workers[worker].late.len(), 1, "it is on its way");
+    assert_eq!(cluster.workers[worker].delayed_orders.len(), 1, "it is on its way");
     worker
 }
 
@@ -62,7 +62,7 @@
 
     cluster.run_ms(LATE_OVER_MS);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// An order carried out late by a worker that started anew and that its owner does not reach.
@@ -76,7 +76,7 @@
 
     cluster.run_ms(LATE_OVER_MS);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// The next owner, too, has to allow for the longest lease once it was answered.
@@ -85,11 +85,11 @@
     let (mut cluster, own) = with_a_restarted_worker();
     assert!(cluster.claim(1));
     cluster.run_ms(100);
-    cluster.cut_off(&[Node::Worker(own)]);
+    cluster.isolate(&[Node::Worker(own)]);
 
     cluster.run_ms(20_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
 
 /// Half of the witnesses refuse the old owner, which can have no majority any more.
@@ -97,13 +97,14 @@
 fn an_owner_with_half_of_the_workers_waits_for_one_lease() {
     let mut cluster = Cluster::busy(2, 4);
     cluster.run_ms(2_000);
-    let own = cluster.host();
+    let own = cluster.first_task_worker();
     let another = (own + 1) % 4;
-    cluster.cut_off(&[Node::Vm(0), Node::Worker(own), Node::Worker(another)]);
+    cluster.isolate(&[Node::Vm(0), Node::Worker(own), Node::Worker(another)]);
     assert!(cluster.claim(1));
 
-    let places =
-        |it: &Cluster| it.places(task(1, 0, 0)).iter().any(|name| *name != it.workers[own].name);
+    let places = |it: &Cluster| {
+        it.workers_running(task(1, 0, 0)).iter().any(|name| *name != it.workers[own].name)
+    };
     assert!(cluster.run_until(7_000, places));
 }
 
@@ -112,17 +113,17 @@
 fn an_owner_of_an_earlier_build_between_two_runs_nothing_twice() {
     let mut cluster = Cluster::busy(3, 4);
     cluster.run_ms(2_000);
-    let own = cluster.host();
+    let own = cluster.first_task_worker();
     cluster.kill(0);
     cluster.ignores_witnesses = true;
     assert!(cluster.claim(1));
     cluster.ignores_witnesses = false;
     cluster.run_ms(1_000);
-    cluster.cut_off(&[Node::Vm(1), Node::Worker(own)]);
+    cluster.isolate(&[Node::Vm(1), Node::Worker(own)]);
     cluster.run_ms(1_400);
     assert!(cluster.claim(2));
 
     cluster.run_ms(20_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
 }
--- a/daisy-workflow/tests/overload.rs
+++ b/daisy-workflow/tests/overload.rs
@@ -4,16 +4,19 @@
 
 use daisy_workflow::{JobState, StepSpec};
 
-use util::{FakeWorker, LASTS_MS, World, best_effort, job, lasting, step};
+use util::{
+    FakeWorker, LONG_RUNNING_WORK_MS, Simulation, best_effort, job, long_running_step, step,
+};
 
 /// Workers of four cores that share them equally among more runs.
-fn sharing_workers(count: usize) -> World {
-    let worker = |at| FakeWorker { shares: true, ..FakeWorker::new(&format!("w{at}"), 4) };
-    World::new((0..count).map(worker).collect())
+fn sharing_workers(count: usize) -> Simulation {
+    let worker =
+        |at| FakeWorker { shares_processors: true, ..FakeWorker::new(&format!("w{at}"), 4) };
+    Simulation::new((0..count).map(worker).collect())
 }
 
-fn completed(world: &World, jobs: std::ops::Range<u64>) -> usize {
-    jobs.filter(|it| world.state(*it) == JobState::Completed).count()
+fn completed(sim: &Simulation, jobs: std::ops::Range<u64>) -> usize {
+    jobs.filter(|it| sim.state(*it) == JobState::Completed).count()
 }
 
 /// Ten callers hand in a job each at the same time, twice as much as the workers can do within the
@@ -22,15 +25,15 @@
 /// the others no later than before.
 #[test]
 fn a_burst_serves_some_in_time_instead_of_all_late() {
-    let mut world = sharing_workers(2);
-    world.run_ms(200);
+    let mut sim = sharing_workers(2);
+    sim.run_ms(200);
 
     for id in 0..10 {
-        world.submit(id, job(vec![best_effort(4, "render")]));
+        sim.submit(id, job(vec![best_effort(4, "render")]));
     }
-    world.run_ms(3_000);
-    let in_time = completed(&world, 0..10);
-    let all = world.run_until(4_000, |it| completed(it, 0..10) == 10);
+    sim.run_ms(3_000);
+    let in_time = completed(&sim, 0..10);
+    let all = sim.run_until(4_000, |it| completed(it, 0..10) == 10);
 
     assert!(in_time >= 4, "{in_time} jobs were done in time");
     assert!(all);
@@ -41,21 +44,21 @@
 /// that are nearly done go first, so that callers get whole results all the while.
 #[test]
 fn what_is_nearly_done_goes_before_what_has_just_come() {
-    let mut world = sharing_workers(2);
-    world.run_ms(200);
+    let mut sim = sharing_workers(2);
+    sim.run_ms(200);
 
     let mut next = 0;
     for _ in 0..10 {
         for _ in 0..2 {
             let second = StepSpec { depends_on: vec![0], ..best_effort(4, "render") };
-            world.submit(next, job(vec![best_effort(4, "render"), second]));
+            sim.submit(next, job(vec![best_effort(4, "render"), second]));
             next += 1;
         }
-        world.run_ms(1_000);
+        sim.run_ms(1_000);
     }
 
     // Ten seconds of eight cores are eighty tasks, ten whole jobs.
-    let done = completed(&world, 0..next);
+    let done = completed(&sim, 0..next);
     assert!(done >= 8, "{done} jobs of {next} are done");
 }
 
@@ -63,16 +66,16 @@
 /// would only crawl, and go where processors are idle as soon as there are any.
 #[test]
 fn best_effort_tasks_wait_for_idle_processors() {
-    let mut world = sharing_workers(1);
-    world.work = |task| if task.job.0 == 1 { 2_000 } else { 500 };
-    world.run_ms(200);
-    world.submit(1, job(vec![step(4)]));
-    world.run_ms(300);
+    let mut sim = sharing_workers(1);
+    sim.work_ms = |task| if task.job.0 == 1 { 2_000 } else { 500 };
+    sim.run_ms(200);
+    sim.submit(1, job(vec![step(4)]));
+    sim.run_ms(300);
 
-    world.submit(2, job(vec![best_effort(4, "render")]));
-    world.run_ms(1_000);
-    let beside = world.starts.iter().filter(|(task, ..)| task.job.0 == 2).count();
-    let done = world.run_until(3_000, |it| it.state(2) == JobState::Completed);
+    sim.submit(2, job(vec![best_effort(4, "render")]));
+    sim.run_ms(1_000);
+    let beside = sim.starts.iter().filter(|(task, ..)| task.job.0 == 2).count();
+    let done = sim.run_until(3_000, |it| it.state(2) == JobState::Completed);
 
     assert_eq!(beside, 0);
     assert!(done);
@@ -82,16 +85,16 @@
 /// for. It starts all the same where nothing of its kind runs: waiting would take forever.
 #[test]
 fn what_can_never_work_at_full_pace_starts_where_it_is_alone() {
-    let mut world = sharing_workers(2);
-    world.work = |task| if task.job.0 == 1 { LASTS_MS } else { 500 };
-    world.run_ms(200);
-    world.submit(1, job(vec![lasting(8)]));
-    world.run_ms(300);
+    let mut sim = sharing_workers(2);
+    sim.work_ms = |task| if task.job.0 == 1 { LONG_RUNNING_WORK_MS } else { 500 };
+    sim.run_ms(200);
+    sim.submit(1, job(vec![long_running_step(8)]));
+    sim.run_ms(300);
     let large = best_effort(2, "render");
     let need = daisy_model::Resources { cpu_milli: 3_500, ..large.need };
 
-    world.submit(2, job(vec![StepSpec { need, ..large }]));
-    let done = world.run_until(5_000, |it| it.state(2) == JobState::Completed);
+    sim.submit(2, job(vec![StepSpec { need, ..large }]));
+    let done = sim.run_until(5_000, |it| it.state(2) == JobState::Completed);
 
     assert!(done);
 }
@@ -99,20 +102,20 @@
 /// Late, a wide job that has begun must not wait behind all that comes anew while it is still of use.
 #[test]
 fn a_wide_job_that_has_begun_is_finished_beside_small_ones() {
-    let mut world = World::new((0..2).map(|at| FakeWorker::new(&format!("w{at}"), 4)).collect());
-    world.work = |_| 450;
-    world.run_ms(200);
+    let mut sim = Simulation::new((0..2).map(|at| FakeWorker::new(&format!("w{at}"), 4)).collect());
+    sim.work_ms = |_| 450;
+    sim.run_ms(200);
     let short = |count| StepSpec { estimate_ms: 450, ..step(count) };
 
-    world.submit(0, job(vec![short(48)]));
+    sim.submit(0, job(vec![short(48)]));
     let mut next = 1;
     for _ in 0..55 {
-        world.submit(next, job(vec![short(1)]));
+        sim.submit(next, job(vec![short(1)]));
         next += 1;
-        world.run_ms(100);
+        sim.run_ms(100);
     }
 
-    assert_eq!(world.state(0), JobState::Completed);
-    let in_time = completed(&world, 1..next);
+    assert_eq!(sim.state(0), JobState::Completed);
+    let in_time = completed(&sim, 1..next);
     assert!(in_time >= 20, "{in_time} small jobs are done");
 }
--- a/daisy-workflow/tests/partition.rs
+++ b/daisy-workflow/tests/partition.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use util::{Cluster, Fault, Node, job, lasting, step, task};
+use util::{Cluster, Fault, Node, job, long_running_step, step, task};
 
 /// How soon a task that lasts is at work again after an owner was replaced, in milliseconds: as long as
 /// the platform's contract allows after the last disturbance.
@@ -21,12 +21,12 @@
 
 /// Whether the first task runs on a worker, and on no other.
 fn runs_only_on(cluster: &Cluster, worker: usize) -> bool {
-    cluster.places(task(1, 0, 0)) == [cluster.workers[worker].name.as_str()]
+    cluster.workers_running(task(1, 0, 0)) == [cluster.workers[worker].name.as_str()]
 }
 
 /// Whether the first task runs on another worker.
 fn runs_off(cluster: &Cluster, worker: usize) -> bool {
-    let places = cluster.places(task(1, 0, 0));
+    let places = cluster.workers_running(task(1, 0, 0));
     places.iter().any(|name| *name != cluster.workers[worker].name)
 }
 
@@ -34,15 +34,15 @@
 #[test]
 fn an_old_owner_cut_off_with_a_worker_runs_nothing_twice() {
     let mut cluster = at_work();
-    let own = cluster.host();
-    cluster.cut_off(&[Node::Vm(0), Node::Worker(own)]);
+    let own = cluster.first_task_worker();
+    cluster.isolate(&[Node::Vm(0), Node::Worker(own)]);
     assert!(cluster.claim(1));
 
     cluster.run_ms(4_000);
     let kept = runs_only_on(&cluster, own);
     let moved = cluster.run_until(CALM_MS - 4_000, |it| runs_off(it, own));
     cluster.heal_all();
-    let over = cluster.run_until(1_000, |it| it.epoch(0).is_none() && it.all_last());
+    let over = cluster.run_until(1_000, |it| it.epoch(0).is_none() && it.all_long_running_active());
 
     assert!(kept && moved && over, "kept {kept}, moved {moved}, over {over}");
 }
@@ -51,9 +51,9 @@
 #[test]
 fn an_old_owner_cut_off_with_most_workers_keeps_what_runs_there() {
     let mut cluster = at_work();
-    let own = cluster.host();
+    let own = cluster.first_task_worker();
     let others: Vec<Node> = (0..4).filter(|it| *it != own).map(Node::Worker).collect();
-    cluster.cut_off(&[&others[..2], &[Node::Vm(0), Node::Worker(own)]].concat());
+    cluster.isolate(&[&others[..2], &[Node::Vm(0), Node::Worker(own)]].concat());
     assert!(cluster.claim(1));
 
     cluster.run_ms(9_000);
@@ -67,14 +67,14 @@
 #[test]
 fn owners_with_half_of_the_workers_each_run_nothing_twice() {
     let mut cluster = at_work();
-    let own = cluster.host();
+    let own = cluster.first_task_worker();
     let another = (own + 1) % 4;
-    cluster.cut_off(&[Node::Vm(0), Node::Worker(own), Node::Worker(another)]);
+    cluster.isolate(&[Node::Vm(0), Node::Worker(own), Node::Worker(another)]);
     assert!(cluster.claim(1));
 
     let moved = cluster.run_until(20_000, |it| runs_off(it, own));
     cluster.heal_all();
-    let over = cluster.run_until(1_000, |it| it.epoch(0).is_none() && it.all_last());
+    let over = cluster.run_until(1_000, |it| it.epoch(0).is_none() && it.all_long_running_active());
 
     assert!(moved && over);
 }
@@ -83,7 +83,7 @@
 #[test]
 fn workers_that_start_anew_are_no_witnesses_of_an_old_owner() {
     let mut cluster = at_work();
-    let own = cluster.host();
+    let own = cluster.first_task_worker();
     let others: Vec<Node> = (0..4).filter(|it| *it != own).map(Node::Worker).collect();
     cluster.cut(&[Node::Vm(0)], &[&[Node::Store], &others[..]].concat());
     cluster.cut(&[Node::Vm(1)], &[Node::Worker(own)]);
@@ -98,14 +98,14 @@
     cluster.run_ms(20_000);
     cluster.heal_all();
 
-    assert!(cluster.run_until(2_000, Cluster::all_last));
+    assert!(cluster.run_until(2_000, Cluster::all_long_running_active));
 }
 
 /// Guards against what a frozen owner does as it wakes, with orders from before.
 #[test]
 fn an_old_owner_that_wakes_runs_nothing_twice() {
     let mut cluster = Cluster::busy(2, 4);
-    cluster.submit(2, job(vec![lasting(2)]));
+    cluster.submit(2, job(vec![long_running_step(2)]));
     cluster.run_ms(30);
     cluster.freeze(0);
     cluster.run_ms(1_500);
@@ -114,7 +114,7 @@
     cluster.wake(0);
     cluster.run_ms(1_000);
 
-    assert!(cluster.all_last());
+    assert!(cluster.all_long_running_active());
     assert_eq!(cluster.epoch(0), None);
 }
 
@@ -122,16 +122,16 @@
 #[test]
 fn a_worker_cut_off_from_everybody_runs_nothing_twice() {
     let mut cluster = Cluster::busy(1, 4);
-    let own = cluster.host();
-    cluster.cut_off(&[Node::Worker(own)]);
+    let own = cluster.first_task_worker();
+    cluster.isolate(&[Node::Worker(own)]);
 
     let moved = cluster.run_until(7_000, |it| {
-        let places = it.places(task(1, 0, 0));
+        let places = it.workers_running(task(1, 0, 0));
         places.iter().any(|name| *name != it.workers[own].name)
     });
 
     assert!(moved);
-    assert!(cluster.longest_away() < Duration::from_millis(1_000));
+    assert!(cluster.longest_downtime() < Duration::from_millis(1_000));
 }
 
 /// Guards against taking a worker that has forgotten the new owner for one that still knows the old.
@@ -139,20 +139,20 @@
 fn a_restarted_worker_does_not_speak_for_an_old_owner() {
     for wakes_after in [500, 2_000, 3_500] {
         let mut cluster = Cluster::busy(2, 3);
-        let own = cluster.host();
+        let own = cluster.first_task_worker();
         let other = (own + 1) % 3;
         cluster.freeze(0);
         cluster.cut(&[Node::Vm(1)], &[Node::Worker(own)]);
         assert!(cluster.claim(1));
         cluster.run_ms(500);
-        cluster.cut_off(&[Node::Vm(0), Node::Worker(own), Node::Worker(other)]);
+        cluster.isolate(&[Node::Vm(0), Node::Worker(own), Node::Worker(other)]);
         cluster.crash(other, Duration::ZERO, true);
         cluster.run_ms(wakes_after);
         cluster.wake(0);
 
         cluster.run_ms(20_000);
 
-        assert!(cluster.all_last());
+        assert!(cluster.all_long_running_active());
     }
 }
 
@@ -162,16 +162,16 @@
     for heard in 0..25 {
         let mut cluster = Cluster::busy(2, 3);
         let old: Vec<Node> = (0..3).map(Node::Worker).collect();
-        cluster.grow(4);
+        cluster.add_workers(4);
         cluster.run_ms(heard * 10);
-        cluster.cut_way(Node::Store, Node::Vm(0));
+        cluster.cut_one_way(Node::Store, Node::Vm(0));
         cluster.run_ms(300);
-        cluster.cut_off(&[&[Node::Vm(0)], &old[..]].concat());
+        cluster.isolate(&[&[Node::Vm(0)], &old[..]].concat());
         assert!(cluster.claim(1));
 
         cluster.run_ms(20_000);
 
-        assert!(cluster.all_last());
+        assert!(cluster.all_long_running_active());
     }
 }
 
@@ -179,14 +179,14 @@
 #[test]
 fn a_task_of_a_lost_worker_is_back_after_a_change_of_the_owner() {
     let mut cluster = Cluster::busy(2, 4);
-    let own = cluster.host();
+    let own = cluster.first_task_worker();
     cluster.crash(own, Duration::from_secs(60), false);
     cluster.run_ms(4_000);
     cluster.kill(0);
     cluster.run_ms(1_500);
     assert!(cluster.claim(1));
 
-    let back = cluster.run_until(CALM_MS, Cluster::all_last);
+    let back = cluster.run_until(CALM_MS, Cluster::all_long_running_active);
 
     assert!(back);
 }
@@ -205,7 +205,7 @@
 
 fn begin(seed: u64) -> Play {
     let mut cluster = Cluster::busy(VMS, WORKERS as u32);
-    cluster.elects = true;
+    cluster.elects_owners = true;
     Play { rng: fastrand::Rng::with_seed(seed), cluster, jobs: 1 }
 }
 
@@ -221,7 +221,7 @@
     fn submit(&mut self) {
         self.jobs += 1;
         let count = self.rng.u32(1..4);
-        let spec = if self.jobs < 5 { lasting(count) } else { step(count) };
+        let spec = if self.jobs < 5 { long_running_step(count) } else { step(count) };
         self.cluster.submit(self.jobs, job(vec![spec]));
     }
 
@@ -230,15 +230,15 @@
         match self.rng.u8(..6) {
             0 => drop(self.cluster.cut(&[vm], &[Node::Store])),
             1 => drop(self.cluster.cut(&[vm], &[worker])),
-            2 => drop(self.cluster.cut_off(&[worker])),
+            2 => drop(self.cluster.isolate(&[worker])),
             3 => {
                 let group = [vm, worker, self.worker()];
-                self.cluster.cut_off(&group);
+                self.cluster.isolate(&group);
             }
             it => {
                 let other = if self.rng.bool() { worker } else { Node::Store };
                 let (from, to) = if it == 4 { (vm, other) } else { (other, vm) };
-                self.cluster.cut_way(from, to);
+                self.cluster.cut_one_way(from, to);
             }
         }
     }
@@ -259,13 +259,14 @@
             }
             13 => {
                 let millis = *self.rng.choice(&[0, 0, 30, 300, 3_000]).expect("some");
-                self.cluster.calls_take = Duration::from_millis(millis);
+                self.cluster.call_latency = Duration::from_millis(millis);
             }
             14 => {
-                let faults = [Fault::None, Fault::LosesAnswers, Fault::Late(self.rng.u64(..8_000))];
+                let faults =
+                    [Fault::None, Fault::LosesAnswers, Fault::DelaysStarts(self.rng.u64(..8_000))];
                 self.cluster.workers[worker].fault = self.rng.choice(faults).expect("some");
             }
-            _ => self.cluster.hears_log_first = self.rng.bool(),
+            _ => self.cluster.receives_log_first = self.rng.bool(),
         }
     }
 }
@@ -295,7 +296,7 @@
     cluster.workers.iter_mut().for_each(|it| it.fault = Fault::None);
 
     cluster.run_ms(2_000);
-    let lasts = cluster.run_until(18_000, Cluster::all_last);
+    let lasts = cluster.run_until(18_000, Cluster::all_long_running_active);
 
     assert!(lasts, "seed {seed}: a task that lasts does not run");
 }
@@ -358,7 +359,7 @@
     let new: Vec<usize> = (1..VMS).filter(|vm| cluster.epoch(*vm).is_some()).collect();
     match op {
         Op::CutOldFromLog => cluster.cut(&[old], &[Node::Store]),
-        Op::CutOldWithWorkers => cluster.cut_off(&[old, here, beside]),
+        Op::CutOldWithWorkers => cluster.isolate(&[old, here, beside]),
         Op::FreezeOld if !cluster.is_frozen(0) => {
             cluster.freeze(0);
             true
@@ -372,7 +373,7 @@
             true
         }
         Op::CutWorkerFromNew => cluster.cut(&[here], &[Node::Vm(1), Node::Vm(2)]),
-        Op::CutWorkerFromAll => cluster.cut_off(&[here]),
+        Op::CutWorkerFromAll => cluster.isolate(&[here]),
         Op::CrashWorker if !cluster.is_down(worker) => {
             cluster.crash(worker, Duration::from_millis(1_000), true);
             true
@@ -382,7 +383,7 @@
             cluster.kill(new[0]);
             (1..VMS).filter(|vm| *vm != new[0]).any(|vm| cluster.claim(vm))
         }
-        Op::Heal if !cluster.is_whole() => {
+        Op::Heal if !cluster.is_healed() => {
             cluster.heal_all();
             true
         }
@@ -396,11 +397,11 @@
     let mut cluster = Cluster::busy(VMS, search.workers);
     cluster.run_ms(search.before_ms);
     cluster.step = Duration::from_millis(20);
-    let mut worker = cluster.host();
+    let mut worker = cluster.first_task_worker();
     if search.starting {
-        cluster.submit(2, job(vec![lasting(1)]));
-        assert!(cluster.run_until(200, |it| it.recorded(2).is_some()));
-        worker = cluster.recorded(2).expect("just recorded");
+        cluster.submit(2, job(vec![long_running_step(1)]));
+        assert!(cluster.run_until(200, |it| it.recorded_worker(2).is_some()));
+        worker = cluster.recorded_worker(2).expect("just recorded");
     }
     for op in &search.ops {
         if !apply(&mut cluster, worker, *op) {
@@ -412,9 +413,12 @@
     // Long enough for a new owner to start elsewhere what it does not reach.
     cluster.run_ms(17_000);
     cluster.heal_all();
-    cluster.elects = true;
+    cluster.elects_owners = true;
     cluster.run_ms(2_000);
-    assert!(cluster.run_until(18_000, Cluster::all_last), "a task that lasts does not run");
+    assert!(
+        cluster.run_until(18_000, Cluster::all_long_running_active),
+        "a task that lasts does not run"
+    );
     true
 }
 
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -9,7 +9,7 @@
     Observations, PIECES, Phase, Progress, Record, RecordError, ShardId, Sign, SpecError,
     TaskState, Told, Witness, Witnesses, decode, encode,
 };
-use util::{after, best_effort, job, lasting, step, task};
+use util::{best_effort, job, long_running_step, step, step_after, task};
 
 const PIECE: Resources = Resources { cpu_milli: 6, memory_mib: 8, accelerators: 1 };
 
@@ -50,7 +50,10 @@
 
 fn records() -> Vec<Record> {
     vec![
-        Record::Submitted(JobId(7), job(vec![best_effort(2, "a"), after(&[0], lasting(1))])),
+        Record::Submitted(
+            JobId(7),
+            job(vec![best_effort(2, "a"), step_after(&[0], long_running_step(1))]),
+        ),
         Record::Cancelled(JobId(7)),
         Record::Progress(JobId(7), progress()),
         Record::Claim(claim()),
@@ -63,7 +66,7 @@
             task(7, 0, 1),
             Box::new(Handover {
                 hop: 3,
-                spec: job(vec![lasting(2)]),
+                spec: job(vec![long_running_step(2)]),
                 runs: 5,
                 failures: 1,
                 checkpoint: "c".to_owned(),
@@ -210,8 +213,8 @@
     let cases = [
         (job(vec![]), SpecError::NoSteps),
         (job(vec![step(0)]), SpecError::NoTasks(0)),
-        (job(vec![after(&[0], step(1))]), SpecError::Dependency(0, 0)),
-        (job(vec![step(1), after(&[2], step(1))]), SpecError::Dependency(1, 2)),
+        (job(vec![step_after(&[0], step(1))]), SpecError::Dependency(0, 0)),
+        (job(vec![step(1), step_after(&[2], step(1))]), SpecError::Dependency(1, 2)),
         (job(vec![step(20_001)]), SpecError::TooManyTasks(20_001)),
     ];
     for (spec, error) in cases {
@@ -221,7 +224,7 @@
 
 #[test]
 fn the_longest_chain_counts() {
-    let spec = job(vec![step(1), after(&[0], step(1)), step(1), after(&[1, 2], step(1))]);
+    let spec = job(vec![step(1), step_after(&[0], step(1)), step(1), step_after(&[1, 2], step(1))]);
 
     assert_eq!(spec.chain_ms(), 3_000);
     assert_eq!(spec.tails_ms(), [3_000, 2_000, 2_000, 1_000]);
--- a/daisy-workflow/tests/util/log.rs
+++ b/daisy-workflow/tests/util/log.rs
@@ -1,8 +1,8 @@
-//! What stands in a shard's log.
+//! The log of a shard.
 
 use daisy_workflow::{Batch, Ledger, Record, decode, encode};
 
-/// The shard's submissions, and the newest record of each key of its progress.
+/// Holds the shard's submissions, and the newest record of each key of its progress topic.
 #[derive(Debug, Default)]
 pub struct Log {
     pub submissions: Vec<Record>,
@@ -10,16 +10,16 @@
 }
 
 impl Log {
-    /// Adds a submission; the record as it is read.
+    /// Adds a submission and returns the record as a reader decodes it.
     pub fn submit(&mut self, record: &Record) -> Record {
-        let record = as_read(record);
+        let record = encode_and_decode(record);
         self.submissions.push(record.clone());
         record
     }
 
-    /// Adds what an owner recorded; the records as they are read.
+    /// Adds the batch of an owner and returns its records as a reader decodes them.
     pub fn store(&mut self, batch: &Batch) -> Vec<Record> {
-        let records: Vec<Record> = batch.records.iter().map(as_read).collect();
+        let records: Vec<Record> = batch.records.iter().map(encode_and_decode).collect();
         for record in &records {
             let key = encode(record).0;
             self.progress.retain(|it| encode(it).0 != key);
@@ -28,7 +28,8 @@
         records
     }
 
-    /// What a new owner reads, submissions in the order of their keys or as they were written.
+    /// Returns the ledger of a new owner that replays the log: submissions ordered by key or as
+    /// they were written, and progress records before or after them.
     pub fn read(&self, by_key: bool, progress_first: bool) -> Ledger {
         let mut submissions = self.submissions.clone();
         if by_key {
@@ -46,7 +47,7 @@
     }
 }
 
-fn as_read(record: &Record) -> Record {
+fn encode_and_decode(record: &Record) -> Record {
     let (key, value) = encode(record);
-    decode(&key, &value).expect("own records can be read")
+    decode(&key, &value).expect("a record that was just encoded can be decoded")
 }
--- a/daisy-workflow/tests/util/mod.rs
+++ b/daisy-workflow/tests/util/mod.rs
@@ -1,12 +1,13 @@
-//! Fixtures: jobs, and worlds of fake workers and a log around one owner at a time, or several.
+//! Fixtures: jobs, and simulations of fake workers and a log with one owner at a time, or with
+//! several.
 
 #![allow(dead_code, unused_imports, reason = "each test binary uses a part")]
 
-mod fleet;
 mod log;
 mod partition;
+mod sharded_simulation;
+mod simulation;
 mod worker;
-mod world;
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,21 +15,21 @@
 use daisy_workflow::{JobId, JobSpec, Queue, Queues, Service, StepSpec, TaskId, Terms};
 
 pub use self::{
-    fleet::Fleet,
     partition::{Cluster, Node},
-    worker::{FakeWorker, Fault, LASTS_MS},
-    world::World,
+    sharded_simulation::ShardedSimulation,
+    simulation::Simulation,
+    worker::{FakeWorker, Fault, LONG_RUNNING_WORK_MS},
 };
 
 pub const CORE: u32 = 1_000;
 
-/// How long each step of a world takes.
-pub const STEP: Duration = Duration::from_millis(10);
+/// Simulated time that each step of a simulation takes.
+pub const TICK: Duration = Duration::from_millis(10);
 
 /// The longest lease that a worker grants.
 pub const LEASE_MAX: Duration = Duration::from_secs(10);
 
-/// Terms of a queue that gives a task three attempts.
+/// Returns the terms of a queue that allows each task three attempts.
 pub fn terms() -> Terms {
     Terms {
         queue: "renders".into(),
@@ -55,7 +56,7 @@
     })
 }
 
-/// A step of `count` tasks of one core, each a second long.
+/// Returns a step of `count` tasks of one core, each of which runs for a second.
 pub fn step(count: u32) -> StepSpec {
     StepSpec {
         count,
@@ -65,17 +66,17 @@
     }
 }
 
-/// A step that waits for the steps at `depends_on`.
-pub fn after(depends_on: &[u16], step: StepSpec) -> StepSpec {
+/// Returns the step with dependencies on the steps at the indexes `depends_on`.
+pub fn step_after(depends_on: &[u16], step: StepSpec) -> StepSpec {
     StepSpec { depends_on: depends_on.to_vec(), ..step }
 }
 
-/// Tasks that run until the job is cancelled.
-pub fn lasting(count: u32) -> StepSpec {
+/// Returns a step of long-running tasks, which run until the job is cancelled.
+pub fn long_running_step(count: u32) -> StepSpec {
     StepSpec { long_running: true, target_ms: 50, image: Some("serve".into()), ..step(count) }
 }
 
-/// Tasks that use what others leave.
+/// Returns a step of best-effort tasks, which use the processor time that other tasks leave.
 pub fn best_effort(count: u32, image: &str) -> StepSpec {
     StepSpec { best_effort: true, checkpoints: true, image: Some(image.into()), ..step(count) }
 }
--- a/daisy-workflow/tests/util/partition.rs
+++ b/daisy-workflow/tests/util/partition.rs
@@ -1,4 +1,5 @@
-//! Several owners at a time, each of which reaches a part of the store and of the workers.
+//! Simulates several owners that run at the same time, each of which reaches some of the store and
+//! of the workers.
 
 use std::time::Duration;
 
@@ -9,34 +10,36 @@
 };
 
 use super::{
-    LASTS_MS, STEP, job, lasting,
+    LONG_RUNNING_WORK_MS, TICK, job,
     log::Log,
-    worker::{FakeWorker, HOLD_WAIT_MAX, target, unanswered, with_wait},
-    world::{check_runs, check_start, owner},
+    long_running_step,
+    simulation::{check_runs, check_start, owner},
+    worker::{FakeWorker, HOLD_WAIT_MAX, target_worker, unanswered_event, with_max_wait},
 };
 
-/// Between signs of life.
-const SIGN_EVERY: Duration = Duration::from_millis(400);
-/// After silence for this long others claim.
-const SILENCE: Duration = Duration::from_millis(1_400);
-/// Before a write without an answer is sent again.
-const WRITE_AGAIN: Duration = Duration::from_millis(600);
-/// Before a call counts as unanswered.
+/// Time between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Other VMs claim the shard after this time without a heartbeat.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(1_400);
+/// Time after which a write without an answer is sent again.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(600);
+/// Time after which a call is treated as unanswered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(450);
-/// Between reads of the list of workers.
-const LIST_EVERY: Duration = Duration::from_millis(100);
-/// Between a worker's writes of its entry, and how long an entry stands.
-const ENTRY_EVERY: Duration = Duration::from_millis(1_100);
-const ENTRY_STANDS: Duration = Duration::from_millis(3_300);
-/// The shortest time for which a crashed worker is away.
-const DOWN_MIN: Duration = Duration::from_millis(300);
-/// The shortest time after a restart for which orders from before are under way: an owner has had the time
-/// for a call.
-const LATE_MIN_MS: u64 = 300;
-/// A key that stands for the log, whose refusals end an owner as those of workers do.
-const LOG: WorkerKey = WorkerKey(u32::MAX);
-
-/// What can be cut off from another.
+/// Time between reads of the list of workers.
+const LIST_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between a worker's writes of its entry in the list, and how long an entry is valid.
+const ENTRY_INTERVAL: Duration = Duration::from_millis(1_100);
+const ENTRY_LIFETIME: Duration = Duration::from_millis(3_300);
+/// Minimum time for which a crashed worker is down.
+const MIN_DOWNTIME: Duration = Duration::from_millis(300);
+/// Minimum time after a restart at which orders from before it arrive: the owner has had time for a
+/// call to the new incarnation.
+const MIN_ORDER_DELAY_MS: u64 = 300;
+/// A key that represents the log: a rejection by the log ends an owner as a rejection by a worker
+/// does.
+const LOG_KEY: WorkerKey = WorkerKey(u32::MAX);
+
+/// A node that can be disconnected from other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
     /// The log and the list of workers.
@@ -46,41 +49,41 @@
     Worker(usize),
 }
 
-/// A write to the log that is not known to have been taken.
+/// A write to the log that is not known to be stored.
 struct Write {
-    /// What is recorded; `None` for a sign of life.
+    /// The batch to be stored; `None` for a heartbeat.
     batch: Option<Batch>,
-    /// When it was first to be sent, and when it is sent next.
+    /// When it was first due to be sent, and when it is next sent.
     sent_at: Instant,
-    send_at: Instant,
+    next_send_at: Instant,
 }
 
-/// An owner's process.
+/// The process of an owner.
 struct Process {
     epoch: u64,
     owner: Owner,
     settled: bool,
-    signed_at: Option<Instant>,
+    heartbeat_sent_at: Option<Instant>,
     listed_at: Option<Instant>,
     writes: Vec<Write>,
-    /// What it has decided and not sent yet.
+    /// Decided actions that are not sent yet.
     outbox: Vec<Action>,
-    /// Answers, and when they arrive.
+    /// Answers, and when each arrives.
     inbox: Vec<(Instant, Event)>,
-    /// Submissions that it has read.
-    read: usize,
+    /// Number of submissions that it has read.
+    submissions_read: usize,
 }
 
-/// A VM; it may run an owner.
+/// A VM, which may run an owner.
 #[derive(Default)]
 struct Vm {
     process: Option<Process>,
     frozen: bool,
-    /// Whether it has not run since it woke.
-    woken: bool,
+    /// Whether it has not run a step since it was resumed.
+    just_woken: bool,
 }
 
-/// A call under way.
+/// A call in flight.
 struct Call {
     at: Instant,
     sent_at: Instant,
@@ -90,101 +93,106 @@
     action: Action,
 }
 
-/// The newest claim, with what its signs of life have told since.
-struct Claimed {
+/// The newest claim, with the state that its heartbeats have published since.
+struct NewestClaim {
     epoch: u64,
     vm: usize,
     settled: bool,
     released: bool,
 }
 
-/// A task that lasts: since when it is away, and for how long it was at most.
-struct Watched {
+/// A long-running task: when it last ran, and its longest downtime so far.
+struct TaskDowntime {
     task: TaskId,
-    since: Option<Instant>,
+    last_running_at: Option<Instant>,
     longest: Duration,
 }
 
-/// A worker that has crashed: when it is back, and as what.
-struct Down {
+/// A worker that has crashed: when it is up again, and under which name.
+struct CrashedWorker {
     until: Instant,
     name: String,
 }
 
-/// VMs, workers and the store; checks after each step that no task runs twice.
+/// VMs, workers and the store; checks after each step that no task runs on two workers.
 pub struct Cluster {
     pub now: Instant,
     pub step: Duration,
     pub workers: Vec<FakeWorker>,
-    /// What stands in the log.
+    /// The folded state of the log.
     pub ledger: Ledger,
-    /// Whether a VM claims once no sign of life was taken for a while.
-    pub elects: bool,
-    /// Whether a process that wakes hears the log's answers before those of workers.
-    pub hears_log_first: bool,
-    /// Whether processes that begin know of no witnesses, as those of earlier builds.
+    /// Whether a VM claims the shard when no heartbeat was stored for `ELECTION_TIMEOUT`.
+    pub elects_owners: bool,
+    /// Whether a process that resumes receives the log's answers before those of workers.
+    pub receives_log_first: bool,
+    /// Whether new processes ignore the witnesses in the log, as earlier builds do.
     pub ignores_witnesses: bool,
-    /// How long calls to workers are under way; they are then carried out whatever was cut meanwhile.
-    pub calls_take: Duration,
+    /// How long calls to workers are in flight; they are then carried out even if the link was cut
+    /// meanwhile.
+    pub call_latency: Duration,
     vms: Vec<Vm>,
-    down: Vec<Option<Down>>,
-    /// Ways on which nothing passes.
-    cut: Vec<(Node, Node)>,
+    down: Vec<Option<CrashedWorker>>,
+    /// Directed links that drop everything, sorted.
+    blocked_links: Vec<(Node, Node)>,
     log: Log,
-    claimed: Option<Claimed>,
-    /// The epoch of the newest sign of life, and when it was taken. Signs are fenced by signs alone, as
-    /// they are in a partition of their own.
-    signed: (u64, Instant),
-    entries: Vec<(Instant, Listed)>,
+    claimed: Option<NewestClaim>,
+    /// The epoch of the newest heartbeat, and when it was stored. Heartbeats are fenced by
+    /// heartbeats alone, as they are in a partition of their own.
+    last_heartbeat: (u64, Instant),
+    worker_entries: Vec<(Instant, Listed)>,
     calls: Vec<Call>,
-    watched: Vec<Watched>,
-    /// Runs that began, and ends as done that count.
-    begun: Vec<(TaskId, Instant)>,
-    noted: Vec<(TaskId, Instant)>,
-    /// How many of both were checked.
-    checked: (usize, usize),
+    downtimes: Vec<TaskDowntime>,
+    /// Runs that were started, and ends as done that are final.
+    started_runs: Vec<(TaskId, Instant)>,
+    final_ends: Vec<(TaskId, Instant)>,
+    /// Numbers of both at the last check.
+    checked_counts: (usize, usize),
 }
 
 impl Cluster {
-    /// VMs and workers that reach each other; the first VM has an owner.
+    /// Returns VMs and workers that all reach each other; the first VM runs an owner.
     pub fn new(vms: usize, workers: Vec<FakeWorker>) -> Cluster {
         let now = Instant::from_millis(1_000);
         let mut cluster = Cluster {
             now,
-            step: STEP,
+            step: TICK,
             down: workers.iter().map(|_| None).collect(),
             workers,
             ledger: Ledger::default(),
-            elects: false,
-            hears_log_first: true,
+            elects_owners: false,
+            receives_log_first: true,
             ignores_witnesses: false,
-            calls_take: Duration::ZERO,
+            call_latency: Duration::ZERO,
             vms: (0..vms).map(|_| Vm::default()).collect(),
-            cut: Vec::new(),
+            blocked_links: Vec::new(),
             log: Log::default(),
             claimed: None,
-            signed: (0, now),
-            entries: Vec::new(),
+            last_heartbeat: (0, now),
+            worker_entries: Vec::new(),
             calls: Vec::new(),
-            watched: Vec::new(),
-            begun: Vec::new(),
-            noted: Vec::new(),
-            checked: (0, 0),
+            downtimes: Vec::new(),
+            started_runs: Vec::new(),
+            final_ends: Vec::new(),
+            checked_counts: (0, 0),
         };
         cluster.claim(0);
         cluster
     }
 
-    /// The same, with as many tasks that last as there are workers, whose clocks are as slow as any.
+    /// Returns a cluster with as many long-running tasks as workers; the workers' clocks are the
+    /// slowest allowed.
     pub fn busy(vms: usize, workers: u32) -> Cluster {
         let mut cluster = Cluster::new(vms, (0..workers).map(slow_worker).collect());
-        cluster.submit(1, job(vec![lasting(workers)]));
-        assert!(cluster.run_until(2_000, Cluster::all_last), "they start");
+        cluster.submit(1, job(vec![long_running_step(workers)]));
+        assert!(
+            cluster.run_until(2_000, Cluster::all_long_running_active),
+            "the long-running tasks start"
+        );
         cluster
     }
 
-    /// More workers start.
-    pub fn grow(&mut self, count: u32) {
+    /// Adds `count` workers.
+    pub fn add_workers(&mut self, count: u32) {
         let from = self.workers.len() as u32;
         self.workers.extend((from..from + count).map(slow_worker));
         self.down.extend((0..count).map(|_| None));
@@ -196,51 +204,53 @@
             let task = move |index| TaskId { job: JobId(id), occurrence: 0, step, index };
             (0..it.count).map(task)
         });
-        let watched = |task| Watched { task, since: None, longest: Duration::ZERO };
-        self.watched.extend(tasks.map(watched));
+        let downtimes =
+            |task| TaskDowntime { task, last_running_at: None, longest: Duration::ZERO };
+        self.downtimes.extend(tasks.map(downtimes));
         let record = self.log.submit(&Record::Submitted(JobId(id), spec));
         self.ledger.fold(record);
     }
 
-    /// Nothing passes between any of `some` and any of `others`; whether anything did.
+    /// Cuts all links between `some` and `others`, and returns whether any of them was open.
     pub fn cut(&mut self, some: &[Node], others: &[Node]) -> bool {
-        let before = self.cut.len();
+        let before = self.blocked_links.len();
         for (a, b) in some.iter().flat_map(|a| others.iter().map(|b| (*a, *b))) {
-            self.cut_way(a, b);
-            self.cut_way(b, a);
+            self.cut_one_way(a, b);
+            self.cut_one_way(b, a);
         }
-        self.cut.len() > before
+        self.blocked_links.len() > before
     }
 
-    /// Nothing passes from one to the other.
-    pub fn cut_way(&mut self, from: Node, to: Node) {
-        if let Err(at) = self.cut.binary_search(&(from, to)) {
-            self.cut.insert(at, (from, to));
+    /// Cuts the link in one direction.
+    pub fn cut_one_way(&mut self, from: Node, to: Node) {
+        if let Err(at) = self.blocked_links.binary_search(&(from, to)) {
+            self.blocked_links.insert(at, (from, to));
         }
     }
 
-    /// A group, such as a data centre, reaches only itself; whether it reached more.
-    pub fn cut_off(&mut self, group: &[Node]) -> bool {
+    /// Isolates a group, such as a data centre, from all other nodes, and returns whether any link
+    /// was open.
+    pub fn isolate(&mut self, group: &[Node]) -> bool {
         let others: Vec<Node> = self.nodes().into_iter().filter(|it| !group.contains(it)).collect();
         self.cut(group, &others)
     }
 
     pub fn heal(&mut self, some: &[Node], others: &[Node]) {
         let are = |a: &Node, b: &Node| some.contains(a) && others.contains(b);
-        self.cut.retain(|(a, b)| !are(a, b) && !are(b, a));
+        self.blocked_links.retain(|(a, b)| !are(a, b) && !are(b, a));
     }
 
     pub fn heal_links(&mut self) {
-        self.cut.clear();
+        self.blocked_links.clear();
     }
 
-    pub fn is_whole(&self) -> bool {
-        self.cut.is_empty() && self.vms.iter().all(|it| !it.frozen)
+    pub fn is_healed(&self) -> bool {
+        self.blocked_links.is_empty() && self.vms.iter().all(|it| !it.frozen)
     }
 
     pub fn heal_all(&mut self) {
         self.heal_links();
-        self.calls_take = Duration::ZERO;
+        self.call_latency = Duration::ZERO;
         (0..self.vms.len()).for_each(|vm| self.wake(vm));
     }
 
@@ -250,32 +260,32 @@
         [Node::Store].into_iter().chain(vms).chain(workers).collect()
     }
 
-    fn passes(&self, from: Node, to: Node) -> bool {
-        self.cut.binary_search(&(from, to)).is_err()
+    fn can_send(&self, from: Node, to: Node) -> bool {
+        self.blocked_links.binary_search(&(from, to)).is_err()
     }
 
-    fn reach(&self, a: Node, b: Node) -> bool {
-        self.passes(a, b) && self.passes(b, a)
+    fn are_connected(&self, a: Node, b: Node) -> bool {
+        self.can_send(a, b) && self.can_send(b, a)
     }
 
-    /// A VM stands still: what it has decided it sends once it wakes, and what it is told it hears then.
+    /// Freezes a VM: it sends its decided actions, and receives its answers, only after it resumes.
     pub fn freeze(&mut self, vm: usize) {
         self.vms[vm].frozen = true;
     }
 
     pub fn wake(&mut self, vm: usize) {
         let vm = &mut self.vms[vm];
-        vm.woken = std::mem::take(&mut vm.frozen);
+        vm.just_woken = std::mem::take(&mut vm.frozen);
     }
 
-    /// The process on a VM ends without a word; calls that are under way arrive.
+    /// Kills the process on a VM without a release of the shard; its calls in flight still arrive.
     pub fn kill(&mut self, vm: usize) {
         self.vms[vm] = Vm::default();
     }
 
-    /// The owner on a VM gives the shard up; whether it could say so.
+    /// Lets the owner on a VM release the shard, and returns whether it could record the release.
     pub fn release(&mut self, vm: usize) -> bool {
-        let reaches = self.reach(Node::Vm(vm), Node::Store) && !self.vms[vm].frozen;
+        let reaches = self.are_connected(Node::Vm(vm), Node::Store) && !self.vms[vm].frozen;
         let epoch = self.epoch(vm);
         let claimed = self.claimed.as_mut().filter(|it| reaches && Some(it.epoch) == epoch);
         let Some(claimed) = claimed else { return false };
@@ -284,43 +294,44 @@
         true
     }
 
-    /// The epoch of the owner on a VM.
+    /// Returns the epoch of the owner on a VM.
     pub fn epoch(&self, vm: usize) -> Option<u64> {
         self.vms[vm].process.as_ref().map(|it| it.epoch)
     }
 
-    /// Whether an answer of the log is on its way to the owner on a VM.
-    pub fn is_answered(&self, vm: usize) -> bool {
+    /// Returns whether an answer of the log is in flight to the owner on a VM.
+    pub fn has_log_answer_in_flight(&self, vm: usize) -> bool {
         let process = self.vms[vm].process.as_ref();
-        process.is_some_and(|it| it.inbox.iter().any(|(_, event)| is_of_log(event)))
+        process.is_some_and(|it| it.inbox.iter().any(|(_, event)| is_log_answer(event)))
     }
 
-    /// The worker on which the log has the first task of a job, which may be on its way there.
-    pub fn recorded(&self, job: u64) -> Option<usize> {
+    /// Returns the worker of the first task of a job according to the log; the order to start it
+    /// may still be in flight.
+    pub fn recorded_worker(&self, job: u64) -> Option<usize> {
         let job = self.ledger.job(JobId(job))?;
         let copy = job.progress.occurrences[0][0][0].copies.first()?;
         self.workers.iter().position(|it| *it.name == *copy.worker.0)
     }
 
-    /// The worker of the first task of the first job.
-    pub fn host(&self) -> usize {
-        self.recorded(1).expect("it runs")
+    /// Returns the worker of the first task of the first job.
+    pub fn first_task_worker(&self) -> usize {
+        self.recorded_worker(1).expect("the log names a worker for the first task")
     }
 
     pub fn is_frozen(&self, vm: usize) -> bool {
         self.vms[vm].frozen
     }
 
-    /// A VM claims the shard and reads its log; whether it could.
+    /// Lets a VM claim the shard and read its log, and returns whether it could.
     pub fn claim(&mut self, vm: usize) -> bool {
         let it = &self.vms[vm];
-        if it.frozen || it.process.is_some() || !self.reach(Node::Vm(vm), Node::Store) {
+        if it.frozen || it.process.is_some() || !self.are_connected(Node::Vm(vm), Node::Store) {
             return false;
         }
         let last = self.claimed.as_ref();
         let settled = last.is_none_or(|it| (it.released || it.vm == vm) && it.settled);
         let epoch = last.map_or(0, |it| it.epoch) + 1;
-        self.claimed = Some(Claimed { epoch, vm, settled, released: false });
+        self.claimed = Some(NewestClaim { epoch, vm, settled, released: false });
         let mut ledger = self.log.read(false, false);
         if self.ignores_witnesses {
             ledger.fold(Record::Witnesses(Witnesses::default()));
@@ -329,22 +340,22 @@
             epoch,
             owner: owner(self.now, epoch, ledger, settled, ShardId(0), Layout { shards: 1 }),
             settled,
-            signed_at: None,
+            heartbeat_sent_at: None,
             listed_at: None,
             writes: Vec::new(),
             outbox: Vec::new(),
             inbox: Vec::new(),
-            read: self.log.submissions.len(),
+            submissions_read: self.log.submissions.len(),
         });
         true
     }
 
-    /// A worker crashes and is back after a while under its id, or under another.
+    /// Crashes a worker; it is up again after `away`, under the same id or a new one.
     pub fn crash(&mut self, at: usize, away: Duration, same_id: bool) {
         let worker = &mut self.workers[at];
         worker.runs.clear();
         let name = if same_id { worker.name.clone() } else { format!("{}'", worker.name) };
-        self.down[at] = Some(Down { until: self.now + away.max(DOWN_MIN), name });
+        self.down[at] = Some(CrashedWorker { until: self.now + away.max(MIN_DOWNTIME), name });
     }
 
     pub fn is_down(&self, worker: usize) -> bool {
@@ -358,7 +369,7 @@
         }
     }
 
-    /// Runs until `done`, at most for `millis`; whether it came about.
+    /// Runs until `done` returns true, at most for `millis`, and returns whether it did.
     pub fn run_until(&mut self, millis: u64, done: impl Fn(&Cluster) -> bool) -> bool {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end && !done(self) {
@@ -369,45 +380,47 @@
 
     pub fn step(&mut self) {
         self.now = self.now + self.step;
-        self.pass();
+        self.advance_workers();
         self.write_entries();
-        if self.elects {
+        if self.elects_owners {
             self.elect();
         }
         for vm in 0..self.vms.len() {
-            self.run(vm);
+            self.run_process(vm);
         }
         self.deliver();
         check_runs(&self.workers, &self.ledger);
-        self.check_ends();
-        self.watch();
+        self.check_no_start_after_end();
+        self.track_downtime();
     }
 
-    fn pass(&mut self) {
+    fn advance_workers(&mut self) {
         let now = self.now;
         for (worker, down) in self.workers.iter_mut().zip(&mut self.down) {
             if down.as_ref().is_some_and(|it| it.until <= now)
                 && let Some(it) = down.take()
             {
-                let slow_permille = worker.slow_permille;
+                let clock_slow_permille = worker.clock_slow_permille;
                 let clock = worker.clock(now);
-                let late: Vec<u64> = worker.late.iter().map(|it| it.0).collect();
+                let late: Vec<u64> = worker.delayed_orders.iter().map(|it| it.0).collect();
                 worker.restart(now);
                 if worker.name != it.name {
-                    // Orders name the worker that they are for.
-                    worker.late.clear();
+                    // Orders name the worker that they are for, so a worker with a new name rejects
+                    // old ones.
+                    worker.delayed_orders.clear();
                 }
                 worker.name = it.name;
-                worker.slow_permille = slow_permille;
-                worker.zero_ms = now.0 / 1_000;
-                worker.offset = 1;
-                // What is still under way arrives when it was to, by the clock that begins anew.
-                for (order, at) in worker.late.iter_mut().zip(late) {
-                    order.0 = 1 + at.saturating_sub(clock).max(LATE_MIN_MS);
+                worker.clock_slow_permille = clock_slow_permille;
+                worker.clock_zero_ms = now.0 / 1_000;
+                worker.clock_offset_ms = 1;
+                // Orders still in flight arrive after the same delay, counted by the restarted
+                // clock.
+                for (order, at) in worker.delayed_orders.iter_mut().zip(late) {
+                    order.0 = 1 + at.saturating_sub(clock).max(MIN_ORDER_DELAY_MS);
                 }
             }
             if down.is_none() {
-                worker.pass(now, &|_| false);
+                worker.advance(now, &|_| false);
             }
         }
     }
@@ -416,30 +429,30 @@
         let now = self.now;
         for at in 0..self.workers.len() {
             let listing = self.workers[at].listing();
-            let known = self.entries.iter().position(|(_, it)| it.id == listing.id);
+            let known = self.worker_entries.iter().position(|(_, it)| it.id == listing.id);
             let due = known.is_none_or(|it| {
-                let (written_at, entry) = &self.entries[it];
-                now.since(*written_at) >= ENTRY_EVERY || entry.born_ms != listing.born_ms
+                let (written_at, entry) = &self.worker_entries[it];
+                now.since(*written_at) >= ENTRY_INTERVAL || entry.born_ms != listing.born_ms
             });
-            if due && !self.is_down(at) && self.passes(Node::Worker(at), Node::Store) {
-                self.entries.retain(|(_, it)| it.id != listing.id);
-                self.entries.push((now, listing));
+            if due && !self.is_down(at) && self.can_send(Node::Worker(at), Node::Store) {
+                self.worker_entries.retain(|(_, it)| it.id != listing.id);
+                self.worker_entries.push((now, listing));
             }
         }
-        self.entries.retain(|(at, _)| now.since(*at) < ENTRY_STANDS);
+        self.worker_entries.retain(|(at, _)| now.since(*at) < ENTRY_LIFETIME);
     }
 
     fn elect(&mut self) {
         let released = self.claimed.as_ref().is_some_and(|it| it.released);
-        if released || self.now.since(self.signed.1) > SILENCE {
-            // A claim counts as a sign of life to the others.
-            self.signed.1 = self.now;
+        if released || self.now.since(self.last_heartbeat.1) > ELECTION_TIMEOUT {
+            // Other VMs treat a claim as a heartbeat.
+            self.last_heartbeat.1 = self.now;
             let _ = (0..self.vms.len()).any(|vm| self.claim(vm));
         }
     }
 
-    /// What a process does in a step.
-    fn run(&mut self, vm: usize) {
+    /// Runs one step of a process.
+    fn run_process(&mut self, vm: usize) {
         if self.vms[vm].frozen {
             return;
         }
@@ -447,10 +460,12 @@
         let now = self.now;
         self.send(vm, &mut process);
         self.read(vm, &mut process);
-        // Answers of the log and of workers come by different ways: either may be heard first.
-        let log_alone = std::mem::take(&mut self.vms[vm].woken) && self.hears_log_first;
-        let is_due =
-            |(at, event): &(Instant, Event)| *at <= now && (!log_alone || is_of_log(event));
+        // Answers of the log and of workers use separate connections, so either may arrive first.
+        let log_answers_only =
+            std::mem::take(&mut self.vms[vm].just_woken) && self.receives_log_first;
+        let is_due = |(at, event): &(Instant, Event)| {
+            *at <= now && (!log_answers_only || is_log_answer(event))
+        };
         let (due, later) = process.inbox.drain(..).partition(is_due);
         process.inbox = later;
         let due: Vec<(Instant, Event)> = due;
@@ -465,13 +480,15 @@
             process.writes.push(Write {
                 batch: Some(batch),
                 sent_at: now,
-                send_at: now + self.step,
+                next_send_at: now + self.step,
             });
         }
-        let signs = process.writes.iter().any(|it| it.batch.is_none());
-        if !signs && process.signed_at.is_none_or(|it| now.since(it) >= SIGN_EVERY) {
-            process.signed_at = Some(now);
-            process.writes.push(Write { batch: None, sent_at: now, send_at: now });
+        let heartbeat_pending = process.writes.iter().any(|it| it.batch.is_none());
+        if !heartbeat_pending
+            && process.heartbeat_sent_at.is_none_or(|it| now.since(it) >= HEARTBEAT_INTERVAL)
+        {
+            process.heartbeat_sent_at = Some(now);
+            process.writes.push(Write { batch: None, sent_at: now, next_send_at: now });
         }
         self.write(vm, &mut process);
         self.vms[vm].process = Some(process);
@@ -486,12 +503,12 @@
             {
                 check_start(&self.ledger, start);
             }
-            let Some(key) = target(&action) else { continue };
+            let Some(key) = target_worker(&action) else { continue };
             let name = &process.owner.worker(key).expect("the owner's worker").id.0;
             let to = self.workers.iter().position(|it| it.name == **name);
-            match to.filter(|to| self.passes(Node::Vm(vm), Node::Worker(*to))) {
+            match to.filter(|to| self.can_send(Node::Vm(vm), Node::Worker(*to))) {
                 Some(_) => self.calls.push(Call {
-                    at: now + self.calls_take,
+                    at: now + self.call_latency,
                     sent_at: now,
                     vm,
                     epoch: process.epoch,
@@ -499,7 +516,7 @@
                     action,
                 }),
                 None => {
-                    let event = unanswered(action).map(|it| (now + CALL_TIMEOUT, it));
+                    let event = unanswered_event(action).map(|it| (now + CALL_TIMEOUT, it));
                     process.inbox.extend(event);
                 }
             }
@@ -507,17 +524,17 @@
     }
 
     fn read(&self, vm: usize, process: &mut Process) {
-        if !self.reach(Node::Vm(vm), Node::Store) {
+        if !self.are_connected(Node::Vm(vm), Node::Store) {
             return;
         }
         let now = self.now;
-        for record in &self.log.submissions[process.read..] {
+        for record in &self.log.submissions[process.submissions_read..] {
             process.owner.step(now, Event::Record(record.clone()));
         }
-        process.read = self.log.submissions.len();
-        if process.listed_at.is_none_or(|it| now.since(it) >= LIST_EVERY) {
+        process.submissions_read = self.log.submissions.len();
+        if process.listed_at.is_none_or(|it| now.since(it) >= LIST_INTERVAL) {
             process.listed_at = Some(now);
-            let listed = self.entries.iter().map(|(_, it)| it.clone()).collect();
+            let listed = self.worker_entries.iter().map(|(_, it)| it.clone()).collect();
             process.owner.step(now, Event::Workers(listed));
         }
     }
@@ -525,13 +542,13 @@
     fn write(&mut self, vm: usize, process: &mut Process) {
         let now = self.now;
         for mut write in std::mem::take(&mut process.writes) {
-            let sent = write.send_at <= now && self.passes(Node::Vm(vm), Node::Store);
-            let answer = sent.then(|| self.take(process, &write));
-            match answer.filter(|_| self.passes(Node::Store, Node::Vm(vm))) {
+            let sent = write.next_send_at <= now && self.can_send(Node::Vm(vm), Node::Store);
+            let answer = sent.then(|| self.store_write(process, &write));
+            match answer.filter(|_| self.can_send(Node::Store, Node::Vm(vm))) {
                 Some(event) => process.inbox.push((now + self.step, event)),
                 None => {
-                    if write.send_at <= now {
-                        write.send_at = now + WRITE_AGAIN;
+                    if write.next_send_at <= now {
+                        write.next_send_at = now + WRITE_RETRY_INTERVAL;
                     }
                     process.writes.push(write);
                 }
@@ -539,13 +556,13 @@
         }
     }
 
-    /// The log takes a write, or refuses it; taken again, it changes nothing.
-    fn take(&mut self, process: &Process, write: &Write) -> Event {
+    /// Stores a write in the log, or rejects it; storing a write again changes nothing.
+    fn store_write(&mut self, process: &Process, write: &Write) -> Event {
         let Write { batch, sent_at, .. } = write;
         let claimed = self.claimed.as_mut().expect("the first owner has claimed");
-        let newest = if batch.is_some() { claimed.epoch } else { self.signed.0 };
+        let newest = if batch.is_some() { claimed.epoch } else { self.last_heartbeat.0 };
         if process.epoch < newest {
-            return Event::Fenced(LOG);
+            return Event::Fenced(LOG_KEY);
         }
         match batch {
             Some(batch) => {
@@ -555,7 +572,7 @@
                 Event::Appended
             }
             None => {
-                self.signed = (process.epoch, self.now);
+                self.last_heartbeat = (process.epoch, self.now);
                 if process.epoch == claimed.epoch {
                     claimed.settled = process.settled || process.owner.is_settled(self.now);
                 }
@@ -564,7 +581,7 @@
         }
     }
 
-    /// Calls arrive, and their answers go back.
+    /// Delivers the calls that are due, and returns their answers.
     fn deliver(&mut self) {
         let now = self.now;
         let (due, later) = self.calls.drain(..).partition(|it| it.at <= now);
@@ -573,9 +590,9 @@
         for Call { sent_at, vm, epoch, worker, action, .. } in due {
             let at = self.workers.iter().position(|it| it.name == worker);
             let at = at.filter(|at| !self.is_down(*at));
-            let lost = unanswered(action.clone()).map(|it| (CALL_TIMEOUT, it));
-            let answer = at.and_then(|at| self.obey(at, epoch, action));
-            let back = at.is_some_and(|at| self.passes(Node::Worker(at), Node::Vm(vm)));
+            let lost = unanswered_event(action.clone()).map(|it| (CALL_TIMEOUT, it));
+            let answer = at.and_then(|at| self.execute(at, epoch, action));
+            let back = at.is_some_and(|at| self.can_send(Node::Worker(at), Node::Vm(vm)));
             let answer = if back && now.since(sent_at) < CALL_TIMEOUT { answer } else { lost };
             let process = self.vms[vm].process.as_mut().filter(|it| it.epoch == epoch);
             if let (Some(process), Some((after, event))) = (process, answer) {
@@ -584,7 +601,7 @@
         }
     }
 
-    fn obey(&mut self, at: usize, epoch: u64, action: Action) -> Option<(Duration, Event)> {
+    fn execute(&mut self, at: usize, epoch: u64, action: Action) -> Option<(Duration, Event)> {
         let work_ms = match &action {
             Action::Start(_, start) => self.work_ms(start),
             _ => 0,
@@ -592,24 +609,24 @@
         let (worker, now) = (&mut self.workers[at], self.now);
         let before = worker.runs.len();
         let task = if let Action::Start(_, it) = &action { Some(it.task) } else { None };
-        let action = with_wait(action, HOLD_WAIT_MAX);
-        let answer = worker.obey(now, epoch, action, work_ms);
+        let action = with_max_wait(action, HOLD_WAIT_MAX);
+        let answer = worker.execute(now, epoch, action, work_ms);
         let began = worker.runs.len() > before;
-        self.begun.extend(task.filter(|_| began).map(|it| (it, now)));
+        self.started_runs.extend(task.filter(|_| began).map(|it| (it, now)));
         answer
     }
 
-    /// Nothing starts after an end that counts, whether it counts by then or later.
-    fn check_ends(&mut self) {
+    /// Checks that no task starts after its end, also where that end becomes final only later.
+    fn check_no_start_after_end(&mut self) {
         for worker in &mut self.workers {
-            self.noted.append(&mut worker.noted);
+            self.final_ends.append(&mut worker.final_ends);
         }
-        let known = (self.begun.len(), self.noted.len());
-        if std::mem::replace(&mut self.checked, known) == known {
+        let known = (self.started_runs.len(), self.final_ends.len());
+        if std::mem::replace(&mut self.checked_counts, known) == known {
             return;
         }
-        for (task, began) in &self.begun {
-            let again = self.noted.iter().any(|(it, ended)| it == task && ended < began);
+        for (task, began) in &self.started_runs {
+            let again = self.final_ends.iter().any(|(it, ended)| it == task && ended < began);
             assert!(!again, "{task} is started after its end");
         }
     }
@@ -617,42 +634,47 @@
     fn work_ms(&self, start: &Start) -> u64 {
         let job = self.ledger.job(start.task.job).expect("only submitted jobs run");
         let step = &job.spec.steps[usize::from(start.task.step)];
-        if step.long_running { LASTS_MS } else { u64::from(step.estimate_ms) }
+        if step.long_running { LONG_RUNNING_WORK_MS } else { u64::from(step.estimate_ms) }
     }
 
-    fn watch(&mut self) {
-        for it in &mut self.watched {
+    fn track_downtime(&mut self) {
+        for it in &mut self.downtimes {
             let runs = |worker: &FakeWorker| worker.runs.iter().any(|run| run.task == it.task);
             if self.workers.iter().any(runs) {
-                it.since = Some(self.now);
-            } else if let Some(since) = it.since {
-                it.longest = it.longest.max(self.now.since(since));
+                it.last_running_at = Some(self.now);
+            } else if let Some(last) = it.last_running_at {
+                it.longest = it.longest.max(self.now.since(last));
             }
         }
     }
 
-    /// Where a task runs.
-    pub fn places(&self, task: TaskId) -> Vec<&str> {
+    /// Returns the names of the workers on which a task runs.
+    pub fn workers_running(&self, task: TaskId) -> Vec<&str> {
         let here = |it: &&FakeWorker| it.runs.iter().any(|run| run.task == task);
         self.workers.iter().filter(here).map(|it| it.name.as_str()).collect()
     }
 
-    /// Whether all tasks that last run.
-    pub fn all_last(&self) -> bool {
-        self.watched.iter().all(|it| !self.places(it.task).is_empty())
+    /// Returns whether all long-running tasks run.
+    pub fn all_long_running_active(&self) -> bool {
+        self.downtimes.iter().all(|it| !self.workers_running(it.task).is_empty())
     }
 
-    /// The longest time for which a task that lasts was without a run.
-    pub fn longest_away(&self) -> Duration {
-        self.watched.iter().map(|it| it.longest).max().unwrap_or_default()
+    /// Returns the longest downtime of any long-running task.
+    pub fn longest_downtime(&self) -> Duration {
+        self.downtimes.iter().map(|it| it.longest).max().unwrap_or_default()
     }
 }
 
-/// A worker whose clock is as slow as any, and far ahead of that of its next incarnation.
+/// Returns a worker with the slowest clock allowed, which is far ahead of the clock of its next
+/// incarnation.
 fn slow_worker(at: u32) -> FakeWorker {
-    FakeWorker { slow_permille: 20, offset: 500_000, ..FakeWorker::new(&format!("w{at}"), 8) }
+    FakeWorker {
+        clock_slow_permille: 20,
+        clock_offset_ms: 500_000,
+        ..FakeWorker::new(&format!("w{at}"), 8)
+    }
 }
 
-fn is_of_log(event: &Event) -> bool {
-    matches!(event, Event::Appended | Event::Reached { .. } | Event::Fenced(LOG))
+fn is_log_answer(event: &Event) -> bool {
+    matches!(event, Event::Appended | Event::Reached { .. } | Event::Fenced(LOG_KEY))
 }
--- a/daisy-workflow/tests/util/world.rs
+++ b/daisy-workflow/tests/util/simulation.rs
@@ -1,4 +1,4 @@
-//! A log, workers, and the owner that tells them what to run.
+//! Simulates a log, workers, and one owner at a time that schedules tasks on them.
 
 use std::time::Duration;
 
@@ -9,53 +9,53 @@
 };
 
 use super::{
-    LEASE_MAX, STEP,
+    LEASE_MAX, TICK,
     log::Log,
-    worker::{FakeWorker, HOLD_WAIT_MAX, target, with_wait},
+    worker::{FakeWorker, HOLD_WAIT_MAX, target_worker, with_max_wait},
 };
 
-/// Between signs of life, in microseconds.
-const SIGN_EVERY_US: u64 = 400_000;
+/// Time between heartbeats, in microseconds.
+const HEARTBEAT_INTERVAL_US: u64 = 400_000;
 
-/// Everything around an owner; checks after each step that no promise is broken.
-pub struct World {
+/// Everything around an owner; checks after each step that no invariant is violated.
+pub struct Simulation {
     pub now: Instant,
     pub epoch: u64,
     pub owner: Owner,
     pub workers: Vec<FakeWorker>,
-    /// What every entry VM has read.
+    /// The ledger that every entry VM has read.
     pub ledger: Ledger,
-    /// Whether the log takes appends.
+    /// Whether the log accepts appends.
     pub log_up: bool,
-    /// Whether the platform's list of workers stands still.
-    pub list_lags: bool,
-    /// The longest that a worker waits before it answers a renewal.
+    /// Whether the platform's list of workers is not updated.
+    pub list_is_stale: bool,
+    /// Maximum time for which a worker waits before it answers a renewal.
     pub hold_wait_max: Duration,
     /// Orders to start that were sent: task, run, worker.
     pub starts: Vec<(TaskId, u32, String)>,
     pub stepped_down: bool,
-    /// What is to be written to the submissions of other shards.
+    /// Records to be written to the submissions of other shards.
     pub forwarded: Vec<(ShardId, Record)>,
     shard: ShardId,
     layout: Layout,
-    /// Milliseconds of work of a task.
-    pub work: fn(TaskId) -> u64,
+    /// Returns the work of a task, in milliseconds.
+    pub work_ms: fn(TaskId) -> u64,
     pub fails: fn(TaskId) -> bool,
     pending: Option<(Instant, Batch)>,
     events: Vec<(Instant, Event)>,
     log: Log,
 }
 
-impl World {
-    pub fn new(workers: Vec<FakeWorker>) -> World {
-        World::of_shard(workers, ShardId(0), Layout { shards: 1 })
+impl Simulation {
+    pub fn new(workers: Vec<FakeWorker>) -> Simulation {
+        Simulation::of_shard(workers, ShardId(0), Layout { shards: 1 })
     }
 
-    /// One shard of several, with its own workers.
-    pub fn of_shard(workers: Vec<FakeWorker>, shard: ShardId, layout: Layout) -> World {
+    /// Returns one shard of several, with its own workers.
+    pub fn of_shard(workers: Vec<FakeWorker>, shard: ShardId, layout: Layout) -> Simulation {
         let now = Instant::from_millis(1_000);
         let ledger = Ledger::default();
-        World {
+        Simulation {
             now,
             epoch: 1,
             owner: owner(now, 1, ledger.clone(), true, shard, layout),
@@ -65,11 +65,11 @@
             workers,
             ledger,
             log_up: true,
-            list_lags: false,
+            list_is_stale: false,
             hold_wait_max: HOLD_WAIT_MAX,
             starts: Vec::new(),
             stepped_down: false,
-            work: |_| 1_000,
+            work_ms: |_| 1_000,
             fails: |_| false,
             pending: None,
             events: Vec::new(),
@@ -85,15 +85,15 @@
         self.write(Record::Cancelled(JobId(id)));
     }
 
-    /// A record comes to stand in the shard's submissions.
+    /// Adds a record to the shard's submissions.
     pub fn write(&mut self, record: Record) {
         let record = self.log.submit(&record);
         self.ledger.fold(record.clone());
         self.owner.step(self.now, Event::Record(record));
     }
 
-    /// The owner's process dies, and another takes over from what the log holds.
-    pub fn change_owner(&mut self, predecessor_gone: bool) {
+    /// Replaces the owner by one that starts from the folded ledger.
+    pub fn change_owner(&mut self, predecessor_ended: bool) {
         self.epoch += 1;
         self.pending = None;
         self.events.clear();
@@ -102,31 +102,32 @@
             self.now,
             self.epoch,
             self.ledger.clone(),
-            predecessor_gone,
+            predecessor_ended,
             self.shard,
             self.layout,
         );
     }
 
-    /// The same; the new one reads the log anew, in the order of its keys or as it was written.
-    pub fn change_owner_that_reads(&mut self, by_key: bool, progress_first: bool) {
+    /// Replaces the owner by one that replays the log, with submissions ordered by key or as they
+    /// were written.
+    pub fn change_owner_and_replay(&mut self, by_key: bool, progress_first: bool) {
         self.change_owner(true);
         let ledger = self.log.read(by_key, progress_first);
         self.owner = owner(self.now, self.epoch, ledger, true, self.shard, self.layout);
     }
 
-    /// The owner's process dies; what it was appending is stored all the same, or not.
+    /// Kills the owner; `stored` says whether the batch it was appending is stored.
     pub fn kill_owner(&mut self, stored: bool) {
         if let Some((_, batch)) = self.pending.take().filter(|_| stored) {
             self.store(&batch);
         }
     }
 
-    /// Time passes while nobody is the owner.
+    /// Advances one step without an owner.
     pub fn idle(&mut self) {
-        self.now = self.now + STEP;
+        self.now = self.now + TICK;
         for worker in &mut self.workers {
-            worker.pass(self.now, &self.fails);
+            worker.advance(self.now, &self.fails);
         }
         self.check();
     }
@@ -139,8 +140,8 @@
         self.ledger.job(JobId(id)).expect("a job that was submitted").state()
     }
 
-    /// Workers on which a task runs now.
-    pub fn places(&self, task: TaskId) -> Vec<&str> {
+    /// Returns the names of the workers on which a task runs now.
+    pub fn workers_running(&self, task: TaskId) -> Vec<&str> {
         let here = |it: &&FakeWorker| it.runs.iter().any(|run| run.task == task);
         self.workers.iter().filter(here).map(|it| it.name.as_str()).collect()
     }
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Runs until `done`, at most for `millis`; whether it came about.
-    pub fn run_until(&mut self, millis: u64, done: impl Fn(&World) -> bool) -> bool {
+    /// Runs until `done` returns true, at most for `millis`, and returns whether it did.
+    pub fn run_until(&mut self, millis: u64, done: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             if done(self) {
@@ -165,12 +166,12 @@
     }
 
     pub fn step(&mut self) {
-        self.now = self.now + STEP;
+        self.now = self.now + TICK;
         let now = self.now;
         for worker in &mut self.workers {
-            worker.pass(now, &self.fails);
+            worker.advance(now, &self.fails);
         }
-        if !self.list_lags {
+        if !self.list_is_stale {
             let listed = self.workers.iter().filter(|it| it.listed).map(FakeWorker::listing);
             self.owner.step(now, Event::Workers(listed.collect()));
         }
@@ -181,8 +182,8 @@
         for (_, event) in due {
             self.owner.step(now, event);
         }
-        // Signs of life show that the log takes what is written.
-        if self.log_up && now.0.is_multiple_of(SIGN_EVERY_US) {
+        // Stored heartbeats show the owner that the log accepts writes.
+        if self.log_up && now.0.is_multiple_of(HEARTBEAT_INTERVAL_US) {
             self.owner.step(now, Event::Reached { sent_at: now });
         }
         self.owner.step(now, Event::Tick);
@@ -197,7 +198,7 @@
         if self.pending.is_none()
             && let Some(batch) = self.owner.try_batch(self.now)
         {
-            self.pending = Some((self.now + STEP, batch));
+            self.pending = Some((self.now + TICK, batch));
         }
         let due = self.pending.as_ref().is_some_and(|(at, _)| *at <= self.now);
         if due
@@ -221,7 +222,7 @@
     fn carry_out(&mut self, action: Action) {
         if let Action::Start(key, start) = &action {
             check_start(&self.ledger, start);
-            let name = self.of(*key).name.clone();
+            let name = self.worker_by_key(*key).name.clone();
             self.starts.push((start.task, start.run, name));
         }
         match action {
@@ -233,17 +234,17 @@
     }
 
     fn call(&mut self, action: Action) {
-        let Some(key) = target(&action) else { return };
-        let work_ms = if let Action::Start(_, it) = &action { (self.work)(it.task) } else { 0 };
+        let Some(key) = target_worker(&action) else { return };
+        let work_ms = if let Action::Start(_, it) = &action { (self.work_ms)(it.task) } else { 0 };
         let (now, epoch) = (self.now, self.epoch);
-        let action = with_wait(action, self.hold_wait_max);
-        if let Some((after, event)) = self.of(key).obey(now, epoch, action, work_ms) {
+        let action = with_max_wait(action, self.hold_wait_max);
+        if let Some((after, event)) = self.worker_by_key(key).execute(now, epoch, action, work_ms) {
             self.events.push((now + after, event));
         }
     }
 
-    fn of(&mut self, key: WorkerKey) -> &mut FakeWorker {
-        let id = self.owner.worker(key).expect("the owner's worker").id.clone();
+    fn worker_by_key(&mut self, key: WorkerKey) -> &mut FakeWorker {
+        let id = self.owner.worker(key).expect("a worker that the owner knows").id.clone();
         self.worker(&id.0)
     }
 
@@ -252,17 +253,18 @@
     }
 }
 
-/// What must hold of an order as it is sent.
+/// Checks the invariants of an order as it is sent.
 pub fn check_start(ledger: &Ledger, start: &Start) {
-    // An end that its worker lost with all else before it was recorded is no end.
+    // An end that its worker lost in a crash before it was recorded is not an end.
     let job = ledger.job(start.task.job);
     let state = job.and_then(|it| it.progress.task(start.task));
     assert!(state.is_some_and(|it| !it.done), "{} is started after its end", start.task);
-    let recorded = state.is_some_and(|it| it.copies.iter().any(|it| it.run == start.run));
-    assert!(recorded, "{} run {} was ordered before its record", start.task, start.run);
+    let recorded_worker = state.is_some_and(|it| it.copies.iter().any(|it| it.run == start.run));
+    assert!(recorded_worker, "{} run {} was ordered before its record", start.task, start.run);
 }
 
-/// What must hold of all that runs at each moment.
+/// Checks the invariants of all current runs: no task runs on two workers, and no worker is over
+/// its capacity.
 pub fn check_runs(workers: &[FakeWorker], ledger: &Ledger) {
     let mut seen: Vec<TaskId> = Vec::new();
     for worker in workers {
@@ -273,7 +275,7 @@
             cpu += step.counted().cpu_milli;
             assert!(
                 step.speculative || !seen.contains(&run.task),
-                "{} runs in two places",
+                "{} runs on two workers",
                 run.task
             );
             seen.push(run.task);
@@ -286,7 +288,7 @@
     now: Instant,
     epoch: u64,
     ledger: Ledger,
-    predecessor_gone: bool,
+    predecessor_ended: bool,
     shard: ShardId,
     layout: Layout,
 ) -> Owner {
@@ -297,6 +299,6 @@
         layout,
         rules: Rules::default(),
     };
-    let claimed = Claimed { at: now, alone: predecessor_gone, epoch, after: epoch - 1 };
+    let claimed = Claimed { at: now, alone: predecessor_ended, epoch, after: epoch - 1 };
     Owner::new(now, 0, settings, ledger, super::queues(), claimed)
 }
--- a/daisy-workflow/tests/util/worker.rs
+++ b/daisy-workflow/tests/util/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that does what the platform's contract says, with faults on demand.
+//! A fake worker that follows the platform's contract, with faults on demand.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,55 +8,55 @@
     WorkerKey,
 };
 
-use super::{LEASE_MAX, STEP};
+use super::{LEASE_MAX, TICK};
 
-/// What is wrong with a worker.
+/// A fault of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
     #[default]
     None,
-    /// It is cut off: nothing arrives, and it goes on working.
-    Cut,
+    /// No call arrives, and the worker goes on working.
+    Unreachable,
     /// Orders to start are carried out, but their answers are lost.
     LosesAnswers,
     /// Orders to start get no answer and are carried out this many milliseconds later.
-    Late(u64),
-    /// All that it starts fails at once.
+    DelaysStarts(u64),
+    /// Every run fails as soon as it starts.
     Fails,
-    /// All that it runs stands still.
+    /// Every run stops making progress.
     Hangs,
 }
 
-/// How long a renewal waits for an end at most, unless a test is about that.
+/// Maximum time for which a renewal waits for an end, unless a test sets another.
 pub const HOLD_WAIT_MAX: Duration = Duration::from_millis(50);
 
-/// A task with this much work lasts until it is stopped.
-pub const LASTS_MS: u64 = 600_000;
+/// Work in milliseconds of a long-running task, which runs until it is stopped.
+pub const LONG_RUNNING_WORK_MS: u64 = 600_000;
 
 #[derive(Debug, Clone)]
 pub struct FakeRun {
     pub task: TaskId,
     pub run: u32,
-    pub began: u64,
+    pub started_at_ms: u64,
     pub work_ms: u64,
     /// Milliseconds of work done.
     pub done_ms: f64,
-    /// The share of its processor time that it was last ordered to take.
+    /// The share of its processor time that the last order to set its pace allows.
     pub pace: f64,
     pub stopping: Option<u64>,
 }
 
-/// A fake worker; times are milliseconds of its clock, which shows `offset` at `zero_ms` of the world's
-/// clock and runs `slow_permille` slower.
+/// A fake worker. Times are milliseconds of its clock, which shows `clock_offset_ms` at
+/// `clock_zero_ms` of the simulation's clock and runs `clock_slow_permille` slower.
 #[derive(Debug, Clone)]
 pub struct FakeWorker {
     pub name: String,
     pub capacity: Resources,
     pub labels: Vec<String>,
     pub born_ms: u64,
-    pub offset: u64,
-    pub zero_ms: u64,
-    pub slow_permille: u64,
+    pub clock_offset_ms: u64,
+    pub clock_zero_ms: u64,
+    pub clock_slow_permille: u64,
     pub ready: bool,
     pub listed: bool,
     pub fault: Fault,
@@ -64,25 +64,28 @@
     pub deadline: u64,
     pub runs: Vec<FakeRun>,
     pub ends: Vec<Ended>,
-    pub number: u64,
-    /// Ends as done that were neither acknowledged nor made void by the end of the lease: their
-    /// numbers, their tasks, and when.
-    pub done: Vec<(u64, TaskId, Instant)>,
-    /// Ends as done that count for good, and when they came.
-    pub noted: Vec<(TaskId, Instant)>,
-    /// Highest run of each task that ended or was shut out here.
-    pub shut: Vec<(TaskId, u32)>,
-    /// Whether runs that are more than its processors, a core each, share these equally.
-    pub shares: bool,
-    pub passed_at: u64,
-    /// The tail latency of its serving tasks.
-    pub tail_ms: u32,
-    /// Orders that will be carried out later: when, epoch, order, work.
-    pub late: Vec<(u64, u64, Start, u64)>,
+    pub last_end_number: u64,
+    /// Ends as done that were neither acknowledged nor made void by the end of the lease: the
+    /// number, the task, and when it ended.
+    pub unconfirmed_ends: Vec<(u64, TaskId, Instant)>,
+    /// Ends as done that were acknowledged and are final: the task, and when it ended.
+    pub final_ends: Vec<(TaskId, Instant)>,
+    /// Runs that ended or were stopped here; runs of the same task up to this number may not start
+    /// any more.
+    pub closed_runs: Vec<(TaskId, u32)>,
+    /// Whether runs share the processors equally when there are more runs than processors, at one
+    /// core a run.
+    pub shares_processors: bool,
+    pub advanced_at: u64,
+    /// The tail latency of its serving tasks, in milliseconds.
+    pub tail_latency_ms: u32,
+    /// Orders that will be carried out later: when, their epoch, the order, and the work in
+    /// milliseconds.
+    pub delayed_orders: Vec<(u64, u64, Start, u64)>,
 }
 
-/// The worker that an action calls.
-pub fn target(action: &Action) -> Option<WorkerKey> {
+/// Returns the worker that an action calls.
+pub fn target_worker(action: &Action) -> Option<WorkerKey> {
     match action {
         Action::Hold { worker: key, .. }
         | Action::Start(key, _)
@@ -92,8 +95,8 @@
     }
 }
 
-/// What an owner hears of a call that gets no answer.
-pub fn unanswered(action: Action) -> Option<Event> {
+/// Returns the event that an owner receives for a call that gets no answer.
+pub fn unanswered_event(action: Action) -> Option<Event> {
     let reply = OrderReply::Unknown;
     Some(match action {
         Action::Hold { worker, .. } => Event::Held(worker, None),
@@ -111,9 +114,9 @@
             capacity: Resources { cpu_milli: cores * 1_000, memory_mib: 64_000, accelerators: 0 },
             labels: vec!["a".to_owned(), "r1".to_owned()],
             born_ms: 1,
-            offset: 5_000,
-            zero_ms: 0,
-            slow_permille: 0,
+            clock_offset_ms: 5_000,
+            clock_zero_ms: 0,
+            clock_slow_permille: 0,
             ready: true,
             listed: true,
             fault: Fault::None,
@@ -121,14 +124,14 @@
             deadline: 0,
             runs: Vec::new(),
             ends: Vec::new(),
-            number: 0,
-            done: Vec::new(),
-            noted: Vec::new(),
-            shut: Vec::new(),
-            shares: false,
-            passed_at: 0,
-            tail_ms: 10,
-            late: Vec::new(),
+            last_end_number: 0,
+            unconfirmed_ends: Vec::new(),
+            final_ends: Vec::new(),
+            closed_runs: Vec::new(),
+            shares_processors: false,
+            advanced_at: 0,
+            tail_latency_ms: 10,
+            delayed_orders: Vec::new(),
         }
     }
 
@@ -146,18 +149,18 @@
         }
     }
 
-    /// Tasks that run here.
+    /// Returns the tasks that run on this worker.
     pub fn tasks(&self) -> Vec<TaskId> {
         self.runs.iter().map(|it| it.task).collect()
     }
 
     pub fn clock(&self, now: Instant) -> u64 {
-        let passed = now.0 / 1_000 - self.zero_ms;
-        passed - passed * self.slow_permille / 1_000 + self.offset
+        let passed = now.0 / 1_000 - self.clock_zero_ms;
+        passed - passed * self.clock_slow_permille / 1_000 + self.clock_offset_ms
     }
 
-    /// Does what an action of an owner asks for; the answer, and how long that takes.
-    pub fn obey(
+    /// Carries out an action of an owner, and returns the answer and the time that it takes.
+    pub fn execute(
         &mut self,
         now: Instant,
         epoch: u64,
@@ -168,52 +171,52 @@
             Action::Hold { worker: key, deadline_ms, cursor, wait } => {
                 match self.hold(now, epoch, deadline_ms, cursor) {
                     None => (Duration::from_millis(300), Event::Held(key, None)),
-                    Some(Err(())) => (STEP, Event::Fenced(key)),
-                    Some(Ok(answer)) => (wait.max(STEP), Event::Held(key, Some(answer))),
+                    Some(Err(())) => (TICK, Event::Fenced(key)),
+                    Some(Ok(answer)) => (wait.max(TICK), Event::Held(key, Some(answer))),
                 }
             }
             Action::Start(key, start) => {
                 let reply = self.start(now, epoch, &start, work_ms);
-                (STEP, Event::Started(key, start.task, start.run, reply))
+                (TICK, Event::Started(key, start.task, start.run, reply))
             }
             Action::Stop(key, task, run, _) => {
                 let reply = self.stop(now, epoch, task, run);
-                (STEP, Event::Stopped(key, task, run, reply))
+                (TICK, Event::Stopped(key, task, run, reply))
             }
             Action::Pace(key, task, run, percent) => {
                 self.set_pace(task, run, percent);
                 let reply = OrderReply::Done { clock_ms: self.clock(now) };
-                (STEP, Event::Paced(key, task, run, percent, reply))
+                (TICK, Event::Paced(key, task, run, percent, reply))
             }
             Action::Forward(..) | Action::StepDown | Action::Note(_) => return None,
         })
     }
 
-    /// Grants a lease, though none longer than workers ever grant.
+    /// Grants a lease, limited to the longest lease that workers grant.
     fn grant(&mut self, clock: u64, deadline_ms: u64) {
         let longest = clock + LEASE_MAX.as_millis() as u64;
         self.deadline = self.deadline.max(deadline_ms.min(longest));
     }
 
-    /// Lets time pass: work ends, leases lapse, late orders arrive.
-    pub fn pass(&mut self, now: Instant, fails: &dyn Fn(TaskId) -> bool) {
+    /// Advances the clock to `now`: runs end, leases lapse, and delayed orders are carried out.
+    pub fn advance(&mut self, now: Instant, fails: &dyn Fn(TaskId) -> bool) {
         let clock = self.clock(now);
-        let due: Vec<_> = self.late.iter().filter(|it| it.0 <= clock).cloned().collect();
-        self.late.retain(|it| it.0 > clock);
+        let due: Vec<_> = self.delayed_orders.iter().filter(|it| it.0 <= clock).cloned().collect();
+        self.delayed_orders.retain(|it| it.0 > clock);
         for (_, epoch, start, work_ms) in due {
             self.accept(clock, epoch, &start, work_ms);
         }
         if clock > self.deadline {
-            self.done.clear();
+            self.unconfirmed_ends.clear();
             for run in std::mem::take(&mut self.runs) {
                 self.end(&run, Outcome::Lapsed);
             }
         }
-        let passed = clock - self.passed_at.clamp(1, clock);
-        self.passed_at = clock;
+        let passed = clock - self.advanced_at.clamp(1, clock);
+        self.advanced_at = clock;
         let pace = self.pace();
         for mut run in std::mem::take(&mut self.runs) {
-            run.done_ms += (clock - run.began).min(passed) as f64 * pace * run.pace;
+            run.done_ms += (clock - run.started_at_ms).min(passed) as f64 * pace * run.pace;
             let age = run.done_ms.round() as u64;
             if run.stopping.is_some_and(|at| clock >= at) {
                 self.end(&run, Outcome::Stopped);
@@ -221,27 +224,27 @@
                 self.end(&run, Outcome::Failed);
             } else if self.fault != Fault::Hangs && age >= run.work_ms {
                 self.end(&run, Outcome::Done);
-                self.done.push((self.number, run.task, now));
+                self.unconfirmed_ends.push((self.last_end_number, run.task, now));
             } else {
                 self.runs.push(run);
             }
         }
     }
 
-    /// The share of its processor time that each run gets.
+    /// Returns the share of its processor time that each run gets.
     fn pace(&self) -> f64 {
         let cores = f64::from(self.capacity.cpu_milli / 1_000);
-        match self.shares {
+        match self.shares_processors {
             true => (cores / self.runs.len().max(1) as f64).min(1.0),
             false => 1.0,
         }
     }
 
     fn end(&mut self, run: &FakeRun, outcome: Outcome) {
-        self.number += 1;
-        self.shut.push((run.task, run.run));
+        self.last_end_number += 1;
+        self.closed_runs.push((run.task, run.run));
         self.ends.push(Ended {
-            number: self.number,
+            number: self.last_end_number,
             task: run.task,
             run: run.run,
             outcome,
@@ -252,13 +255,13 @@
     pub fn start(&mut self, now: Instant, epoch: u64, start: &Start, work_ms: u64) -> OrderReply {
         let clock = self.clock(now);
         match self.fault {
-            Fault::Cut => OrderReply::Unknown,
+            Fault::Unreachable => OrderReply::Unknown,
             Fault::LosesAnswers => {
                 self.accept(clock, epoch, start, work_ms);
                 OrderReply::Unknown
             }
-            Fault::Late(by) => {
-                self.late.push((clock + by, epoch, start.clone(), work_ms));
+            Fault::DelaysStarts(by) => {
+                self.delayed_orders.push((clock + by, epoch, start.clone(), work_ms));
                 OrderReply::Unknown
             }
             _ => self.accept(clock, epoch, start, work_ms),
@@ -273,7 +276,7 @@
         if self.runs.iter().any(|it| it.task == start.task && it.run == start.run) {
             return OrderReply::Done { clock_ms: clock };
         }
-        if self.shut.iter().any(|(task, run)| *task == start.task && start.run <= *run) {
+        if self.closed_runs.iter().any(|(task, run)| *task == start.task && start.run <= *run) {
             return OrderReply::Refused(Refusal::Old);
         }
         if start.deadline_ms < clock {
@@ -284,7 +287,7 @@
         self.runs.push(FakeRun {
             task,
             run,
-            began: clock,
+            started_at_ms: clock,
             work_ms,
             done_ms: 0.0,
             pace: 1.0,
@@ -301,7 +304,7 @@
     }
 
     pub fn stop(&mut self, now: Instant, epoch: u64, task: TaskId, run: u32) -> OrderReply {
-        if self.fault == Fault::Cut {
+        if self.fault == Fault::Unreachable {
             return OrderReply::Unknown;
         }
         if epoch < self.fence {
@@ -311,12 +314,12 @@
         let clock = self.clock(now);
         match self.runs.iter_mut().find(|it| it.task == task && it.run == run) {
             Some(it) => it.stopping = it.stopping.or(Some(clock + 200)),
-            None => self.shut.push((task, run)),
+            None => self.closed_runs.push((task, run)),
         }
         OrderReply::Done { clock_ms: clock }
     }
 
-    /// `None` if cut off; `Err` if fenced.
+    /// Renews the lease and reports runs and ends; `None` if unreachable, `Err` if fenced.
     pub fn hold(
         &mut self,
         now: Instant,
@@ -324,7 +327,7 @@
         deadline_ms: Option<u64>,
         cursor: u64,
     ) -> Option<Result<HoldAnswer, ()>> {
-        if self.fault == Fault::Cut {
+        if self.fault == Fault::Unreachable {
             return None;
         }
         if epoch < self.fence {
@@ -334,14 +337,14 @@
         let clock = self.clock(now);
         self.grant(clock, deadline_ms.unwrap_or_default());
         self.ends.retain(|it| it.number > cursor);
-        let (noted, left) = self.done.drain(..).partition(|it| it.0 <= cursor);
-        self.done = left;
+        let (noted, left) = self.unconfirmed_ends.drain(..).partition(|it| it.0 <= cursor);
+        self.unconfirmed_ends = left;
         let noted: Vec<_> = noted;
-        self.noted.extend(noted.into_iter().map(|(_, task, at)| (task, at)));
+        self.final_ends.extend(noted.into_iter().map(|(_, task, at)| (task, at)));
         let percent = |it: &FakeRun| match self.fault {
             Fault::Hangs => 7,
-            // A task that lasts is at work from its start.
-            _ if it.work_ms >= LASTS_MS => 100,
+            // A long-running task counts as complete from its start.
+            _ if it.work_ms >= LONG_RUNNING_WORK_MS => 100,
             _ => (it.done_ms * 100.0 / it.work_ms.max(1) as f64).min(100.0) as u8,
         };
         let running = self.runs.iter().map(|it| Running {
@@ -349,7 +352,7 @@
             run: it.run,
             checkpoint: String::new(),
             percent: percent(it),
-            load: self.tail_ms,
+            load: self.tail_latency_ms,
         });
         let running = running.collect();
         Some(Ok(HoldAnswer {
@@ -360,23 +363,23 @@
         }))
     }
 
-    /// The worker crashes and starts again under its name: it knows nothing of before.
+    /// Crashes the worker and starts it again under its name, without its state.
     pub fn restart(&mut self, now: Instant) {
         let name = self.name.clone();
-        let fresh = FakeWorker::new(&name, self.capacity.cpu_milli / 1_000);
+        let restarted = FakeWorker::new(&name, self.capacity.cpu_milli / 1_000);
         let born_ms = now.0 / 1_000 + 1;
-        let (labels, late) = (self.labels.clone(), std::mem::take(&mut self.late));
-        // Its clock begins anew, and orders on their way still arrive, though not before the owner
-        // has had the time for a call: one that is carried out at the very start, under an epoch
-        // that the new incarnation has not seen replaced, nobody could shut out.
-        let at = now.0 / 1_000 + fresh.offset + 300;
+        let (labels, late) = (self.labels.clone(), std::mem::take(&mut self.delayed_orders));
+        // Its clock restarts, and orders in flight still arrive, though not before the owner has
+        // had time for a call: nobody could prevent an order that is carried out right at the
+        // start, under an epoch that the new incarnation has not seen replaced.
+        let at = now.0 / 1_000 + restarted.clock_offset_ms + 300;
         let late = late.into_iter().map(|(_, epoch, start, work)| (at, epoch, start, work));
-        *self = FakeWorker { born_ms, labels, late: late.collect(), ..fresh };
+        *self = FakeWorker { born_ms, labels, delayed_orders: late.collect(), ..restarted };
     }
 }
 
-/// A renewal that waits no longer than `most`; any other action as it is.
-pub fn with_wait(action: Action, most: Duration) -> Action {
+/// Returns a renewal with its wait limited to `most`, and any other action unchanged.
+pub fn with_max_wait(action: Action, most: Duration) -> Action {
     match action {
         Action::Hold { worker, deadline_ms, cursor, wait } => {
             Action::Hold { worker, deadline_ms, cursor, wait: wait.min(most) }
