--- a/daisy-workflow/tests/chaos.rs
+++ b/daisy-workflow/tests/chaos.rs
@@ -1,5 +1,5 @@
-//! Seeded schedules of faults against the owner. The world checks the promises at each step; in the
-//! end, with all faults gone, every job is done.
+//! Seeded fault schedules against the owner. The simulation checks its invariants at each step;
+//! after all faults have ended, every job completes.
 
 mod util;
 
@@ -8,8 +8,8 @@
 
 const JOBS: u64 = 12;
 
-/// One schedule: jobs come, workers and the log fail and recover, owners change.
-fn play(seed: u64) -> Simulation {
+/// Runs one schedule: jobs are submitted, workers and the log fail and recover, owners change.
+fn run_schedule(seed: u64) -> Simulation {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut sim = Simulation::new((0..5).map(|it| FakeWorker::new(&format!("w{it}"), 4)).collect());
     for round in 0..JOBS {
@@ -49,19 +49,19 @@
 }
 
 fn check(seed: u64) {
-    let mut sim = play(seed);
-    let lasts = |sim: &Simulation, id: u64| {
+    let mut sim = run_schedule(seed);
+    let is_long_running = |sim: &Simulation, id: u64| {
         let job = sim.ledger.job(daisy_workflow::JobId(id)).expect("submitted");
         job.spec.steps[0].long_running
     };
     let done = sim.run_until(60_000, |it| {
-        (0..JOBS).all(|id| lasts(it, id) || it.state(id) == JobState::Completed)
+        (0..JOBS).all(|id| is_long_running(it, id) || it.state(id) == JobState::Completed)
     });
-    assert!(done, "seed {seed}: jobs are left over");
+    assert!(done, "seed {seed}: jobs are not completed");
 }
 
 #[test]
-fn no_schedule_breaks_a_promise() {
+fn all_jobs_complete_and_no_task_runs_twice_in_seeded_schedules() {
     for seed in 0..200 {
         check(seed);
     }
--- a/daisy-workflow/tests/directory.rs
+++ b/daisy-workflow/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What every entry VM knows of jobs and owners.
+//! The jobs and owners that every entry VM knows.
 
 use std::time::Duration;
 
@@ -7,32 +7,32 @@
 
 const ID: JobId = JobId(7);
 
-fn told(state: JobState) -> Told {
+fn published_state(state: JobState) -> Told {
     Told { state, shard: ShardId(0) }
 }
 
-fn sign(epoch: u64, released: bool) -> Sign {
+fn sample_heartbeat(epoch: u64, released: bool) -> Sign {
     let claim = Claim { vm: "a".to_owned(), process: 1, epoch, released, settled: true };
     let load = Load { capacity: epoch, ..Load::default() };
     Sign { shard: ShardId(1), claim, current: true, pending: vec![("q".to_owned(), 3)], load }
 }
 
-/// A record of a job's earlier state is read after one of its end, as an owner's append came late. A
-/// caller who has been told that the job is completed must not be told that it runs.
+/// A record of a job's earlier state is read after that of its end, as an owner's append was
+/// delayed. A caller who has been told that the job is completed must not be told that it runs.
 #[test]
-fn a_state_never_goes_back() {
+fn a_state_never_goes_back_to_an_earlier_one() {
     let mut directory = Directory::default();
-    directory.set_state(ID, told(JobState::Completed));
+    directory.set_state(ID, published_state(JobState::Completed));
 
-    directory.set_state(ID, told(JobState::Running));
+    directory.set_state(ID, published_state(JobState::Running));
 
-    assert_eq!(directory.state(ID), Some(told(JobState::Completed)));
+    assert_eq!(directory.state(ID), Some(published_state(JobState::Completed)));
 }
 
 #[test]
-fn the_shard_that_runs_a_job_replaces_its_own() {
+fn the_shard_that_runs_a_job_replaces_the_jobs_own_shard() {
     let mut directory = Directory::default();
-    directory.set_state(ID, told(JobState::Queued));
+    directory.set_state(ID, published_state(JobState::Queued));
     let elsewhere = Told { state: JobState::Queued, shard: ShardId(2) };
 
     directory.set_state(ID, elsewhere);
@@ -40,32 +40,32 @@
     assert_eq!(directory.state(ID), Some(elsewhere));
 }
 
-/// A VM that has just started reads what an owner wrote long before it died.
+/// A VM that has just started reads heartbeats that an owner may have written long before it died.
 #[test]
-fn a_sign_of_unknown_age_proves_no_life() {
+fn a_heartbeat_of_unknown_age_does_not_show_that_the_owner_runs() {
     let mut directory = Directory::default();
     directory.set_layout(Layout { shards: 2 });
     let of_shard = |id: &JobId| Layout { shards: 2 }.of_job(*id) == ShardId(1);
-    let id = (1..).map(JobId).find(of_shard).expect("one of many");
+    let id = (1..).map(JobId).find(of_shard).expect("some job id belongs to each shard");
     let mut complete = Vec::new();
     for read_at in [1_000, 1_400, 9_000, 9_400] {
         let now = Instant::from_millis(read_at);
-        directory.hear(now, sign(5, false));
+        directory.hear(now, sample_heartbeat(5, false));
         directory.read_to_end(now);
         complete.push(directory.is_complete(now + Duration::from_millis(100), id));
     }
 
-    assert_eq!(complete, [false, true, false, true], "started, signed, cut off, signed");
+    assert_eq!(complete, [false, true, false, true], "started, heartbeat, cut off, heartbeat");
 }
 
 /// The owner of a shard died a second ago.
 #[test]
-fn a_silent_owner_proves_nothing() {
+fn the_directory_is_incomplete_when_an_owner_sends_no_heartbeat() {
     let mut directory = Directory::default();
     directory.set_layout(Layout { shards: 1 });
-    let signs = Sign { shard: ShardId(0), ..sign(5, false) };
+    let heartbeat = Sign { shard: ShardId(0), ..sample_heartbeat(5, false) };
     for read_at in [1_000, 1_400] {
-        directory.hear(Instant::from_millis(read_at), signs.clone());
+        directory.hear(Instant::from_millis(read_at), heartbeat.clone());
         directory.read_to_end(Instant::from_millis(read_at));
     }
 
@@ -75,10 +75,10 @@
     assert!(!directory.is_complete(Instant::from_millis(2_400), ID));
 }
 
-/// Two entry VMs lay a new system out at once. The second record must change nothing: workers would
-/// have two accountants.
+/// Two entry VMs record the layout of a new system at the same time. The second record must change
+/// nothing: otherwise workers would belong to two shards.
 #[test]
-fn the_first_layout_stands() {
+fn the_first_layout_is_kept() {
     let mut directory = Directory::default();
     directory.set_layout(Layout { shards: 2 });
 
@@ -88,24 +88,24 @@
 }
 
 #[test]
-fn a_sign_of_an_earlier_owner_says_nothing() {
+fn a_heartbeat_of_an_earlier_owner_is_ignored() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sign(5, false));
+    directory.hear(Instant::from_millis(10), sample_heartbeat(5, false));
 
-    directory.hear(Instant::from_millis(20), sign(4, false));
+    directory.hear(Instant::from_millis(20), sample_heartbeat(4, false));
 
-    let heard = directory.owner(ShardId(1)).expect("a sign was heard");
-    assert_eq!((heard.sign.claim.epoch, heard.at), (5, Instant::from_millis(10)));
+    let received = directory.owner(ShardId(1)).expect("a heartbeat was received");
+    assert_eq!((received.sign.claim.epoch, received.at), (5, Instant::from_millis(10)));
 }
 
 #[test]
-fn loads_are_those_of_other_owners_that_live() {
+fn loads_are_those_of_other_current_owners() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sign(5, false));
+    directory.hear(Instant::from_millis(10), sample_heartbeat(5, false));
 
     let seen_by_another = directory.loads(ShardId(0)).len();
     let seen_by_itself = directory.loads(ShardId(1)).len();
-    directory.hear(Instant::from_millis(20), sign(5, true));
+    directory.hear(Instant::from_millis(20), sample_heartbeat(5, true));
     let released = directory.loads(ShardId(0)).len();
 
     assert_eq!((seen_by_another, seen_by_itself, released), (1, 0, 0));
@@ -114,7 +114,7 @@
 #[test]
 fn jobs_without_a_start_are_counted_by_queue() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sign(5, false));
+    directory.hear(Instant::from_millis(10), sample_heartbeat(5, false));
 
     assert_eq!((directory.pending("q"), directory.pending("other")), (3, 0));
 }
--- a/daisy-workflow/tests/election.rs
+++ b/daisy-workflow/tests/election.rs
@@ -1,4 +1,4 @@
-//! Who claims the workers, and when.
+//! Which VM claims a shard, and when.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn ones_own_claim_makes_the_owner() {
+fn the_process_that_claimed_is_the_owner() {
     let mut election = Election::new(at(0), "a", 1);
 
     let verdict = election.verdict(at(5_000), Some(&claim("a", 1, false)), RTT);
@@ -24,7 +24,7 @@
     assert_eq!(verdict, Verdict::Own(4));
 }
 
-/// The owner's VM loses power and is back: its new process need not wait for silence.
+/// The owner's VM loses power and restarts: its new process need not wait for the election timeout.
 #[test]
 fn an_earlier_process_of_the_vm_is_replaced_at_once() {
     let mut election = Election::new(at(0), "a", 2);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_silent_owner_is_replaced_after_a_while() {
+fn an_owner_without_heartbeats_is_replaced_after_the_election_timeout() {
     let mut election = Election::new(at(0), "b", 2);
     election.heard(at(1_000));
     let other = claim("a", 1, false);
@@ -47,10 +47,10 @@
     assert_eq!(late, Verdict::Claim);
 }
 
-/// All see the owner release its workers at the same moment. Those near the platform go first, so
-/// that an owner's writes are short.
+/// All VMs see at the same moment that the owner released its shard. Those nearest to the platform
+/// claim first, so that an owner's writes have low latency.
 #[test]
-fn the_nearest_claims_first() {
+fn the_nearest_vm_claims_first() {
     let mut election = Election::new(at(0), "b", 2);
     election.heard(at(1_000));
     let released = claim("a", 1, true);
@@ -62,27 +62,27 @@
     assert!(matches!(far, Verdict::Wait(_)));
 }
 
-/// Forty VMs start together, and signs of life are read 0.2 s after they are written. A VM whose turn
+/// Forty VMs start together, and heartbeats are read 0.2 s after they are written. A VM whose turn
 /// comes meanwhile must not claim from an owner that has just claimed, also where it reads that
-/// owner's sign between its verdict and its claim.
+/// owner's heartbeat between its verdict and its claim.
 #[test]
-fn a_claim_since_the_verdict_is_left_alone_once() {
+fn a_claim_since_the_verdict_is_respected_once() {
     let mut election = Election::new(at(0), "b", 2);
-    let fresh = claim("a", 1, false);
+    let new_claim = claim("a", 1, false);
 
     let verdict = election.verdict(at(500), None, RTT);
-    let first = election.is_just_claimed(Some(&fresh));
-    let again = election.is_just_claimed(Some(&fresh));
+    let first_check = election.is_just_claimed(Some(&new_claim));
+    let second_check = election.is_just_claimed(Some(&new_claim));
 
     assert_eq!(verdict, Verdict::Claim);
-    assert!(first, "it may be about to show that it lives");
-    assert!(!again, "it has died before it could");
+    assert!(first_check, "the new owner may be about to send its first heartbeat");
+    assert!(!second_check, "the new owner died before its first heartbeat");
 }
 
-/// The same VM looks again a moment later, still without a sign of the rival: it waits as long as for
-/// an owner that has fallen silent.
+/// The same VM checks again a moment later, still without a heartbeat of its rival: it waits as
+/// long as for an owner whose heartbeats stopped.
 #[test]
-fn a_rival_without_a_sign_yet_is_given_time() {
+fn a_rival_without_a_first_heartbeat_is_given_time() {
     let mut election = Election::new(at(0), "b", 2);
     election.is_just_claimed(Some(&claim("a", 1, false)));
     election.heard(at(1_000));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_claim_that_was_known_at_the_verdict_is_no_news() {
+fn a_claim_that_was_known_at_the_verdict_is_not_new() {
     let mut election = Election::new(at(0), "b", 2);
     let old = claim("a", 1, false);
     let verdict = election.verdict(at(2_000), Some(&old), RTT);
@@ -106,30 +106,30 @@
 }
 
 #[test]
-fn an_own_claim_is_no_rival() {
+fn an_own_claim_is_not_a_rival() {
     let mut election = Election::new(at(0), "b", 2);
 
     assert!(!election.is_just_claimed(Some(&claim("b", 2, false))));
 }
 
-/// An owner whose signs of life were late was replaced in the midst of its writes.
+/// An owner whose heartbeats were delayed was replaced while it was writing.
 #[test]
-fn an_owner_that_writes_is_left_alone_for_a_while() {
+fn an_owner_that_writes_is_not_replaced_for_a_while() {
     let mut election = Election::new(at(0), "a", 1);
     let owner = claim("b", 2, false);
 
     let before = election.verdict(at(1_500), Some(&owner), RTT);
-    let counts = election.wrote(at(1_500));
+    let is_extended = election.wrote(at(1_500));
     let after = election.verdict(at(1_600), Some(&owner), RTT);
 
     assert_eq!(before, Verdict::Claim);
-    assert!(counts);
+    assert!(is_extended);
     assert!(matches!(after, Verdict::Wait(_)), "{after:?}");
 }
 
-/// Guards against an owner that is never replaced though nothing is heard of its jobs.
+/// Guards against an owner that is never replaced although no heartbeat of it arrives.
 #[test]
-fn an_owner_of_which_nothing_is_heard_is_replaced_though_it_writes() {
+fn an_owner_without_heartbeats_is_replaced_although_it_writes() {
     let mut election = Election::new(at(0), "a", 1);
     let owner = claim("b", 2, false);
 
--- a/daisy-workflow/tests/late_orders.rs
+++ b/daisy-workflow/tests/late_orders.rs
@@ -1,4 +1,4 @@
-//! Orders that went unanswered and reach a worker after it has started anew.
+//! Orders that got no answer and reach a worker after its restart.
 
 mod util;
 
@@ -7,8 +7,9 @@
 use daisy_workflow::JobState;
 use util::{FakeWorker, Fault, Simulation, job, step};
 
-/// One worker of four cores, which has ended a job of `count` tasks and may get its orders once more.
-fn with_late_orders(count: u32) -> Simulation {
+/// Returns one worker of four cores that has completed a job of `count` tasks and may receive its
+/// start orders once more.
+fn with_delayed_orders(count: u32) -> Simulation {
     let mut sim = Simulation::new(vec![FakeWorker::new("w1", 4)]);
     sim.worker("w1").clock_offset_ms = 100_000;
     sim.worker("w1").fault = Fault::DelaysStarts(60_000);
@@ -20,18 +21,18 @@
     sim
 }
 
-/// The worker starts anew, and late orders are the first that it carries out.
-fn restart_with_late_orders(sim: &mut Simulation) {
+/// Restarts the worker; delayed orders are the first that it carries out.
+fn restart_with_delayed_orders(sim: &mut Simulation) {
     let now = sim.now;
     sim.worker("w1").restart(now);
     sim.worker("w1").delayed_orders.iter_mut().for_each(|it| it.0 = 0);
 }
 
-/// New tasks were placed beside late orders that a restarted worker had carried out.
+/// New tasks were placed on a restarted worker that had also carried out delayed orders.
 #[test]
-fn late_orders_take_room_at_a_restarted_worker_until_they_are_gone() {
-    let mut sim = with_late_orders(4);
-    restart_with_late_orders(&mut sim);
+fn delayed_orders_use_capacity_of_a_restarted_worker_until_they_end() {
+    let mut sim = with_delayed_orders(4);
+    restart_with_delayed_orders(&mut sim);
     sim.submit(2, job(vec![step(4)]));
 
     let done = sim.run_until(4_000, |it| it.state(2) == JobState::Completed);
@@ -39,14 +40,15 @@
     assert!(done);
 }
 
-/// Orders whose records were under way as the worker started anew went out beside late ones.
+/// Orders whose records were in flight during the worker's restart were sent in addition to delayed
+/// ones.
 #[test]
-fn an_order_that_fits_no_more_once_it_is_recorded_is_not_sent() {
-    let mut sim = with_late_orders(4);
+fn an_order_that_no_longer_fits_once_it_is_recorded_is_not_sent() {
+    let mut sim = with_delayed_orders(4);
     sim.log_up = false;
     sim.submit(2, job(vec![step(4)]));
     sim.run_ms(50);
-    restart_with_late_orders(&mut sim);
+    restart_with_delayed_orders(&mut sim);
     sim.run_ms(100);
     sim.log_up = true;
 
@@ -55,17 +57,18 @@
     assert!(done);
 }
 
-/// Orders that were recorded after their worker fell silent went to its next incarnation unseen.
+/// Orders that were recorded after their worker had become unreachable reached its next
+/// incarnation, whose restart the owner had not seen.
 #[test]
-fn an_order_whose_worker_fell_silent_is_not_sent() {
-    let mut sim = with_late_orders(4);
+fn an_order_to_a_worker_that_became_unreachable_is_not_sent() {
+    let mut sim = with_delayed_orders(4);
     sim.log_up = false;
     sim.submit(2, job(vec![step(4)]));
     sim.run_ms(50);
     sim.list_is_stale = true;
     sim.worker("w1").fault = Fault::Unreachable;
     sim.run_ms(600);
-    restart_with_late_orders(&mut sim);
+    restart_with_delayed_orders(&mut sim);
     sim.log_up = true;
 
     sim.run_ms(60);
@@ -77,14 +80,15 @@
     assert!(done);
 }
 
-/// The clock in a worker's answer to an order told of its restart before a list did, and was not heeded.
+/// The clock in a worker's answer to an order showed its restart earlier than the list did, and was
+/// ignored.
 #[test]
-fn a_clock_that_went_back_shows_a_restart() {
-    let mut sim = with_late_orders(2);
+fn a_worker_clock_that_went_back_is_treated_as_a_restart() {
+    let mut sim = with_delayed_orders(2);
     sim.hold_wait_max = Duration::from_secs(2);
     sim.run_ms(100);
     sim.list_is_stale = true;
-    restart_with_late_orders(&mut sim);
+    restart_with_delayed_orders(&mut sim);
     sim.submit(2, job(vec![step(2)]));
     sim.run_ms(100);
     sim.submit(3, job(vec![step(2)]));
@@ -98,15 +102,16 @@
     assert!(done);
 }
 
-/// Until its restart shows, late orders at a restarted worker were joined by as many tasks as it has room for.
+/// Until the restart of a worker was known, it received as many tasks as it has capacity for, in
+/// addition to delayed orders.
 #[test]
-fn late_orders_take_room_at_a_worker_that_may_have_restarted() {
-    let mut sim = with_late_orders(2);
+fn delayed_orders_use_capacity_of_a_worker_that_may_have_restarted() {
+    let mut sim = with_delayed_orders(2);
     sim.hold_wait_max = Duration::from_secs(2);
     sim.run_ms(100);
     sim.list_is_stale = true;
     sim.run_ms(300);
-    restart_with_late_orders(&mut sim);
+    restart_with_delayed_orders(&mut sim);
     sim.submit(2, job(vec![step(4)]));
     sim.run_ms(200);
     let sent = sim.starts.iter().filter(|(task, ..)| task.job.0 == 2).count();
@@ -115,5 +120,5 @@
     let done = sim.run_until(6_000, |it| it.state(2) == JobState::Completed);
 
     assert!(done);
-    assert_eq!(sent, 2, "those that fit beside the late ones");
+    assert_eq!(sent, 2, "only tasks that fit beside the delayed orders are started");
 }
--- a/daisy-workflow/tests/lateness.rs
+++ b/daisy-workflow/tests/lateness.rs
@@ -1,39 +1,40 @@
-//! When a process is too slow to own a shard.
+//! When a process runs too slowly to own a shard.
 
 use std::time::Duration;
 
 use daisy_model::Instant;
 use daisy_workflow::Lateness;
 
-const EVERY: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether a process whose ticks come `gaps` milliseconds apart is too late at the last of them.
-fn too_late(gaps: &[u64]) -> bool {
+/// Returns whether a process whose ticks are `gaps` milliseconds apart is too slow at the last of
+/// them.
+fn is_too_slow(gaps: &[u64]) -> bool {
     let mut now = Instant::from_millis(1_000);
-    let mut lateness = Lateness::new(now, EVERY);
+    let mut tick_delay = Lateness::new(now, TICK_INTERVAL);
     let mut last = false;
     for gap in gaps {
         now = now + Duration::from_millis(*gap);
-        last = lateness.is_too_late(now);
+        last = tick_delay.is_too_late(now);
     }
     last
 }
 
 #[test]
-fn ticks_on_time_are_not_late() {
-    assert!(!too_late(&[50; 100]));
+fn ticks_on_time_are_not_too_slow() {
+    assert!(!is_too_slow(&[50; 100]));
 }
 
-/// A VM is slowed to a fifth: its owner gets to each tick half a second late, and would take workers
-/// that answer in time for silent ones.
+/// A VM runs at a fifth of its speed: its owner handles each tick half a second late, and would
+/// treat workers that answer in time as unreachable.
 #[test]
-fn a_slowed_process_is_too_late_within_seconds() {
-    assert!(too_late(&[550; 8]));
+fn a_slowed_process_is_detected_within_8_ticks() {
+    assert!(is_too_slow(&[550; 8]));
 }
 
-/// A VM stands still for four seconds. Afterwards it is as good as before, and giving the shard up
-/// would only cost another change of the owner.
+/// A VM is frozen for four seconds. It works normally afterwards, and a release of the shard would
+/// only cost another owner change.
 #[test]
-fn one_long_pause_is_no_slowness() {
-    assert!(!too_late(&[50, 50, 4_000]));
+fn one_long_pause_is_not_treated_as_slowness() {
+    assert!(!is_too_slow(&[50, 50, 4_000]));
 }
--- a/daisy-workflow/tests/moves.rs
+++ b/daisy-workflow/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules of faults against shards that hand jobs and tasks to each other.
+//! Seeded fault schedules against shards that transfer jobs and tasks to each other.
 
 mod util;
 
@@ -9,20 +9,20 @@
 const SHARDS: u16 = 3;
 const LAYOUT: Layout = Layout { shards: SHARDS };
 const WORKERS: usize = 3;
-/// Seeds that found a job that was handed on whole and in parts.
-const FAILED: [u64; 2] = [360, 459];
+/// Seeds that once led to a job that was transferred as a whole and also task by task.
+const REGRESSION_SEEDS: [u64; 2] = [360, 459];
 
-/// What was asked for: a job, its number of tasks, and whether it was cancelled.
-struct Asked {
+/// A submitted job, its number of tasks, and whether it was cancelled.
+struct SubmittedJob {
     id: JobId,
     count: u32,
     cancelled: bool,
 }
 
-struct Play {
+struct Schedule {
     rng: fastrand::Rng,
     sim: ShardedSimulation,
-    asked: Vec<Asked>,
+    submitted: Vec<SubmittedJob>,
 }
 
 fn tasks(count: u32, cores: u32, memory_mib: u32) -> JobSpec {
@@ -30,7 +30,7 @@
     job(vec![StepSpec { need, ..long_running_step(count) }])
 }
 
-fn begin(seed: u64) -> Play {
+fn new_schedule(seed: u64) -> Schedule {
     let worker = |shard, at| FakeWorker::new(&format!("w{shard}{at}"), 4);
     let workers = |shard| (0..WORKERS).map(|at| worker(shard, at)).collect();
     let mut sim = ShardedSimulation::new((0..SHARDS).map(workers).collect());
@@ -39,25 +39,25 @@
     if rng.bool() {
         sim.extra_write_latency = Some(rng.fork());
     }
-    Play { rng, sim, asked: Vec::new() }
+    Schedule { rng, sim, submitted: Vec::new() }
 }
 
-impl Play {
+impl Schedule {
     fn submit(&mut self) {
-        let at = self.asked.len() as u64;
-        // Most jobs belong to one shard, so that it has to give some away.
+        let at = self.submitted.len() as u64;
+        // Most jobs belong to one shard, so that it has to transfer some.
         let own = if self.rng.u8(..3) > 0 { ShardId(0) } else { ShardId(self.rng.u16(..SHARDS)) };
         let id = (at * 1_000..).map(JobId).find(|id| LAYOUT.of_job(*id) == own);
-        let id = id.expect("one of many");
+        let id = id.expect("some job id belongs to each shard");
         let (count, cores) = (self.rng.u32(1..5), self.rng.u32(1..4));
         let memory = if self.rng.bool() { 100 } else { 30_000 };
         self.sim.shards[usize::from(own.0)].submit(id.0, tasks(count, cores, memory));
-        self.asked.push(Asked { id, count, cancelled: false });
+        self.submitted.push(SubmittedJob { id, count, cancelled: false });
     }
 
     fn cancel(&mut self) {
-        let at = self.rng.usize(..self.asked.len());
-        let it = &mut self.asked[at];
+        let at = self.rng.usize(..self.submitted.len());
+        let it = &mut self.submitted[at];
         it.cancelled = true;
         let own = LAYOUT.of_job(it.id);
         self.sim.shards[usize::from(own.0)].write(Record::Cancelled(it.id));
@@ -67,8 +67,8 @@
         let shard = self.rng.usize(..usize::from(SHARDS));
         let at = self.rng.usize(..WORKERS);
         match self.rng.u8(..10) {
-            0..=3 if self.rng.bool() || self.asked.len() < 5 => self.submit(),
-            3 if self.asked.len() > 2 => self.cancel(),
+            0..=3 if self.rng.bool() || self.submitted.len() < 5 => self.submit(),
+            3 if self.submitted.len() > 2 => self.cancel(),
             4 => self.sim.kill_owner(shard),
             5 => {
                 let (by_key, progress_first) = (self.rng.bool(), self.rng.bool());
@@ -87,25 +87,29 @@
         }
     }
 
-    /// Whether each owner counts the runs that there are, and no others.
-    fn is_counted(&self) -> bool {
+    /// Returns whether each owner's number of runs is that of its workers.
+    fn run_counts_match(&self) -> bool {
         self.sim.shards.iter().all(|it| {
             it.owner.summary(it.now).runs
                 == it.workers.iter().map(|it| it.runs.len()).sum::<usize>()
         })
     }
 
-    fn is_settled(&self, it: &Asked) -> bool {
+    fn is_placed_as_expected(&self, it: &SubmittedJob) -> bool {
         let expected = usize::from(!it.cancelled);
         let all = (0..it.count).map(|index| task(it.id.0, 0, index));
         all.into_iter().all(|it| self.sim.workers_running(it).len() == expected)
     }
 
-    /// Cancels the newest jobs until there is room for the others.
-    fn make_room(&mut self) {
-        let alive = self.asked.iter().filter(|it| !it.cancelled).count();
-        for _ in 2..alive {
-            let it = self.asked.iter_mut().rfind(|it| !it.cancelled).expect("one is alive");
+    /// Cancels the newest jobs until two are left, for which there is capacity.
+    fn cancel_until_two_are_left(&mut self) {
+        let uncancelled = self.submitted.iter().filter(|it| !it.cancelled).count();
+        for _ in 2..uncancelled {
+            let it = self
+                .submitted
+                .iter_mut()
+                .rfind(|it| !it.cancelled)
+                .expect("a job is not cancelled");
             it.cancelled = true;
             let own = LAYOUT.of_job(it.id);
             self.sim.shards[usize::from(own.0)].write(Record::Cancelled(it.id));
@@ -113,41 +117,44 @@
     }
 }
 
-fn workers_running(play: &Play, it: &Asked) -> Vec<(TaskId, Vec<String>)> {
+fn workers_running(schedule: &Schedule, it: &SubmittedJob) -> Vec<(TaskId, Vec<String>)> {
     let all = (0..it.count).map(|index| task(it.id.0, 0, index));
-    let places = |it| play.sim.workers_running(it).into_iter().map(str::to_owned).collect();
+    let places = |it| schedule.sim.workers_running(it).into_iter().map(str::to_owned).collect();
     all.map(|it| (it, places(it))).collect()
 }
 
 fn check(seed: u64) {
-    let mut play = begin(seed);
+    let mut schedule = new_schedule(seed);
     for _ in 0..24 {
-        play.event();
-        let pause = play.rng.u64(50..1_500);
-        match play.rng.u8(..4) {
-            0 => play.sim.run_ms(pause * 2),
-            _ => play.sim.run_with_loads_ms(pause),
+        schedule.event();
+        let pause = schedule.rng.u64(50..1_500);
+        match schedule.rng.u8(..4) {
+            0 => schedule.sim.run_ms(pause * 2),
+            _ => schedule.sim.run_with_loads_ms(pause),
         }
     }
-    play.sim.shards.iter_mut().flat_map(|it| &mut it.workers).for_each(|it| it.ready = true);
-    play.make_room();
+    schedule.sim.shards.iter_mut().flat_map(|it| &mut it.workers).for_each(|it| it.ready = true);
+    schedule.cancel_until_two_are_left();
 
     for _ in 0..12 {
-        play.sim.run_with_loads_ms(2_000);
-        if play.asked.iter().all(|it| play.is_settled(it)) && play.is_counted() {
+        schedule.sim.run_with_loads_ms(2_000);
+        if schedule.submitted.iter().all(|it| schedule.is_placed_as_expected(it))
+            && schedule.run_counts_match()
+        {
             return;
         }
     }
 
-    let left: Vec<_> = play.asked.iter().filter(|it| !play.is_settled(it)).collect();
-    let left: Vec<_> =
-        left.into_iter().map(|it| (it.cancelled, workers_running(&play, it))).collect();
-    panic!("seed {seed}: {left:?}");
+    let misplaced: Vec<_> =
+        schedule.submitted.iter().filter(|it| !schedule.is_placed_as_expected(it)).collect();
+    let misplaced: Vec<_> =
+        misplaced.into_iter().map(|it| (it.cancelled, workers_running(&schedule, it))).collect();
+    panic!("seed {seed}: {misplaced:?}");
 }
 
 #[test]
-fn no_schedule_of_moves_breaks_a_promise() {
-    for seed in (0..30).chain(FAILED) {
+fn no_task_is_lost_or_run_twice_in_seeded_transfer_schedules() {
+    for seed in (0..30).chain(REGRESSION_SEEDS) {
         check(seed);
     }
 }
--- a/daisy-workflow/tests/old_owner.rs
+++ b/daisy-workflow/tests/old_owner.rs
@@ -1,6 +1,6 @@
-//! What old owners, and orders that are carried out late, do on a worker that the newest owner does not
-//! reach: it must be over before that owner starts its tasks elsewhere. The cluster checks that at each
-//! step.
+//! Old owners, and delayed orders, on a worker that the newest owner does not reach: all that they
+//! run there must have ended before that owner starts the tasks elsewhere. The cluster checks that
+//! at each step.
 
 mod util;
 
@@ -8,15 +8,16 @@
 
 use util::{Cluster, Fault, Node, job, long_running_step, task};
 
-/// Has a start recorded of which the owner on the first VM has not heard; the worker that it is for.
-fn record_start(cluster: &mut Cluster) -> usize {
+/// Records a start whose confirmation the owner on the first VM has not received, and returns the
+/// worker that it names.
+fn record_unconfirmed_start(cluster: &mut Cluster) -> usize {
     cluster.submit(2, job(vec![long_running_step(1)]));
     assert!(cluster.run_until(200, |it| it.recorded_worker(2).is_some()));
-    cluster.recorded_worker(2).expect("just recorded")
+    cluster.recorded_worker(2).expect("a start was just recorded")
 }
 
-/// Another VM, which does not reach a worker, claims and waits until it starts elsewhere what was
-/// recorded there.
+/// Lets another VM, which does not reach a worker, claim the shard, and waits until it starts
+/// elsewhere the task that was recorded on that worker.
 fn claim_and_move(cluster: &mut Cluster, worker: usize) {
     cluster.cut(&[Node::Vm(1)], &[Node::Worker(worker)]);
     assert!(cluster.claim(1));
@@ -27,11 +28,11 @@
     assert!(moved);
 }
 
-/// Guards against a start whose record an old owner hears of long after it was taken.
+/// Guards against an old owner that learns long afterwards that the record of a start was stored.
 #[test]
-fn a_start_recorded_before_a_freeze_runs_nothing_twice() {
+fn no_task_runs_twice_when_an_old_owner_freezes_after_recording_a_start() {
     let mut cluster = Cluster::busy(2, 4);
-    let worker = record_start(&mut cluster);
+    let worker = record_unconfirmed_start(&mut cluster);
     cluster.freeze(0);
     claim_and_move(&mut cluster, worker);
     cluster.wake(0);
@@ -43,9 +44,9 @@
 
 /// Guards against a start that an old owner sends again long after it was recorded.
 #[test]
-fn a_start_sent_again_after_a_freeze_runs_nothing_twice() {
+fn no_task_runs_twice_when_an_old_owner_resends_a_start_after_a_freeze() {
     let mut cluster = Cluster::busy(2, 4);
-    let worker = record_start(&mut cluster);
+    let worker = record_unconfirmed_start(&mut cluster);
     cluster.workers[worker].fault = Fault::DelaysStarts(6_000);
     cluster.run_ms(50);
     cluster.freeze(0);
@@ -59,11 +60,11 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Guards against a start that an old owner without the log sends again and again.
+/// Guards against a start that an old owner without the log sends repeatedly.
 #[test]
-fn a_start_sent_again_without_the_log_runs_nothing_twice() {
+fn no_task_runs_twice_when_an_old_owner_without_the_log_resends_a_start() {
     let mut cluster = Cluster::busy(2, 4);
-    let worker = record_start(&mut cluster);
+    let worker = record_unconfirmed_start(&mut cluster);
     cluster.workers[worker].fault = Fault::DelaysStarts(6_000);
     cluster.run_ms(50);
     cluster.isolate(&[Node::Vm(0), Node::Worker(worker)]);
@@ -75,9 +76,9 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Guards against an old owner that takes an answer of the log for a younger one than it is.
+/// Guards against an old owner that treats an answer of the log as newer than it is.
 #[test]
-fn a_sign_taken_before_a_freeze_renews_no_longer() {
+fn a_heartbeat_stored_before_a_freeze_does_not_extend_leases() {
     let mut cluster = Cluster::busy(2, 4);
     let worker = cluster.first_task_worker();
     assert!(cluster.run_until(500, |it| it.has_log_answer_in_flight(0)));
@@ -94,9 +95,9 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Guards against signs of an old owner that are taken until the new one gives its first.
+/// Guards against heartbeats of an old owner that are stored until the new owner sends its first.
 #[test]
-fn signs_taken_after_a_claim_renew_no_longer() {
+fn heartbeats_stored_after_a_claim_do_not_extend_leases() {
     let mut cluster = Cluster::busy(2, 4);
     let worker = cluster.first_task_worker();
     let others: Vec<Node> = (0..4).filter(|it| *it != worker).map(Node::Worker).collect();
@@ -113,18 +114,19 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Guards against a lease that an old owner granted for longer than owners do, after a restart.
+/// Guards against a lease that an old owner granted, after a worker's restart, for longer than
+/// owners usually do.
 #[test]
-fn a_longer_lease_after_a_restart_runs_nothing_twice() {
+fn no_task_runs_twice_after_a_longer_lease_of_a_restarted_worker() {
     let mut cluster = Cluster::busy(2, 2);
     let worker = cluster.first_task_worker();
     cluster.crash(worker, Duration::ZERO, true);
     cluster.run_ms(800);
     cluster.crash(1 - worker, Duration::ZERO, true);
-    let back = cluster
+    let runs_on_same_worker = cluster
         .run_until(1_000, |it| it.all_long_running_active() && it.first_task_worker() == worker);
     cluster.kill(0);
-    assert!(back && cluster.claim(1));
+    assert!(runs_on_same_worker && cluster.claim(1));
     cluster.run_ms(200);
     cluster.isolate(&[Node::Worker(worker)]);
 
@@ -133,22 +135,24 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Has an order under way that is carried out late, by the next incarnation of its worker.
-fn order_late(cluster: &mut Cluster, late: Duration) -> usize {
+/// Sends an order that is carried out after the delay `delay`, by the next incarnation of its
+/// worker; returns that worker.
+fn send_delayed_order(cluster: &mut Cluster, delay: Duration) -> usize {
     cluster.run_ms(6_000);
-    let worker = record_start(cluster);
-    cluster.call_latency = late;
+    let worker = record_unconfirmed_start(cluster);
+    cluster.call_latency = delay;
     cluster.run_ms(20);
     cluster.call_latency = Duration::ZERO;
     cluster.crash(worker, Duration::ZERO, true);
     worker
 }
 
-/// Guards against giving up a run on a silent worker whose next incarnation may yet begin it.
+/// Guards against giving up a run on an unreachable worker whose next incarnation may still start
+/// it.
 #[test]
-fn a_late_order_to_a_restarted_worker_runs_nothing_twice() {
+fn no_task_runs_twice_when_a_delayed_order_reaches_a_restarted_worker() {
     let mut cluster = Cluster::busy(1, 4);
-    let worker = order_late(&mut cluster, Duration::from_secs(3));
+    let worker = send_delayed_order(&mut cluster, Duration::from_secs(3));
     cluster.cut(&[Node::Vm(0)], &[Node::Worker(worker)]);
 
     cluster.run_ms(30_000);
@@ -156,11 +160,11 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Guards against the same, where the order is that of an owner before.
+/// Guards against the same when the order is from a previous owner.
 #[test]
-fn a_late_order_of_an_old_owner_to_a_restarted_worker_runs_nothing_twice() {
+fn no_task_runs_twice_when_a_delayed_order_of_an_old_owner_reaches_a_restarted_worker() {
     let mut cluster = Cluster::busy(2, 4);
-    let worker = order_late(&mut cluster, Duration::from_secs(11));
+    let worker = send_delayed_order(&mut cluster, Duration::from_secs(11));
     cluster.kill(0);
     cluster.cut(&[Node::Vm(1)], &[Node::Worker(worker)]);
     assert!(cluster.claim(1));
@@ -170,11 +174,11 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Guards against the same, where no list tells the new owner of the restart.
+/// Guards against the same when no list shows the new owner that the worker restarted.
 #[test]
 fn a_late_order_to_a_worker_that_restarted_unseen_runs_nothing_twice() {
     let mut cluster = Cluster::busy(2, 4);
-    let worker = order_late(&mut cluster, Duration::from_secs(2));
+    let worker = send_delayed_order(&mut cluster, Duration::from_secs(2));
     cluster.kill(0);
     cluster.isolate(&[Node::Worker(worker)]);
     assert!(cluster.claim(1));
--- a/daisy-workflow/tests/overload.rs
+++ b/daisy-workflow/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More work than the workers hold: who is served in time.
+//! More work than the workers can do: which jobs meet their deadline.
 
 mod util;
 
@@ -8,7 +8,7 @@
     FakeWorker, LONG_RUNNING_WORK_MS, Simulation, best_effort, job, long_running_step, step,
 };
 
-/// Workers of four cores that share them equally among more runs.
+/// Returns workers of four cores each, which more runs share equally.
 fn sharing_workers(count: usize) -> Simulation {
     let worker =
         |at| FakeWorker { shares_processors: true, ..FakeWorker::new(&format!("w{at}"), 4) };
@@ -19,12 +19,12 @@
     jobs.filter(|it| sim.state(*it) == JobState::Completed).count()
 }
 
-/// Ten callers hand in a job each at the same time, twice as much as the workers can do within the
-/// objective of 3 s. All tasks are started at once and get a fifth of a core each, so that all ten
-/// callers have their results after 5 s, and nobody in time. Of a queue, half are served in time, and
-/// the others no later than before.
+/// Ten callers submit a job each at the same time, twice as much as the workers can do within the
+/// objective of 3 s. If all tasks started at once, each would get a fifth of a core, and all ten
+/// callers would have their results after 5 s, none in time. With a queue, half are served in time
+/// and the others no later than before.
 #[test]
-fn a_burst_serves_some_in_time_instead_of_all_late() {
+fn some_jobs_of_a_burst_meet_their_objective() {
     let mut sim = sharing_workers(2);
     sim.run_ms(200);
 
@@ -39,11 +39,11 @@
     assert!(all);
 }
 
-/// Jobs of two steps come one after the other, somewhat more than the workers hold. First steps of
-/// new jobs take the room of second steps of old ones: all jobs are begun and none is finished. Jobs
-/// that are nearly done go first, so that callers get whole results all the while.
+/// Jobs of two steps arrive one after the other, somewhat more than the workers can do. If first
+/// steps of new jobs took the capacity of second steps of old ones, all jobs would begin and none
+/// would finish. Jobs that are nearly done go first, so that complete results come all the time.
 #[test]
-fn what_is_nearly_done_goes_before_what_has_just_come() {
+fn jobs_that_are_nearly_done_go_before_new_jobs() {
     let mut sim = sharing_workers(2);
     sim.run_ms(200);
 
@@ -63,7 +63,7 @@
 }
 
 /// A worker without serving tasks is idle while others are full. Best-effort tasks wait where they
-/// would only crawl, and go where processors are idle as soon as there are any.
+/// would run very slowly, and start where processors are idle as soon as there are any.
 #[test]
 fn best_effort_tasks_wait_for_idle_processors() {
     let mut sim = sharing_workers(1);
@@ -74,17 +74,18 @@
 
     sim.submit(2, job(vec![best_effort(4, "render")]));
     sim.run_ms(1_000);
-    let beside = sim.starts.iter().filter(|(task, ..)| task.job.0 == 2).count();
+    let starts_on_full_worker = sim.starts.iter().filter(|(task, ..)| task.job.0 == 2).count();
     let done = sim.run_until(3_000, |it| it.state(2) == JobState::Completed);
 
-    assert_eq!(beside, 0);
+    assert_eq!(starts_on_full_worker, 0);
     assert!(done);
 }
 
-/// A step of best-effort tasks is so large that no worker can ever give one of them all that it asks
-/// for. It starts all the same where nothing of its kind runs: waiting would take forever.
+/// A step of best-effort tasks is so large that no worker can ever give one of them all the
+/// processor time it requests. It starts where no other best-effort task runs: it would wait
+/// forever otherwise.
 #[test]
-fn what_can_never_work_at_full_pace_starts_where_it_is_alone() {
+fn a_best_effort_task_larger_than_any_free_capacity_starts_where_it_runs_alone() {
     let mut sim = sharing_workers(2);
     sim.work_ms = |task| if task.job.0 == 1 { LONG_RUNNING_WORK_MS } else { 500 };
     sim.run_ms(200);
@@ -99,9 +100,10 @@
     assert!(done);
 }
 
-/// Late, a wide job that has begun must not wait behind all that comes anew while it is still of use.
+/// A wide job that has begun and is past its target must not wait behind all newly arriving jobs
+/// while its result is still useful.
 #[test]
-fn a_wide_job_that_has_begun_is_finished_beside_small_ones() {
+fn a_wide_job_that_has_begun_completes_beside_small_ones() {
     let mut sim = Simulation::new((0..2).map(|at| FakeWorker::new(&format!("w{at}"), 4)).collect());
     sim.work_ms = |_| 450;
     sim.run_ms(200);
--- a/daisy-workflow/tests/partition.rs
+++ b/daisy-workflow/tests/partition.rs
@@ -1,5 +1,5 @@
-//! Owners that are alive at the same time, as links are cut and processes stand still. The cluster checks
-//! at each step that no task runs in two places.
+//! Owners that run at the same time while links are cut and processes are frozen. The cluster
+//! checks at each step that no task runs on two workers.
 
 mod util;
 
@@ -7,89 +7,96 @@
 
 use util::{Cluster, Fault, Node, job, long_running_step, step, task};
 
-/// How soon a task that lasts is at work again after an owner was replaced, in milliseconds: as long as
-/// the platform's contract allows after the last disturbance.
-const CALM_MS: u64 = 7_000;
+/// Maximum time in milliseconds until a long-running task runs again after an owner was replaced:
+/// what the platform's contract allows after the last fault.
+const MAX_RECOVERY_MS: u64 = 7_000;
 
-/// Two VMs and four workers, whose owner has named its witnesses.
-fn at_work() -> Cluster {
+/// Returns two VMs and four workers, whose owner has recorded its witnesses.
+fn cluster_with_witnesses() -> Cluster {
     let mut cluster = Cluster::busy(2, 4);
     cluster.run_ms(2_000);
-    assert!(!cluster.ledger.witnesses().workers.is_empty(), "the owner names its witnesses");
+    assert!(!cluster.ledger.witnesses().workers.is_empty(), "the owner has recorded its witnesses");
     cluster
 }
 
-/// Whether the first task runs on a worker, and on no other.
+/// Returns whether the first task runs on a worker, and on no other.
 fn runs_only_on(cluster: &Cluster, worker: usize) -> bool {
     cluster.workers_running(task(1, 0, 0)) == [cluster.workers[worker].name.as_str()]
 }
 
-/// Whether the first task runs on another worker.
-fn runs_off(cluster: &Cluster, worker: usize) -> bool {
+/// Returns whether the first task runs on another worker.
+fn runs_elsewhere(cluster: &Cluster, worker: usize) -> bool {
     let places = cluster.workers_running(task(1, 0, 0));
     places.iter().any(|name| *name != cluster.workers[worker].name)
 }
 
-/// Guards against starting elsewhere what an owner without the log goes on renewing.
+/// Guards against starting tasks elsewhere while an old owner without the log still renews their
+/// leases.
 #[test]
-fn an_old_owner_cut_off_with_a_worker_runs_nothing_twice() {
-    let mut cluster = at_work();
-    let own = cluster.first_task_worker();
-    cluster.isolate(&[Node::Vm(0), Node::Worker(own)]);
+fn no_task_runs_twice_when_an_old_owner_is_isolated_with_one_worker() {
+    let mut cluster = cluster_with_witnesses();
+    let host = cluster.first_task_worker();
+    cluster.isolate(&[Node::Vm(0), Node::Worker(host)]);
     assert!(cluster.claim(1));
 
     cluster.run_ms(4_000);
-    let kept = runs_only_on(&cluster, own);
-    let moved = cluster.run_until(CALM_MS - 4_000, |it| runs_off(it, own));
+    let stayed = runs_only_on(&cluster, host);
+    let moved = cluster.run_until(MAX_RECOVERY_MS - 4_000, |it| runs_elsewhere(it, host));
     cluster.heal_all();
-    let over = cluster.run_until(1_000, |it| it.epoch(0).is_none() && it.all_long_running_active());
+    let stepped_down =
+        cluster.run_until(1_000, |it| it.epoch(0).is_none() && it.all_long_running_active());
 
-    assert!(kept && moved && over, "kept {kept}, moved {moved}, over {over}");
+    assert!(
+        stayed && moved && stepped_down,
+        "stayed {stayed}, moved {moved}, stepped down {stepped_down}"
+    );
 }
 
-/// Guards against taking an owner for one that has ended while most of its workers still answer it.
+/// Guards against treating an old owner as ended while most of its workers still answer it.
 #[test]
-fn an_old_owner_cut_off_with_most_workers_keeps_what_runs_there() {
-    let mut cluster = at_work();
-    let own = cluster.first_task_worker();
-    let others: Vec<Node> = (0..4).filter(|it| *it != own).map(Node::Worker).collect();
-    cluster.isolate(&[&others[..2], &[Node::Vm(0), Node::Worker(own)]].concat());
+fn an_old_owner_isolated_with_most_workers_keeps_their_tasks() {
+    let mut cluster = cluster_with_witnesses();
+    let host = cluster.first_task_worker();
+    let others: Vec<Node> = (0..4).filter(|it| *it != host).map(Node::Worker).collect();
+    cluster.isolate(&[&others[..2], &[Node::Vm(0), Node::Worker(host)]].concat());
     assert!(cluster.claim(1));
 
     cluster.run_ms(9_000);
-    let kept = runs_only_on(&cluster, own);
-    let moved = cluster.run_until(10_000, |it| runs_off(it, own));
+    let stayed = runs_only_on(&cluster, host);
+    let moved = cluster.run_until(10_000, |it| runs_elsewhere(it, host));
 
-    assert!(kept && moved, "kept {kept}, moved {moved}");
+    assert!(stayed && moved, "stayed {stayed}, moved {moved}");
 }
 
-/// Guards against a majority of workers that neither owner has, as the workers part in halves.
+/// Guards against the case in which neither owner reaches a majority, as each reaches half of the
+/// workers.
 #[test]
-fn owners_with_half_of_the_workers_each_run_nothing_twice() {
-    let mut cluster = at_work();
-    let own = cluster.first_task_worker();
-    let another = (own + 1) % 4;
-    cluster.isolate(&[Node::Vm(0), Node::Worker(own), Node::Worker(another)]);
+fn no_task_runs_twice_when_two_owners_reach_half_of_the_workers_each() {
+    let mut cluster = cluster_with_witnesses();
+    let host = cluster.first_task_worker();
+    let another = (host + 1) % 4;
+    cluster.isolate(&[Node::Vm(0), Node::Worker(host), Node::Worker(another)]);
     assert!(cluster.claim(1));
 
-    let moved = cluster.run_until(20_000, |it| runs_off(it, own));
+    let moved = cluster.run_until(20_000, |it| runs_elsewhere(it, host));
     cluster.heal_all();
-    let over = cluster.run_until(1_000, |it| it.epoch(0).is_none() && it.all_long_running_active());
+    let stepped_down =
+        cluster.run_until(1_000, |it| it.epoch(0).is_none() && it.all_long_running_active());
 
-    assert!(moved && over);
+    assert!(moved && stepped_down);
 }
 
-/// Guards against a worker that started anew and no longer knows that an old owner was replaced.
+/// Guards against a restarted worker that no longer knows that the old owner was replaced.
 #[test]
-fn workers_that_start_anew_are_no_witnesses_of_an_old_owner() {
-    let mut cluster = at_work();
-    let own = cluster.first_task_worker();
-    let others: Vec<Node> = (0..4).filter(|it| *it != own).map(Node::Worker).collect();
+fn restarted_workers_are_not_witnesses_of_an_old_owner() {
+    let mut cluster = cluster_with_witnesses();
+    let host = cluster.first_task_worker();
+    let others: Vec<Node> = (0..4).filter(|it| *it != host).map(Node::Worker).collect();
     cluster.cut(&[Node::Vm(0)], &[&[Node::Store], &others[..]].concat());
-    cluster.cut(&[Node::Vm(1)], &[Node::Worker(own)]);
+    cluster.cut(&[Node::Vm(1)], &[Node::Worker(host)]);
     assert!(cluster.claim(1));
     cluster.run_ms(300);
-    for at in (0..4).filter(|it| *it != own) {
+    for at in (0..4).filter(|it| *it != host) {
         cluster.crash(at, Duration::from_millis(300), true);
     }
     cluster.cut(&[Node::Vm(1)], &others[1..]);
@@ -101,9 +108,9 @@
     assert!(cluster.run_until(2_000, Cluster::all_long_running_active));
 }
 
-/// Guards against what a frozen owner does as it wakes, with orders from before.
+/// Guards against the orders that a frozen owner still sends after it resumes.
 #[test]
-fn an_old_owner_that_wakes_runs_nothing_twice() {
+fn no_task_runs_twice_when_an_old_owner_resumes() {
     let mut cluster = Cluster::busy(2, 4);
     cluster.submit(2, job(vec![long_running_step(2)]));
     cluster.run_ms(30);
@@ -118,34 +125,35 @@
     assert_eq!(cluster.epoch(0), None);
 }
 
-/// Guards against starting elsewhere what a worker that nobody reaches still runs.
+/// Guards against starting tasks elsewhere while a worker that nobody reaches still runs them.
 #[test]
-fn a_worker_cut_off_from_everybody_runs_nothing_twice() {
+fn no_task_runs_twice_when_a_worker_is_isolated() {
     let mut cluster = Cluster::busy(1, 4);
-    let own = cluster.first_task_worker();
-    cluster.isolate(&[Node::Worker(own)]);
+    let host = cluster.first_task_worker();
+    cluster.isolate(&[Node::Worker(host)]);
 
     let moved = cluster.run_until(7_000, |it| {
         let places = it.workers_running(task(1, 0, 0));
-        places.iter().any(|name| *name != it.workers[own].name)
+        places.iter().any(|name| *name != it.workers[host].name)
     });
 
     assert!(moved);
     assert!(cluster.longest_downtime() < Duration::from_millis(1_000));
 }
 
-/// Guards against taking a worker that has forgotten the new owner for one that still knows the old.
+/// Guards against treating a worker that has lost the new owner's epoch as one that still honours
+/// the old owner.
 #[test]
-fn a_restarted_worker_does_not_speak_for_an_old_owner() {
+fn a_restarted_worker_does_not_confirm_an_old_owner() {
     for wakes_after in [500, 2_000, 3_500] {
         let mut cluster = Cluster::busy(2, 3);
-        let own = cluster.first_task_worker();
-        let other = (own + 1) % 3;
+        let host = cluster.first_task_worker();
+        let other = (host + 1) % 3;
         cluster.freeze(0);
-        cluster.cut(&[Node::Vm(1)], &[Node::Worker(own)]);
+        cluster.cut(&[Node::Vm(1)], &[Node::Worker(host)]);
         assert!(cluster.claim(1));
         cluster.run_ms(500);
-        cluster.isolate(&[Node::Vm(0), Node::Worker(own), Node::Worker(other)]);
+        cluster.isolate(&[Node::Vm(0), Node::Worker(host), Node::Worker(other)]);
         cluster.crash(other, Duration::ZERO, true);
         cluster.run_ms(wakes_after);
         cluster.wake(0);
@@ -156,14 +164,14 @@
     }
 }
 
-/// Guards against owners that go by different sets of workers, as the fleet has just grown.
+/// Guards against owners that use different sets of workers, as workers have just been added.
 #[test]
-fn an_old_owner_that_has_not_heard_of_new_workers_runs_nothing_twice() {
-    for heard in 0..25 {
+fn no_task_runs_twice_when_an_old_owner_does_not_know_new_workers() {
+    for delay_steps in 0..25 {
         let mut cluster = Cluster::busy(2, 3);
         let old: Vec<Node> = (0..3).map(Node::Worker).collect();
         cluster.add_workers(4);
-        cluster.run_ms(heard * 10);
+        cluster.run_ms(delay_steps * 10);
         cluster.cut_one_way(Node::Store, Node::Vm(0));
         cluster.run_ms(300);
         cluster.isolate(&[&[Node::Vm(0)], &old[..]].concat());
@@ -175,41 +183,41 @@
     }
 }
 
-/// Guards against a wait that begins anew with each owner: for a worker that is gone for good.
+/// Guards against a wait for a lost worker that restarts with each new owner.
 #[test]
-fn a_task_of_a_lost_worker_is_back_after_a_change_of_the_owner() {
+fn a_task_of_a_lost_worker_restarts_within_7_s_of_an_owner_change() {
     let mut cluster = Cluster::busy(2, 4);
-    let own = cluster.first_task_worker();
-    cluster.crash(own, Duration::from_secs(60), false);
+    let host = cluster.first_task_worker();
+    cluster.crash(host, Duration::from_secs(60), false);
     cluster.run_ms(4_000);
     cluster.kill(0);
     cluster.run_ms(1_500);
     assert!(cluster.claim(1));
 
-    let back = cluster.run_until(CALM_MS, Cluster::all_long_running_active);
+    let all_restarted = cluster.run_until(MAX_RECOVERY_MS, Cluster::all_long_running_active);
 
-    assert!(back);
+    assert!(all_restarted);
 }
 
 const VMS: usize = 3;
-/// Seeds that CI plays.
+/// Number of seeds that the test runs.
 const SEEDS: u64 = 150;
 const WORKERS: usize = 6;
 
-/// A seeded schedule of faults that come in series and overlap.
-struct Play {
+/// A seeded schedule of overlapping faults.
+struct Schedule {
     rng: fastrand::Rng,
     cluster: Cluster,
     jobs: u64,
 }
 
-fn begin(seed: u64) -> Play {
+fn new_schedule(seed: u64) -> Schedule {
     let mut cluster = Cluster::busy(VMS, WORKERS as u32);
     cluster.elects_owners = true;
-    Play { rng: fastrand::Rng::with_seed(seed), cluster, jobs: 1 }
+    Schedule { rng: fastrand::Rng::with_seed(seed), cluster, jobs: 1 }
 }
 
-impl Play {
+impl Schedule {
     fn vm(&mut self) -> Node {
         Node::Vm(self.rng.usize(..VMS))
     }
@@ -271,11 +279,11 @@
     }
 }
 
-/// Tells what was played if that fails.
+/// Prints its value if the test panics.
 #[derive(Debug)]
-struct Told<T: std::fmt::Debug>(T);
+struct PrintOnPanic<T: std::fmt::Debug>(T);
 
-impl<T: std::fmt::Debug> Drop for Told<T> {
+impl<T: std::fmt::Debug> Drop for PrintOnPanic<T> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             println!("{self:?}");
@@ -284,35 +292,35 @@
 }
 
 fn check(seed: u64) {
-    let _told = Told(seed);
-    let mut play = begin(seed);
+    let _print = PrintOnPanic(seed);
+    let mut schedule = new_schedule(seed);
     for _ in 0..30 {
-        play.event();
-        let pause = if play.rng.u8(..3) == 0 { 0 } else { play.rng.u64(10..2_500) };
-        play.cluster.run_ms(pause);
+        schedule.event();
+        let pause = if schedule.rng.u8(..3) == 0 { 0 } else { schedule.rng.u64(10..2_500) };
+        schedule.cluster.run_ms(pause);
     }
-    let mut cluster = play.cluster;
+    let mut cluster = schedule.cluster;
     cluster.heal_all();
     cluster.workers.iter_mut().for_each(|it| it.fault = Fault::None);
 
     cluster.run_ms(2_000);
-    let lasts = cluster.run_until(18_000, Cluster::all_long_running_active);
+    let all_run = cluster.run_until(18_000, Cluster::all_long_running_active);
 
-    assert!(lasts, "seed {seed}: a task that lasts does not run");
+    assert!(all_run, "seed {seed}: a long-running task does not run");
 }
 
 #[test]
-fn no_schedule_of_partitions_breaks_a_promise() {
+fn no_task_is_lost_or_run_twice_in_seeded_partition_schedules() {
     for seed in 0..SEEDS {
         check(seed);
     }
 }
 
-/// What may happen as one owner follows another; the first VM has the old one.
+/// A fault or step while one owner follows another; the first VM runs the old owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Op {
     CutOldFromLog,
-    /// The old owner, the worker and another one reach only each other.
+    /// The old owner, the worker and another worker reach only each other.
     CutOldWithWorkers,
     FreezeOld,
     WakeOld,
@@ -321,7 +329,7 @@
     CutWorkerFromAll,
     CrashWorker,
     Claim,
-    /// The new owner dies and a third one claims.
+    /// The new owner dies and a third one claims the shard.
     Replace,
     Heal,
 }
@@ -340,19 +348,19 @@
     Op::Heal,
 ];
 
-/// A hand-over that is being searched.
+/// A sequence of operations around an owner change.
 #[derive(Debug, Clone)]
-struct Search {
+struct OwnerChange {
     workers: u32,
-    /// How long the old owner has been at work: after a while it has named its witnesses.
+    /// How long the old owner has run: after a while it has recorded its witnesses.
     before_ms: u64,
-    /// Whether a start is recorded of which the old owner has not heard.
+    /// Whether a start is recorded without the old owner having received the confirmation.
     starting: bool,
     gap_ms: u64,
     ops: Vec<Op>,
 }
 
-/// Whether it changes anything.
+/// Applies an operation and returns whether it changed anything.
 fn apply(cluster: &mut Cluster, worker: usize, op: Op) -> bool {
     let (old, here) = (Node::Vm(0), Node::Worker(worker));
     let beside = Node::Worker((worker + 1) % cluster.workers.len());
@@ -391,81 +399,87 @@
     }
 }
 
-/// Plays a hand-over to its end; whether each op of it changed anything.
-fn play(search: &Search) -> bool {
-    let _told = Told(search.clone());
-    let mut cluster = Cluster::busy(VMS, search.workers);
-    cluster.run_ms(search.before_ms);
+/// Runs a sequence to its end and returns whether each of its operations changed anything.
+fn run_sequence(sequence: &OwnerChange) -> bool {
+    let _print = PrintOnPanic(sequence.clone());
+    let mut cluster = Cluster::busy(VMS, sequence.workers);
+    cluster.run_ms(sequence.before_ms);
     cluster.step = Duration::from_millis(20);
     let mut worker = cluster.first_task_worker();
-    if search.starting {
+    if sequence.starting {
         cluster.submit(2, job(vec![long_running_step(1)]));
         assert!(cluster.run_until(200, |it| it.recorded_worker(2).is_some()));
-        worker = cluster.recorded_worker(2).expect("just recorded");
+        worker = cluster.recorded_worker(2).expect("a start was just recorded");
     }
-    for op in &search.ops {
+    for op in &sequence.ops {
         if !apply(&mut cluster, worker, *op) {
             return false;
         }
-        cluster.run_ms(search.gap_ms);
+        cluster.run_ms(sequence.gap_ms);
     }
 
-    // Long enough for a new owner to start elsewhere what it does not reach.
+    // Long enough for a new owner to restart elsewhere the tasks of workers that it does not reach.
     cluster.run_ms(17_000);
     cluster.heal_all();
     cluster.elects_owners = true;
     cluster.run_ms(2_000);
     assert!(
         cluster.run_until(18_000, Cluster::all_long_running_active),
-        "a task that lasts does not run"
+        "a long-running task does not run"
     );
     true
 }
 
-/// Plays a hand-over and all that are longer, up to `depth` operations.
-fn search(it: &Search, depth: usize) {
-    if play(it) && it.ops.len() < depth {
+/// Runs a sequence and all its extensions up to `depth` operations.
+fn run_extensions(it: &OwnerChange, depth: usize) {
+    if run_sequence(it) && it.ops.len() < depth {
         for op in OPS {
-            search(&Search { ops: [&it.ops[..], &[op]].concat(), ..it.clone() }, depth);
+            run_extensions(
+                &OwnerChange { ops: [&it.ops[..], &[op]].concat(), ..it.clone() },
+                depth,
+            );
         }
     }
 }
 
-/// The same from the beginning, in some threads.
-fn search_all(it: &Search, depth: usize) {
+/// Runs all sequences of up to `depth` operations, in several threads.
+fn run_all_sequences(it: &OwnerChange, depth: usize) {
     std::thread::scope(|scope| {
         for ops in OPS.chunks(3) {
             scope.spawn(move || {
-                let begin = |op: &Op| Search { ops: vec![*op], ..it.clone() };
-                ops.iter().for_each(|op| search(&begin(op), depth));
+                let start_with = |op: &Op| OwnerChange { ops: vec![*op], ..it.clone() };
+                ops.iter().for_each(|op| run_extensions(&start_with(op), depth));
             });
         }
     });
 }
 
 #[test]
-fn no_hand_over_breaks_a_promise() {
-    let calm = Search { workers: 3, before_ms: 1_000, starting: false, gap_ms: 300, ops: vec![] };
-    search_all(&calm, 4);
+fn no_task_is_lost_or_run_twice_in_an_owner_change() {
+    let settled_owner =
+        OwnerChange { workers: 3, before_ms: 1_000, starting: false, gap_ms: 300, ops: vec![] };
+    run_all_sequences(&settled_owner, 4);
 }
 
-/// Guards against owners that are replaced before they have named their witnesses.
+/// Guards against owners that are replaced before they have recorded their witnesses.
 #[test]
-fn no_early_hand_over_breaks_a_promise() {
-    let early = Search { workers: 4, before_ms: 0, starting: false, gap_ms: 100, ops: vec![] };
-    search_all(&early, 3);
+fn no_task_is_lost_or_run_twice_in_an_early_owner_change() {
+    let early_change =
+        OwnerChange { workers: 4, before_ms: 0, starting: false, gap_ms: 100, ops: vec![] };
+    run_all_sequences(&early_change, 3);
 }
 
 /// Guards against leases that lapse, and owners that settle, between the operations.
 #[test]
-fn no_slow_hand_over_breaks_a_promise() {
-    let slow = Search { workers: 5, before_ms: 1_000, starting: false, gap_ms: 4_100, ops: vec![] };
-    search_all(&slow, 3);
+fn no_task_is_lost_or_run_twice_in_a_slow_owner_change() {
+    let slow_change =
+        OwnerChange { workers: 5, before_ms: 1_000, starting: false, gap_ms: 4_100, ops: vec![] };
+    run_all_sequences(&slow_change, 3);
 }
 
 #[test]
-fn no_hand_over_during_a_start_breaks_a_promise() {
+fn no_task_is_lost_or_run_twice_in_an_owner_change_during_a_start() {
     let starting =
-        Search { workers: 3, before_ms: 1_000, starting: true, gap_ms: 300, ops: vec![] };
-    search_all(&starting, 3);
+        OwnerChange { workers: 3, before_ms: 1_000, starting: true, gap_ms: 300, ops: vec![] };
+    run_all_sequences(&starting, 3);
 }
--- a/daisy-workflow/tests/patience.rs
+++ b/daisy-workflow/tests/patience.rs
@@ -1,24 +1,25 @@
-//! How long a large answer of the log is waited for.
+//! How long a caller waits for a large answer of the log.
 
 use std::time::Duration;
 
 use daisy_model::Instant;
 use daisy_workflow::Patience;
 
-/// How long a log answers nothing before it counts as silent.
-const SILENT_AFTER: Duration = Duration::from_millis(900);
+/// Time without any answer after which a log is treated as unresponsive.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(900);
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
-/// A try from `began` on at a log that answers other calls at the times `answers`: when it is given
-/// up, or has its answer after `takes`.
-fn ends(patience: &mut Patience, began: u64, answers: &[u64], takes: u64) -> Result<u64, u64> {
+/// Makes an attempt that starts at `began`, on a log that answers other calls at the times
+/// `answers`. Returns when the attempt is abandoned as `Err`, or when its answer arrives after
+/// `takes` as `Ok`.
+fn attempt(timeout: &mut Patience, began: u64, answers: &[u64], takes: u64) -> Result<u64, u64> {
     let answered = |now: u64| answers.iter().filter(|it| **it <= now).count() as u64;
     let mut now = began;
-    patience.begin(at(now), SILENT_AFTER, answered(now));
-    while let Some(wait) = patience.try_wait(at(now), answered(now)) {
+    timeout.begin(at(now), UNRESPONSIVE_AFTER, answered(now));
+    while let Some(wait) = timeout.try_wait(at(now), answered(now)) {
         assert!(!wait.is_zero());
         now += wait.as_millis() as u64;
         if now >= began + takes {
@@ -28,76 +29,76 @@
     Err(now)
 }
 
-/// Other calls are answered four times a second.
+/// Returns the times of answers to other calls, four a second.
 fn answers() -> Vec<u64> {
     (0..200).map(|it| it * 250).collect()
 }
 
-/// Given up after the usual time, the answer never came.
+/// Abandoned after the usual time, the read never got its answer.
 #[test]
-fn a_late_answer_is_waited_for_while_the_log_answers_others() {
-    let mut patience = Patience::default();
+fn a_slow_answer_is_awaited_while_the_log_answers_other_calls() {
+    let mut timeout = Patience::default();
 
-    let came = ends(&mut patience, 1_000, &answers(), 2_200);
+    let answered_at = attempt(&mut timeout, 1_000, &answers(), 2_200);
 
-    assert_eq!(came, Ok(3_200));
+    assert_eq!(answered_at, Ok(3_200));
 }
 
 #[test]
-fn each_try_lasts_longer_until_the_answer_comes() {
-    let mut patience = Patience::default();
-    let (mut now, mut lasted) = (1_000, Vec::new());
-
-    let came = loop {
-        match ends(&mut patience, now, &answers(), 5_000) {
-            Ok(came) => break came - now,
-            Err(gave_up) => {
-                lasted.push(gave_up - now);
-                now = gave_up + 150;
+fn each_attempt_waits_longer_until_the_answer_arrives() {
+    let mut timeout = Patience::default();
+    let (mut now, mut attempt_lengths) = (1_000, Vec::new());
+
+    let answered_after = loop {
+        match attempt(&mut timeout, now, &answers(), 5_000) {
+            Ok(answered_after) => break answered_after - now,
+            Err(abandoned_at) => {
+                attempt_lengths.push(abandoned_at - now);
+                now = abandoned_at + 150;
             }
         }
     };
 
-    assert!(lasted.is_sorted_by(|a, b| a < b), "{lasted:?}");
-    assert_eq!((came, patience.is_tried()), (5_000, true));
+    assert!(attempt_lengths.is_sorted_by(|a, b| a < b), "{attempt_lengths:?}");
+    assert_eq!((answered_after, timeout.is_tried()), (5_000, true));
 }
 
-/// Nothing is answered from the start of the read on.
+/// No call is answered after the start of the read.
 #[test]
-fn a_silent_log_is_found_silent_as_soon_as_by_any_call() {
-    let mut patience = Patience::default();
+fn an_unresponsive_log_is_detected_as_soon_as_by_any_other_call() {
+    let mut timeout = Patience::default();
 
-    let first = ends(&mut patience, 1_000, &[900, 990], u64::MAX / 2);
-    let second = ends(&mut patience, 2_050, &[900, 990], u64::MAX / 2);
+    let first = attempt(&mut timeout, 1_000, &[900, 990], u64::MAX / 2);
+    let second = attempt(&mut timeout, 2_050, &[900, 990], u64::MAX / 2);
 
     assert_eq!((first, second), (Err(1_900), Err(2_950)));
-    assert!(!patience.is_tried());
+    assert!(!timeout.is_tried());
 }
 
-/// Tries that a slow log did not answer do not make a silence last longer.
+/// Attempts that a slow log did not answer do not delay the detection of a later outage.
 #[test]
-fn a_log_that_falls_silent_later_is_found_silent_as_soon() {
-    let mut patience = Patience::default();
-    let slow = ends(&mut patience, 1_000, &answers(), u64::MAX / 2);
+fn an_unresponsive_log_is_detected_as_soon_after_slow_attempts() {
+    let mut timeout = Patience::default();
+    let slow = attempt(&mut timeout, 1_000, &answers(), u64::MAX / 2);
 
-    let silent = ends(&mut patience, 60_000, &answers(), u64::MAX / 2);
+    let unresponsive = attempt(&mut timeout, 60_000, &answers(), u64::MAX / 2);
 
     assert!(slow.is_err());
-    assert_eq!(silent, Err(60_900));
+    assert_eq!(unresponsive, Err(60_900));
 }
 
-/// The log answers other calls and never this one.
+/// The log answers other calls but never this one.
 #[test]
-fn no_try_lasts_for_ever() {
-    let mut patience = Patience::default();
+fn no_attempt_waits_longer_than_the_limit() {
+    let mut timeout = Patience::default();
     let answers: Vec<u64> = (0..1_000).map(|it| it * 250).collect();
     let mut now = 0;
 
     for _ in 0..20 {
-        let Err(gave_up) = ends(&mut patience, now, &answers, u64::MAX / 2) else {
-            panic!("no answer came");
+        let Err(abandoned_at) = attempt(&mut timeout, now, &answers, u64::MAX / 2) else {
+            panic!("an answer arrived");
         };
-        assert!(Duration::from_millis(gave_up - now) <= Patience::BOUND_MAX);
-        now = gave_up + 150;
+        assert!(Duration::from_millis(abandoned_at - now) <= Patience::BOUND_MAX);
+        now = abandoned_at + 150;
     }
 }
--- a/daisy-workflow/tests/reach.rs
+++ b/daisy-workflow/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Whether the log was away.
+//! Whether the log was unreachable.
 
 use std::time::Duration;
 
@@ -15,50 +15,50 @@
     Claim { vm: "a".to_owned(), process: 1, epoch: 4, released: false, settled: true }
 }
 
-/// The log is away for four seconds. As it comes back, every VM finds that it has heard nothing of any
-/// owner for longer than an owner may be silent: the nearest large VM claims all shards, has
-/// connections for half of their workers, and all work is late until the next change of owners. But
-/// the owners live, and show it with their next sign.
+/// The log is unreachable for four seconds. When it returns, no VM has received a heartbeat of any
+/// owner for longer than the election timeout. If the nearest large VM claimed all shards then, it
+/// would have connections to half of their workers, and all work would be delayed until the next
+/// owner change. But the owners still run, and show it with their next heartbeat.
 #[test]
-fn an_owner_may_sign_once_the_log_is_back() {
-    let (mut reach, mut election) = (Reach::default(), Election::new(at(0), "b", 2));
-    reach.read(at(1_000));
+fn an_owner_has_time_for_a_heartbeat_after_an_outage_of_the_log() {
+    let (mut reachability, mut election) = (Reach::default(), Election::new(at(0), "b", 2));
+    reachability.read(at(1_000));
     election.heard(at(1_000));
-    reach.fail();
-    reach.read(at(5_000));
+    reachability.fail();
+    reachability.read(at(5_000));
 
-    election.heard(reach.back_at());
-    let back = election.verdict(at(5_010), Some(&owner()), RTT);
-    let later = election.verdict(at(6_500), Some(&owner()), RTT);
+    election.heard(reachability.back_at());
+    let after_recovery = election.verdict(at(5_010), Some(&owner()), RTT);
+    let after_timeout = election.verdict(at(6_500), Some(&owner()), RTT);
 
-    assert!(matches!(back, Verdict::Wait(_)), "{back:?}");
-    assert_eq!(later, Verdict::Claim);
+    assert!(matches!(after_recovery, Verdict::Wait(_)), "{after_recovery:?}");
+    assert_eq!(after_timeout, Verdict::Claim);
 }
 
-/// A read that was lost alone, and one that waited long for a record, say nothing of the log: an owner
-/// that has died is replaced as soon as before.
+/// A single lost read, and a read that waited long for a record, do not show that the log was
+/// unreachable: an owner that has died is replaced as soon as before.
 #[test]
-fn a_lost_read_is_no_absence() {
-    let mut reach = Reach::default();
-    reach.read(at(1_000));
-    reach.fail();
-    reach.read(at(1_600));
-    reach.read(at(2_900));
+fn a_lost_read_is_not_an_outage() {
+    let mut reachability = Reach::default();
+    reachability.read(at(1_000));
+    reachability.fail();
+    reachability.read(at(1_600));
+    reachability.read(at(2_900));
 
-    assert_eq!(reach.back_at(), Instant::default());
+    assert_eq!(reachability.back_at(), Instant::default());
 }
 
-/// A VM that had read nothing during a silence of the log took it for one of the owner.
+/// A VM that had read nothing while the log was unresponsive treated the owner as lost.
 #[test]
-fn an_owner_is_silent_only_if_the_log_is_not() {
-    let mut reach = Reach::default();
-    reach.read(at(1_000));
+fn an_owner_is_treated_as_lost_only_while_the_log_answers() {
+    let mut reachability = Reach::default();
+    reachability.read(at(1_000));
 
-    let right_after = reach.shows_silence(at(1_100), at(0));
-    let long_after = reach.shows_silence(at(2_900), at(0));
-    let after_a_lost_call = reach.shows_silence(at(1_200), at(1_150));
-    reach.read(at(1_300));
-    let answered_again = reach.shows_silence(at(1_310), at(1_150));
+    let right_after = reachability.shows_silence(at(1_100), at(0));
+    let long_after = reachability.shows_silence(at(2_900), at(0));
+    let after_a_lost_call = reachability.shows_silence(at(1_200), at(1_150));
+    reachability.read(at(1_300));
+    let answered_again = reachability.shows_silence(at(1_310), at(1_150));
 
     assert!(right_after && !long_after && !after_a_lost_call && answered_again);
 }
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -1,4 +1,5 @@
-//! Records: what is written is read, and what cannot be read says why.
+//! The encoding of records: each is decoded as it was encoded, and an error says why a record
+//! cannot be decoded.
 
 mod util;
 
@@ -11,7 +12,7 @@
 };
 use util::{best_effort, job, long_running_step, step, step_after, task};
 
-const PIECE: Resources = Resources { cpu_milli: 6, memory_mib: 8, accelerators: 1 };
+const FREE_BLOCK: Resources = Resources { cpu_milli: 6, memory_mib: 8, accelerators: 1 };
 
 fn progress() -> Progress {
     let mut progress = Progress::new(&job(vec![step(3)]));
@@ -31,15 +32,16 @@
     Claim { vm: "vm".to_owned(), process: 3, epoch: 9, released: true, settled: true }
 }
 
-fn sign() -> Sign {
-    let load = Load { capacity: 9, lasting: 5, once: 3, best_effort: 7, pieces: [PIECE; PIECES] };
+fn sample_heartbeat() -> Sign {
+    let load =
+        Load { capacity: 9, lasting: 5, once: 3, best_effort: 7, pieces: [FREE_BLOCK; PIECES] };
     let pending = vec![("q".to_owned(), 4)];
     Sign { shard: ShardId(3), claim: claim(), current: true, pending, load }
 }
 
-/// A sign of life as a build writes it whose form ends with `pieces`.
-fn sign_with(pieces: impl Encode) -> Vec<u8> {
-    let Sign { claim, current, pending, load, .. } = sign();
+/// Encodes a heartbeat as a build does whose encoding ends with `pieces`.
+fn encoded_heartbeat_ending_with(pieces: impl Encode) -> Vec<u8> {
+    let Sign { claim, current, pending, load, .. } = sample_heartbeat();
     let claim = (claim.vm, claim.process, claim.epoch, claim.released, claim.settled);
     let load = [load.capacity, load.lasting, load.once, load.best_effort];
     let form = (claim, current, pending, load, pieces);
@@ -59,7 +61,7 @@
         Record::Claim(claim()),
         Record::Delegated(JobId(7), ShardId(2)),
         Record::State(JobId(7), Told { state: JobState::Completed, shard: ShardId(2) }),
-        Record::Sign(Box::new(sign())),
+        Record::Sign(Box::new(sample_heartbeat())),
         Record::Layout(Layout { shards: 6 }),
         Record::TaskHandedOn(task(7, 0, 1), Hop { number: 3, to: ShardId(2) }),
         Record::TaskSubmitted(
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn an_encoded_record_is_decoded_unchanged() {
     for record in records() {
         let (key, value) = encode(&record);
 
@@ -102,42 +104,54 @@
 }
 
 #[test]
-fn each_prefix_of_a_record_is_refused() {
+fn truncated_records_are_rejected() {
     for record in records() {
         let (key, value) = encode(&record);
         for len in 0..value.len() {
             let read = decode(&key, &value[..len]);
 
-            // Builds before wrote signs that end earlier.
-            let ends = [sign_with(()).len(), sign_with([0_u8; PIECES]).len()];
-            let before = matches!(record, Record::Sign(_)) && ends.contains(&len);
-            assert_eq!(read.is_ok(), before, "{key}, {len} bytes");
+            // Earlier builds wrote heartbeats that end earlier.
+            let earlier_lengths = [
+                encoded_heartbeat_ending_with(()).len(),
+                encoded_heartbeat_ending_with([0_u8; PIECES]).len(),
+            ];
+            let is_earlier_form =
+                matches!(record, Record::Sign(_)) && earlier_lengths.contains(&len);
+            assert_eq!(read.is_ok(), is_earlier_form, "{key}, {len} bytes");
         }
     }
 }
 
 #[test]
-fn a_sign_of_this_build_is_that_of_the_build_before() {
-    let pieces = [[PIECE.cpu_milli, PIECE.memory_mib, PIECE.accelerators]; PIECES];
+fn heartbeats_are_encoded_as_by_the_previous_build() {
+    let pieces = [[FREE_BLOCK.cpu_milli, FREE_BLOCK.memory_mib, FREE_BLOCK.accelerators]; PIECES];
 
-    assert_eq!(encode(&Record::Sign(Box::new(sign()))).1, sign_with(pieces));
+    assert_eq!(
+        encode(&Record::Sign(Box::new(sample_heartbeat()))).1,
+        encoded_heartbeat_ending_with(pieces)
+    );
 }
 
-/// Builds side by side each took the other's owners for dead, as neither read the other's signs of life.
+/// Builds that ran side by side treated each other's owners as lost, as neither could decode the
+/// other's heartbeats.
 #[test]
-fn signs_of_older_builds_are_read_without_pieces() {
-    let mut wanted = sign();
-    wanted.load.pieces = [Resources::ZERO; PIECES];
-    let wanted = Record::Sign(Box::new(wanted));
-
-    // Large enough that the numbers take as many bytes as those of today's form.
-    for value in [sign_with(()), sign_with([6_u32; PIECES]), sign_with([70_000_u32; PIECES])] {
-        assert_eq!(decode("sign-3", &value), Ok(wanted.clone()));
+fn heartbeats_of_older_builds_are_decoded_without_free_blocks() {
+    let mut expected = sample_heartbeat();
+    expected.load.pieces = [Resources::ZERO; PIECES];
+    let expected = Record::Sign(Box::new(expected));
+
+    // Values large enough that they take as many bytes as those of the present encoding.
+    for value in [
+        encoded_heartbeat_ending_with(()),
+        encoded_heartbeat_ending_with([6_u32; PIECES]),
+        encoded_heartbeat_ending_with([70_000_u32; PIECES]),
+    ] {
+        assert_eq!(decode("sign-3", &value), Ok(expected.clone()));
     }
 }
 
 #[test]
-fn what_a_newer_build_adds_is_passed_over() {
+fn bytes_that_a_newer_build_appends_are_ignored() {
     for record in records() {
         let (key, mut value) = encode(&record);
         value.extend([7, 250, 251, 0, 1]);
@@ -147,7 +161,7 @@
 }
 
 #[test]
-fn a_record_of_a_newer_build_is_named() {
+fn an_unknown_version_is_reported_with_its_number() {
     for record in records() {
         let (key, mut value) = encode(&record);
         value[0] = 200;
@@ -157,19 +171,20 @@
 }
 
 #[test]
-fn a_kind_of_record_that_must_not_be_passed_over_is_told_from_others() {
+fn a_record_kind_that_must_not_be_ignored_is_a_version_error() {
     assert_eq!(decode("pledge-1", &[200]), Err(RecordError::Version(200)));
     assert!(matches!(decode("pledge-1", &[1]), Err(RecordError::Key(_))));
 }
 
 #[test]
-fn foreign_keys_are_named() {
+fn invalid_keys_are_rejected_as_key_errors() {
     for key in ["", "job", "job-1", "task-0000000000000001", "job-00000000000000FF"] {
         assert!(matches!(decode(key, &[1]), Err(RecordError::Key(_))), "{key:?}");
     }
 }
 
-/// The topics are read one beside the other, so progress or a cancellation may come first.
+/// The topics are read concurrently, so progress or a cancellation may be read before the
+/// submission.
 #[test]
 fn records_fold_in_any_order() {
     let spec = job(vec![step(3)]);
@@ -178,17 +193,17 @@
     ledger.fold(Record::Progress(JobId(1), progress()));
     ledger.fold(Record::Progress(JobId(2), progress()));
 
-    let first = ledger.fold(Record::Submitted(JobId(1), spec.clone()));
-    let again = ledger.fold(Record::Submitted(JobId(1), spec.clone()));
+    let first_fold = ledger.fold(Record::Submitted(JobId(1), spec.clone()));
+    let second_fold = ledger.fold(Record::Submitted(JobId(1), spec.clone()));
     ledger.fold(Record::Submitted(JobId(2), spec));
 
-    assert_eq!((first, again), (Fold::Submitted(JobId(1)), Fold::Nothing));
+    assert_eq!((first_fold, second_fold), (Fold::Submitted(JobId(1)), Fold::Nothing));
     assert_eq!(ledger.job(JobId(1)).map(|it| it.state()), Some(JobState::Cancelled));
     assert_eq!(ledger.job(JobId(2)).map(|it| it.state()), Some(JobState::Running));
 }
 
 #[test]
-fn progress_of_another_shape_is_passed_over() {
+fn progress_that_does_not_match_the_job_is_ignored() {
     let mut ledger = Ledger::default();
     ledger.fold(Record::Submitted(JobId(1), job(vec![step(2)])));
 
@@ -198,7 +213,7 @@
 }
 
 #[test]
-fn an_end_outlasts_a_late_cancellation() {
+fn a_cancellation_after_the_end_does_not_change_the_state() {
     let mut ledger = Ledger::default();
     ledger.fold(Record::Submitted(JobId(1), job(vec![step(2)])));
     let done = Progress { phase: Phase::Completed, begun: true, occurrences: Vec::new() };
@@ -209,7 +224,7 @@
 }
 
 #[test]
-fn jobs_that_cannot_be_run_are_refused() {
+fn jobs_that_cannot_be_run_are_rejected() {
     let cases = [
         (job(vec![]), SpecError::NoSteps),
         (job(vec![step(0)]), SpecError::NoTasks(0)),
@@ -223,7 +238,7 @@
 }
 
 #[test]
-fn the_longest_chain_counts() {
+fn the_longest_chain_of_steps_determines_the_duration() {
     let spec = job(vec![step(1), step_after(&[0], step(1)), step(1), step_after(&[1, 2], step(1))]);
 
     assert_eq!(spec.chain_ms(), 3_000);
--- a/daisy-workflow/tests/rooms.rs
+++ b/daisy-workflow/tests/rooms.rs
@@ -1,4 +1,4 @@
-//! Tasks that last and wait while there is room for them: in their own shard, or in another one.
+//! Long-running tasks that wait although their own shard or another one has capacity.
 
 mod util;
 
@@ -11,7 +11,7 @@
 
 const FIRST: ShardId = ShardId(0);
 
-/// Tasks that last, each of this many cores and MiB.
+/// Returns a job of long-running tasks with this many cores and MiB each.
 fn tasks(count: u32, cores: u32, memory_mib: u32) -> JobSpec {
     let need = Resources { cpu_milli: cores * CORE, memory_mib, accelerators: 0 };
     job(vec![StepSpec { need, ..long_running_step(count) }])
@@ -21,7 +21,8 @@
     task(id.0, 0, 0)
 }
 
-/// Shards of one worker each, of this many cores, that have not told each other of their loads.
+/// Returns shards of one worker each, with these numbers of cores; their loads are not published
+/// yet.
 fn shards(cores: &[u32]) -> ShardedSimulation {
     let worker = |(at, cores): (usize, &u32)| vec![FakeWorker::new(&format!("w{at}"), *cores)];
     let mut sim = ShardedSimulation::new(cores.iter().enumerate().map(worker).collect());
@@ -29,8 +30,8 @@
     sim
 }
 
-/// A job of the second shard, whose workers are full, that was handed whole to the first.
-fn job_handed_whole(sim: &mut ShardedSimulation, spec: JobSpec) -> JobId {
+/// Transfers a job of the second shard, whose workers are full, as a whole to the first shard.
+fn job_transferred_whole(sim: &mut ShardedSimulation, spec: JobSpec) -> JobId {
     let id = sim.job_id_of(ShardId(1));
     sim.shards[1].write(Record::Delegated(id, FIRST));
     sim.shards[1].write(Record::Submitted(id, spec));
@@ -38,11 +39,12 @@
     id
 }
 
-/// A task that finds no room where its job was handed to was kept out of the shard that has room.
+/// A task that finds no capacity in the shard its job was transferred to was kept out of the
+/// original shard, which has capacity.
 #[test]
-fn a_task_returns_to_the_shard_that_handed_its_job_on() {
+fn a_task_returns_to_the_shard_that_transferred_its_job() {
     let mut sim = shards(&[4, 8]);
-    let id = job_handed_whole(&mut sim, tasks(2, 3, 100));
+    let id = job_transferred_whole(&mut sim, tasks(2, 3, 100));
 
     sim.run_with_loads_ms(4_500);
 
@@ -50,13 +52,13 @@
     assert_eq!(places, [vec!["w0"], vec!["w1"]]);
 }
 
-/// The same while either owner is killed at any moment of the return.
+/// A task returns also when either owner is killed at any moment of the return.
 #[test]
-fn a_return_outlives_its_owners() {
+fn a_task_returns_once_when_an_owner_dies() {
     for at in 0..2 {
         for moment in (100..460).step_by(4) {
             let mut sim = shards(&[4, 8]);
-            let id = job_handed_whole(&mut sim, tasks(2, 3, 100));
+            let id = job_transferred_whole(&mut sim, tasks(2, 3, 100));
             sim.run_with_loads_ms(moment * 10);
             sim.kill_owner(at);
 
@@ -68,13 +70,13 @@
     }
 }
 
-/// A caller cancels a job of which a task has returned to the job's own shard.
+/// A caller cancels a job of which one task has returned to the job's own shard.
 #[test]
-fn a_cancellation_stops_a_task_that_returned() {
+fn a_cancellation_stops_a_returned_task() {
     let mut sim = shards(&[4, 8]);
-    let id = job_handed_whole(&mut sim, tasks(2, 3, 100));
+    let id = job_transferred_whole(&mut sim, tasks(2, 3, 100));
     sim.run_with_loads_ms(4_500);
-    assert_eq!(sim.workers_running(task(id.0, 0, 1)), ["w1"], "it has returned");
+    assert_eq!(sim.workers_running(task(id.0, 0, 1)), ["w1"], "the task has returned");
 
     sim.shards[1].cancel(id.0);
     sim.run_ms(600);
@@ -83,9 +85,10 @@
     assert_eq!(places, [vec![""; 0], vec![]]);
 }
 
-/// Read after a task of it that returned, a job would lose the tasks that were never handed on.
+/// When a job is read after one of its tasks that returned, it would lose the tasks that were never
+/// transferred.
 #[test]
-fn a_job_that_is_read_after_its_returned_task_is_whole() {
+fn a_job_that_is_read_after_its_returned_task_is_complete() {
     let id = JobId(1);
     let spec = tasks(2, 1, 100);
     let it =
@@ -102,9 +105,10 @@
     assert_eq!((fold, waits(0), waits(1)), (Fold::Submitted(id), true, true));
 }
 
-/// A task that went where only processors are free would wait there once more.
+/// A task that is transferred to a shard with free processors but no free memory would wait there
+/// once more.
 #[test]
-fn a_task_goes_where_there_is_memory_as_well() {
+fn a_task_is_transferred_to_a_shard_with_free_memory() {
     let mut sim = shards(&[2, 16, 4]);
     let large = sim.job_id_of(ShardId(1));
     sim.shards[1].submit(large.0, tasks(1, 1, 63_950));
@@ -120,9 +124,10 @@
     assert_eq!(sim.workers_running(task(id.0, 0, 1)), ["w2"]);
 }
 
-/// Tasks of other shards would come for room that the shard's own are about to take.
+/// Tasks of other shards would be transferred here for capacity that the shard's own tasks are
+/// about to use.
 #[test]
-fn room_that_own_waiting_tasks_will_take_is_not_told() {
+fn capacity_that_own_waiting_tasks_need_is_not_published() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w", 4)]);
     sim.work_ms = |task| if task.job.0 == 1 { 1_500 } else { LONG_RUNNING_WORK_MS };
     sim.run_ms(200);
@@ -138,9 +143,9 @@
     assert_eq!(cores, [4, 1]);
 }
 
-/// A task that was handed on again and again would wait beside room that has come free.
+/// A task that was transferred repeatedly would wait beside capacity that has become free.
 #[test]
-fn a_task_that_moved_often_takes_new_room_at_once() {
+fn a_task_with_many_transfers_uses_new_capacity_within_2500_ms() {
     let mut sim = shards(&[2, 4]);
     let full = sim.job_id_of(FIRST);
     sim.shards[0].submit(full.0, tasks(1, 2, 100));
@@ -152,7 +157,7 @@
     let it = Handover { hop: 4, spec, runs: 2, failures: 0, checkpoint: String::new() };
     sim.shards[0].write(Record::TaskSubmitted(first_task(id), Box::new(it)));
     sim.run_with_loads_ms(4_000);
-    assert_eq!(sim.workers_running(first_task(id)), [""; 0], "no shard has room yet");
+    assert_eq!(sim.workers_running(first_task(id)), [""; 0], "no shard has capacity yet");
 
     sim.shards[1].cancel(full.0);
     sim.run_with_loads_ms(2_500);
@@ -160,9 +165,9 @@
     assert_eq!(sim.workers_running(first_task(id)), ["w1"]);
 }
 
-/// Best-effort tasks would keep the memory taken of a worker that is kept for another task.
+/// Best-effort tasks would keep using the memory of a worker that is reserved for another task.
 #[test]
-fn best_effort_tasks_leave_memory_on_a_worker_that_is_kept() {
+fn best_effort_tasks_leave_memory_on_a_reserved_worker() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w", 4)]);
     sim.work_ms =
         |task| if task.job.0 < 100 { 500 + task.job.0 * 30 } else { LONG_RUNNING_WORK_MS };
@@ -175,14 +180,15 @@
     sim.run_ms(300);
 
     sim.submit(100, tasks(1, 3, 40_000));
-    let found = sim.run_until(3_000, |it| !it.workers_running(first_task(JobId(100))).is_empty());
+    let started = sim.run_until(3_000, |it| !it.workers_running(first_task(JobId(100))).is_empty());
 
-    assert!(found, "it still waits after {:?}", sim.now.since(Instant::from_millis(1_000)));
+    assert!(started, "the task still waits after {:?}", sim.now.since(Instant::from_millis(1_000)));
 }
 
-/// Told in an order that depends on how it is sorted, pieces would differ from call to call, or panic.
+/// If the order of published free blocks depended on the sort, they would differ from call to call,
+/// or the sort would panic.
 #[test]
-fn pieces_are_told_with_some_accelerators_first_and_then_by_size() {
+fn free_blocks_are_published_with_some_accelerators_first_and_then_by_size() {
     let worker = |at: u32| {
         let mut it = FakeWorker::new(&format!("w{at:02}"), 1 + at % 30);
         it.capacity.accelerators = u32::from(at.is_multiple_of(3));
@@ -193,8 +199,8 @@
 
     let pieces = sim.owner.load(sim.now).pieces;
 
-    let special = pieces.iter().take_while(|it| it.accelerators > 0).count();
-    assert!(special >= 4, "{special} pieces with accelerators come first");
+    let with_accelerators = pieces.iter().take_while(|it| it.accelerators > 0).count();
+    assert!(with_accelerators >= 4, "{with_accelerators} free blocks with accelerators come first");
     let sizes: Vec<u32> = pieces[4..].iter().map(|it| it.cpu_milli).collect();
     assert!(sizes.is_sorted_by(|a, b| a >= b), "{sizes:?}");
 }
--- a/daisy-workflow/tests/silence.rs
+++ b/daisy-workflow/tests/silence.rs
@@ -1,4 +1,4 @@
-//! What is sent to a log that has fallen silent.
+//! What is sent to a log that does not answer.
 
 use daisy_model::Instant;
 use daisy_workflow::{Silence, Turn};
@@ -7,8 +7,8 @@
     Instant::from_millis(millis)
 }
 
-/// A log that has answered appends within 10 ms, and reads, up to 1,000 ms.
-fn answering() -> Silence {
+/// Returns a log that has answered appends within 10 ms, and reads, up to 1,000 ms.
+fn responsive_log() -> Silence {
     let mut log = Silence::default();
     for began in [900, 940, 980] {
         log.begin(at(began));
@@ -18,12 +18,12 @@
     log
 }
 
-/// The log falls silent. Requests go on coming, and each is sent on as the last ones were: when
-/// nothing is answered, all their callers are told that the outcome is unknown, and cannot ask again.
-/// Only what was under way before it showed is unknown; the others were never sent.
+/// The log stops answering while requests keep coming. If each were sent, the outcome of all of
+/// them would be unknown and their callers could not retry. Only the appends in flight before the
+/// outage is detected have an unknown outcome; the others are never sent.
 #[test]
-fn little_is_sent_to_a_log_that_hangs() {
-    let mut log = answering();
+fn at_most_two_appends_are_sent_to_a_log_that_hangs() {
+    let mut log = responsive_log();
     let mut sent = 0;
 
     for now in (1_000..2_400).step_by(20) {
@@ -39,11 +39,11 @@
     assert!(sent <= 2, "{sent} appends were sent");
 }
 
-/// An append went unanswered, and so did all reads. A caller who comes then is told at once that
-/// nothing was done; once a read is answered, requests are taken again.
+/// An append and all reads got no answer. New callers are told at once that nothing was done; once
+/// a read is answered, requests are accepted again.
 #[test]
-fn a_silent_log_is_known_until_it_answers() {
-    let mut log = answering();
+fn an_unresponsive_log_is_reported_until_it_answers() {
+    let mut log = responsive_log();
     log.begin(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
@@ -59,19 +59,20 @@
     assert!(matches!(after.1, Turn::All(_)));
 }
 
-/// A record that came into a silence was sent, its outcome was unknown, and its caller could not retry.
+/// A record that arrived during an outage was sent, its outcome was unknown, and its caller could
+/// not retry.
 #[test]
-fn nothing_fresh_is_sent_into_a_silence_that_reads_show() {
-    let mut log = answering();
+fn no_new_record_is_sent_while_reads_show_an_outage() {
+    let mut log = responsive_log();
     let mut sent = 0;
-    let mut asked = Vec::new();
+    let mut queried_at = Vec::new();
 
     for now in (1_700..4_000).step_by(50) {
         match log.turn(at(now)) {
             Turn::All(_) | Turn::Again(_) => sent += 1,
             Turn::Ask(_) => {
                 log.ask(at(now));
-                asked.push(now);
+                queried_at.push(now);
             }
             Turn::Wait => {}
         }
@@ -80,15 +81,16 @@
     log.read(at(4_000));
 
     assert_eq!((sent, silent), (0, true));
-    assert_eq!(asked, [1_700, 2_700, 3_700]);
+    assert_eq!(queried_at, [1_700, 2_700, 3_700]);
     assert!(!log.is_silent(at(4_000)));
     assert!(matches!(log.turn(at(4_000)), Turn::All(_)));
 }
 
-/// A read was lost and the log is there: one question shows it, and the record is sent.
+/// A read was lost though the log is available: one query shows that it answers, and the record is
+/// sent.
 #[test]
-fn a_lost_read_rejects_nobody() {
-    let mut log = answering();
+fn a_lost_read_rejects_no_request() {
+    let mut log = responsive_log();
 
     let first = log.turn(at(1_700));
     log.ask(at(1_700));
@@ -100,45 +102,46 @@
     assert!(matches!(log.turn(at(1_730)), Turn::All(_)));
 }
 
-/// The log answers reads and no appends. One append in a second shows when that ends; the callers who
-/// come in between are told that nothing was done.
+/// The log answers reads but no appends. One append a second detects the end of that; callers in
+/// between are told that nothing was done.
 #[test]
-fn a_log_that_only_answers_reads_is_probed() {
-    let mut log = answering();
+fn a_log_that_answers_only_reads_is_probed_with_appends() {
+    let mut log = responsive_log();
     log.begin(at(1_010));
     log.end(at(1_510), at(1_010), false);
     let mut probes = 0;
 
-    let mut under_way: Option<u64> = None;
+    let mut in_flight: Option<u64> = None;
     for now in (1_520..7_500).step_by(20) {
         log.read(at(now));
-        if let Some(began) = under_way.filter(|it| now >= it + 500) {
+        if let Some(began) = in_flight.filter(|it| now >= it + 500) {
             log.end(at(now), at(began), false);
-            under_way = None;
+            in_flight = None;
         }
-        if under_way.is_none() && matches!(log.turn(at(now)), Turn::All(_)) {
+        if in_flight.is_none() && matches!(log.turn(at(now)), Turn::All(_)) {
             probes += 1;
             log.begin(at(now));
-            under_way = Some(now);
+            in_flight = Some(now);
         }
     }
 
     assert!((4..=8).contains(&probes), "{probes} probes");
 }
 
-/// On a slow log a record waits while others are under way, but not as long as its caller does.
+/// On a slow log a record waits while others are in flight, but not as long as its caller waits.
 #[test]
-fn what_waits_unsent_is_rejected_in_time() {
-    let log = answering();
+fn a_record_that_was_not_sent_is_rejected_after_1500_ms() {
+    let log = responsive_log();
 
     assert!(!log.is_hopeless(at(2_400), at(1_000)));
     assert!(log.is_hopeless(at(2_500), at(1_000)));
 }
 
-/// Two fifths of the log's partitions were silent, and records went on into them as the others answered.
+/// Two fifths of the log's partitions were unresponsive, and records were sent to them because the
+/// others answered.
 #[test]
-fn what_another_partition_answers_says_nothing_of_an_append_that_hangs() {
-    let mut log = answering();
+fn answers_of_another_partition_do_not_make_a_hanging_partition_responsive() {
+    let mut log = responsive_log();
     let mut sent: Vec<u64> = Vec::new();
 
     for now in (1_000..4_000).step_by(20) {
@@ -158,29 +161,30 @@
     assert!(!log.is_silent(at(4_010)));
 }
 
-/// An append's answer was lost, and so was all trust in a partition that few write to.
+/// A lost answer of an append made a partition with few writes count as unresponsive.
 #[test]
-fn a_lost_answer_of_an_append_rejects_nobody() {
-    let mut log = answering();
+fn a_lost_answer_of_an_append_rejects_no_request() {
+    let mut log = responsive_log();
     log.begin(at(1_010));
     log.end(at(1_510), at(1_010), false);
     log.read_elsewhere(at(1_500), at(0));
 
-    let question = log.try_question(at(1_510));
+    let query = log.try_question(at(1_510));
     log.ask(at(1_510));
     let again = log.try_question(at(1_520));
     log.read(at(1_520));
     log.read_elsewhere(at(8_980), at(0));
 
-    assert!(question.is_some() && again.is_none());
+    assert!(query.is_some() && again.is_none());
     assert!(!log.is_silent(at(9_000)));
     assert!(matches!(log.turn(at(9_000)), Turn::All(_)));
 }
 
-/// All of the log was silent: each partition would have to be asked before the next caller is served.
+/// After an outage of the whole log, an answer of one partition counts for the others. Otherwise
+/// each partition would have to be queried before its next caller is served.
 #[test]
-fn partitions_that_fell_silent_together_come_back_together() {
-    let mut log = answering();
+fn partitions_that_became_unresponsive_together_recover_together() {
+    let mut log = responsive_log();
     log.begin(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
--- a/daisy-workflow/tests/takeover.rs
+++ b/daisy-workflow/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Tasks that last while their owner changes and their worker is out of reach.
+//! Long-running tasks while their owner changes and their worker is unreachable.
 
 mod util;
 
@@ -10,17 +10,18 @@
 
 const TASKS: u32 = 10;
 
-/// Milliseconds without a disturbance after which a task that lasts has to be at work where there is
-/// room, as the platform's contract has it.
-const CALM_MS: u64 = 7_000;
+/// Milliseconds without a fault after which a long-running task has to run where there is capacity,
+/// as the platform's contract requires.
+const MAX_RECOVERY_MS: u64 = 7_000;
 
-/// Five workers with room for twice the tasks that last, all of which have been at work for a while.
-fn at_work() -> Simulation {
+/// Returns five workers with capacity for twice the long-running tasks, all of which have run for a
+/// while.
+fn with_running_tasks() -> Simulation {
     let names = ["w1", "w2", "w3", "w4", "w5"];
     let mut sim = Simulation::new(names.map(|it| FakeWorker::new(it, 4)).into());
     sim.work_ms = |_| LONG_RUNNING_WORK_MS;
     sim.submit(1, job(vec![long_running_step(TASKS)]));
-    assert!(sim.run_until(1_000, all_run), "no room in an empty fleet");
+    assert!(sim.run_until(1_000, all_run), "all tasks start on idle workers");
     sim.run_ms(3_000);
     sim
 }
@@ -29,46 +30,52 @@
     (0..TASKS).all(|it| !sim.workers_running(task(1, 0, it)).is_empty())
 }
 
-/// A worker with some of the tasks crashes and does not come back.
+/// Crashes a worker that runs some of the tasks; it does not come back.
 fn lose_a_worker(sim: &mut Simulation) {
-    let worker = sim.workers.iter_mut().find(|it| !it.runs.is_empty()).expect("one at work");
+    let worker =
+        sim.workers.iter_mut().find(|it| !it.runs.is_empty()).expect("a worker runs a task");
     worker.runs.clear();
     worker.listed = false;
     worker.fault = Fault::Unreachable;
 }
 
-/// A task was down for 15 s as the new owner allowed for renewals by the one before.
+/// A task was down for 15 s because the new owner waited for leases that the previous one might
+/// have renewed.
 #[test]
-fn a_task_of_a_lost_worker_starts_elsewhere_soon_after_a_change_of_owner() {
-    let mut sim = at_work();
+fn a_task_of_a_lost_worker_restarts_elsewhere_within_7_s_of_an_owner_change() {
+    let mut sim = with_running_tasks();
     lose_a_worker(&mut sim);
 
     sim.change_owner(false);
-    let again = sim.run_until(CALM_MS, all_run);
+    let all_restarted = sim.run_until(MAX_RECOVERY_MS, all_run);
 
-    assert!(again, "a task that lasts is down after {CALM_MS} ms");
+    assert!(all_restarted, "a long-running task is down after {MAX_RECOVERY_MS} ms");
 }
 
-/// Each owner that followed another waited anew, however long the ones before had waited.
+/// Each new owner restarted the wait, however long the previous owners had waited.
 #[test]
-fn owners_that_follow_each_other_add_no_wait() {
-    let mut sim = at_work();
+fn repeated_owner_changes_do_not_extend_the_wait() {
+    let mut sim = with_running_tasks();
     lose_a_worker(&mut sim);
 
     for _ in 0..4 {
         sim.change_owner(false);
         sim.run_ms(3_000);
     }
-    let again = sim.run_until(CALM_MS - 3_000, all_run);
+    let all_restarted = sim.run_until(MAX_RECOVERY_MS - 3_000, all_run);
 
-    assert!(again, "a task that lasts is down {CALM_MS} ms after the last change");
+    assert!(
+        all_restarted,
+        "a long-running task is down {MAX_RECOVERY_MS} ms after the last change"
+    );
 }
 
-/// Guards against renewals by an owner that has been replaced by one with most of the workers.
+/// Guards against renewals by an owner that has been replaced by one that reaches most of the
+/// workers.
 #[test]
-fn an_owner_without_the_log_and_most_workers_renews_nothing() {
-    let mut sim = at_work();
-    let at = sim.workers.iter().position(|it| !it.runs.is_empty()).expect("one at work");
+fn an_owner_that_reaches_neither_the_log_nor_most_workers_renews_no_lease() {
+    let mut sim = with_running_tasks();
+    let at = sim.workers.iter().position(|it| !it.runs.is_empty()).expect("a worker runs a task");
     sim.log_up = false;
     for it in (0..5).filter(|it| *it != at).take(3) {
         sim.workers[it].fault = Fault::Unreachable;
@@ -76,14 +83,17 @@
 
     sim.run_ms(6_500);
 
-    assert!(sim.workers[at].runs.is_empty(), "renewed after most workers were gone");
+    assert!(
+        sim.workers[at].runs.is_empty(),
+        "a lease was renewed while most workers were unreachable"
+    );
 }
 
-/// Guards against work that is lost in an outage of the log as some workers are out of reach.
+/// Guards against work that is lost in an outage of the log while some workers are unreachable.
 #[test]
-fn an_owner_without_the_log_goes_on_with_most_of_its_workers() {
-    let mut sim = at_work();
-    let at = sim.workers.iter().position(|it| !it.runs.is_empty()).expect("one at work");
+fn an_owner_without_the_log_keeps_renewing_while_it_reaches_most_workers() {
+    let mut sim = with_running_tasks();
+    let at = sim.workers.iter().position(|it| !it.runs.is_empty()).expect("a worker runs a task");
     let before = sim.workers[at].tasks();
     sim.log_up = false;
     for it in (0..5).filter(|it| *it != at).take(2) {
@@ -95,9 +105,10 @@
     assert_eq!(sim.workers[at].tasks(), before);
 }
 
-/// A task waited for room in its shard once more, after it had been away for longer than that.
+/// A task waited for capacity in its shard once more, though it had already been down for longer
+/// than that.
 #[test]
-fn a_task_of_a_lost_worker_is_handed_on_soon_after_a_change_of_owner() {
+fn a_task_of_a_lost_worker_is_transferred_within_7_s_of_an_owner_change() {
     let workers =
         |names: &[&str], cores| names.iter().map(|it| FakeWorker::new(it, cores)).collect();
     let mut sim =
@@ -112,7 +123,7 @@
     lost.fault = Fault::Unreachable;
     sim.shards[0].change_owner(false);
 
-    sim.run_with_loads_ms(CALM_MS);
+    sim.run_with_loads_ms(MAX_RECOVERY_MS);
 
     assert!((0..12).all(|it| !sim.workers_running(task(id.0, 0, it)).is_empty()));
 }
--- a/daisy-workflow/tests/telling.rs
+++ b/daisy-workflow/tests/telling.rs
@@ -1,4 +1,4 @@
-//! What an owner tells all VMs, and when.
+//! What an owner publishes to all VMs, and when.
 
 use daisy_model::{Instant, SortedMap};
 use daisy_workflow::{
@@ -12,95 +12,96 @@
     Instant::from_millis(millis)
 }
 
-fn sign() -> Sign {
+fn sample_heartbeat() -> Sign {
     let claim = Claim { vm: "a".to_owned(), process: 1, epoch: 3, released: false, settled: true };
     Sign { shard: OWN, claim, current: true, pending: Vec::new(), load: Load::default() }
 }
 
-fn told(state: JobState, shard: ShardId) -> SortedMap<JobId, Told> {
+fn published_state(state: JobState, shard: ShardId) -> SortedMap<JobId, Told> {
     SortedMap::from_iter([(ID, Told { state, shard })])
 }
 
-fn state(state: JobState) -> Record {
+fn state_record(state: JobState) -> Record {
     Record::State(ID, Told { state, shard: OWN })
 }
 
 #[test]
-fn a_new_owner_shows_at_once_that_it_lives() {
-    let mut telling = Telling::new(at(0), OWN, SortedMap::new());
+fn a_new_owner_publishes_a_heartbeat_at_once() {
+    let mut publisher = Telling::new(at(0), OWN, SortedMap::new());
 
-    let due = telling.is_sign_due(at(0));
-    let records = telling.try_records(at(0), Some(sign()));
+    let due = publisher.is_sign_due(at(0));
+    let records = publisher.try_records(at(0), Some(sample_heartbeat()));
 
     assert!(due);
-    assert_eq!(records, Some(vec![Record::Sign(Box::new(sign()))]));
-    assert!(!telling.is_sign_due(at(399)) && telling.is_sign_due(at(400)));
+    assert_eq!(records, Some(vec![Record::Sign(Box::new(sample_heartbeat()))]));
+    assert!(!publisher.is_sign_due(at(399)) && publisher.is_sign_due(at(400)));
 }
 
 #[test]
-fn states_gather_for_a_while() {
-    let mut telling = Telling::new(at(0), OWN, SortedMap::new());
-    telling.add(ID, JobState::Queued);
-    telling.add(ID, JobState::Running);
+fn states_are_batched_for_30_ms() {
+    let mut publisher = Telling::new(at(0), OWN, SortedMap::new());
+    publisher.add(ID, JobState::Queued);
+    publisher.add(ID, JobState::Running);
 
-    let early = telling.try_records(at(10), None);
-    let due = telling.try_records(at(30), None);
+    let early = publisher.try_records(at(10), None);
+    let due = publisher.try_records(at(30), None);
 
-    assert_eq!((early, due), (None, Some(vec![state(JobState::Running)])));
-    assert!(!telling.is_waiting());
+    assert_eq!((early, due), (None, Some(vec![state_record(JobState::Running)])));
+    assert!(!publisher.is_waiting());
 }
 
 #[test]
-fn what_all_know_is_not_told_again() {
-    let mut telling = Telling::new(at(0), OWN, told(JobState::Running, OWN));
+fn a_state_that_is_already_published_is_not_published_again() {
+    let mut publisher = Telling::new(at(0), OWN, published_state(JobState::Running, OWN));
 
-    telling.add(ID, JobState::Queued);
-    telling.add(ID, JobState::Running);
+    publisher.add(ID, JobState::Queued);
+    publisher.add(ID, JobState::Running);
 
-    assert!(!telling.is_waiting());
+    assert!(!publisher.is_waiting());
 }
 
-/// A job's own shard has told that it waits, and then handed it here. Unless this shard tells of it,
-/// the other one's next owner hands it on once more.
+/// A job's own shard published that it is queued, and then transferred it here. Unless this shard
+/// publishes its state, the next owner of the other shard transfers the job once more.
 #[test]
-fn a_job_that_came_from_another_shard_is_told_of() {
-    let mut telling = Telling::new(at(0), OWN, told(JobState::Queued, ShardId(0)));
+fn the_state_of_a_job_from_another_shard_is_published() {
+    let mut publisher = Telling::new(at(0), OWN, published_state(JobState::Queued, ShardId(0)));
 
-    telling.add(ID, JobState::Queued);
+    publisher.add(ID, JobState::Queued);
 
-    assert_eq!(telling.try_records(at(30), None), Some(vec![state(JobState::Queued)]));
+    assert_eq!(publisher.try_records(at(30), None), Some(vec![state_record(JobState::Queued)]));
 }
 
 #[test]
-fn a_late_state_does_not_follow_a_newer_one() {
-    let mut telling = Telling::new(at(0), OWN, told(JobState::Completed, ShardId(0)));
+fn an_older_state_is_not_published_after_a_newer_one() {
+    let mut publisher = Telling::new(at(0), OWN, published_state(JobState::Completed, ShardId(0)));
 
-    telling.add(ID, JobState::Running);
+    publisher.add(ID, JobState::Running);
 
-    assert!(!telling.is_waiting());
+    assert!(!publisher.is_waiting());
 }
 
-/// An owner that dies before it tells of a job it has handed on leaves one that nobody knows.
+/// An owner that dies before it publishes the state of a transferred job leaves a job that no VM
+/// knows.
 #[test]
-fn a_job_that_was_handed_on_and_not_told_of_is_missing() {
-    let telling = Telling::new(at(0), OWN, SortedMap::new());
+fn a_transferred_job_without_a_published_state_is_missing() {
+    let publisher = Telling::new(at(0), OWN, SortedMap::new());
     let mut directory = Directory::default();
 
-    let before = telling.all_told(&directory, [ID].into_iter());
+    let before = publisher.all_told(&directory, [ID].into_iter());
     directory.set_state(ID, Told { state: JobState::Queued, shard: ShardId(0) });
-    let after = telling.all_told(&directory, [ID].into_iter());
+    let after = publisher.all_told(&directory, [ID].into_iter());
 
     assert_eq!((before, after), (false, true));
 }
 
 #[test]
-fn a_job_that_this_owner_tells_of_is_not_missing() {
-    let mut telling = Telling::new(at(0), OWN, SortedMap::new());
-    telling.add(ID, JobState::Queued);
+fn a_job_that_this_owner_publishes_is_not_missing() {
+    let mut publisher = Telling::new(at(0), OWN, SortedMap::new());
+    publisher.add(ID, JobState::Queued);
 
-    let waits = telling.all_told(&Directory::default(), [ID].into_iter());
-    telling.try_records(at(30), None);
-    let told = telling.all_told(&Directory::default(), [ID].into_iter());
+    let while_pending = publisher.all_told(&Directory::default(), [ID].into_iter());
+    publisher.try_records(at(30), None);
+    let after_publishing = publisher.all_told(&Directory::default(), [ID].into_iter());
 
-    assert_eq!((waits, told), (true, true));
+    assert_eq!((while_pending, after_publishing), (true, true));
 }
