--- a/daisy-workflow/tests/both_ways.rs
+++ b/daisy-workflow/tests/both_ways.rs
@@ -1,4 +1,5 @@
-//! Jobs and tasks that could leave their shard in more than one way, and rooms told for them.
+//! Jobs and tasks that could be transferred as a whole or in parts, and the free capacity published
+//! for them.
 
 mod util;
 
@@ -11,13 +12,13 @@
 
 const FIRST: ShardId = ShardId(0);
 
-/// Tasks that last, each of this many cores.
+/// Returns a job of long-running tasks with this many cores each.
 fn tasks(count: u32, cores: u32) -> JobSpec {
     let need = Resources { cpu_milli: cores * CORE, memory_mib: 100, accelerators: 0 };
     job(vec![StepSpec { need, ..long_running_step(count) }])
 }
 
-/// Shards with workers of these cores, on which all tasks last.
+/// Returns shards with workers of these numbers of cores, on which all tasks are long-running.
 fn shards(cores: &[&[u32]]) -> ShardedSimulation {
     let workers = cores.iter().enumerate().map(|(shard, cores)| {
         let worker = |(at, cores): (usize, &u32)| FakeWorker::new(&format!("w{shard}{at}"), *cores);
@@ -32,9 +33,9 @@
     task(id.0, 0, 0)
 }
 
-/// Room in two other shards shows at one time for a job that has waited.
+/// Two other shards publish capacity at the same time for a job that has waited.
 #[test]
-fn a_job_that_is_handed_on_whole_is_not_handed_on_in_parts_as_well() {
+fn a_job_transferred_as_a_whole_is_not_also_transferred_in_parts() {
     let mut sim = shards(&[&[2], &[8], &[7]]);
     let id = sim.job_id_of(FIRST);
     sim.shards[0].submit(id.0, tasks(1, 3));
@@ -45,9 +46,10 @@
     assert_eq!(sim.workers_running(first_task(id)).len(), 1);
 }
 
-/// Shards without workers of the kind that it needs tell of room, and hand it to each other.
+/// Shards without workers that have the label publish capacity, and transfer the task to each
+/// other.
 #[test]
-fn a_task_that_needs_a_label_returns_to_the_shard_that_has_it() {
+fn a_task_with_a_required_label_returns_to_the_shard_that_has_it() {
     let mut sim = shards(&[&[4], &[16], &[16]]);
     sim.shards[0].workers[0].labels.push("fast".to_owned());
     sim.run_ms(200);
@@ -65,35 +67,40 @@
     assert_eq!(sim.workers_running(first_task(id)), ["w00"]);
 }
 
-/// Pieces are told in the order of shares of their workers, so that small empty ones come first.
+/// Free blocks were published in the order of the free share of their workers, so that small empty
+/// workers came first.
 #[test]
-fn room_on_a_large_worker_is_told_beside_many_small_ones() {
+fn capacity_of_a_large_worker_is_published_beside_many_small_ones() {
     let small = [2; 16];
     let second: Vec<u32> = small.into_iter().chain([16]).collect();
     let mut sim = shards(&[&[4], &second]);
     let [full, id] = two_jobs_of_the_first(&sim);
-    let beside = sim.job_id_of(ShardId(1));
-    sim.shards[1].submit(beside.0, tasks(1, 4));
+    let other_job = sim.job_id_of(ShardId(1));
+    sim.shards[1].submit(other_job.0, tasks(1, 4));
     sim.shards[0].submit(full.0, tasks(1, 4));
     sim.run_ms(300);
     sim.shards[0].submit(id.0, tasks(2, 4));
     sim.shards[0].cancel(full.0);
     sim.run_ms(500);
-    assert_eq!(sim.workers_running(first_task(id)), ["w00"], "the other of its tasks waits");
+    assert_eq!(
+        sim.workers_running(first_task(id)),
+        ["w00"],
+        "the first task runs while the second waits"
+    );
 
     sim.run_with_loads_ms(6_000);
 
     assert_eq!(sim.workers_running(task(id.0, 0, 1)), ["w116"]);
 }
 
-/// The same for the one worker that has accelerators.
+/// The one worker with accelerators is published beside many workers without.
 #[test]
-fn room_with_accelerators_is_told_beside_many_workers_without() {
+fn capacity_with_accelerators_is_published_beside_many_workers_without() {
     let mut sim = shards(&[&[4], &[4; 17]]);
     sim.shards[0].workers[0].capacity.accelerators = 1;
     sim.shards[1].workers[3].capacity.accelerators = 1;
     sim.run_ms(200);
-    let beside = sim.job_id_of(ShardId(1));
+    let other_job = sim.job_id_of(ShardId(1));
     let accelerated = |count, cores| {
         let spec = tasks(count, cores);
         let need = Resources { accelerators: 1, ..spec.steps[0].need };
@@ -103,7 +110,7 @@
     let small = StepSpec { need, data_rack: Some("near".into()), ..long_running_step(1) };
     sim.shards[1].workers[3].labels.push("near".to_owned());
     sim.run_ms(100);
-    sim.shards[1].submit(beside.0, job(vec![small]));
+    sim.shards[1].submit(other_job.0, job(vec![small]));
     let id = sim.job_id_of(FIRST);
     sim.shards[0].submit(id.0, accelerated(2, 1));
     sim.run_ms(500);
@@ -113,9 +120,9 @@
     assert_eq!(sim.workers_running(task(id.0, 0, 1)), ["w13"]);
 }
 
-/// Gangs that are small take each gap on a worker that is kept for a large task.
+/// Small gangs take each free core of a worker that is reserved for a large task.
 #[test]
-fn gangs_leave_a_worker_that_is_kept() {
+fn gangs_do_not_use_a_reserved_worker() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w", 4)]);
     sim.work_ms =
         |task| if task.job.0 < 100 { 500 + task.job.0 * 30 } else { LONG_RUNNING_WORK_MS };
@@ -126,17 +133,17 @@
     sim.run_ms(300);
 
     sim.submit(100, tasks(1, 3));
-    let found = sim.run_until(4_000, |it| !it.workers_running(first_task(JobId(100))).is_empty());
+    let started = sim.run_until(4_000, |it| !it.workers_running(first_task(JobId(100))).is_empty());
 
-    assert!(found, "it still waits");
+    assert!(started, "the task still waits");
 }
 
-/// One worker is kept for each job, however many of its tasks wait.
+/// One worker is reserved for each job, however many of its tasks wait.
 #[test]
-fn tasks_of_one_job_wait_no_longer_than_those_of_many() {
+fn tasks_of_one_job_wait_less_than_three_times_as_long_as_those_of_many() {
     let wait_ms = |jobs: u64, each: u32| {
         let mut sim = Simulation::new(workers_of_four_cores());
-        sim.work_ms = |it| if it.job.0 < 1_000 { quick_ms(it) } else { LONG_RUNNING_WORK_MS };
+        sim.work_ms = |it| if it.job.0 < 1_000 { short_work_ms(it) } else { LONG_RUNNING_WORK_MS };
         sim.run_ms(200);
         for id in 0..80 {
             sim.submit(id, job(vec![StepSpec { estimate_ms: 3_000, ..step(20) }]));
@@ -155,13 +162,15 @@
     assert!(one_job < 3 * many_jobs, "{one_job} ms instead of {many_jobs} ms");
 }
 
-/// Each move costs two records, and the shards tell of room on workers of other kinds.
+/// Each transfer costs two records, and the shards publish capacity on workers that cannot run the
+/// task.
 #[test]
-fn a_task_that_no_shard_can_run_seldom_moves() {
+fn a_task_that_no_shard_can_run_is_transferred_at_most_6_times_in_30_s() {
     let mut sim = shards(&[&[4], &[16], &[16]]);
     let id = sim.job_id_of(FIRST);
-    let nowhere = StepSpec { required_label: Some("none".into()), ..tasks(1, 2).steps[0].clone() };
-    sim.shards[0].submit(id.0, job(vec![nowhere]));
+    let unsatisfiable =
+        StepSpec { required_label: Some("none".into()), ..tasks(1, 2).steps[0].clone() };
+    sim.shards[0].submit(id.0, job(vec![unsatisfiable]));
 
     sim.run_with_loads_ms(30_000);
 
@@ -174,14 +183,14 @@
     (0..24).map(|it| FakeWorker::new(&format!("w{it}"), 4)).collect()
 }
 
-/// Three to four seconds, so that quick tasks end one after the other.
-fn quick_ms(it: TaskId) -> u64 {
+/// Returns work of three to four seconds, so that short tasks end one after the other.
+fn short_work_ms(it: TaskId) -> u64 {
     3_000 + (it.job.0 * 7_919 + u64::from(it.index) * 104_729) % 1_000
 }
 
-/// Its job may be read once the task has been started.
+/// The job of a returned task may be read after the task was started.
 #[test]
-fn a_returned_task_that_is_read_before_its_job_counts_once() {
+fn a_returned_task_that_is_read_before_its_job_is_counted_once() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w", 4)]);
     sim.work_ms = |_| LONG_RUNNING_WORK_MS;
     let id = JobId(1);
@@ -197,16 +206,19 @@
     assert_eq!(sim.owner.summary(sim.now).runs, 1);
 }
 
-/// Two jobs of the first shard.
+/// Returns the ids of two jobs of the first shard.
 fn two_jobs_of_the_first(sim: &ShardedSimulation) -> [JobId; 2] {
     let layout = daisy_workflow::Layout { shards: sim.shards.len() as u16 };
     let mut ids = (1..).map(JobId).filter(|id| layout.of_job(*id) == FIRST);
-    [ids.next().expect("one of many"), ids.next().expect("one of many")]
+    [
+        ids.next().expect("some job id belongs to each shard"),
+        ids.next().expect("some job id belongs to each shard"),
+    ]
 }
 
-/// Only its own shard, which is busy, has workers of the kind that it needs.
+/// Only the job's own shard, which is busy, has workers with the required label.
 #[test]
-fn a_job_is_not_handed_to_a_shard_that_cannot_run_it() {
+fn a_job_is_not_transferred_to_a_shard_that_cannot_run_it() {
     let mut sim = shards(&[&[4], &[16]]);
     sim.shards.iter_mut().for_each(|it| it.work_ms = |_| 1_000);
     sim.shards[0].workers[0].labels.push("fast".to_owned());
--- a/daisy-workflow/tests/cancel.rs
+++ b/daisy-workflow/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! How soon the tasks of a cancelled job are gone while owners die.
+//! How soon the tasks of a cancelled job stop while owners die.
 
 mod util;
 
@@ -14,30 +14,31 @@
 
 const LAYOUT: Layout = Layout { shards: 3 };
 const SHARDS: usize = 3;
-/// Time without an owner after one was killed.
-const OWNERLESS: Duration = Duration::from_millis(1_400);
-/// From a cancellation, or the last change of an owner after it, until nothing of the job runs.
-const SOON: Duration = Duration::from_millis(1_500);
-
-/// Three shards, a worker of four cores each, and what is written from one shard to another.
-struct ShardedSimulation {
+/// Time without an owner after an owner was killed.
+const OWNERLESS_TIME: Duration = Duration::from_millis(1_400);
+/// Maximum time from a cancellation, or from the last owner change after it, until no task of the
+/// job runs.
+const STOP_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// Three shards with a worker of four cores each, and the records that they write to each other.
+struct ThreeShards {
     shards: Vec<Simulation>,
-    /// When the next owner of each shard begins, if it has none.
-    ownerless: [Option<Instant>; SHARDS],
-    under_way: Vec<UnderWay>,
+    /// When the next owner of each shard starts; `None` while the shard has an owner.
+    next_owner_at: [Option<Instant>; SHARDS],
+    in_flight: Vec<InFlightRecord>,
     rng: fastrand::Rng,
 }
 
-/// What an owner writes to the submissions of another shard.
-struct UnderWay {
+/// A record that an owner writes to the submissions of another shard.
+struct InFlightRecord {
     from: usize,
     to: ShardId,
     arrives: Instant,
     record: Record,
 }
 
-impl ShardedSimulation {
-    fn new(seed: u64) -> ShardedSimulation {
+impl ThreeShards {
+    fn new(seed: u64) -> ThreeShards {
         let sim = |(shard, name)| {
             let mut sim = Simulation::of_shard(vec![FakeWorker::new(name, 4)], shard, LAYOUT);
             sim.work_ms = |_| LONG_RUNNING_WORK_MS;
@@ -45,21 +46,22 @@
         };
         let shards = LAYOUT.all().zip(["a", "b", "c"]).map(sim).collect();
         let rng = fastrand::Rng::with_seed(seed);
-        ShardedSimulation { shards, ownerless: [None; SHARDS], under_way: Vec::new(), rng }
+        ThreeShards { shards, next_owner_at: [None; SHARDS], in_flight: Vec::new(), rng }
     }
 
-    /// One with a job that was handed on as `way` says and runs.
-    fn with_job(way: Way, seed: u64) -> ShardedSimulation {
-        let mut sim = ShardedSimulation::new(seed);
-        sim.hand_in(way);
+    /// Returns shards with a running job that was transferred as `placement` says.
+    fn with_job(placement: Placement, seed: u64) -> ThreeShards {
+        let mut sim = ThreeShards::new(seed);
+        sim.load_job(placement);
         sim.run_ms(1_000);
-        assert_eq!(sim.workers_running(), way.workers_running(), "{way:?}");
+        assert_eq!(sim.workers_running(), placement.workers_running(), "{placement:?}");
         sim
     }
 
-    /// New owners read a job that was handed on as `way` says.
-    fn hand_in(&mut self, way: Way) {
-        for (shard, record) in way.records() {
+    /// Writes the records of a job that was transferred as `placement` says, and lets new owners
+    /// read them.
+    fn load_job(&mut self, placement: Placement) {
+        for (shard, record) in placement.records() {
             let sim = &mut self.shards[shard];
             match record {
                 Record::Submitted(..) | Record::TaskSubmitted(..) => sim.write(record),
@@ -75,13 +77,13 @@
 
     fn step(&mut self) {
         for (at, sim) in self.shards.iter_mut().enumerate() {
-            match self.ownerless[at] {
+            match self.next_owner_at[at] {
                 Some(until) if sim.now < until => {
                     sim.idle();
                     continue;
                 }
                 Some(_) => {
-                    self.ownerless[at] = None;
+                    self.next_owner_at[at] = None;
                     sim.change_owner(true);
                 }
                 None => {}
@@ -89,14 +91,14 @@
             sim.step();
             for (shard, record) in sim.forwarded.drain(..) {
                 let arrives = sim.now + Duration::from_millis(self.rng.u64(10..200));
-                self.under_way.push(UnderWay { from: at, to: shard, arrives, record });
+                self.in_flight.push(InFlightRecord { from: at, to: shard, arrives, record });
             }
         }
         let now = self.now();
-        for it in std::mem::take(&mut self.under_way) {
+        for it in std::mem::take(&mut self.in_flight) {
             match it.arrives <= now {
                 true => self.shards[usize::from(it.to.0)].write(it.record),
-                false => self.under_way.push(it),
+                false => self.in_flight.push(it),
             }
         }
     }
@@ -107,30 +109,31 @@
         }
     }
 
-    /// The owners of some shards die with what they write to others.
+    /// Kills the owners of some shards together with their writes in flight.
     fn kill_owners(&mut self, killed: [bool; SHARDS], stored: bool) {
-        let until = self.now() + OWNERLESS;
+        let until = self.now() + OWNERLESS_TIME;
         for (at, _) in killed.iter().enumerate().filter(|(_, it)| **it) {
             self.shards[at].kill_owner(stored);
-            self.ownerless[at] = Some(until);
+            self.next_owner_at[at] = Some(until);
         }
-        self.under_way.retain(|it| !killed[it.from]);
+        self.in_flight.retain(|it| !killed[it.from]);
     }
 
     fn cancel(&mut self) {
         self.shards[0].cancel(job_id().0);
     }
 
-    /// Workers on which the job's tasks run.
+    /// Returns the names of the workers on which the job's tasks run.
     fn workers_running(&self) -> Vec<String> {
         let runs = |it: &&FakeWorker| it.runs.iter().any(|run| run.task.job == job_id());
         let workers = self.shards.iter().flat_map(|it| &it.workers);
         workers.filter(runs).map(|it| it.name.clone()).collect()
     }
 
-    /// Checks that all of the job is gone soon after `since`, and that nothing of it starts again.
-    fn assert_gone(&mut self, since: Instant, what: &str) {
-        while self.now() < since + SOON {
+    /// Checks that no task of the job runs once `STOP_TIMEOUT` has passed since `since`, and that
+    /// none starts again.
+    fn assert_all_stopped(&mut self, since: Instant, what: &str) {
+        while self.now() < since + STOP_TIMEOUT {
             self.step();
         }
         for _ in 0..50 {
@@ -140,90 +143,105 @@
     }
 }
 
-/// How a job of two tasks came to be where it runs.
+/// How a job of two tasks was transferred to the shards where it runs.
 #[derive(Debug, Clone, Copy)]
-enum Way {
-    /// One shard runs all of it.
-    Stays,
-    /// Its own shard has handed it to another one.
+enum Placement {
+    /// The job's own shard runs all of it.
+    OwnShard,
+    /// Its own shard has transferred it to another one.
     Delegated,
-    /// One of its tasks was handed to another shard.
+    /// One of its tasks was transferred to another shard.
     OneHop,
-    /// That one has handed the task to a third.
+    /// The other shard has transferred that task to a third one.
     TwoHops,
-    /// Handed on whole, and then one of its tasks.
+    /// The job was transferred as a whole, and then one of its tasks.
     DelegatedThenOneHop,
 }
 
-const WAYS: [Way; 5] =
-    [Way::Stays, Way::Delegated, Way::OneHop, Way::TwoHops, Way::DelegatedThenOneHop];
+const PLACEMENTS: [Placement; 5] = [
+    Placement::OwnShard,
+    Placement::Delegated,
+    Placement::OneHop,
+    Placement::TwoHops,
+    Placement::DelegatedThenOneHop,
+];
 
-impl Way {
-    /// Records, each with the shard that has it.
+impl Placement {
+    /// Returns the records, each with the shard whose log has it.
     fn records(self) -> Vec<(usize, Record)> {
         let submitted = |shard| (shard, Record::Submitted(job_id(), spec()));
         let delegated = (0, Record::Delegated(job_id(), ShardId(1)));
         match self {
-            Way::Stays => vec![submitted(0)],
-            Way::Delegated => vec![submitted(0), delegated, submitted(1)],
-            Way::OneHop => vec![submitted(0), handed_on(0, 1, 1), handed(1, 1)],
-            Way::TwoHops => vec![
+            Placement::OwnShard => vec![submitted(0)],
+            Placement::Delegated => vec![submitted(0), delegated, submitted(1)],
+            Placement::OneHop => vec![submitted(0), task_transferred(0, 1, 1), task_received(1, 1)],
+            Placement::TwoHops => vec![
                 submitted(0),
-                handed_on(0, 1, 1),
-                handed(1, 1),
-                handed_on(1, 2, 2),
-                handed(2, 2),
+                task_transferred(0, 1, 1),
+                task_received(1, 1),
+                task_transferred(1, 2, 2),
+                task_received(2, 2),
             ],
-            Way::DelegatedThenOneHop => {
-                vec![submitted(0), delegated, submitted(1), handed_on(1, 1, 2), handed(2, 1)]
+            Placement::DelegatedThenOneHop => {
+                vec![
+                    submitted(0),
+                    delegated,
+                    submitted(1),
+                    task_transferred(1, 1, 2),
+                    task_received(2, 1),
+                ]
             }
         }
     }
 
-    /// Workers on which tasks of the job run then.
+    /// Returns the names of the workers on which tasks of the job then run.
     fn workers_running(self) -> &'static [&'static str] {
         match self {
-            Way::Stays => &["a"],
-            Way::Delegated => &["b"],
-            Way::OneHop => &["a", "b"],
-            Way::TwoHops => &["a", "c"],
-            Way::DelegatedThenOneHop => &["b", "c"],
+            Placement::OwnShard => &["a"],
+            Placement::Delegated => &["b"],
+            Placement::OneHop => &["a", "b"],
+            Placement::TwoHops => &["a", "c"],
+            Placement::DelegatedThenOneHop => &["b", "c"],
         }
     }
 }
 
-/// A job of the first shard.
+/// Returns the id of a job of the first shard.
 fn job_id() -> JobId {
-    (1..).map(JobId).find(|id| LAYOUT.of_job(*id) == ShardId(0)).expect("one of many")
+    (1..)
+        .map(JobId)
+        .find(|id| LAYOUT.of_job(*id) == ShardId(0))
+        .expect("some job id belongs to each shard")
 }
 
-/// Two tasks that last, each of which fills a worker.
+/// Returns a job of two long-running tasks, of which a worker holds one.
 fn spec() -> JobSpec {
     let need = Resources { cpu_milli: 3 * CORE, ..long_running_step(1).need };
     job(vec![StepSpec { need, ..long_running_step(2) }])
 }
 
-/// The second of them.
-fn moves() -> TaskId {
+/// Returns the second task of the job.
+fn second_task() -> TaskId {
     task(job_id().0, 0, 1)
 }
 
-fn handed_on(from: usize, number: u32, to: u16) -> (usize, Record) {
-    (from, Record::TaskHandedOn(moves(), Hop { number, to: ShardId(to) }))
+fn task_transferred(from: usize, number: u32, to: u16) -> (usize, Record) {
+    (from, Record::TaskHandedOn(second_task(), Hop { number, to: ShardId(to) }))
 }
 
-fn handed(to: usize, hop: u32) -> (usize, Record) {
+fn task_received(to: usize, hop: u32) -> (usize, Record) {
     let it = Handover { hop, spec: spec(), runs: 0, failures: 0, checkpoint: String::new() };
-    (to, Record::TaskSubmitted(moves(), Box::new(it)))
+    (to, Record::TaskSubmitted(second_task(), Box::new(it)))
 }
 
-/// Killed around a cancellation that is stored, owners would leave tasks of the job running.
+/// Owners that are killed around a cancellation that is stored would leave tasks of the job
+/// running.
 #[test]
-fn a_cancellation_outlives_all_owners() {
-    for way in WAYS {
+fn a_cancellation_is_carried_out_when_all_owners_die() {
+    for placement in PLACEMENTS {
         for killed_at in (0..60).step_by(2) {
-            let mut sim = ShardedSimulation::with_job(way, killed_at);
-            let since = sim.now() + Duration::from_millis(killed_at * 10) + OWNERLESS;
+            let mut sim = ThreeShards::with_job(placement, killed_at);
+            let since = sim.now() + Duration::from_millis(killed_at * 10) + OWNERLESS_TIME;
             for at in 0..60 {
                 if at == 30 {
                     sim.cancel();
@@ -234,25 +252,28 @@
                 sim.step();
             }
 
-            sim.assert_gone(since, &format!("{way:?}, killed at step {killed_at} of 30"));
+            sim.assert_all_stopped(
+                since,
+                &format!("{placement:?}, killed at step {killed_at} of 30"),
+            );
         }
     }
 }
 
-/// Owners are killed one after the other, some of them twice.
+/// Owners are killed one after the other, some of them several times.
 #[test]
-fn a_cancellation_outlives_owners_that_die_in_turn() {
-    const PLAYS: u64 = 40;
+fn a_cancellation_is_carried_out_when_owners_die_in_turn() {
+    const SCHEDULES: u64 = 40;
     const STEPS: u64 = 200;
-    for way in WAYS {
-        for seed in 0..PLAYS {
+    for placement in PLACEMENTS {
+        for seed in 0..SCHEDULES {
             let mut rng = fastrand::Rng::with_seed(seed);
             let kills: Vec<(u64, usize)> =
                 (0..rng.u32(1..6)).map(|_| (rng.u64(..STEPS), rng.usize(..SHARDS))).collect();
             let cancel_at = rng.u64(..STEPS);
-            let mut sim = ShardedSimulation::with_job(way, seed);
+            let mut sim = ThreeShards::with_job(placement, seed);
             let last = kills.iter().map(|it| it.0).max().unwrap_or_default();
-            let changed = sim.now() + Duration::from_millis(last * 10) + OWNERLESS;
+            let changed = sim.now() + Duration::from_millis(last * 10) + OWNERLESS_TIME;
             let since = changed.max(sim.now() + Duration::from_millis(cancel_at * 10));
             for at in 0..STEPS {
                 if at == cancel_at {
@@ -266,21 +287,21 @@
                 sim.step();
             }
 
-            sim.assert_gone(since, &format!("{way:?}, seed {seed}"));
+            sim.assert_all_stopped(since, &format!("{placement:?}, seed {seed}"));
         }
     }
 }
 
 /// The owner is killed, or not, while it starts the tasks of a job that is cancelled at once.
 #[test]
-fn a_job_that_is_cancelled_while_it_starts_is_gone_soon() {
+fn a_job_that_is_cancelled_while_it_starts_stops_in_time() {
     for fault in [Fault::None, Fault::LosesAnswers] {
         for cancel_at in 0..12 {
             for killed_at in 0..=16 {
-                let mut sim = ShardedSimulation::new(killed_at);
+                let mut sim = ThreeShards::new(killed_at);
                 sim.run_ms(200);
                 sim.shards[0].worker("a").fault = fault;
-                let since = sim.now() + Duration::from_millis(killed_at * 10) + OWNERLESS;
+                let since = sim.now() + Duration::from_millis(killed_at * 10) + OWNERLESS_TIME;
                 sim.shards[0].submit(job_id().0, spec());
                 for at in 0..16 {
                     if at == cancel_at {
@@ -292,60 +313,63 @@
                     sim.step();
                 }
 
-                sim.assert_gone(since, &format!("{fault:?}, {cancel_at}, {killed_at}"));
+                sim.assert_all_stopped(since, &format!("{fault:?}, {cancel_at}, {killed_at}"));
             }
         }
     }
 }
 
-/// Fleets in which a shard is about to hand a task to the third: the shard, and how the job came there.
-const GIVERS: [(usize, Way); 3] = [(0, Way::Stays), (1, Way::Delegated), (1, Way::OneHop)];
-
-impl ShardedSimulation {
-    /// One in which the second task of the job waits in shard `giver`.
-    fn with_waiting_task(giver: usize, way: Way, seed: u64) -> ShardedSimulation {
-        let mut sim = ShardedSimulation::new(seed);
-        if let Way::OneHop = way {
-            sim.shards[giver].submit(job_id().0 + 1_000, spec());
+/// Shards that are about to transfer a task to the third shard: the sender, and how the job was
+/// transferred to it.
+const SENDERS: [(usize, Placement); 3] =
+    [(0, Placement::OwnShard), (1, Placement::Delegated), (1, Placement::OneHop)];
+
+impl ThreeShards {
+    /// Returns shards in which the second task of the job waits in shard `sender`.
+    fn with_waiting_task(sender: usize, placement: Placement, seed: u64) -> ThreeShards {
+        let mut sim = ThreeShards::new(seed);
+        if let Placement::OneHop = placement {
+            sim.shards[sender].submit(job_id().0 + 1_000, spec());
             sim.run_ms(100);
         }
-        sim.hand_in(way);
+        sim.load_job(placement);
         sim
     }
 
-    /// The same step, in which `giver` hears of the third shard's room.
-    fn step_told(&mut self, giver: usize) {
+    /// Runs a step in which `sender` receives the load of the third shard.
+    fn step_with_loads(&mut self, sender: usize) {
         let third = &self.shards[2];
         let loads = SortedMap::from_iter([(ShardId(2), third.owner.load(third.now))]);
         let now = self.now();
-        self.shards[giver].owner.step(now, Event::Loads(loads));
+        self.shards[sender].owner.step(now, Event::Loads(loads));
         self.step();
     }
 
-    fn is_handed_on(&self, giver: usize) -> bool {
-        let job = self.shards[giver].ledger.job(job_id());
+    fn is_transferred(&self, sender: usize) -> bool {
+        let job = self.shards[sender].ledger.job(job_id());
         job.is_some_and(|it| it.handed_to().contains(&ShardId(2)))
     }
 }
 
-/// A job is cancelled, and owners are killed, at any moment around the hand-over of one of its tasks.
+/// A job is cancelled, and owners are killed, at any moment around the transfer of one of its
+/// tasks.
 #[test]
-fn a_cancellation_during_a_hand_over_is_carried_out() {
-    for (giver, way) in GIVERS {
-        let mut sim = ShardedSimulation::with_waiting_task(giver, way, 0);
+fn a_cancellation_during_a_transfer_is_carried_out() {
+    for (sender, placement) in SENDERS {
+        let mut sim = ThreeShards::with_waiting_task(sender, placement, 0);
         let recorded_worker = (0..600)
             .find(|_| {
-                sim.step_told(giver);
-                sim.is_handed_on(giver)
+                sim.step_with_loads(sender);
+                sim.is_transferred(sender)
             })
-            .expect("it is handed on");
+            .expect("the task is transferred");
         for cancel_at in (recorded_worker - 8..recorded_worker + 28).step_by(3) {
             for killed_at in (recorded_worker - 6..recorded_worker + 32).step_by(3) {
                 let all = (cancel_at + killed_at) % 2 == 0;
-                let killed = [all || giver == 0, all || giver == 1, all];
-                let mut sim = ShardedSimulation::with_waiting_task(giver, way, killed_at);
+                let killed = [all || sender == 0, all || sender == 1, all];
+                let mut sim = ThreeShards::with_waiting_task(sender, placement, killed_at);
                 let last = cancel_at.max(killed_at) * 10;
-                let since = sim.now() + Duration::from_millis(last) + OWNERLESS;
+                let since = sim.now() + Duration::from_millis(last) + OWNERLESS_TIME;
                 for at in 0..=cancel_at.max(killed_at) {
                     if at == cancel_at {
                         sim.cancel();
@@ -353,10 +377,13 @@
                     if at == killed_at {
                         sim.kill_owners(killed, at % 2 == 0);
                     }
-                    sim.step_told(giver);
+                    sim.step_with_loads(sender);
                 }
 
-                sim.assert_gone(since, &format!("{way:?}, {cancel_at}, {killed_at}, {killed:?}"));
+                sim.assert_all_stopped(
+                    since,
+                    &format!("{placement:?}, {cancel_at}, {killed_at}, {killed:?}"),
+                );
             }
         }
     }
--- a/daisy-workflow/tests/chaos.rs
+++ b/daisy-workflow/tests/chaos.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn all_jobs_complete_and_no_task_runs_twice_in_seeded_schedules() {
+fn all_finite_jobs_complete_and_no_task_runs_twice_in_seeded_schedules() {
     for seed in 0..200 {
         check(seed);
     }
--- a/daisy-workflow/tests/delegate.rs
+++ b/daisy-workflow/tests/delegate.rs
@@ -1,4 +1,4 @@
-//! Jobs that their shard hands to another one with more room.
+//! Jobs that their shard transfers to another one with more free capacity.
 
 mod util;
 
@@ -18,13 +18,13 @@
     Instant::from_millis(millis)
 }
 
-/// The first ids of jobs that belong to a shard.
+/// Returns the ids of jobs that belong to a shard.
 fn ids(shard: ShardId) -> impl Iterator<Item = JobId> {
     (1..).map(JobId).filter(move |id| LAYOUT.of_job(*id) == shard)
 }
 
 fn id_of(shard: ShardId) -> JobId {
-    ids(shard).next().expect("one of many")
+    ids(shard).next().expect("some job id belongs to each shard")
 }
 
 fn load(lasting: u64, once: u64, best_effort: u64) -> Load {
@@ -43,8 +43,8 @@
     Owner::new(at(1_000), 0, settings, ledger, util::queues(), claimed)
 }
 
-/// Lists a worker and lets it answer what the owner asks of it.
-fn greet(owner: &mut Owner, worker: &mut FakeWorker, now: Instant) {
+/// Adds a worker to the list and answers the owner's first renewals.
+fn answer_first_renewals(owner: &mut Owner, worker: &mut FakeWorker, now: Instant) {
     owner.step(now, Event::Workers(vec![worker.listing()]));
     for action in owner.act(now) {
         let Action::Hold { worker: key, deadline_ms, cursor, .. } = action else { continue };
@@ -53,11 +53,12 @@
     }
 }
 
-/// An owner of one worker of four cores that answers, with another shard that is empty.
+/// Returns an owner with one worker of four cores that answers, and with another shard that is
+/// empty.
 fn owner_of_one_worker(now: Instant) -> Owner {
     let mut owner = owner(Ledger::default());
     let mut worker = FakeWorker::new("w1", 4);
-    greet(&mut owner, &mut worker, now);
+    answer_first_renewals(&mut owner, &mut worker, now);
     let others = SortedMap::from_iter([(OTHER, Load { capacity: 4_000, ..Load::default() })]);
     owner.step(now, Event::Loads(others));
     owner
@@ -75,10 +76,10 @@
     owner.step(at(1_010), Event::Record(Record::Submitted(id, spec)));
 }
 
-/// Jobs that last fill some shards and leave others a third free, as they are drawn by their ids.
-/// What comes next to a full shard waits for as long as those last.
+/// Long-running jobs fill some shards and leave others a third free, as the shard is drawn by the
+/// job id. The next job of a full shard waits for as long as they run.
 #[test]
-fn a_full_shard_hands_a_job_on_once_that_is_recorded() {
+fn a_full_shard_transfers_a_job_once_the_decision_is_recorded() {
     let mut owner = owner_of_one_worker(at(1_000));
     let mut own = ids(OWN);
     let (first, second) = (own.next().expect("one"), own.next().expect("another"));
@@ -95,42 +96,42 @@
     assert_eq!(after, [(OTHER, Record::Submitted(second, job(vec![long_running_step(4)])))]);
 }
 
-/// A job is handed on, and the other shard is without an owner for seconds. Callers who ask for the job
-/// meanwhile must not be told that it does not exist: its own shard tells that it waits.
+/// A job is transferred, and the other shard has no owner for seconds. Callers who query the job
+/// meanwhile must not be told that it does not exist: its own shard publishes that it is queued.
 #[test]
-fn a_job_that_is_handed_on_is_told_of_at_once() {
+fn the_state_of_a_transferred_job_is_published_at_once() {
     let mut owner = owner_of_one_worker(at(1_000));
     let mut own = ids(OWN);
-    let (stays, goes) = (own.next().expect("one"), own.next().expect("another"));
-    submit(&mut owner, stays, job(vec![long_running_step(1)]));
+    let (local, transferred) = (own.next().expect("one"), own.next().expect("another"));
+    submit(&mut owner, local, job(vec![long_running_step(1)]));
 
-    submit(&mut owner, goes, job(vec![long_running_step(4)]));
+    submit(&mut owner, transferred, job(vec![long_running_step(4)]));
 
     let batch = owner.try_batch(at(1_020)).expect("the decision is to be recorded");
-    assert!(batch.records.contains(&Record::Delegated(goes, OTHER)), "{:?}", batch.records);
-    assert_eq!(owner.take_states(), [(stays, JobState::Queued), (goes, JobState::Queued)]);
+    assert!(batch.records.contains(&Record::Delegated(transferred, OTHER)), "{:?}", batch.records);
+    assert_eq!(owner.take_states(), [(local, JobState::Queued), (transferred, JobState::Queued)]);
 }
 
 #[test]
-fn the_next_owner_knows_what_it_does_not_tell_of() {
+fn the_next_owner_lists_transferred_jobs_whose_state_it_does_not_publish() {
     let mut own = ids(OWN);
-    let (stays, goes) = (own.next().expect("one"), own.next().expect("another"));
+    let (local, transferred) = (own.next().expect("one"), own.next().expect("another"));
     let mut ledger = Ledger::default();
-    for id in [stays, goes] {
+    for id in [local, transferred] {
         ledger.fold(Record::Submitted(id, job(vec![step(2)])));
     }
-    ledger.fold(Record::Delegated(goes, OTHER));
+    ledger.fold(Record::Delegated(transferred, OTHER));
 
     let mut owner = owner(ledger);
 
-    assert_eq!(owner.take_states(), [(stays, JobState::Queued)]);
-    assert_eq!(owner.handed_on().collect::<Vec<_>>(), [goes]);
+    assert_eq!(owner.take_states(), [(local, JobState::Queued)]);
+    assert_eq!(owner.handed_on().collect::<Vec<_>>(), [transferred]);
 }
 
-/// A shard has just changed its owner, who has not read the list of workers yet. It must not hand all
-/// waiting jobs to others as if it had no room.
+/// A shard has just changed its owner, and the new owner has not read the list of workers yet. It
+/// must not transfer all waiting jobs as if it had no capacity.
 #[test]
-fn a_new_owner_keeps_its_jobs_until_it_knows_its_workers() {
+fn a_new_owner_transfers_no_job_until_it_knows_its_workers() {
     let mut owner = owner(Ledger::default());
     let others = SortedMap::from_iter([(OTHER, Load { capacity: 4_000, ..Load::default() })]);
     owner.step(at(1_000), Event::Loads(others));
@@ -142,9 +143,9 @@
 }
 
 /// The owner dies between the record of its decision and the write to the other shard. The next
-/// owner writes it; it does not run the job itself.
+/// owner makes the write; it does not run the job itself.
 #[test]
-fn the_next_owner_hands_on_what_was_recorded() {
+fn the_next_owner_completes_a_recorded_transfer() {
     let id = id_of(OWN);
     let mut ledger = Ledger::default();
     ledger.fold(Record::Submitted(id, job(vec![step(2)])));
@@ -160,16 +161,17 @@
     assert_eq!(owner.take_states(), Vec::new());
 }
 
-/// A new owner reads submissions, then progress; in between a job was submitted and handed on. It reads
-/// the job after all else. Taken for a new one, it would run here and in the shard that has it.
+/// A new owner reads submissions, then progress; in between a job was submitted and transferred.
+/// The owner reads the job last. If it treated the job as new, the job would run here and in the
+/// other shard.
 #[test]
-fn a_job_that_is_read_after_it_was_handed_on_is_not_run() {
+fn a_job_that_is_read_after_its_transfer_is_not_run() {
     let id = id_of(OWN);
     let mut ledger = Ledger::default();
     ledger.fold(Record::Delegated(id, OTHER));
     let mut owner = owner(ledger);
     let mut worker = FakeWorker::new("w1", 4);
-    greet(&mut owner, &mut worker, at(1_000));
+    answer_first_renewals(&mut owner, &mut worker, at(1_000));
 
     submit(&mut owner, id, job(vec![step(2)]));
     let actions = owner.act(at(1_020));
@@ -178,9 +180,9 @@
     assert_eq!(forwarded(actions), [(OTHER, Record::Submitted(id, job(vec![step(2)])))]);
 }
 
-/// The same, where the job had begun: its runs are not started a second time.
+/// A job that had begun is read after its progress: its runs are not started a second time.
 #[test]
-fn a_job_that_is_read_after_it_began_goes_on() {
+fn a_job_that_is_read_after_its_progress_is_not_started_again() {
     let id = id_of(OWN);
     let spec = job(vec![step(1)]);
     let mut progress = Progress::new(&spec);
@@ -191,7 +193,7 @@
     ledger.fold(Record::Progress(id, progress));
     let mut owner = owner(ledger);
     let mut worker = FakeWorker::new("w1", 4);
-    greet(&mut owner, &mut worker, at(1_000));
+    answer_first_renewals(&mut owner, &mut worker, at(1_000));
 
     submit(&mut owner, id, spec);
     owner.act(at(1_020));
@@ -199,10 +201,10 @@
     assert_eq!(owner.try_batch(at(1_020)), None);
 }
 
-/// A caller cancels a job that was handed on: its own shard's submissions name the cancellation, the
-/// shard that runs it has to hear of it.
+/// A caller cancels a job that was transferred: the submissions of the job's own shard hold the
+/// cancellation, and the shard that runs the job has to receive it.
 #[test]
-fn a_cancellation_follows_its_job() {
+fn a_cancellation_is_forwarded_to_the_shard_of_its_job() {
     let id = id_of(OWN);
     let mut ledger = Ledger::default();
     ledger.fold(Record::Submitted(id, job(vec![step(2)])));
@@ -216,9 +218,10 @@
     assert_eq!(owner.take_states(), [(id, JobState::Cancelled)]);
 }
 
-/// Two shards that are both full must not hand a job to and fro: it is handed on once.
+/// Two full shards must not transfer a job back and forth: a job is transferred as a whole only
+/// once.
 #[test]
-fn a_job_of_another_shard_stays() {
+fn a_job_of_another_shard_is_not_transferred_again() {
     let mut owner = owner_of_one_worker(at(1_000));
     let id = id_of(OTHER);
     submit(&mut owner, id, job(vec![long_running_step(8)]));
@@ -230,7 +233,7 @@
 }
 
 #[test]
-fn a_job_that_has_begun_stays() {
+fn a_job_that_has_begun_is_not_transferred() {
     let mut owner = owner_of_one_worker(at(1_000));
     let id = id_of(OWN);
     submit(&mut owner, id, job(vec![step(1)]));
@@ -247,7 +250,7 @@
 }
 
 #[test]
-fn an_easy_shard_keeps_its_jobs() {
+fn a_shard_with_capacity_transfers_no_job() {
     let mut others = Others::default();
     others.update(SortedMap::from_iter([(OTHER, load(0, 0, 0))]));
 
@@ -261,10 +264,10 @@
     }
 }
 
-/// Loads are told every 0.4 s. A burst that comes in between must not all go to the shard that was
-/// emptiest then.
+/// Loads are published every 0.4 s. A burst that arrives in between must not all go to the shard
+/// that was emptiest at the last update.
 #[test]
-fn what_was_just_sent_counts_before_it_shows() {
+fn a_transfer_counts_before_the_next_load_is_published() {
     let mut others = Others::default();
     let shards = [(OTHER, load(0, 0, 0)), (ShardId(2), load(100, 0, 0))];
     others.update(SortedMap::from_iter(shards));
@@ -284,11 +287,12 @@
     assert_eq!(taken, [0, 5, 5]);
 }
 
-/// A flood of lasting jobs comes to four shards at once. Each owner sees the same loads, half a second
-/// old, and hands what it cannot hold to the emptiest: all to the same one, where tasks wait for
-/// good, as jobs that have begun stay, while the others have room. The jobs are to fill both alike.
+/// Many long-running jobs arrive at four shards at once. Each owner sees the same loads, half a
+/// second old, and transfers the jobs it cannot hold to the emptiest shard. If all chose the same
+/// one, tasks would wait there indefinitely, as jobs that have begun stay, while other shards have
+/// capacity. The jobs are to fill both shards equally.
 #[test]
-fn many_owners_do_not_flood_the_emptiest_shard() {
+fn many_owners_do_not_overload_the_emptiest_shard() {
     let cores = |it: u64| it * u64::from(CORE);
     let load = |lasting| Load { capacity: cores(1_000), lasting: cores(lasting), ..load(0, 0, 0) };
     let (emptiest, empty) = (ShardId(8), ShardId(9));
@@ -300,12 +304,12 @@
         let mut view = Others::default();
         view.update(full.chain([(emptiest, load(100)), (empty, load(200))]).collect());
         for _ in 0..25 {
-            let to = view.try_better(at(0), load(900), demand).expect("two shards have room");
+            let to = view.try_better(at(0), load(900), demand).expect("two shards have capacity");
             view.sent(at(0), to, demand);
             taken[usize::from(to == empty)] += cores(10);
         }
     }
 
-    // 1,000 cores are handed on: each shard then has some 650 of its 1,000 in use.
+    // 1,000 cores are transferred: each shard then has some 650 of its 1,000 in use.
     assert!(taken.iter().all(|it| *it < cores(750)), "{taken:?}");
 }
--- a/daisy-workflow/tests/directory.rs
+++ b/daisy-workflow/tests/directory.rs
@@ -63,9 +63,9 @@
 fn the_directory_is_incomplete_when_an_owner_sends_no_heartbeat() {
     let mut directory = Directory::default();
     directory.set_layout(Layout { shards: 1 });
-    let heartbeat = Sign { shard: ShardId(0), ..sample_heartbeat(5, false) };
+    let latest_heartbeat = Sign { shard: ShardId(0), ..sample_heartbeat(5, false) };
     for read_at in [1_000, 1_400] {
-        directory.hear(Instant::from_millis(read_at), heartbeat.clone());
+        directory.hear(Instant::from_millis(read_at), latest_heartbeat.clone());
         directory.read_to_end(Instant::from_millis(read_at));
     }
 
--- a/daisy-workflow/tests/election.rs
+++ b/daisy-workflow/tests/election.rs
@@ -41,10 +41,10 @@
     let other = claim("a", 1, false);
 
     let early = election.verdict(at(2_300), Some(&other), RTT);
-    let late = election.verdict(at(2_500), Some(&other), RTT);
+    let after_timeout = election.verdict(at(2_500), Some(&other), RTT);
 
     assert!(matches!(early, Verdict::Wait(_)));
-    assert_eq!(late, Verdict::Claim);
+    assert_eq!(after_timeout, Verdict::Claim);
 }
 
 /// All VMs see at the same moment that the owner released its shard. Those nearest to the platform
@@ -88,10 +88,10 @@
     election.heard(at(1_000));
 
     let soon = election.verdict(at(1_300), None, RTT);
-    let late = election.verdict(at(2_500), None, RTT);
+    let after_timeout = election.verdict(at(2_500), None, RTT);
 
     assert!(matches!(soon, Verdict::Wait(_)));
-    assert_eq!(late, Verdict::Claim);
+    assert_eq!(after_timeout, Verdict::Claim);
 }
 
 #[test]
--- a/daisy-workflow/tests/hand_over.rs
+++ b/daisy-workflow/tests/hand_over.rs
@@ -1,4 +1,4 @@
-//! Tasks that last and are handed to another shard, where there is room.
+//! Long-running tasks that are transferred to another shard with free capacity.
 
 mod util;
 
@@ -10,72 +10,77 @@
 use util::{CORE, FakeWorker, ShardedSimulation, job, long_running_step, task};
 
 const LAYOUT: Layout = Layout { shards: 2 };
-const FULL: ShardId = ShardId(0);
-const ROOMY: ShardId = ShardId(1);
-/// One worker of 4 cores in the first shard, one of 8 in the second.
+const FULL_SHARD: ShardId = ShardId(0);
+const SHARD_WITH_CAPACITY: ShardId = ShardId(1);
+/// Returns two shards: one worker of 4 cores in the first, one of 8 cores in the second.
 fn two_shards() -> ShardedSimulation {
     ShardedSimulation::new(vec![vec![FakeWorker::new("a", 4)], vec![FakeWorker::new("b", 8)]])
 }
 
-/// The same, with a job in the first shard that has room for one of its two tasks.
+/// Returns two shards with a job in the first one, which has capacity for one of the job's two
+/// tasks.
 fn with_a_waiting_task() -> ShardedSimulation {
     let mut sim = two_shards();
     sim.run_ms(100);
     sim.shards[0].submit(job_id().0, large_job());
     sim.run_ms(100);
-    assert_eq!(sim.workers_running(of_job(0)), ["a"], "the first of its tasks runs");
+    assert_eq!(sim.workers_running(task_of_job(0)), ["a"], "the first of its tasks runs");
     sim
 }
 
-/// A job of the first shard.
+/// Returns the id of a job of the first shard.
 fn job_id() -> JobId {
-    (1..).map(JobId).find(|id| LAYOUT.of_job(*id) == FULL).expect("one of many")
+    (1..)
+        .map(JobId)
+        .find(|id| LAYOUT.of_job(*id) == FULL_SHARD)
+        .expect("some job id belongs to each shard")
 }
 
-fn of_job(index: u32) -> TaskId {
+fn task_of_job(index: u32) -> TaskId {
     task(job_id().0, 0, index)
 }
 
-/// Two tasks that last, of three cores each.
+/// Returns a job of two long-running tasks of three cores each.
 fn large_job() -> JobSpec {
     let need = Resources { cpu_milli: 3 * CORE, ..long_running_step(1).need };
     job(vec![StepSpec { need, ..long_running_step(2) }])
 }
 
-fn handover(hop: u32, runs: u32) -> Record {
+fn task_received(hop: u32, runs: u32) -> Record {
     let it = Handover { hop, spec: large_job(), runs, failures: 0, checkpoint: String::new() };
-    Record::TaskSubmitted(of_job(0), Box::new(it))
+    Record::TaskSubmitted(task_of_job(0), Box::new(it))
 }
 
-fn handed_on(number: u32) -> Record {
-    Record::TaskHandedOn(of_job(0), Hop { number, to: ShardId(2) })
+fn task_transferred(number: u32) -> Record {
+    Record::TaskHandedOn(task_of_job(0), Hop { number, to: ShardId(2) })
 }
 
-/// Whether the job's first task waits for a start in the shard of this ledger.
-fn waits_here(ledger: &Ledger) -> bool {
-    let job = ledger.job(job_id()).expect("a job that was read");
-    job.progress.task(of_job(0)).expect("its first task").is_waiting()
+/// Returns whether the job's first task waits for a start in the shard of this ledger.
+fn is_waiting_here(ledger: &Ledger) -> bool {
+    let job = ledger.job(job_id()).expect("the job was read");
+    job.progress.task(task_of_job(0)).expect("its first task").is_waiting()
 }
 
-/// A watch that should run all the time has a task down: the workers of its job's shard are full for
-/// as long as others last, and a job that has begun cannot leave its shard. Another shard has room.
+/// A task of a service that should always run is down: the workers of its job's shard are full for
+/// as long as other long-running tasks run, and a job that has begun cannot leave its shard.
+/// Another shard has capacity.
 #[test]
-fn a_task_without_room_runs_in_another_shard() {
+fn a_task_without_capacity_runs_in_another_shard() {
     let mut sim = with_a_waiting_task();
 
     sim.run_with_loads_ms(4_500);
 
     assert_eq!(
-        (sim.workers_running(of_job(0)), sim.workers_running(of_job(1))),
+        (sim.workers_running(task_of_job(0)), sim.workers_running(task_of_job(1))),
         (vec!["a"], vec!["b"])
     );
 }
 
-/// The same while one owner or the other is killed at any moment of the hand-over, with all that it
-/// was writing. Before the record the task still belongs to the first shard, after it to the second:
-/// it runs in the end, and at no moment in two places.
+/// One owner or the other is killed at any moment of the transfer, with all its writes in flight.
+/// Before the record of the transfer the task still belongs to the first shard, after it to the
+/// second: the task runs in the end, and never on two workers.
 #[test]
-fn a_hand_over_outlives_its_owners() {
+fn a_transfer_is_completed_when_an_owner_dies() {
     for at in 0..2 {
         for moment in (280..420).chain((500..1_000).step_by(50)) {
             let mut sim = with_a_waiting_task();
@@ -84,15 +89,15 @@
 
             sim.run_with_loads_ms(9_000);
 
-            let places = sim.workers_running(of_job(1));
+            let places = sim.workers_running(task_of_job(1));
             assert_eq!(places, ["b"], "owner {at} killed after {} ms", moment * 10);
         }
     }
 }
 
-/// Both owners are killed, one some moments after the other.
+/// Both owners are killed, the second some steps after the first.
 #[test]
-fn a_hand_over_outlives_both_owners() {
+fn a_transfer_is_completed_when_both_owners_die() {
     for first in (290..350).step_by(3) {
         for later in 0..12 {
             let mut sim = with_a_waiting_task();
@@ -104,7 +109,7 @@
             sim.run_with_loads_ms(9_000);
 
             assert_eq!(
-                sim.workers_running(of_job(1)),
+                sim.workers_running(task_of_job(1)),
                 ["b"],
                 "killed at {first} and {later} later"
             );
@@ -114,20 +119,23 @@
 
 /// A caller cancels a job of which a task runs in another shard: that task is stopped, too.
 #[test]
-fn a_cancellation_follows_a_task() {
+fn a_cancellation_stops_a_task_in_another_shard() {
     let mut sim = with_a_waiting_task();
     sim.run_with_loads_ms(4_500);
 
     sim.shards[0].cancel(job_id().0);
     sim.run_ms(500);
 
-    assert_eq!((sim.workers_running(of_job(0)), sim.workers_running(of_job(1))), (vec![], vec![]));
+    assert_eq!(
+        (sim.workers_running(task_of_job(0)), sim.workers_running(task_of_job(1))),
+        (vec![], vec![])
+    );
 }
 
-/// The worker of a task that was handed on is lost. The shard that has the task starts it anew: what
-/// the first shard knows of its earlier runs is no longer true.
+/// The worker of a transferred task is lost. The shard that now has the task starts it again: the
+/// first shard's record of earlier runs is out of date.
 #[test]
-fn a_task_that_was_handed_on_is_started_anew_where_it_is() {
+fn a_transferred_task_is_restarted_by_its_new_shard() {
     let mut sim = with_a_waiting_task();
     sim.run_with_loads_ms(4_500);
 
@@ -135,28 +143,31 @@
     sim.shards[1].worker("b").restart(now);
     sim.run_with_loads_ms(3_000);
 
-    assert_eq!(sim.workers_running(of_job(1)), ["b"]);
+    assert_eq!(sim.workers_running(task_of_job(1)), ["b"]);
 }
 
-/// While no shard has room, a task stays where it is.
+/// While no shard has capacity, a task stays in its shard.
 #[test]
-fn a_task_stays_where_no_other_shard_has_room() {
+fn a_task_stays_when_no_other_shard_has_capacity() {
     let mut sim = with_a_waiting_task();
     let full = Load { capacity: 8_000, lasting: 8_000, ..Load::default() };
     let now = sim.shards[0].now;
-    sim.shards[0].owner.step(now, Event::Loads(SortedMap::from_iter([(ROOMY, full)])));
+    sim.shards[0]
+        .owner
+        .step(now, Event::Loads(SortedMap::from_iter([(SHARD_WITH_CAPACITY, full)])));
 
     sim.run_ms(4_500);
 
-    let handed = sim.shards[0].ledger.job(job_id()).map(|it| it.handed_to());
-    assert_eq!(handed, Some(vec![]));
+    let receiving_shards = sim.shards[0].ledger.job(job_id()).map(|it| it.handed_to());
+    assert_eq!(receiving_shards, Some(vec![]));
 }
 
-/// Submissions and progress are read one beside the other: a shard that was given a task and has
-/// handed it on must not start it, whichever of the two it reads first.
+/// Submissions and progress are read concurrently: a shard that received a task and transferred it
+/// again must not start it, whichever of the two it reads first.
 #[test]
-fn the_newest_hop_decides_in_any_order() {
-    let mut records = [handover(1, 4), handed_on(2), handover(3, 6), handed_on(4)];
+fn the_newest_transfer_decides_in_any_order() {
+    let mut records =
+        [task_received(1, 4), task_transferred(2), task_received(3, 6), task_transferred(4)];
     for turn in 0..4 {
         records.rotate_left(1);
         let mut ledger = Ledger::default();
@@ -164,53 +175,54 @@
             ledger.fold(it.clone());
         }
 
-        assert!(!waits_here(&ledger), "turn {turn}");
+        assert!(!is_waiting_here(&ledger), "turn {turn}");
     }
 }
 
 #[test]
-fn a_task_that_comes_back_waits_here() {
+fn a_returned_task_waits_here() {
     let mut ledger = Ledger::default();
     ledger.fold(Record::Submitted(job_id(), large_job()));
-    ledger.fold(handed_on(1));
+    ledger.fold(task_transferred(1));
 
-    let fold = ledger.fold(handover(2, 6));
-    let again = ledger.fold(handover(2, 6));
+    let fold = ledger.fold(task_received(2, 6));
+    let second_fold = ledger.fold(task_received(2, 6));
 
-    assert_eq!((fold, again), (Fold::Task(of_job(0)), Fold::Nothing));
-    assert!(waits_here(&ledger));
+    assert_eq!((fold, second_fold), (Fold::Task(task_of_job(0)), Fold::Nothing));
+    assert!(is_waiting_here(&ledger));
 }
 
-/// A shard has one task of a job and recorded its progress; then a second one comes, which another
-/// shard has started four times. A new owner reads both, and that progress last. Its next start of the
-/// second task must not get the number of a run that was before.
+/// A shard has one task of a job and has recorded its progress; then it receives a second task,
+/// which another shard has started four times. A new owner reads both, and that progress last. Its
+/// next start of the second task must not use the number of an earlier run.
 #[test]
-fn progress_of_before_does_not_take_runs_back() {
+fn older_progress_does_not_lower_the_run_number() {
     let mut progress = Progress::new(&large_job());
     progress.occurrences[0][0][1].copies = vec![Copy { run: 1, worker: "w".into() }];
     let mut ledger = Ledger::default();
-    ledger.fold(handover(1, 4));
+    ledger.fold(task_received(1, 4));
 
     ledger.fold(Record::Progress(job_id(), progress));
 
     let job = ledger.job(job_id()).expect("it was read");
-    assert_eq!(job.progress.task(of_job(0)).map(|it| it.runs), Some(4));
+    assert_eq!(job.progress.task(task_of_job(0)).map(|it| it.runs), Some(4));
 }
 
-/// Many owners see the same free pieces of a shard. None of them may send more tasks there than
-/// find room if all others send as many.
+/// Many owners see the same free blocks of a shard. Together they must not send more tasks there
+/// than fit if all of them send as many.
 #[test]
-fn owners_share_the_rooms_that_all_of_them_see() {
-    let mut room = Load { capacity: 64_000, ..Load::default() };
+fn owners_share_the_free_blocks_that_all_of_them_see() {
+    let mut load_with_capacity = Load { capacity: 64_000, ..Load::default() };
     let need = large_job().steps[0].need;
-    room.set_pieces(vec![Resources { cpu_milli: 6_000, memory_mib: 64_000, ..need }; 6]);
+    load_with_capacity
+        .set_pieces(vec![Resources { cpu_milli: 6_000, memory_mib: 64_000, ..need }; 6]);
     let full = Load { capacity: 64_000, ..Load::default() };
-    let loads = [(ShardId(1), room), (ShardId(2), full), (ShardId(3), full)];
+    let loads = [(ShardId(1), load_with_capacity), (ShardId(2), full), (ShardId(3), full)];
     let mut others = Others::default();
     others.update(SortedMap::from_iter(loads));
     let mut sent = 0;
 
-    while let Some(to) = others.try_room(Instant::default(), FULL, need) {
+    while let Some(to) = others.try_room(Instant::default(), FULL_SHARD, need) {
         others.sent(
             Instant::default(),
             to,
--- a/daisy-workflow/tests/old_owner.rs
+++ b/daisy-workflow/tests/old_owner.rs
@@ -31,7 +31,7 @@
 /// Guards against an old owner that learns long afterwards that the record of a start was stored.
 #[test]
 fn no_task_runs_twice_when_an_old_owner_freezes_after_recording_a_start() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     let worker = record_unconfirmed_start(&mut cluster);
     cluster.freeze(0);
     claim_and_move(&mut cluster, worker);
@@ -45,7 +45,7 @@
 /// Guards against a start that an old owner sends again long after it was recorded.
 #[test]
 fn no_task_runs_twice_when_an_old_owner_resends_a_start_after_a_freeze() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     let worker = record_unconfirmed_start(&mut cluster);
     cluster.workers[worker].fault = Fault::DelaysStarts(6_000);
     cluster.run_ms(50);
@@ -63,7 +63,7 @@
 /// Guards against a start that an old owner without the log sends repeatedly.
 #[test]
 fn no_task_runs_twice_when_an_old_owner_without_the_log_resends_a_start() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     let worker = record_unconfirmed_start(&mut cluster);
     cluster.workers[worker].fault = Fault::DelaysStarts(6_000);
     cluster.run_ms(50);
@@ -79,7 +79,7 @@
 /// Guards against an old owner that treats an answer of the log as newer than it is.
 #[test]
 fn a_heartbeat_stored_before_a_freeze_does_not_extend_leases() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     let worker = cluster.first_task_worker();
     assert!(cluster.run_until(500, |it| it.has_log_answer_in_flight(0)));
     cluster.freeze(0);
@@ -98,7 +98,7 @@
 /// Guards against heartbeats of an old owner that are stored until the new owner sends its first.
 #[test]
 fn heartbeats_stored_after_a_claim_do_not_extend_leases() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     let worker = cluster.first_task_worker();
     let others: Vec<Node> = (0..4).filter(|it| *it != worker).map(Node::Worker).collect();
     cluster.cut(&[Node::Vm(0)], &others);
@@ -118,7 +118,7 @@
 /// owners usually do.
 #[test]
 fn no_task_runs_twice_after_a_longer_lease_of_a_restarted_worker() {
-    let mut cluster = Cluster::busy(2, 2);
+    let mut cluster = Cluster::with_long_running_tasks(2, 2);
     let worker = cluster.first_task_worker();
     cluster.crash(worker, Duration::ZERO, true);
     cluster.run_ms(800);
@@ -151,7 +151,7 @@
 /// it.
 #[test]
 fn no_task_runs_twice_when_a_delayed_order_reaches_a_restarted_worker() {
-    let mut cluster = Cluster::busy(1, 4);
+    let mut cluster = Cluster::with_long_running_tasks(1, 4);
     let worker = send_delayed_order(&mut cluster, Duration::from_secs(3));
     cluster.cut(&[Node::Vm(0)], &[Node::Worker(worker)]);
 
@@ -163,7 +163,7 @@
 /// Guards against the same when the order is from a previous owner.
 #[test]
 fn no_task_runs_twice_when_a_delayed_order_of_an_old_owner_reaches_a_restarted_worker() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     let worker = send_delayed_order(&mut cluster, Duration::from_secs(11));
     cluster.kill(0);
     cluster.cut(&[Node::Vm(1)], &[Node::Worker(worker)]);
@@ -177,7 +177,7 @@
 /// Guards against the same when no list shows the new owner that the worker restarted.
 #[test]
 fn a_late_order_to_a_worker_that_restarted_unseen_runs_nothing_twice() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     let worker = send_delayed_order(&mut cluster, Duration::from_secs(2));
     cluster.kill(0);
     cluster.isolate(&[Node::Worker(worker)]);
--- a/daisy-workflow/tests/outlasting.rs
+++ b/daisy-workflow/tests/outlasting.rs
@@ -1,4 +1,4 @@
-//! Schedules in which what an old owner granted, or ordered, might outlast what its successor allows for.
+//! Leases and orders of an old owner that could last longer than its successor waits for.
 
 mod util;
 
@@ -6,30 +6,32 @@
 
 use util::{Cluster, Fault, Node, job, long_running_step, task};
 
-/// Milliseconds until an order carried out as late as any has run for the longest lease, and some.
-const LATE_OVER_MS: u64 = 26_000;
+/// Milliseconds until an order with the longest delay has been carried out, and its run has ended
+/// with the longest lease, with some margin.
+const DELAYED_RUN_OVER_MS: u64 = 26_000;
 
-/// Two VMs and four workers, one of which has started anew and runs tasks again; and that one.
+/// Returns two VMs and four workers, one of which has restarted and runs tasks again; and the index
+/// of that worker.
 fn with_a_restarted_worker() -> (Cluster, usize) {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     cluster.run_ms(2_000);
-    let own = cluster.first_task_worker();
-    cluster.crash(own, Duration::from_millis(300), true);
-    assert!(cluster.run_until(2_000, |it| !it.is_down(own)));
+    let host = cluster.first_task_worker();
+    cluster.crash(host, Duration::from_millis(300), true);
+    assert!(cluster.run_until(2_000, |it| !it.is_down(host)));
     cluster.run_ms(200);
     for id in 2..=9 {
         cluster.submit(id, job(vec![long_running_step(1)]));
         cluster.run_ms(100);
     }
-    assert!(!cluster.workers[own].runs.is_empty(), "it has got tasks again");
-    (cluster, own)
+    assert!(!cluster.workers[host].runs.is_empty(), "the restarted worker runs tasks again");
+    (cluster, host)
 }
 
-/// A worker that starts anew is granted the longest lease, which the next owner has to wait for.
+/// A restarted worker is granted the longest lease, for which the next owner has to wait.
 #[test]
-fn a_lease_of_a_reborn_worker_runs_nothing_twice() {
-    let (mut cluster, own) = with_a_restarted_worker();
-    cluster.isolate(&[Node::Worker(own)]);
+fn no_task_runs_twice_after_a_lease_of_a_restarted_worker() {
+    let (mut cluster, host) = with_a_restarted_worker();
+    cluster.isolate(&[Node::Worker(host)]);
     assert!(cluster.claim(1));
 
     cluster.run_ms(20_000);
@@ -37,89 +39,89 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Has a start sent that gets no answer and is carried out some seconds later; its worker.
-fn send_a_late_start(cluster: &mut Cluster) -> usize {
+/// Sends a start that gets no answer and is carried out 6 s later; returns its worker.
+fn send_delayed_start(cluster: &mut Cluster) -> usize {
     cluster.submit(2, job(vec![long_running_step(1)]));
     assert!(cluster.run_until(200, |it| it.recorded_worker(2).is_some()));
-    let worker = cluster.recorded_worker(2).expect("just recorded");
+    let worker = cluster.recorded_worker(2).expect("a start was just recorded");
     cluster.workers[worker].fault = Fault::DelaysStarts(6_000);
     cluster.run_ms(50);
-    assert_eq!(cluster.workers[worker].delayed_orders.len(), 1, "it is on its way");
+    assert_eq!(cluster.workers[worker].delayed_orders.len(), 1, "the order is delayed");
     worker
 }
 
-/// An order carried out late by a worker that started anew, after its owner was replaced.
+/// A restarted worker carries out a delayed order after its owner was replaced.
 #[test]
-fn a_late_start_on_a_reborn_worker_runs_nothing_twice_after_a_change_of_owner() {
-    let mut cluster = Cluster::busy(2, 4);
+fn no_task_runs_twice_when_a_restarted_worker_gets_a_delayed_start_after_an_owner_change() {
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     cluster.run_ms(2_000);
-    let worker = send_a_late_start(&mut cluster);
+    let worker = send_delayed_start(&mut cluster);
     cluster.kill(0);
     cluster.crash(worker, Duration::from_millis(300), true);
     cluster.cut(&[Node::Vm(1)], &[Node::Worker(worker)]);
     cluster.run_ms(1_500);
     assert!(cluster.claim(1));
 
-    cluster.run_ms(LATE_OVER_MS);
+    cluster.run_ms(DELAYED_RUN_OVER_MS);
 
     assert!(cluster.all_long_running_active());
 }
 
-/// An order carried out late by a worker that started anew and that its owner does not reach.
+/// A restarted worker that its owner does not reach carries out a delayed order.
 #[test]
-fn a_late_start_on_a_reborn_worker_out_of_reach_runs_nothing_twice() {
-    let mut cluster = Cluster::busy(1, 4);
+fn no_task_runs_twice_when_an_unreachable_restarted_worker_gets_a_delayed_start() {
+    let mut cluster = Cluster::with_long_running_tasks(1, 4);
     cluster.run_ms(2_000);
-    let worker = send_a_late_start(&mut cluster);
+    let worker = send_delayed_start(&mut cluster);
     cluster.cut(&[Node::Vm(0)], &[Node::Worker(worker)]);
     cluster.crash(worker, Duration::from_millis(300), true);
 
-    cluster.run_ms(LATE_OVER_MS);
+    cluster.run_ms(DELAYED_RUN_OVER_MS);
 
     assert!(cluster.all_long_running_active());
 }
 
-/// The next owner, too, has to allow for the longest lease once it was answered.
+/// The next owner, too, has to wait for the longest lease when the worker has answered it.
 #[test]
-fn a_lease_of_a_reborn_worker_that_answers_once_runs_nothing_twice() {
-    let (mut cluster, own) = with_a_restarted_worker();
+fn no_task_runs_twice_after_a_lease_of_a_restarted_worker_that_answers_once() {
+    let (mut cluster, host) = with_a_restarted_worker();
     assert!(cluster.claim(1));
     cluster.run_ms(100);
-    cluster.isolate(&[Node::Worker(own)]);
+    cluster.isolate(&[Node::Worker(host)]);
 
     cluster.run_ms(20_000);
 
     assert!(cluster.all_long_running_active());
 }
 
-/// Half of the witnesses refuse the old owner, which can have no majority any more.
+/// Half of the witnesses reject the old owner, which can have no majority any more.
 #[test]
-fn an_owner_with_half_of_the_workers_waits_for_one_lease() {
-    let mut cluster = Cluster::busy(2, 4);
+fn a_task_moves_within_7_s_when_the_old_owner_reaches_half_of_the_workers() {
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     cluster.run_ms(2_000);
-    let own = cluster.first_task_worker();
-    let another = (own + 1) % 4;
-    cluster.isolate(&[Node::Vm(0), Node::Worker(own), Node::Worker(another)]);
+    let host = cluster.first_task_worker();
+    let another = (host + 1) % 4;
+    cluster.isolate(&[Node::Vm(0), Node::Worker(host), Node::Worker(another)]);
     assert!(cluster.claim(1));
 
-    let places = |it: &Cluster| {
-        it.workers_running(task(1, 0, 0)).iter().any(|name| *name != it.workers[own].name)
+    let runs_elsewhere = |it: &Cluster| {
+        it.workers_running(task(1, 0, 0)).iter().any(|name| *name != it.workers[host].name)
     };
-    assert!(cluster.run_until(7_000, places));
+    assert!(cluster.run_until(7_000, runs_elsewhere));
 }
 
-/// An owner of an earlier build renews without witnesses, though the log names some.
+/// An owner of an earlier build renews leases without witnesses, though the log names some.
 #[test]
-fn an_owner_of_an_earlier_build_between_two_runs_nothing_twice() {
-    let mut cluster = Cluster::busy(3, 4);
+fn no_task_runs_twice_with_an_owner_of_an_earlier_build_between_two() {
+    let mut cluster = Cluster::with_long_running_tasks(3, 4);
     cluster.run_ms(2_000);
-    let own = cluster.first_task_worker();
+    let host = cluster.first_task_worker();
     cluster.kill(0);
     cluster.ignores_witnesses = true;
     assert!(cluster.claim(1));
     cluster.ignores_witnesses = false;
     cluster.run_ms(1_000);
-    cluster.isolate(&[Node::Vm(1), Node::Worker(own)]);
+    cluster.isolate(&[Node::Vm(1), Node::Worker(host)]);
     cluster.run_ms(1_400);
     assert!(cluster.claim(2));
 
--- a/daisy-workflow/tests/owner.rs
+++ b/daisy-workflow/tests/owner.rs
@@ -1,5 +1,5 @@
-//! The owner against fake workers, without a socket. The world checks at each step that no task
-//! runs in two places or after its end, that no worker is over its capacity, and that every order
+//! The owner with fake workers, without sockets. The simulation checks at each step that no task
+//! runs on two workers or after its end, that no worker is over its capacity, and that every order
 //! was recorded before it was sent.
 
 mod util;
@@ -19,33 +19,33 @@
     let mut sim = two_workers();
     sim.submit(1, job(vec![step(6), step_after(&[0], step(2))]));
 
-    let first = sim.run_until(900, |it| it.starts.len() == 6);
+    let first_starts = sim.run_until(900, |it| it.starts.len() == 6);
     let early = sim.starts.iter().any(|(task, ..)| task.step == 1);
     let done = sim.run_until(3_000, |it| it.state(1) == JobState::Completed);
 
-    assert!(first && !early && done);
+    assert!(first_starts && !early && done);
     assert_eq!(sim.starts.len(), 8);
 }
 
-/// A caller sees a job of twelve one-core tasks on eight cores. The last four start as the first
+/// A job of twelve one-core tasks runs on eight cores. The last four tasks start as the first ones
 /// end; were they started at once, a worker would be over its capacity.
 #[test]
-fn what_does_not_fit_waits() {
+fn tasks_that_do_not_fit_wait() {
     let mut sim = two_workers();
     sim.submit(1, job(vec![step(12)]));
 
     sim.run_ms(500);
-    let first = sim.starts.len();
+    let first_starts = sim.starts.len();
     let done = sim.run_until(5_000, |it| it.state(1) == JobState::Completed);
 
-    assert_eq!(first, 8);
+    assert_eq!(first_starts, 8);
     assert!(done);
 }
 
-/// A worker carries orders out but its answers are lost. The order is sent again under the same
-/// number, which the worker takes once: the task runs once and the job ends.
+/// A worker carries out orders but its answers are lost. The order is sent again under the same run
+/// number, which the worker accepts once: the task runs once and the job ends.
 #[test]
-fn a_lost_answer_starts_nothing_twice() {
+fn no_task_is_started_twice_when_answers_are_lost() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w1", 4)]);
     sim.worker("w1").fault = Fault::LosesAnswers;
     sim.submit(1, job(vec![step(3)]));
@@ -56,10 +56,10 @@
     assert!(sim.starts.iter().all(|(_, run, _)| *run == 1));
 }
 
-/// Orders get no answer and are carried out 3 s later. Meanwhile the worker is told again, or
-/// told to stop: whatever arrives late finds the run there, ended, or shut out.
+/// Orders get no answer and are carried out 3 s later. Meanwhile the order or a stop is sent again:
+/// a delayed order finds its run already started, ended, or closed.
 #[test]
-fn an_order_carried_out_late_changes_nothing() {
+fn a_delayed_order_does_not_violate_any_invariant() {
     let mut sim = two_workers();
     sim.worker("w1").fault = Fault::DelaysStarts(3_000);
     sim.submit(1, job(vec![step(8)]));
@@ -72,10 +72,10 @@
     assert!(done);
 }
 
-/// A worker is cut off and goes on working. Its tasks start elsewhere, but only after its lease
-/// has run out for sure: until then they may still be running there.
+/// A worker is unreachable and goes on working. Its tasks start elsewhere, but only once its lease
+/// must have ended: until then they may still run there.
 #[test]
-fn tasks_of_a_silent_worker_wait_for_the_end_of_its_lease() {
+fn tasks_of_an_unreachable_worker_wait_for_the_end_of_its_lease() {
     let mut sim = two_workers();
     sim.work_ms = |_| 60_000;
     sim.submit(1, job(vec![step(8)]));
@@ -95,9 +95,9 @@
 }
 
 /// The owner dies right after it has sent orders. The next one finds their records in the log,
-/// asks every worker under a higher epoch, and starts nothing that runs already.
+/// queries every worker under a higher epoch, and starts no task that already runs.
 #[test]
-fn a_new_owner_starts_nothing_that_runs() {
+fn a_new_owner_starts_no_task_that_already_runs() {
     let mut sim = two_workers();
     sim.submit(1, job(vec![step(8)]));
     sim.run_until(500, |it| it.starts.len() == 8);
@@ -109,8 +109,8 @@
     assert_eq!(sim.starts.len(), 8);
 }
 
-/// The owner changes while a worker is cut off from the new one only. What the old owner recorded
-/// there must not start elsewhere before every lease that it may have granted is over.
+/// The owner changes while a worker is unreachable for the new one only. Tasks that the old owner
+/// recorded there must not start elsewhere before every lease that it may have granted has ended.
 #[test]
 fn a_new_owner_waits_for_a_worker_that_it_does_not_reach() {
     let mut sim = two_workers();
@@ -129,7 +129,7 @@
     assert!(moved);
 }
 
-/// A new owner that knows its predecessor to have ended waits for one lease only.
+/// A new owner that knows that its predecessor has ended waits for one lease only.
 #[test]
 fn an_ended_predecessor_shortens_the_wait() {
     let mut sim = two_workers();
@@ -145,9 +145,9 @@
     assert!(moved);
 }
 
-/// The old owner wakes after another took over: the first worker that it calls refuses it.
+/// The old owner resumes after another took over: the first worker that it calls rejects it.
 #[test]
-fn an_owner_that_was_replaced_steps_down() {
+fn a_replaced_owner_steps_down() {
     let mut sim = two_workers();
     sim.submit(1, job(vec![step(2)]));
     sim.run_ms(300);
@@ -158,8 +158,8 @@
     assert!(stepped_down);
 }
 
-/// A worker crashes and is back under its name within a second. It knows nothing of what ran
-/// there; its tasks start again at once, as the later start of its incarnation shows.
+/// A worker crashes and is up again under its name within a second, without any of its runs. Its
+/// tasks start again at once, as the later start time of its incarnation shows the restart.
 #[test]
 fn a_restarted_worker_gets_its_tasks_again() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w1", 4)]);
@@ -174,10 +174,10 @@
     assert_eq!(sim.starts.len(), 8);
 }
 
-/// An order is under way when its worker crashes, and reaches the next incarnation, which has seen
-/// neither epochs nor stops. The run is shut out there before the task starts again.
+/// An order is in flight when its worker crashes, and reaches the next incarnation, which has
+/// received neither epochs nor stops. The run is closed there before the task starts again.
 #[test]
-fn an_order_that_reaches_the_next_incarnation_runs_nothing_twice() {
+fn no_task_runs_twice_when_an_order_reaches_the_next_incarnation() {
     let mut sim = two_workers();
     sim.worker("w1").fault = Fault::DelaysStarts(2_000);
     sim.submit(1, job(vec![step(8)]));
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_cancelled_job_stops_and_starts_nothing_more() {
+fn a_cancelled_job_stops_and_starts_no_more_tasks() {
     let mut sim = two_workers();
     sim.work_ms = |_| 60_000;
     sim.submit(1, job(vec![step(12)]));
@@ -206,9 +206,9 @@
     assert_eq!(sim.state(1), JobState::Cancelled);
 }
 
-/// A job can never be done. It is given up after as many failures of one task as its queue allows.
+/// A job that can never succeed fails after as many failures of one task as its queue allows.
 #[test]
-fn a_job_that_always_fails_is_given_up() {
+fn a_job_whose_task_always_fails_ends_as_failed() {
     let mut sim = two_workers();
     sim.fails = |_| true;
     sim.submit(1, job(vec![step(1)]));
@@ -220,10 +220,10 @@
     assert_eq!(sim.starts.len(), 3);
 }
 
-/// One worker fails all that it is given. It is left alone after a few failures, so that tasks do
-/// not use up their attempts there.
+/// One worker fails all its runs. It is excluded after a few failures, so that tasks do not use up
+/// their attempts there.
 #[test]
-fn a_worker_that_fails_everything_is_left_alone() {
+fn a_worker_that_fails_all_runs_is_excluded() {
     let mut sim =
         Simulation::new((1..=6).map(|it| FakeWorker::new(&format!("w{it}"), 4)).collect());
     sim.worker("w1").fault = Fault::Fails;
@@ -236,9 +236,10 @@
     assert!(done);
 }
 
-/// Tasks on a worker stand still though it answers. They are stopped there and start elsewhere.
+/// Tasks on a worker make no progress though it answers. They are stopped there and start
+/// elsewhere.
 #[test]
-fn tasks_that_stand_still_are_moved() {
+fn tasks_without_progress_are_moved() {
     let mut sim = two_workers();
     sim.worker("w1").fault = Fault::Hangs;
     sim.submit(1, job(vec![step(4)]));
@@ -248,9 +249,9 @@
     assert!(done);
 }
 
-/// A worker drains. Nothing new starts there, and a task that would not end in time is moved.
+/// A worker drains. No task starts there, and a task that would not end in time is moved.
 #[test]
-fn a_draining_worker_is_left() {
+fn tasks_leave_a_draining_worker() {
     let mut sim = two_workers();
     sim.work_ms = |_| 20_000;
     sim.submit(1, job(vec![step(4)]));
@@ -264,10 +265,11 @@
     assert_eq!(sim.worker("w2").runs.len(), 4);
 }
 
-/// Small tasks keep coming while a task that lasts finds no worker with room. A worker is kept
-/// for it: without that, each gap would go to a small task and the large one would never start.
+/// Small tasks keep arriving while no worker has capacity for a long-running task. A worker is
+/// reserved for it: otherwise small tasks would use all capacity that becomes free and the large
+/// task would never start.
 #[test]
-fn a_task_that_lasts_is_not_starved_by_small_ones() {
+fn a_long_running_task_is_not_starved_by_small_ones() {
     let mut sim = two_workers();
     sim.work_ms = |task| if task.job.0 == 1 { 600_000 } else { 700 };
     for id in 10..20 {
@@ -289,7 +291,7 @@
 }
 
 #[test]
-fn spread_is_kept() {
+fn the_limit_of_tasks_per_worker_is_respected() {
     let mut sim =
         Simulation::new((1..=4).map(|it| FakeWorker::new(&format!("w{it}"), 8)).collect());
     sim.work_ms = |_| 60_000;
@@ -301,7 +303,7 @@
 }
 
 #[test]
-fn a_required_label_is_kept() {
+fn a_required_label_is_respected() {
     let mut sim = two_workers();
     sim.worker("w2").labels.push("fast".to_owned());
     sim.work_ms = |_| 60_000;
@@ -313,7 +315,7 @@
     assert_eq!(sim.worker("w2").runs.len(), 4);
 }
 
-/// The members of a gang start together or not at all, under one number.
+/// The members of a gang start together or not at all, under one run number.
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let mut sim = two_workers();
@@ -327,10 +329,10 @@
     assert_eq!(sim.starts.len(), 5);
 }
 
-/// The log takes nothing for 4 s. Leases go on being renewed, so that nothing that runs is lost,
-/// and nothing starts whose record is not in the log.
+/// The log accepts no appends for 9 s. Leases are still renewed, so that no running task is lost,
+/// and no task starts whose record is not in the log.
 #[test]
-fn an_outage_of_the_log_ends_no_work() {
+fn an_outage_of_the_log_ends_no_running_task() {
     let mut sim = two_workers();
     sim.work_ms = |_| 7_000;
     sim.submit(1, job(vec![step(4), step_after(&[0], step(4))]));
@@ -347,10 +349,10 @@
     assert_eq!(sim.starts.len(), 8);
 }
 
-/// Best-effort tasks count nothing against a worker's capacity: they start beside serving tasks that
-/// reserve all of its processors, as these use but half of what they reserve.
+/// Best-effort tasks do not count against a worker's capacity: they start beside serving tasks that
+/// reserve all of its processors, as these use only half of what they reserve.
 #[test]
-fn best_effort_tasks_need_no_unreserved_processors() {
+fn best_effort_tasks_start_beside_reserved_processors() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w1", 16)]);
     sim.work_ms = |_| LONG_RUNNING_WORK_MS;
     sim.submit(1, job(vec![long_running_step(16)]));
@@ -362,10 +364,10 @@
     assert_eq!(sim.worker("w1").runs.len(), 20);
 }
 
-/// A task's only copy is on a worker that went silent. Where the step allows copies, another starts
-/// at once instead of waiting for the end of the lease.
+/// The only copy of a task is on a worker that became unreachable. Where the step allows
+/// speculative copies, another one starts at once instead of after the end of the lease.
 #[test]
-fn a_copy_runs_beside_a_silent_worker() {
+fn a_speculative_copy_starts_when_a_worker_is_unreachable() {
     let mut sim = two_workers();
     sim.work_ms = |_| 20_000;
     sim.submit(1, job(vec![StepSpec { speculative: true, ..step(2) }]));
@@ -377,10 +379,10 @@
     assert!(copied);
 }
 
-/// No worker can ever hold the large task that lasts: others that last take too much of each. No
-/// worker is kept for it, so that small tasks do not wait beside free processors.
+/// No worker can ever hold the large long-running task: other long-running tasks use too much of
+/// each. No worker is reserved for it, so that small tasks do not wait beside free processors.
 #[test]
-fn no_worker_is_kept_for_what_never_fits() {
+fn no_worker_is_reserved_for_a_task_that_never_fits() {
     let mut sim = two_workers();
     sim.work_ms = |task| if task.job.0 < 10 { 600_000 } else { 700 };
     let large = |cores: u32| StepSpec {
@@ -401,9 +403,9 @@
     assert!(sim.workers_running(task(2, 0, 0)).is_empty());
 }
 
-/// A worker crashes and starts again; an order that was meant for the one before reaches it and is
-/// answered. When the list tells of the new start, the task must not be started elsewhere: it runs,
-/// as an answer to an order does not say which incarnation gave it.
+/// A worker restarts; an order that was meant for its previous incarnation reaches it and is
+/// answered. When the list shows the restart, the task must not be started elsewhere: it runs, as
+/// an answer to an order does not say which incarnation gave it.
 #[test]
 fn an_order_answered_by_the_next_incarnation_is_not_started_again() {
     let mut sim = two_workers();
@@ -422,11 +424,11 @@
     assert_eq!(sim.starts.len(), 1, "{:?}", sim.starts);
 }
 
-/// An owner's calls for the platform's list hang for two seconds, while orders to workers get through.
-/// A worker says meanwhile that it leaves. Nothing is started on what may be leaving; once the list is
-/// read again, work goes to the worker that stays.
+/// An owner's calls for the platform's list hang for two seconds, while orders still reach workers.
+/// Meanwhile a worker announces that it leaves. No task is started on a worker that may be leaving;
+/// once the list is read again, tasks start on the worker that stays.
 #[test]
-fn nothing_starts_by_a_list_that_is_old() {
+fn no_task_starts_while_the_list_of_workers_is_stale() {
     let mut sim = two_workers();
     sim.run_ms(200);
     sim.list_is_stale = true;
@@ -444,9 +446,10 @@
     assert!(sim.starts.iter().all(|(.., worker)| worker == "w2"), "{:?}", sim.starts);
 }
 
-/// Taken for one that stands still, a run that was held back costs tasks that last their only room.
+/// If a paused run were treated as stuck, long-running tasks would lose the only worker that has
+/// capacity for them.
 #[test]
-fn a_run_that_goes_on_after_a_hold_is_not_taken_for_stuck() {
+fn a_run_that_resumes_after_a_pause_is_not_treated_as_stuck() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w", 4)]);
     sim.work_ms = |task| if task.job.0 == 1 { LONG_RUNNING_WORK_MS } else { 20_000 };
     sim.run_ms(200);
@@ -454,24 +457,25 @@
     sim.submit(2, job(vec![best_effort(1, "render")]));
     sim.run_ms(1_500);
     sim.worker("w").tail_latency_ms = 200;
-    let held = sim.run_until(6_000, |it| it.workers[0].runs.iter().any(|run| run.pace == 0.0));
+    let paused = sim.run_until(6_000, |it| it.workers[0].runs.iter().any(|run| run.pace == 0.0));
     sim.run_ms(2_500);
 
     sim.cancel(1);
-    let goes_on = sim.run_until(2_000, |it| it.workers[0].runs.iter().all(|run| run.pace > 0.5));
+    let resumed = sim.run_until(2_000, |it| it.workers[0].runs.iter().all(|run| run.pace > 0.5));
     sim.run_ms(500);
     sim.submit(3, job(vec![long_running_step(1)]));
     sim.run_ms(200);
 
-    assert!(held && goes_on, "held {held}, goes on {goes_on}");
+    assert!(paused && resumed, "paused {paused}, resumed {resumed}");
     let runs = [task(2, 0, 0), task(3, 0, 0)].map(|it| sim.workers_running(it));
     assert_eq!(runs, [vec!["w"], vec!["w"]]);
     assert_eq!(sim.starts.len(), 3);
 }
 
-/// Two tasks that fail by their own fault would keep a task that lasts off the only worker with room.
+/// Two tasks that fail by their own fault would keep a long-running task off the only worker with
+/// capacity.
 #[test]
-fn a_suspected_worker_takes_a_task_that_lasts_and_has_no_other_place() {
+fn a_suspected_worker_runs_a_long_running_task_that_fits_nowhere_else() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w", 4)]);
     sim.work_ms = |task| if task.job.0 == 3 { LONG_RUNNING_WORK_MS } else { 100 };
     sim.fails = |task| task.job.0 < 3;
@@ -484,12 +488,16 @@
     let runs = sim.run_until(2_000, |it| !it.workers_running(task(3, 0, 0)).is_empty());
 
     assert!(suspected && runs, "suspected {suspected}, runs {runs}");
-    assert_eq!(sim.owner.summary(sim.now).usable, 0, "other tasks are kept off");
+    assert_eq!(
+        sim.owner.summary(sim.now).usable,
+        0,
+        "other tasks may not use the suspected worker"
+    );
 }
 
-/// A task that lasts would be started again and again on a worker that fails all it starts.
+/// A long-running task would be restarted over and over on a worker that fails all its runs.
 #[test]
-fn a_suspected_worker_is_tried_now_and_then() {
+fn a_suspected_worker_is_retried_at_intervals() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w", 4)]);
     sim.worker("w").fault = Fault::Fails;
     sim.run_ms(200);
@@ -500,9 +508,9 @@
     assert!((2..=6).contains(&sim.starts.len()), "{} starts", sim.starts.len());
 }
 
-/// Tasks that last and fail now and then would keep other tasks off sound workers.
+/// Long-running tasks that fail now and then would keep other tasks off healthy workers.
 #[test]
-fn failures_far_apart_make_no_worker_suspected() {
+fn failures_far_apart_do_not_make_a_worker_suspected() {
     let mut sim = Simulation::new(vec![FakeWorker::new("w", 4)]);
     sim.work_ms = |_| LONG_RUNNING_WORK_MS;
     sim.run_ms(200);
--- a/daisy-workflow/tests/partition.rs
+++ b/daisy-workflow/tests/partition.rs
@@ -13,7 +13,7 @@
 
 /// Returns two VMs and four workers, whose owner has recorded its witnesses.
 fn cluster_with_witnesses() -> Cluster {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     cluster.run_ms(2_000);
     assert!(!cluster.ledger.witnesses().workers.is_empty(), "the owner has recorded its witnesses");
     cluster
@@ -111,7 +111,7 @@
 /// Guards against the orders that a frozen owner still sends after it resumes.
 #[test]
 fn no_task_runs_twice_when_an_old_owner_resumes() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     cluster.submit(2, job(vec![long_running_step(2)]));
     cluster.run_ms(30);
     cluster.freeze(0);
@@ -128,7 +128,7 @@
 /// Guards against starting tasks elsewhere while a worker that nobody reaches still runs them.
 #[test]
 fn no_task_runs_twice_when_a_worker_is_isolated() {
-    let mut cluster = Cluster::busy(1, 4);
+    let mut cluster = Cluster::with_long_running_tasks(1, 4);
     let host = cluster.first_task_worker();
     cluster.isolate(&[Node::Worker(host)]);
 
@@ -146,7 +146,7 @@
 #[test]
 fn a_restarted_worker_does_not_confirm_an_old_owner() {
     for wakes_after in [500, 2_000, 3_500] {
-        let mut cluster = Cluster::busy(2, 3);
+        let mut cluster = Cluster::with_long_running_tasks(2, 3);
         let host = cluster.first_task_worker();
         let other = (host + 1) % 3;
         cluster.freeze(0);
@@ -168,7 +168,7 @@
 #[test]
 fn no_task_runs_twice_when_an_old_owner_does_not_know_new_workers() {
     for delay_steps in 0..25 {
-        let mut cluster = Cluster::busy(2, 3);
+        let mut cluster = Cluster::with_long_running_tasks(2, 3);
         let old: Vec<Node> = (0..3).map(Node::Worker).collect();
         cluster.add_workers(4);
         cluster.run_ms(delay_steps * 10);
@@ -186,7 +186,7 @@
 /// Guards against a wait for a lost worker that restarts with each new owner.
 #[test]
 fn a_task_of_a_lost_worker_restarts_within_7_s_of_an_owner_change() {
-    let mut cluster = Cluster::busy(2, 4);
+    let mut cluster = Cluster::with_long_running_tasks(2, 4);
     let host = cluster.first_task_worker();
     cluster.crash(host, Duration::from_secs(60), false);
     cluster.run_ms(4_000);
@@ -200,7 +200,7 @@
 }
 
 const VMS: usize = 3;
-/// Number of seeds that the test runs.
+/// Number of seeds that CI runs.
 const SEEDS: u64 = 150;
 const WORKERS: usize = 6;
 
@@ -212,7 +212,7 @@
 }
 
 fn new_schedule(seed: u64) -> Schedule {
-    let mut cluster = Cluster::busy(VMS, WORKERS as u32);
+    let mut cluster = Cluster::with_long_running_tasks(VMS, WORKERS as u32);
     cluster.elects_owners = true;
     Schedule { rng: fastrand::Rng::with_seed(seed), cluster, jobs: 1 }
 }
@@ -402,7 +402,7 @@
 /// Runs a sequence to its end and returns whether each of its operations changed anything.
 fn run_sequence(sequence: &OwnerChange) -> bool {
     let _print = PrintOnPanic(sequence.clone());
-    let mut cluster = Cluster::busy(VMS, sequence.workers);
+    let mut cluster = Cluster::with_long_running_tasks(VMS, sequence.workers);
     cluster.run_ms(sequence.before_ms);
     cluster.step = Duration::from_millis(20);
     let mut worker = cluster.first_task_worker();
--- a/daisy-workflow/tests/pieces.rs
+++ b/daisy-workflow/tests/pieces.rs
@@ -163,7 +163,7 @@
     assert!(long_running_started);
 }
 
-/// A long-running task waited for as long as short jobs kept coming.
+/// A long-running task was delayed for as long as short jobs kept arriving.
 #[test]
 fn a_long_running_task_is_not_delayed_for_longer_by_short_jobs() {
     let mut sim = simulation_with(&[4]);
@@ -180,7 +180,7 @@
     assert_eq!(sim.workers_running(task(0, 0, 0)).len(), 1);
 }
 
-/// A transferred task waited in favour of short jobs anew in each shard.
+/// A transferred task yielded capacity to short jobs once more in each shard.
 #[test]
 fn a_transferred_long_running_task_does_not_wait_for_short_jobs_again() {
     let worker = FakeWorker::new("w0", 4);
--- a/daisy-workflow/tests/shard.rs
+++ b/daisy-workflow/tests/shard.rs
@@ -1,4 +1,4 @@
-//! How jobs and workers are divided, and who claims a shard first.
+//! How jobs and workers are assigned to shards, and which VM claims a shard first.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 }
 
 #[test]
-fn the_number_of_shards_follows_from_the_workers() {
+fn the_number_of_shards_depends_on_the_number_of_workers() {
     let shards = |workers| Layout::for_workers(workers, 12).shards;
 
     assert_eq!([0, 1, 66, 100, 101, 490, 790, 11_000].map(shards), [1, 1, 1, 1, 2, 5, 8, 12]);
 }
 
-/// A hash that differs between builds would give a worker two accountants while a new build is
-/// rolled out, each of which would fill it.
+/// A hash that differs between builds would assign a worker to two shards during the rollout of a
+/// new build, and the owner of each would fill it.
 #[test]
-fn a_build_divides_as_every_other_does() {
+fn all_builds_assign_jobs_and_workers_alike() {
     let layout = Layout { shards: 5 };
 
     let jobs = [1, 2, 0xdead_beef].map(|id| layout.of_job(JobId(id)).0);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn shards_get_about_as_many_jobs_and_workers_each() {
+fn jobs_and_workers_are_spread_evenly_over_shards() {
     let layout = Layout { shards: 5 };
     let mut jobs = [0u32; 5];
     let mut workers = [0u32; 5];
@@ -45,8 +45,8 @@
     );
 }
 
-/// An entry VM with an eighth of a core owns a shard only if no larger one does: a burst of starts
-/// takes more than it has.
+/// An entry VM with an eighth of a core owns a shard only if no larger VM does: a burst of starts
+/// needs more processor time than it has.
 #[test]
 fn large_vms_claim_before_small_ones() {
     for shard in 0..5 {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn who_owns_a_shard_claims_the_next_one_later() {
+fn a_vm_that_owns_a_shard_claims_the_next_one_later() {
     let free = candidate("a", 1);
     let owner = Candidate { owned: 1, ..free };
 
--- a/daisy-workflow/tests/silence.rs
+++ b/daisy-workflow/tests/silence.rs
@@ -48,12 +48,12 @@
     log.end(at(1_510), at(1_010), false);
 
     let before = log.is_silent(at(1_600));
-    let silent = log.is_silent(at(1_800));
+    let unresponsive = log.is_silent(at(1_800));
     let again = log.turn(at(1_800));
     log.read(at(5_000));
     let after = (log.is_silent(at(5_000)), log.turn(at(5_000)));
 
-    assert!(!before && silent);
+    assert!(!before && unresponsive);
     assert!(matches!(again, Turn::Again(_)));
     assert!(!after.0);
     assert!(matches!(after.1, Turn::All(_)));
@@ -77,10 +77,10 @@
             Turn::Wait => {}
         }
     }
-    let silent = log.is_silent(at(2_200));
+    let unresponsive = log.is_silent(at(2_200));
     log.read(at(4_000));
 
-    assert_eq!((sent, silent), (0, true));
+    assert_eq!((sent, unresponsive), (0, true));
     assert_eq!(queried_at, [1_700, 2_700, 3_700]);
     assert!(!log.is_silent(at(4_000)));
     assert!(matches!(log.turn(at(4_000)), Turn::All(_)));
@@ -154,10 +154,10 @@
             log.begin(at(now));
         }
     }
-    let silent = log.is_silent(at(4_000));
+    let unresponsive = log.is_silent(at(4_000));
     log.read(at(4_010));
 
-    assert!(sent.len() <= 2 && silent, "{sent:?}");
+    assert!(sent.len() <= 2 && unresponsive, "{sent:?}");
     assert!(!log.is_silent(at(4_010)));
 }
 
@@ -188,9 +188,9 @@
     log.begin(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
-    let silent = log.is_silent(at(4_990));
+    let unresponsive = log.is_silent(at(4_990));
     log.read_elsewhere(at(5_000), at(5_000));
 
-    assert!(silent && !log.is_silent(at(5_000)));
+    assert!(unresponsive && !log.is_silent(at(5_000)));
     assert!(matches!(log.turn(at(5_000)), Turn::All(_)));
 }
--- a/daisy-workflow/tests/util/partition.rs
+++ b/daisy-workflow/tests/util/partition.rs
@@ -32,8 +32,8 @@
 const ENTRY_LIFETIME: Duration = Duration::from_millis(3_300);
 /// Minimum time for which a crashed worker is down.
 const MIN_DOWNTIME: Duration = Duration::from_millis(300);
-/// Minimum time after a restart at which orders from before it arrive: the owner has had time for a
-/// call to the new incarnation.
+/// Minimum time from a restart until an order that was sent before it arrives: the owner has had
+/// time for a call to the new incarnation.
 const MIN_ORDER_DELAY_MS: u64 = 300;
 /// A key that represents the log: a rejection by the log ends an owner as a rejection by a worker
 /// does.
@@ -181,7 +181,7 @@
 
     /// Returns a cluster with as many long-running tasks as workers; the workers' clocks are the
     /// slowest allowed.
-    pub fn busy(vms: usize, workers: u32) -> Cluster {
+    pub fn with_long_running_tasks(vms: usize, workers: u32) -> Cluster {
         let mut cluster = Cluster::new(vms, (0..workers).map(slow_worker).collect());
         cluster.submit(1, job(vec![long_running_step(workers)]));
         assert!(
@@ -199,8 +199,8 @@
     }
 
     pub fn submit(&mut self, id: u64, spec: JobSpec) {
-        let lasting = (0u16..).zip(&spec.steps).filter(|(_, it)| it.long_running);
-        let tasks = lasting.flat_map(|(step, it)| {
+        let long_running_steps = (0u16..).zip(&spec.steps).filter(|(_, it)| it.long_running);
+        let tasks = long_running_steps.flat_map(|(step, it)| {
             let task = move |index| TaskId { job: JobId(id), occurrence: 0, step, index };
             (0..it.count).map(task)
         });
@@ -460,7 +460,7 @@
         let now = self.now;
         self.send(vm, &mut process);
         self.read(vm, &mut process);
-        // Answers of the log and of workers use separate connections, so either may arrive first.
+        // Answers of the log and of workers arrive on different paths, so either may come first.
         let log_answers_only =
             std::mem::take(&mut self.vms[vm].just_woken) && self.receives_log_first;
         let is_due = |(at, event): &(Instant, Event)| {
--- a/daisy-workflow/tests/util/simulation.rs
+++ b/daisy-workflow/tests/util/simulation.rs
@@ -38,7 +38,7 @@
     pub forwarded: Vec<(ShardId, Record)>,
     shard: ShardId,
     layout: Layout,
-    /// Returns the work of a task, in milliseconds.
+    /// The work of a task, in milliseconds.
     pub work_ms: fn(TaskId) -> u64,
     pub fails: fn(TaskId) -> bool,
     pending: Option<(Instant, Batch)>,
--- a/daisy-workflow/tests/util/worker.rs
+++ b/daisy-workflow/tests/util/worker.rs
@@ -37,7 +37,7 @@
 pub struct FakeRun {
     pub task: TaskId,
     pub run: u32,
-    pub started_at_ms: u64,
+    pub run_started_ms: u64,
     pub work_ms: u64,
     /// Milliseconds of work done.
     pub done_ms: f64,
@@ -216,7 +216,7 @@
         self.advanced_at = clock;
         let pace = self.pace();
         for mut run in std::mem::take(&mut self.runs) {
-            run.done_ms += (clock - run.started_at_ms).min(passed) as f64 * pace * run.pace;
+            run.done_ms += (clock - run.run_started_ms).min(passed) as f64 * pace * run.pace;
             let age = run.done_ms.round() as u64;
             if run.stopping.is_some_and(|at| clock >= at) {
                 self.end(&run, Outcome::Stopped);
@@ -287,7 +287,7 @@
         self.runs.push(FakeRun {
             task,
             run,
-            started_at_ms: clock,
+            run_started_ms: clock,
             work_ms,
             done_ms: 0.0,
             pace: 1.0,
