--- a/daisy-workflow/tests/old_leases.rs
+++ b/daisy-workflow/tests/old_leases.rs
@@ -94,7 +94,8 @@
     assert!(cluster.all_long_running_active());
 }
 
-/// Half of the witnesses reject the old owner, which can have no majority any more.
+/// Half of the witnesses reject the old owner, which can have no majority any more: the new owner
+/// waits for one lease only.
 #[test]
 fn a_task_moves_within_7_s_when_the_old_owner_reaches_half_of_the_workers() {
     let mut cluster = Cluster::with_long_running_tasks(2, 4);
--- a/daisy-workflow/tests/reservation.rs
+++ b/daisy-workflow/tests/reservation.rs
@@ -62,8 +62,8 @@
     waited
 }
 
-/// A task that is transferred before its reserved worker is free would start its wait again, in
-/// this shard and in the next.
+/// A task that was transferred before its reserved worker was free started its wait again, and once
+/// more in the next shard.
 #[test]
 fn a_task_waits_less_than_twice_as_long_among_several_shards_as_in_one() {
     let [in_one_shard, among_others] = [1, SHARDS].map(wait_ms);
