--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -21,7 +21,7 @@
 use daisy_ledger::{Record, State};
 use daisy_membership::{Action, Event, Membership, Role};
 use daisy_model::{DcId, Instant, Name, Offset, SortedMap, Vm, VmId, WallTime};
-use daisy_placement::CareEvent;
+use daisy_placement::LeaseRenewerEvent;
 use daisy_routing::{KeyAnswer, KeyQuery, Routes};
 use daisy_wire::{
     peer::{Answer, Question},
@@ -207,7 +207,7 @@
             Input::Worker { by, epoch, vm, outcome } => {
                 self.worker_answered(now, (by, epoch), vm, outcome);
             }
-            Input::News { epoch, vm, news } => self.worker_news(now, epoch, vm, news),
+            Input::WorkerUpdate { epoch, vm, news } => self.worker_news(now, epoch, vm, news),
             Input::Question { question, reply } => {
                 let _ = reply.send(self.answer(now, question));
             }
@@ -230,7 +230,7 @@
         let now = self.clock.now();
         self.step(now, Event::Tick);
         self.drive(now, daisy_placement::Event::Tick);
-        self.care(now, CareEvent::Tick);
+        self.care(now, LeaseRenewerEvent::Tick);
         self.update_plan(now);
         self.publish_replicas();
         self.tell_replicas(now);
@@ -308,7 +308,7 @@
     fn confirm_list(&mut self, now: Instant) {
         let vms = Arc::clone(&self.vms);
         self.drive(now, daisy_placement::Event::Vms(&vms));
-        self.care(now, CareEvent::Vms(&vms));
+        self.care(now, LeaseRenewerEvent::Vms(&vms));
     }
 
     fn answer(&mut self, now: Instant, question: Question) -> Answer {
--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -2,14 +2,16 @@
 
 use daisy_membership::Role;
 use daisy_model::{Epoch, Instant, SortedMap, Vm, VmId, WorkerReport};
-use daisy_placement::{Action, CareEvent, Caretaker, DataCentre, Event, Holder, Options};
+use daisy_placement::{
+    Action, DataCentre, Event, Holder, LeaseRenewer, LeaseRenewerEvent, Options,
+};
 use daisy_routing::{KeyAnswer, KeyQuery};
 use daisy_wire::mirror::Mirror;
 
 use crate::{
     boundary::RequestSide,
     control::{Control, Identity},
-    worker_calls::{self, Answered, By, Line, News, Silence},
+    worker_calls::{self, Answered, By, Line, Silence, WorkerUpdate},
 };
 
 /// The holder or caretaker, while this entry VM is one.
@@ -20,7 +22,7 @@
     suspended: bool,
     /// Workers whose answers came while the holder was suspended.
     unheard: Vec<VmId>,
-    caretaker: Option<(Epoch, Caretaker)>,
+    caretaker: Option<(Epoch, LeaseRenewer)>,
     /// What each worker has told, so that it tells changes only.
     mirrors: SortedMap<VmId, Mirror>,
     /// Workers whose news are waited for; one wait a worker.
@@ -40,13 +42,13 @@
         let (name, epoch) = match role {
             Role::Idle => ("idle", None),
             Role::Holder(epoch) => ("holder", Some(epoch)),
-            Role::Caretaker(epoch) => ("caretaker", Some(epoch)),
+            Role::LeaseRenewer(epoch) => ("caretaker", Some(epoch)),
         };
         let epoch = epoch.map_or("none".to_owned(), |it| it.to_string());
         log::info!("event=role dc={} role={name} epoch={epoch}", self.identity.dc);
         match role {
             Role::Idle => self.driver = Driver::default(),
-            Role::Caretaker(epoch) => self.take_care(now, epoch),
+            Role::LeaseRenewer(epoch) => self.take_care(now, epoch),
             Role::Holder(epoch) => self.hold(now, epoch),
         }
     }
@@ -69,16 +71,16 @@
         }
         // What those workers said is old by now: to the holder their answers are lost.
         for vm in std::mem::take(&mut self.driver.unheard) {
-            self.drive(now, Event::Silent { vm, sent: true });
+            self.drive(now, Event::CallFailed { vm, sent: true });
         }
     }
 
     fn take_care(&mut self, now: Instant, epoch: Epoch) {
         self.driver.suspended = true;
-        let caretaker = Caretaker::new(options(&self.identity, epoch));
+        let caretaker = LeaseRenewer::new(options(&self.identity, epoch));
         self.driver.caretaker = Some((epoch, caretaker));
         let vms = self.vms.clone();
-        self.care(now, CareEvent::Vms(&vms));
+        self.care(now, LeaseRenewerEvent::Vms(&vms));
     }
 
     /// Lets the holder decide, if there is one, and carries out what it wants.
@@ -90,11 +92,11 @@
     }
 
     /// Lets the caretaker decide, if there is one, and carries out what it wants.
-    pub(super) fn care(&mut self, now: Instant, event: CareEvent<'_>) {
+    pub(super) fn care(&mut self, now: Instant, event: LeaseRenewerEvent<'_>) {
         let Some((_, caretaker)) = &mut self.driver.caretaker else { return };
         let mut actions = Vec::new();
         caretaker.step(now, event, &mut actions);
-        self.carry_out_for(By::Caretaker, actions);
+        self.carry_out_for(By::LeaseRenewer, actions);
     }
 
     fn carry_out_for(&mut self, by: By, actions: Vec<Action>) {
@@ -120,10 +122,10 @@
         self.out.metrics.worker_call(outcome.is_ok());
         let outcome = outcome.and_then(|answered| self.complete(vm, answered));
         match by {
-            By::Caretaker if self.driver.caretaker.as_ref().is_some_and(|it| it.0 == epoch) => {
+            By::LeaseRenewer if self.driver.caretaker.as_ref().is_some_and(|it| it.0 == epoch) => {
                 let event = match outcome {
-                    Ok(report) => CareEvent::Report { vm, epoch: report.epoch },
-                    Err(_) => CareEvent::Silent { vm },
+                    Ok(report) => LeaseRenewerEvent::Report { vm, epoch: report.epoch },
+                    Err(_) => LeaseRenewerEvent::CallFailed { vm },
                 };
                 self.care(now, event);
             }
@@ -136,11 +138,11 @@
                         self.drive(now, Event::Report { vm, report });
                         self.watch(vm, epoch);
                     }
-                    Err(silence) => self.drive(now, Event::Silent { vm, sent: silence.sent }),
+                    Err(silence) => self.drive(now, Event::CallFailed { vm, sent: silence.sent }),
                 }
             }
             // Of a holding that has ended.
-            By::Caretaker | By::Holder => {}
+            By::LeaseRenewer | By::Holder => {}
         }
     }
 
@@ -161,15 +163,15 @@
 
     /// Has a worker called that has news; one that did not answer is asked again only after
     /// its next report.
-    pub(super) fn worker_news(&mut self, now: Instant, epoch: Epoch, vm: VmId, news: News) {
+    pub(super) fn worker_news(&mut self, now: Instant, epoch: Epoch, vm: VmId, news: WorkerUpdate) {
         if self.driver.holder.as_ref().is_none_or(|it| it.epoch() != epoch) {
             return;
         }
         self.driver.watched.remove(&vm);
         match news {
-            News::Some => self.drive(now, Event::News { vm }),
-            News::None => self.watch(vm, epoch),
-            News::Unreachable => {}
+            WorkerUpdate::Some => self.drive(now, Event::WorkerUpdate { vm }),
+            WorkerUpdate::None => self.watch(vm, epoch),
+            WorkerUpdate::Unreachable => {}
         }
     }
 
@@ -190,7 +192,7 @@
 fn options(identity: &Identity, epoch: Epoch) -> Options {
     let mut options = Options::new(identity.dc, epoch, identity.worker_lease, identity.sender);
     // A worker's news come by themselves; calls on time only renew the lease.
-    options.limits.poll = identity.worker_lease;
+    options.limits.poll_interval = identity.worker_lease;
     let regions = identity.dcs.iter().zip(&identity.regions);
     options.data_centres =
         regions.map(|(name, region)| DataCentre { name: name.clone(), region: *region }).collect();
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -12,7 +12,7 @@
 use crate::{
     control::{Appended, Replicas, Sight, StatusJson, Verdict},
     platform::Listing,
-    worker_calls::{Answered, By, News, Silence},
+    worker_calls::{Answered, By, Silence, WorkerUpdate},
 };
 
 /// One event for the control task.
@@ -68,13 +68,13 @@
         outcome: Result<Answered, Silence>,
     },
     /// A wait for a worker's news has ended.
-    News {
+    WorkerUpdate {
         /// The epoch that waited.
         epoch: Epoch,
         /// The worker.
         vm: VmId,
         /// How.
-        news: News,
+        news: WorkerUpdate,
     },
     /// A peer asks.
     Question {
--- a/daisy-entry/src/control/look.rs
+++ b/daisy-entry/src/control/look.rs
@@ -4,7 +4,7 @@
 
 use daisy_ledger::State;
 use daisy_model::{Instant, Name, Vm, VmId, WallTime};
-use daisy_placement::{Holder, Noted, TaskStatus, WorkerStatus};
+use daisy_placement::{Holder, TaskStatus, TimedReason, WorkerStatus};
 use daisy_query::{Live, LiveTask, LiveWorker, Reason, Subject, WorkerState};
 use daisy_routing::{KeyAnswer, KeyQuery};
 
@@ -60,7 +60,7 @@
         WallTime(self.wall.0.saturating_sub(ago))
     }
 
-    fn reason(&self, subject: &Subject, noted: &Noted) -> Reason {
+    fn reason(&self, subject: &Subject, noted: &TimedReason) -> Reason {
         let text = noted.reason.to_string().into();
         Reason { at: self.wall_of(noted.at), subject: subject.clone(), text }
     }
@@ -68,7 +68,7 @@
 
 fn live_of(holder: &Holder, times: &Times) -> Live {
     let mut live = Live::default();
-    for task in holder.running() {
+    for task in holder.checked_out_tasks() {
         let notes = holder.reasons(task.task);
         let subject = Subject::Task(task.task);
         live.reasons.extend(notes.iter().map(|it| times.reason(&subject, it)));
@@ -85,13 +85,13 @@
         live.reasons.extend(notes.iter().map(|it| times.reason(&subject, it)));
         let state = match worker.status {
             WorkerStatus::Open => WorkerState::Ready,
-            WorkerStatus::Closed | WorkerStatus::Gone => WorkerState::Leaving,
-            WorkerStatus::Aside => WorkerState::PutAside,
-            WorkerStatus::Unheard | WorkerStatus::Silent => WorkerState::Silent,
+            WorkerStatus::Draining | WorkerStatus::Unlisted => WorkerState::Leaving,
+            WorkerStatus::Quarantined => WorkerState::PutAside,
+            WorkerStatus::NeverAnswered | WorkerStatus::Silent => WorkerState::Silent,
         };
         let known = LiveWorker {
             capacity: worker.capacity,
-            free: worker.capacity.try_sub(worker.taken).unwrap_or_default(),
+            free: worker.capacity.try_sub(worker.allocated).unwrap_or_default(),
             tasks: u32::try_from(worker.tasks).unwrap_or(u32::MAX),
             state,
         };
--- a/daisy-entry/src/control/replicas.rs
+++ b/daisy-entry/src/control/replicas.rs
@@ -40,7 +40,7 @@
 /// refused, until the workers have answered; what the last holder told stands until then.
 pub(crate) fn of_holder(holder: &Holder, before: Option<&Arc<Replicas>>) -> Vec<Replica> {
     let workers = holder.workers();
-    let unheard = workers.iter().filter(|it| it.status == WorkerStatus::Unheard);
+    let unheard = workers.iter().filter(|it| it.status == WorkerStatus::NeverAnswered);
     let mut unheard: Vec<VmId> = unheard.map(|it| it.vm).collect();
     unheard.sort_unstable();
     let mut all: Vec<Replica> = holder
--- a/daisy-entry/src/control/tell.rs
+++ b/daisy-entry/src/control/tell.rs
@@ -114,7 +114,7 @@
             role: match self.membership.role() {
                 Role::Idle => "idle",
                 Role::Holder(_) => "holder",
-                Role::Caretaker(_) => "caretaker",
+                Role::LeaseRenewer(_) => "caretaker",
             },
             source: self.membership.source().to_string(),
             log_answers: self.membership.log_answers(now),
--- a/daisy-entry/src/worker_calls.rs
+++ b/daisy-entry/src/worker_calls.rs
@@ -50,15 +50,15 @@
     tokio::spawn(async move {
         let news = match line.address {
             Some(address) => wait_for_news(&line.http, address, seen).await,
-            None => News::Unreachable,
+            None => WorkerUpdate::Unreachable,
         };
-        let _ = line.control.send(Input::News { epoch, vm: line.vm, news }).await;
+        let _ = line.control.send(Input::WorkerUpdate { epoch, vm: line.vm, news }).await;
     });
 }
 
 /// How a wait for news ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum News {
+pub(crate) enum WorkerUpdate {
     /// There is something to report.
     Some,
     /// Nothing happened in all that time.
@@ -80,7 +80,7 @@
     /// The holder.
     Holder,
     /// The caretaker.
-    Caretaker,
+    LeaseRenewer,
 }
 
 /// A call got no answer.
@@ -112,16 +112,16 @@
     Ok(Answered { orders, report })
 }
 
-async fn wait_for_news(http: &Http, address: SocketAddr, seen: SeenJson) -> News {
+async fn wait_for_news(http: &Http, address: SocketAddr, seen: SeenJson) -> WorkerUpdate {
     let SeenJson { boot, version } = seen;
     let wait = NEWS_WAIT.as_millis();
     let target = format!("/v1/worker/news?boot={boot}&version={version}&wait_ms={wait}");
     let req = http.request(Method::GET, address, &target).body(Full::new(Bytes::new()));
-    let Ok(req) = req else { return News::Unreachable };
+    let Ok(req) = req else { return WorkerUpdate::Unreachable };
     let reply = http.call(req, NEWS_WAIT + CALL_TIMEOUT, NEWS_LIMIT).await;
     match reply.map(|reply| reply.status) {
-        Ok(StatusCode::NO_CONTENT) => News::Some,
-        Ok(StatusCode::NOT_MODIFIED) => News::None,
-        _ => News::Unreachable,
+        Ok(StatusCode::NO_CONTENT) => WorkerUpdate::Some,
+        Ok(StatusCode::NOT_MODIFIED) => WorkerUpdate::None,
+        _ => WorkerUpdate::Unreachable,
     }
 }
--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -332,7 +332,7 @@
             }
             Message::Call { from, vm, call } => self.deliver_call(from, vm, &call),
             Message::NoAnswer { from, vm } => {
-                let event = daisy_placement::Event::Silent { vm, sent: true };
+                let event = daisy_placement::Event::CallFailed { vm, sent: true };
                 self.step_holder(from, event);
             }
         }
--- a/daisy-measure/src/interference.rs
+++ b/daisy-measure/src/interference.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use daisy_model::Resources;
-use daisy_placement::{Ceiling, Control, Rule};
+use daisy_placement::{Ceiling, ThrottleControl, ThrottleRule};
 
 use crate::fleet::{BATCHES, Drive, Fleet, Nature, SERVICES};
 
@@ -44,29 +44,29 @@
 const OFFERED: f32 = 0.8;
 
 /// The controls compared: alike for all batch work, or by harm and under a ceiling.
-const CONTROLS: [(&str, Control); 14] = [
-    ("off", alike(Rule::Off)),
-    ("static500", alike(Rule::Static(500))),
-    ("static250", alike(Rule::Static(250))),
-    ("aimd", alike(Rule::Aimd)),
-    ("dpp_v1", alike(Rule::DriftPlusPenalty(1.0))),
-    ("static250h", by_harm(Rule::Static(250), Ceiling::Fixed(1000))),
-    ("aimd_h", by_harm(Rule::Aimd, Ceiling::Fixed(1000))),
-    ("aimd_h200", by_harm(Rule::Aimd, Ceiling::Fixed(200))),
-    ("aimd_b1", by_harm(Rule::Aimd, Ceiling::Backlog(1.0))),
-    ("aimd_b3", by_harm(Rule::Aimd, Ceiling::Backlog(3.0))),
-    ("aimd_b5", by_harm(Rule::Aimd, Ceiling::Backlog(5.0))),
-    ("aimd_b12", by_harm(Rule::Aimd, Ceiling::Backlog(12.0))),
-    ("dpp_v1h", by_harm(Rule::DriftPlusPenalty(1.0), Ceiling::Fixed(1000))),
-    ("off_b1", by_harm(Rule::Off, Ceiling::Backlog(1.0))),
+const CONTROLS: [(&str, ThrottleControl); 14] = [
+    ("off", alike(ThrottleRule::Off)),
+    ("static500", alike(ThrottleRule::Static(500))),
+    ("static250", alike(ThrottleRule::Static(250))),
+    ("aimd", alike(ThrottleRule::Aimd)),
+    ("dpp_v1", alike(ThrottleRule::DriftPlusPenalty(1.0))),
+    ("static250h", interfering_only(ThrottleRule::Static(250), Ceiling::Fixed(1000))),
+    ("aimd_h", interfering_only(ThrottleRule::Aimd, Ceiling::Fixed(1000))),
+    ("aimd_h200", interfering_only(ThrottleRule::Aimd, Ceiling::Fixed(200))),
+    ("aimd_b1", interfering_only(ThrottleRule::Aimd, Ceiling::Backlog(1.0))),
+    ("aimd_b3", interfering_only(ThrottleRule::Aimd, Ceiling::Backlog(3.0))),
+    ("aimd_b5", interfering_only(ThrottleRule::Aimd, Ceiling::Backlog(5.0))),
+    ("aimd_b12", interfering_only(ThrottleRule::Aimd, Ceiling::Backlog(12.0))),
+    ("dpp_v1h", interfering_only(ThrottleRule::DriftPlusPenalty(1.0), Ceiling::Fixed(1000))),
+    ("off_b1", interfering_only(ThrottleRule::Off, Ceiling::Backlog(1.0))),
 ];
 
-const fn alike(rule: Rule) -> Control {
-    Control { rule, by_harm: false, ceiling: Ceiling::Fixed(1000) }
+const fn alike(rule: ThrottleRule) -> ThrottleControl {
+    ThrottleControl { rule, interfering_only: false, ceiling: Ceiling::Fixed(1000) }
 }
 
-const fn by_harm(rule: Rule, ceiling: Ceiling) -> Control {
-    Control { rule, by_harm: true, ceiling }
+const fn interfering_only(rule: ThrottleRule, ceiling: Ceiling) -> ThrottleControl {
+    ThrottleControl { rule, interfering_only: true, ceiling }
 }
 
 /// The users' orders of measures as weights: tail, throughput, evictions.
@@ -120,7 +120,7 @@
         + evictions * it.evictions_per_hour
 }
 
-fn mean(args: &Args, control: Control) -> Outcome {
+fn mean(args: &Args, control: ThrottleControl) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..args.seeds {
         let it = one(args, control, seed + 1);
@@ -133,7 +133,7 @@
     sum
 }
 
-fn one(args: &Args, control: Control, seed: u64) -> Outcome {
+fn one(args: &Args, control: ThrottleControl, seed: u64) -> Outcome {
     let fleet = Fleet::new(args.workers, CAPACITY, seed);
     let mut drive = Drive::new(fleet, CAPACITY, |options| options.limits.control = Some(control));
     let mut rng = fastrand::Rng::with_seed(seed);
--- a/daisy-measure/src/placement.rs
+++ b/daisy-measure/src/placement.rs
@@ -14,7 +14,7 @@
 };
 
 use daisy_model::{Incarnation, Instant, JobId, Resources, TaskId};
-use daisy_placement::{Ceiling, Control, Rule};
+use daisy_placement::{Ceiling, ThrottleControl, ThrottleRule};
 
 use crate::fleet::{BATCHES, Drive, Fleet, Nature, SERVICES, Spent};
 
@@ -128,7 +128,11 @@
         moving.per_start = Duration::from_secs_f64(added / moving.starts.max(1) as f64);
         println!("holder_{}_upkeep_core_percent={:.3}", load.name, upkeep.core_share * 100.0);
         lines.push(moving.print("holder", load.name));
-        let off = Control { rule: Rule::Off, by_harm: false, ceiling: Ceiling::Fixed(1000) };
+        let off = ThrottleControl {
+            rule: ThrottleRule::Off,
+            interfering_only: false,
+            ceiling: Ceiling::Fixed(1000),
+        };
         lines.push(holder_under(&load, Some(off)).print("holder_unlimited", load.name));
         lines.push(plain(&load, Plain::FirstFit).print("first_fit", load.name));
         lines.push(plain(&load, Plain::Random).print("random", load.name));
@@ -191,7 +195,7 @@
 }
 
 /// The holder under a control that limits batch work, that of the policy if `None`.
-fn holder_under(load: &Load, control: Option<Control>) -> Outcome {
+fn holder_under(load: &Load, control: Option<ThrottleControl>) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(load.seed);
     let fleet = Fleet::new(load.workers, CAPACITY, load.seed);
     let mut drive = Drive::new(fleet, CAPACITY, |options| options.limits.control = control);
--- a/daisy-membership/src/holding.rs
+++ b/daisy-membership/src/holding.rs
@@ -28,7 +28,7 @@
     ///
     /// Taken by a holder that cannot show that it still is one, and by the first live peer
     /// of a dead holder as long as the log takes no claim.
-    Caretaker(Epoch),
+    LeaseRenewer(Epoch),
 }
 
 /// Numbered heartbeats whose time of sending is remembered.
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -306,14 +306,14 @@
         if let Some(epoch) = self.tenure.own_epoch(&self.options) {
             return match self.tenure.shown(&self.options, &self.peers, now) {
                 true => Role::Holder(epoch),
-                false => Role::Caretaker(epoch),
+                false => Role::LeaseRenewer(epoch),
             };
         }
         let Some(holding) = self.tenure.holding else { return Role::Idle };
         let first = self.rank(now) == 0;
         let dead = self.tenure.vacant(&self.options, now);
         match first && dead && !self.log_answers(now) {
-            true => Role::Caretaker(holding.epoch),
+            true => Role::LeaseRenewer(holding.epoch),
             false => Role::Idle,
         }
     }
--- a/daisy-membership/tests/membership/changeover.rs
+++ b/daisy-membership/tests/membership/changeover.rs
@@ -123,7 +123,7 @@
     fleet.run(Duration::from_secs(10));
 
     let alive = fleet.nodes.iter().filter(|it| it.alive);
-    let caretakers = alive.filter(|it| matches!(it.membership.role(), Role::Caretaker(_)));
+    let caretakers = alive.filter(|it| matches!(it.membership.role(), Role::LeaseRenewer(_)));
     assert_eq!(caretakers.count(), 1);
     assert!(fleet.holders(0).is_empty());
 
--- a/daisy-membership/tests/membership/pauses.rs
+++ b/daisy-membership/tests/membership/pauses.rs
@@ -89,7 +89,7 @@
 
     fleet.run(Duration::from_secs(6));
 
-    assert!(matches!(fleet.nodes[at].membership.role(), Role::Caretaker(_)));
+    assert!(matches!(fleet.nodes[at].membership.role(), Role::LeaseRenewer(_)));
     let others = fleet.holders(0);
     assert_eq!(others.len(), 1);
     assert_ne!(others, [holder]);
--- a/daisy-placement/src/calls.rs
+++ b/daisy-placement/src/calls.rs
@@ -20,7 +20,8 @@
 impl Holder {
     /// Calls every worker that has orders or is due.
     pub(crate) fn call(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let poll = self.options.limits.poll.min(self.options.lease / CALLS_PER_LEASE);
+        let poll_interval =
+            self.options.limits.poll_interval.min(self.options.lease / CALLS_PER_LEASE);
         for key in self.roster.take_touched() {
             let Some(worker) = self.roster.get_mut(key) else { continue };
             if !is_due(worker, now) {
@@ -28,7 +29,7 @@
             }
             let orders = take_orders(worker);
             worker.called_at = Some(now);
-            worker.due = now + poll;
+            worker.due = now + poll_interval;
             worker.outstanding = Some(Outstanding { orders: orders.clone() });
             let call = WorkerCall { epoch: self.options.epoch, lease: self.options.lease, orders };
             actions.push(Action::Call { vm: worker.id, call });
@@ -90,7 +91,7 @@
 }
 
 fn is_due(worker: &Worker, now: Instant) -> bool {
-    let is_gone = matches!(worker.standing, Standing::Gone { .. });
+    let is_gone = matches!(worker.standing, Standing::Unlisted { .. });
     // Orders go at once to a worker that answers; one that does not is retried in its time.
     let is_wanted = worker.answers && worker.orders.iter().any(is_pressing);
     !is_gone && worker.outstanding.is_none() && (is_wanted || now >= worker.due)
--- a/daisy-placement/src/caretaker.rs
+++ b/daisy-placement/src/caretaker.rs
@@ -8,7 +8,7 @@
 
 /// What a caretaker learns.
 #[derive(Debug)]
-pub enum CareEvent<'a> {
+pub enum LeaseRenewerEvent<'a> {
     /// The platform's VM list, whole.
     Vms(&'a [Vm]),
     /// A worker answered the outstanding call.
@@ -19,7 +19,7 @@
         epoch: Epoch,
     },
     /// The outstanding call got no answer.
-    Silent {
+    CallFailed {
         /// The worker.
         vm: VmId,
     },
@@ -59,19 +59,19 @@
 /// question still runs would be needed, and it must outlast lease and margin; see
 /// `docs/OPERATING.md`.
 #[derive(Debug)]
-pub struct Caretaker {
+pub struct LeaseRenewer {
     options: Options,
     workers: SortedMap<VmId, Care>,
     ended: bool,
 }
 
-impl Caretaker {
+impl LeaseRenewer {
     /// Renewals are made this many times in a lease.
     const CALLS_PER_LEASE: u32 = 3;
 
     /// A caretaker under the epoch that was last seen in the ledger.
-    pub fn new(options: Options) -> Caretaker {
-        Caretaker { options, workers: SortedMap::new(), ended: false }
+    pub fn new(options: Options) -> LeaseRenewer {
+        LeaseRenewer { options, workers: SortedMap::new(), ended: false }
     }
 
     /// Whether a worker has seen a higher epoch: a holder is back, and the caretaker's work done.
@@ -80,12 +80,14 @@
     }
 
     /// Takes `event` in at `now` and pushes the calls to make.
-    pub fn step(&mut self, now: Instant, event: CareEvent<'_>, actions: &mut Vec<Action>) {
+    pub fn step(&mut self, now: Instant, event: LeaseRenewerEvent<'_>, actions: &mut Vec<Action>) {
         match event {
-            CareEvent::Vms(vms) => self.take_vms(now, vms),
-            CareEvent::Report { vm, epoch } => self.take_report(now, vm, epoch),
-            CareEvent::Silent { vm } => self.answered(vm, now + self.options.limits.retry),
-            CareEvent::Tick => {}
+            LeaseRenewerEvent::Vms(vms) => self.take_vms(now, vms),
+            LeaseRenewerEvent::Report { vm, epoch } => self.take_report(now, vm, epoch),
+            LeaseRenewerEvent::CallFailed { vm } => {
+                self.answered(vm, now + self.options.limits.retry)
+            }
+            LeaseRenewerEvent::Tick => {}
         }
         if !self.ended {
             self.renew(now, actions);
@@ -129,6 +131,6 @@
     }
 
     fn period(&self) -> Duration {
-        self.options.lease / Caretaker::CALLS_PER_LEASE
+        self.options.lease / LeaseRenewer::CALLS_PER_LEASE
     }
 }
--- a/daisy-placement/src/control.rs
+++ b/daisy-placement/src/control.rs
@@ -10,7 +10,7 @@
     kind::Kind,
     place::FULL_SHARE,
     reason::Reason,
-    throttle::{Control, LEVELS, Rule, Signal, TARGET},
+    throttle::{LEVELS, Signal, TARGET, ThrottleControl, ThrottleRule},
     worker::{Ending, Hold, Worker, WorkerKey},
 };
 
@@ -44,20 +44,22 @@
         };
         let busy = self.busy(key, usage);
         let limit = self.policy.throttle_above;
-        let of_policy = || Control::of(&self.policy.objective);
+        let of_policy = || ThrottleControl::of(&self.policy.objective);
         let control = self.options.limits.control.unwrap_or_else(of_policy);
         let backlog = self.backlog;
-        let patience = Control::patience(&self.policy.objective);
+        let patience = ThrottleControl::patience(&self.policy.objective);
         let Some(worker) = self.worker_mut(key) else { return };
         let share = worker.throttle.step(now, control.rule, Signal { slowdown, busy, limit });
         let is_stuck = worker.throttle.is_stuck(now, patience);
         let is_crowded = busy > limit;
-        let by_harm = control.by_harm && !is_crowded;
-        let noisy = if by_harm { self.noisy_kinds(key) } else { None };
+        let interfering_only = control.interfering_only && !is_crowded;
+        let noisy = if interfering_only { self.noisy_kinds(key) } else { None };
         let share = match (&noisy, control.rule) {
             (Some(_), _) => share.min(control.ceiling.share(backlog)).min(self.foreseen_share(key)),
             // A fixed share is meant for noisy kinds, and there are none.
-            (None, Rule::Static(_)) if control.by_harm && !is_crowded => FULL_SHARE,
+            (None, ThrottleRule::Static(_)) if control.interfering_only && !is_crowded => {
+                FULL_SHARE
+            }
             (None, _) => share,
         };
         self.set_share(now, key, share, slowdown, noisy.as_deref());
@@ -204,8 +206,8 @@
         });
         let harm = |kind: Kind| harm(&self.interference, &services, kind);
         let worst = able.max_by(|(_, a), (_, b)| {
-            let by_harm = harm(a.class.kind).total_cmp(&harm(b.class.kind));
-            by_harm.then(a.size.cpu_milli.cmp(&b.size.cpu_milli))
+            let interfering_only = harm(a.class.kind).total_cmp(&harm(b.class.kind));
+            interfering_only.then(a.size.cpu_milli.cmp(&b.size.cpu_milli))
         });
         worst.map(|(task, _)| *task)
     }
--- a/daisy-placement/src/holder.rs
+++ b/daisy-placement/src/holder.rs
@@ -30,7 +30,7 @@
     Vms(&'a [Vm]),
     /// A worker answered the outstanding call.
     ///
-    /// An answer that comes after `Silent` was said of its call must not be passed on.
+    /// An answer that comes after `CallFailed` was said of its call must not be passed on.
     Report {
         /// The worker.
         vm: VmId,
@@ -38,12 +38,12 @@
         report: &'a WorkerReport,
     },
     /// A worker has something to report, such as a task that ended: it is called at once.
-    News {
+    WorkerUpdate {
         /// The worker.
         vm: VmId,
     },
     /// The outstanding call got no answer.
-    Silent {
+    CallFailed {
         /// The worker.
         vm: VmId,
         /// Whether the call may have reached it.
@@ -65,7 +65,7 @@
     Append(Record),
     /// Call a worker; at most one call a worker is outstanding.
     ///
-    /// Each call is followed by exactly one `Report` or `Silent` of that worker.
+    /// Each call is followed by exactly one `Report` or `CallFailed` of that worker.
     Call {
         /// The worker.
         vm: VmId,
@@ -179,8 +179,8 @@
             Event::Ledger(state) => self.take_ledger(now, state),
             Event::Vms(vms) => self.take_vms(now, vms),
             Event::Report { vm, report } => self.take_report(now, vm, report),
-            Event::News { vm } => self.take_news(now, vm),
-            Event::Silent { vm, sent } => self.take_silence(now, vm, sent),
+            Event::WorkerUpdate { vm } => self.take_news(now, vm),
+            Event::CallFailed { vm, sent } => self.take_silence(now, vm, sent),
             Event::Log { reachable } => self.log_reachable = reachable,
             Event::Tick if self.is_ready() => self.take_tick(now),
             Event::Tick => {}
--- a/daisy-placement/src/inherit.rs
+++ b/daisy-placement/src/inherit.rs
@@ -116,7 +116,7 @@
     /// Before that its tasks may still run, and starting them elsewhere would run them in
     /// two places. The lease is counted from the last call that may have reached the VM.
     fn is_gone_for_good(&self, now: Instant, standing: Standing, called: Option<Instant>) -> bool {
-        let Standing::Gone { since } = standing else { return false };
+        let Standing::Unlisted { since } = standing else { return false };
         let renewed = called.map_or(since, |at| at.max(since));
         now >= renewed + self.gone_wait()
     }
--- a/daisy-placement/src/job.rs
+++ b/daisy-placement/src/job.rs
@@ -11,7 +11,7 @@
     fault::JobFaults,
     kind::Kind,
     options::Options,
-    reason::{Noted, Reason, Wait},
+    reason::{Reason, TimedReason, Wait},
     task::Local,
     usage::Seen,
     worker::Class,
@@ -43,7 +43,7 @@
     /// When this holder saw it first, or as it was last changed.
     pub known_since: Instant,
     /// Why its waiting and pending tasks wait.
-    pub wait: Option<Noted>,
+    pub wait: Option<TimedReason>,
     /// Allowed data centres by preference; `None` if there is only one to run in.
     preferred: Option<Vec<DcId>>,
 }
@@ -115,7 +115,7 @@
 
     /// Notes why its tasks wait.
     pub(crate) fn waits(&mut self, now: Instant, wait: Wait) {
-        self.wait = Some(Noted { at: now, reason: Reason::Waits(wait) });
+        self.wait = Some(TimedReason { at: now, reason: Reason::Waits(wait) });
     }
 
     pub(crate) fn is_service(&self) -> bool {
--- a/daisy-placement/src/leave.rs
+++ b/daisy-placement/src/leave.rs
@@ -27,7 +27,7 @@
     pub(crate) fn leave(&mut self, now: Instant) {
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get(key) else { continue };
-            if worker.standing == Standing::Closed && worker.answers {
+            if worker.standing == Standing::Draining && worker.answers {
                 let is_leaving = worker.leaving;
                 self.leave_worker(now, key, is_leaving);
             }
--- a/daisy-placement/src/lib.rs
+++ b/daisy-placement/src/lib.rs
@@ -1,7 +1,7 @@
 //! Who runs where: fit, eviction, interference, quotas, leases.
 //!
 //! [`Holder`] decides for one data centre under one epoch. It never sees a socket or a
-//! clock: events and the present time come in, actions go out. [`Caretaker`] keeps leases
+//! clock: events and the present time come in, actions go out. [`LeaseRenewer`] keeps leases
 //! up, and no more, while a data centre has no holder that can act.
 //!
 //! A holder first calls each worker with nothing but its epoch and reads what runs there.
@@ -40,12 +40,12 @@
 mod worker;
 
 pub use crate::{
-    caretaker::{CareEvent, Caretaker},
+    caretaker::{LeaseRenewer, LeaseRenewerEvent},
     holder::{Action, Event, Holder},
     interference::Interference,
     kind::Kind,
     options::{DataCentre, Limits, Options},
-    reason::{Label, Miss, Noted, Reason, Wait},
-    throttle::{Ceiling, Control, LEVELS, Rule, Signal, TARGET, Throttle},
+    reason::{Label, Miss, Reason, TimedReason, Wait},
+    throttle::{Ceiling, LEVELS, Signal, TARGET, Throttle, ThrottleControl, ThrottleRule},
     view::{Replica, TaskStatus, TaskView, WorkerStatus, WorkerView},
 };
--- a/daisy-placement/src/options.rs
+++ b/daisy-placement/src/options.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::{DcId, Epoch, Name};
 
-use crate::throttle::Control;
+use crate::throttle::ThrottleControl;
 
 /// A data centre and the region that it stands in.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// A worker is called at least this often; at most half of the lease is used.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Before a worker that did not answer is called again.
     pub retry: Duration,
     /// Between two records of the same sort.
@@ -65,7 +65,7 @@
     /// Candidates weighed for one start.
     pub candidates: usize,
     /// How batch work beside services is limited; `None` for what the policy's weights say.
-    pub control: Option<Control>,
+    pub control: Option<ThrottleControl>,
     /// Tasks named in one record.
     pub record_tasks: usize,
 }
@@ -73,7 +73,7 @@
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            poll: Duration::from_secs(2),
+            poll_interval: Duration::from_secs(2),
             retry: Duration::from_millis(500),
             flush: Duration::from_millis(200),
             resend: Duration::from_secs(5),
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -193,11 +193,11 @@
     /// The worker did not answer.
     Silent,
     /// Nothing new goes to the worker.
-    Closed,
+    Draining,
     /// The worker takes work again.
     Opened,
     /// The VM list does not have the VM any more.
-    Gone,
+    Unlisted,
     /// The worker failed what it started and gets nothing for a while.
     PutAside {
         /// Failures in a row.
@@ -244,9 +244,9 @@
             }
             Reason::Answered { running } => write!(f, "answered, runs {running} tasks"),
             Reason::Silent => f.write_str("did not answer"),
-            Reason::Closed => f.write_str("leaving or drained: gets nothing new"),
+            Reason::Draining => f.write_str("leaving or drained: gets nothing new"),
             Reason::Opened => f.write_str("takes work"),
-            Reason::Gone => f.write_str("missing from the VM list"),
+            Reason::Unlisted => f.write_str("missing from the VM list"),
             Reason::PutAside { failures, wait } => {
                 write!(f, "put aside for {} s after {failures} failures in a row", wait.as_secs())
             }
@@ -285,7 +285,7 @@
 
 /// A reason and when it came up, by the holder's clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Noted {
+pub struct TimedReason {
     /// When, or when last if it came up again and again.
     pub at: Instant,
     /// What.
@@ -294,7 +294,7 @@
 
 /// The last few reasons of one subject, oldest first.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Notes(Vec<Noted>);
+pub(crate) struct Notes(Vec<TimedReason>);
 
 impl Notes {
     /// Reasons kept for each subject; what is older says little about the present.
@@ -308,10 +308,10 @@
         if self.0.len() == Notes::KEPT {
             self.0.remove(0);
         }
-        self.0.push(Noted { at, reason });
+        self.0.push(TimedReason { at, reason });
     }
 
-    pub(crate) fn to_vec(&self) -> Vec<Noted> {
+    pub(crate) fn to_vec(&self) -> Vec<TimedReason> {
         self.0.clone()
     }
 }
--- a/daisy-placement/src/roster.rs
+++ b/daisy-placement/src/roster.rs
@@ -181,7 +181,7 @@
         let closed = vm.status == VmStatus::Leaving || self.drained.contains(&vm.name);
         let Some(key) = self.roster.try_key(vm.id) else { return };
         let Some(worker) = self.roster.get_mut(key) else { return };
-        let standing = if closed { Standing::Closed } else { Standing::Live };
+        let standing = if closed { Standing::Draining } else { Standing::Live };
         if worker.standing == standing && worker.leaving == (vm.status == VmStatus::Leaving) {
             return;
         }
@@ -195,12 +195,12 @@
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get_mut(key) else { continue };
             let is_listed = listed.binary_search(&worker.id).is_ok();
-            let is_gone = matches!(worker.standing, Standing::Gone { .. });
+            let is_gone = matches!(worker.standing, Standing::Unlisted { .. });
             if is_listed || is_gone {
                 continue;
             }
-            worker.standing = Standing::Gone { since: now };
-            worker.notes.add(now, Reason::Gone);
+            worker.standing = Standing::Unlisted { since: now };
+            worker.notes.add(now, Reason::Unlisted);
             self.roster.reindex(key);
         }
     }
@@ -214,9 +214,9 @@
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get_mut(key) else { continue };
             let is_drained = drained.contains(&worker.name);
-            if let Standing::Live | Standing::Closed = worker.standing {
+            if let Standing::Live | Standing::Draining = worker.standing {
                 let closed = worker.leaving || is_drained;
-                worker.stand(now, if closed { Standing::Closed } else { Standing::Live });
+                worker.stand(now, if closed { Standing::Draining } else { Standing::Live });
             }
             self.roster.reindex(key);
         }
--- a/daisy-placement/src/throttle.rs
+++ b/daisy-placement/src/throttle.rs
@@ -12,7 +12,7 @@
 
 /// How the share follows the reports.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Rule {
+pub enum ThrottleRule {
     /// Batch work is never limited.
     Off,
     /// Batch work is always limited to one share, in thousandths.
@@ -27,11 +27,11 @@
 
 /// How batch work beside services is limited.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Control {
+pub struct ThrottleControl {
     /// How the share follows the reports.
-    pub rule: Rule,
+    pub rule: ThrottleRule,
     /// Whether only the kinds that are known for noisy are limited, where there are any.
-    pub by_harm: bool,
+    pub interfering_only: bool,
     /// The most that such kinds get at any time.
     pub ceiling: Ceiling,
 }
@@ -70,19 +70,20 @@
     const LEAST: u32 = 200;
 }
 
-impl Control {
+impl ThrottleControl {
     /// The control for the published weights.
-    pub fn of(objective: &Objective) -> Control {
+    pub fn of(objective: &Objective) -> ThrottleControl {
         let v = objective.tail as f32 / objective.throughput.max(1) as f32;
-        let ceiling = Ceiling::Backlog(v * Control::BACKLOG_SCALE);
-        Control { rule: Rule::Aimd, by_harm: true, ceiling }
+        let ceiling = Ceiling::Backlog(v * ThrottleControl::BACKLOG_SCALE);
+        ThrottleControl { rule: ThrottleRule::Aimd, interfering_only: true, ceiling }
     }
 
     /// How long services are borne to be slow, with batch work limited as far as it goes,
     /// before a neighbour is evicted: longer the more evictions weigh.
     pub fn patience(objective: &Objective) -> Duration {
         let ratio = objective.evictions as f32 / objective.tail.max(1) as f32;
-        Control::LEAST_PATIENCE + Duration::from_secs_f32(Control::PATIENCE * ratio.min(1.0))
+        ThrottleControl::LEAST_PATIENCE
+            + Duration::from_secs_f32(ThrottleControl::PATIENCE * ratio.min(1.0))
     }
 
     /// Twice the lag of reports.
@@ -152,14 +153,14 @@
     }
 
     /// Takes a report in and returns the share to set.
-    pub fn step(&mut self, now: Instant, rule: Rule, signal: Signal) -> u32 {
+    pub fn step(&mut self, now: Instant, rule: ThrottleRule, signal: Signal) -> u32 {
         let is_bad = signal.slowdown > TARGET;
         let passed = self.stepped.replace(now).map_or(0.0, |at| now.since(at).as_secs_f32());
         self.share = match rule {
-            Rule::Off => 1000.0,
-            Rule::Static(share) => share as f32,
-            Rule::Aimd => self.aimd(now, passed, is_bad || signal.busy > signal.limit),
-            Rule::DriftPlusPenalty(v) => self.drift_plus_penalty(v, signal),
+            ThrottleRule::Off => 1000.0,
+            ThrottleRule::Static(share) => share as f32,
+            ThrottleRule::Aimd => self.aimd(now, passed, is_bad || signal.busy > signal.limit),
+            ThrottleRule::DriftPlusPenalty(v) => self.drift_plus_penalty(v, signal),
         };
         let is_lowest = self.share <= Throttle::LEAST;
         if !(is_bad && is_lowest) {
--- a/daisy-placement/src/view.rs
+++ b/daisy-placement/src/view.rs
@@ -7,7 +7,7 @@
 use crate::{
     holder::Holder,
     place::FULL_SHARE,
-    reason::{Noted, Reason},
+    reason::{Reason, TimedReason},
     task::{Local, Phase},
     worker::{Ending, Standing, Worker},
 };
@@ -18,15 +18,15 @@
     /// Takes new work.
     Open,
     /// Has not answered under this epoch.
-    Unheard,
+    NeverAnswered,
     /// Did not answer the last call.
     Silent,
     /// Leaving or drained.
-    Closed,
+    Draining,
     /// Missing from the VM list.
-    Gone,
+    Unlisted,
     /// Put aside after failures.
-    Aside,
+    Quarantined,
 }
 
 /// A worker of the data centre.
@@ -43,7 +43,7 @@
     /// What it holds in all.
     pub capacity: Resources,
     /// What is taken, tasks included whose start is not answered yet.
-    pub taken: Resources,
+    pub allocated: Resources,
     /// How many tasks take it.
     pub tasks: usize,
     /// The lowest share of processors among its tasks, in thousandths.
@@ -104,7 +104,7 @@
     }
 
     /// The tasks that the data centre has, in the order of their ids.
-    pub fn running(&self) -> Vec<TaskView> {
+    pub fn checked_out_tasks(&self) -> Vec<TaskView> {
         let tasks = self.jobs.iter().flat_map(|(id, job)| {
             let tasks = job.tasks.iter().enumerate();
             tasks.map(move |(index, local)| (TaskId { job: *id, index: index as u32 }, local))
@@ -130,7 +130,7 @@
     }
 
     /// The last decisions about a task, oldest first; empty if this holder has made none.
-    pub fn reasons(&self, task: TaskId) -> Vec<Noted> {
+    pub fn reasons(&self, task: TaskId) -> Vec<TimedReason> {
         let Some(job) = self.jobs.get(&task.job) else { return self.past_reasons(task) };
         let Some(local) = job.tasks.get(task.index as usize) else { return Vec::new() };
         let mut notes = local.notes.to_vec();
@@ -144,20 +144,20 @@
         notes
     }
 
-    fn past_reasons(&self, task: TaskId) -> Vec<Noted> {
+    fn past_reasons(&self, task: TaskId) -> Vec<TimedReason> {
         let past = self.past.iter().rev().find(|(it, _)| *it == task);
         past.map(|(_, notes)| notes.to_vec()).unwrap_or_default()
     }
 
     /// Why jobs have tasks that nobody has checked out: paused, over their quota, not this
     /// data centre's turn, or fitting nowhere, with the nearest miss.
-    pub fn waiting_jobs(&self) -> Vec<(JobId, Noted)> {
+    pub fn waiting_jobs(&self) -> Vec<(JobId, TimedReason)> {
         let jobs = self.jobs.iter().filter(|(_, job)| !job.pending.is_empty());
         jobs.filter_map(|(id, job)| Some((*id, job.wait.clone()?))).collect()
     }
 
     /// The last decisions about a VM, oldest first; empty if it is none of our workers.
-    pub fn vm_reasons(&self, vm: VmId) -> Vec<Noted> {
+    pub fn vm_reasons(&self, vm: VmId) -> Vec<TimedReason> {
         let worker = self.roster.try_key(vm).and_then(|key| self.roster.get(key));
         worker.map(|worker| worker.notes.to_vec()).unwrap_or_default()
     }
@@ -193,11 +193,11 @@
 
 fn worker_view(worker: &Worker) -> WorkerView {
     let status = match worker.standing {
-        Standing::Gone { .. } => WorkerStatus::Gone,
-        _ if !worker.heard => WorkerStatus::Unheard,
+        Standing::Unlisted { .. } => WorkerStatus::Unlisted,
+        _ if !worker.heard => WorkerStatus::NeverAnswered,
         _ if !worker.answers => WorkerStatus::Silent,
-        Standing::Closed => WorkerStatus::Closed,
-        _ if worker.faults.is_aside() => WorkerStatus::Aside,
+        Standing::Draining => WorkerStatus::Draining,
+        _ if worker.faults.is_aside() => WorkerStatus::Quarantined,
         Standing::Live => WorkerStatus::Open,
     };
     let shares = worker.held.iter().map(|(_, held)| held.share);
@@ -207,7 +207,7 @@
         rack: worker.rack,
         status,
         capacity: worker.capacity,
-        taken: worker.taken,
+        allocated: worker.allocated,
         tasks: worker.held.len(),
         share: shares.min().unwrap_or(FULL_SHARE),
     }
--- a/daisy-placement/src/worker.rs
+++ b/daisy-placement/src/worker.rs
@@ -33,9 +33,9 @@
     /// In use.
     Live,
     /// Leaving or drained: nothing new goes there.
-    Closed,
+    Draining,
     /// Missing from the VM list since.
-    Gone { since: Instant },
+    Unlisted { since: Instant },
 }
 
 /// How sure it is that a worker holds a task.
@@ -132,7 +132,7 @@
     pub leaving: bool,
     pub capacity: Resources,
     /// What `held` takes together.
-    pub taken: Resources,
+    pub allocated: Resources,
     pub held: SortedMap<TaskId, Held>,
     /// Orders for the next call.
     pub orders: Vec<Order>,
@@ -167,7 +167,7 @@
             standing: Standing::Live,
             leaving: false,
             capacity: vm.capacity,
-            taken: Resources::ZERO,
+            allocated: Resources::ZERO,
             held: SortedMap::new(),
             orders: Vec::new(),
             outstanding: None,
@@ -200,27 +200,27 @@
         }
         self.standing = standing;
         let is_live = standing == Standing::Live;
-        self.notes.add(now, if is_live { Reason::Opened } else { Reason::Closed });
+        self.notes.add(now, if is_live { Reason::Opened } else { Reason::Draining });
     }
 
     /// The room that is left; none if more is taken than the worker holds.
     pub(crate) fn free(&self) -> Resources {
-        self.capacity.try_sub(self.taken).unwrap_or(Resources::ZERO)
+        self.capacity.try_sub(self.allocated).unwrap_or(Resources::ZERO)
     }
 
     /// Counts a task's room as taken.
     pub(crate) fn hold(&mut self, task: TaskId, held: Held) {
         if let Some(old) = self.held.insert(task, held) {
-            self.taken = self.taken.try_sub(old.size).unwrap_or(Resources::ZERO);
+            self.allocated = self.allocated.try_sub(old.size).unwrap_or(Resources::ZERO);
             self.uncount(old.class.kind);
         }
-        self.taken = saturating_add(self.taken, held.size);
+        self.allocated = saturating_add(self.allocated, held.size);
         self.count(held.class.kind);
     }
 
     /// Forgets what was taken, before a report is taken in.
     pub(crate) fn clear_taken(&mut self) {
-        self.taken = Resources::ZERO;
+        self.allocated = Resources::ZERO;
         self.kinds.clear();
     }
 
@@ -264,7 +264,7 @@
     /// Gives a task's room back.
     pub(crate) fn let_go(&mut self, task: TaskId) -> Option<Held> {
         let held = self.held.remove(&task)?;
-        self.taken = self.taken.try_sub(held.size).unwrap_or(Resources::ZERO);
+        self.allocated = self.allocated.try_sub(held.size).unwrap_or(Resources::ZERO);
         self.uncount(held.class.kind);
         Some(held)
     }
--- a/daisy-placement/tests/changeover.rs
+++ b/daisy-placement/tests/changeover.rs
@@ -47,7 +47,7 @@
     world.cut = vec![place];
 
     world.run(Duration::from_secs(20));
-    let blocked = world.holder.running()[0].status;
+    let blocked = world.holder.checked_out_tasks()[0].status;
     let while_cut = world.places(task(0, 0));
     world.cut.clear();
     world.run(Duration::from_secs(5));
--- a/daisy-placement/tests/control.rs
+++ b/daisy-placement/tests/control.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use daisy_model::{Instant, Objective, Usage, VmId};
-use daisy_placement::{Ceiling, Control, Interference, Kind, Rule, Signal, Throttle};
+use daisy_placement::{
+    Ceiling, Interference, Kind, Signal, Throttle, ThrottleControl, ThrottleRule,
+};
 use util::{World, batch, service, size, task};
 
 /// Tells the holder that the service on worker 1 takes so many thousandths of its time.
@@ -62,7 +64,7 @@
     let bad = Signal { slowdown: 2_000, busy: 500, limit: 800 };
 
     let shares: Vec<u32> = (0..4)
-        .map(|at| throttle.step(Instant::from_millis(10_000 + at * 2_000), Rule::Aimd, bad))
+        .map(|at| throttle.step(Instant::from_millis(10_000 + at * 2_000), ThrottleRule::Aimd, bad))
         .collect();
 
     assert_eq!(shares, [600, 600, 600, 600]);
@@ -75,9 +77,13 @@
     let good = Signal { slowdown: 1_000, ..bad };
     let share_after = |reports: u64| {
         let mut throttle = Throttle::default();
-        throttle.step(Instant::from_millis(10_000), Rule::Aimd, bad);
+        throttle.step(Instant::from_millis(10_000), ThrottleRule::Aimd, bad);
         for at in 1..=reports {
-            throttle.step(Instant::from_millis(10_000 + at * 8_000 / reports), Rule::Aimd, good);
+            throttle.step(
+                Instant::from_millis(10_000 + at * 8_000 / reports),
+                ThrottleRule::Aimd,
+                good,
+            );
         }
         throttle.share()
     };
@@ -87,10 +93,11 @@
 
 #[test]
 fn a_longer_backlog_raises_the_ceiling_of_noisy_work() {
-    let beaulac = Control::of(&Objective { tail: 800, throughput: 150, evictions: 50 });
-    let confeitaria = Control::of(&Objective { tail: 950, throughput: 40, evictions: 10 });
+    let beaulac = ThrottleControl::of(&Objective { tail: 800, throughput: 150, evictions: 50 });
+    let confeitaria = ThrottleControl::of(&Objective { tail: 950, throughput: 40, evictions: 10 });
 
-    let shares = |control: Control| [0.0, 3.0, 8.0].map(|backlog| control.ceiling.share(backlog));
+    let shares =
+        |control: ThrottleControl| [0.0, 3.0, 8.0].map(|backlog| control.ceiling.share(backlog));
 
     assert_eq!(shares(beaulac), [200, 500, 1000]);
     assert_eq!(shares(confeitaria), [200, 200, 350]);
--- a/daisy-placement/tests/fault.rs
+++ b/daisy-placement/tests/fault.rs
@@ -8,7 +8,7 @@
 use util::{World, batch, size};
 
 fn aside(world: &World) -> usize {
-    world.holder.workers().iter().filter(|it| it.status == WorkerStatus::Aside).count()
+    world.holder.workers().iter().filter(|it| it.status == WorkerStatus::Quarantined).count()
 }
 
 /// One worker fails everything that it starts, at once, and so always has room.
--- a/daisy-placement/tests/util/chaos.rs
+++ b/daisy-placement/tests/util/chaos.rs
@@ -424,7 +424,7 @@
     fn silence(&mut self, process: usize, vm: VmId, sent: bool) {
         let mut actions = Vec::new();
         let it = &mut self.processes[process];
-        it.holder.step(self.now, Event::Silent { vm, sent }, &mut actions);
+        it.holder.step(self.now, Event::CallFailed { vm, sent }, &mut actions);
         self.take(process, actions);
     }
 
@@ -490,7 +490,7 @@
 
     fn left_over(&self) -> Vec<String> {
         let Some(last) = self.processes.last() else { return Vec::new() };
-        let tasks = last.holder.running();
+        let tasks = last.holder.checked_out_tasks();
         tasks
             .into_iter()
             .map(|it| {
--- a/daisy-placement/tests/util/world.rs
+++ b/daisy-placement/tests/util/world.rs
@@ -193,7 +193,7 @@
                 Ok(report) => {
                     self.holder.step(self.now, Event::Report { vm, report: &report }, next);
                 }
-                Err(sent) => self.holder.step(self.now, Event::Silent { vm, sent }, next),
+                Err(sent) => self.holder.step(self.now, Event::CallFailed { vm, sent }, next),
             },
         }
     }
