--- a/daisy-placement/src/control.rs
+++ b/daisy-placement/src/control.rs
@@ -7,64 +7,67 @@
 use crate::{
     holder::Holder,
     interference::Interference,
-    kind::Kind,
+    job_family::JobFamily,
     place::FULL_SHARE,
     reason::Reason,
-    throttle::{LEVELS, Signal, TARGET, ThrottleControl, ThrottleRule},
-    worker::{Ending, Hold, Worker, WorkerKey},
+    throttle::{SHARE_LEVELS, TARGET_SLOWDOWN, ThrottleControl, ThrottleRule, UsageSignal},
+    worker::{AllocationState, Removal, Worker, WorkerKey},
 };
 
 /// How late usage is taken to be reported.
-const LAG: Duration = Duration::from_secs(6);
+const REPORT_LAG: Duration = Duration::from_secs(6);
 /// Between two looks at a worker's usage to learn from it.
-const LEARN_PERIOD: Duration = Duration::from_secs(5);
+const LEARN_INTERVAL: Duration = Duration::from_secs(5);
 /// What a noisy task is expected to add to the services beside it, in thousandths.
-pub(crate) const NOISY: f32 = 40.0;
+pub(crate) const NOISY_SLOWDOWN: f32 = 40.0;
 /// Between two tasks made to leave one worker: the effect of the first shows that late.
-const RELIEF_PERIOD: Duration = Duration::from_secs(30);
+const RELIEF_INTERVAL: Duration = Duration::from_secs(30);
 /// A changed limit is ordered only if it differs by more than this, in thousandths.
-const SHARE_STEP: u32 = 40;
+const MIN_SHARE_CHANGE: u32 = 40;
 
 impl Holder {
     /// Takes a worker's usage in.
-    pub(crate) fn control(&mut self, now: Instant, key: WorkerKey, usage: &[Usage]) {
+    pub(crate) fn adjust_throttle(&mut self, now: Instant, key: WorkerKey, usage: &[Usage]) {
         if usage.is_empty() {
             return;
         }
         if let Some(worker) = self.worker_mut(key) {
-            worker.remember(now, LAG);
+            worker.record_load(now, REPORT_LAG);
         }
-        if let Some(worker) = self.worker_mut(key).filter(|it| now >= it.learn_at) {
-            worker.learn_at = now + LEARN_PERIOD;
+        if let Some(worker) = self.worker_mut(key).filter(|it| now >= it.next_learn_at) {
+            worker.next_learn_at = now + LEARN_INTERVAL;
             self.learn(now, key, usage);
         }
-        let Some(slowdown) = self.worst_service(key, usage) else {
+        let Some(slowdown) = self.worst_service_slowdown(key, usage) else {
             self.set_share(now, key, FULL_SHARE, 1000, None);
             return;
         };
-        let busy = self.busy(key, usage);
-        let limit = self.policy.throttle_above;
+        let cpu_use = self.cpu_use(key, usage);
+        let max_cpu_use = self.policy.throttle_above;
         let of_policy = || ThrottleControl::of(&self.policy.objective);
         let control = self.options.limits.control.unwrap_or_else(of_policy);
         let backlog = self.backlog;
-        let patience = ThrottleControl::patience(&self.policy.objective);
+        let eviction_delay = ThrottleControl::eviction_delay(&self.policy.objective);
         let Some(worker) = self.worker_mut(key) else { return };
-        let share = worker.throttle.step(now, control.rule, Signal { slowdown, busy, limit });
-        let is_stuck = worker.throttle.is_stuck(now, patience);
-        let is_crowded = busy > limit;
-        let interfering_only = control.interfering_only && !is_crowded;
-        let noisy = if interfering_only { self.noisy_kinds(key) } else { None };
+        let share =
+            worker.throttle.step(now, control.rule, UsageSignal { slowdown, cpu_use, max_cpu_use });
+        let is_ineffective = worker.throttle.is_ineffective(now, eviction_delay);
+        let is_cpu_full = cpu_use > max_cpu_use;
+        let interfering_only = control.interfering_only && !is_cpu_full;
+        let noisy = if interfering_only { self.noisy_families(key) } else { None };
         let share = match (&noisy, control.rule) {
-            (Some(_), _) => share.min(control.ceiling.share(backlog)).min(self.foreseen_share(key)),
+            (Some(_), _) => {
+                share.min(control.ceiling.share(backlog)).min(self.predicted_share(key))
+            }
             // A fixed share is meant for noisy kinds, and there are none.
-            (None, ThrottleRule::Static(_)) if control.interfering_only && !is_crowded => {
+            (None, ThrottleRule::Static(_)) if control.interfering_only && !is_cpu_full => {
                 FULL_SHARE
             }
             (None, _) => share,
         };
         self.set_share(now, key, share, slowdown, noisy.as_deref());
-        if is_stuck {
-            self.relieve(now, key, slowdown);
+        if is_ineffective {
+            self.evict_worst_neighbour(now, key, slowdown);
         }
     }
 
@@ -80,34 +83,35 @@
     fn learn(&mut self, now: Instant, key: WorkerKey, usage: &[Usage]) {
         for it in usage {
             if let Some(job) = self.jobs.get_mut(&it.task.job) {
-                job.seen.add(it.used);
+                job.measured.add_sample(it.used);
             }
         }
         let Some(worker) = self.roster.get(key) else { return };
         // The report speaks of the neighbours that there were then: those that came since
         // would be blamed for it, and those that left since would go free.
-        let Some((at, past)) = worker.past.front() else { return };
-        if now < *at + LAG {
+        let Some((at, load_history)) = worker.load_history.front() else { return };
+        if now < *at + REPORT_LAG {
             return;
         }
         for it in usage {
-            let Some(held) = worker.held.get(&it.task) else { continue };
-            if held.class.service && now >= held.since + LAG {
-                let neighbours = neighbours(past, held.class.kind);
-                self.interference.learn(held.class.kind, &neighbours, it.slowdown);
+            let Some(allocation) = worker.allocations.get(&it.task) else { continue };
+            if allocation.class.service && now >= allocation.since + REPORT_LAG {
+                let neighbours = neighbours(load_history, allocation.class.family);
+                self.interference.learn(allocation.class.family, &neighbours, it.slowdown);
             }
         }
     }
 
-    fn worst_service(&self, key: WorkerKey, usage: &[Usage]) -> Option<u32> {
+    fn worst_service_slowdown(&self, key: WorkerKey, usage: &[Usage]) -> Option<u32> {
         let worker = self.roster.get(key)?;
-        let is_service =
-            |it: &&Usage| worker.held.get(&it.task).is_some_and(|held| held.class.service);
+        let is_service = |it: &&Usage| {
+            worker.allocations.get(&it.task).is_some_and(|allocation| allocation.class.service)
+        };
         usage.iter().filter(is_service).map(|it| it.slowdown).max()
     }
 
     /// Processor use of a worker in thousandths of what it holds.
-    fn busy(&self, key: WorkerKey, usage: &[Usage]) -> u32 {
+    fn cpu_use(&self, key: WorkerKey, usage: &[Usage]) -> u32 {
         let Some(worker) = self.roster.get(key) else { return 0 };
         let used: u64 = usage.iter().map(|it| u64::from(it.used.cpu_milli)).sum();
         let whole = u64::from(worker.capacity.cpu_milli.max(1));
@@ -117,12 +121,14 @@
     /// The batch kinds on a worker that are known for noisy beside its services.
     ///
     /// `None` where there are none: then all are limited alike.
-    fn noisy_kinds(&self, key: WorkerKey) -> Option<Vec<Kind>> {
+    fn noisy_families(&self, key: WorkerKey) -> Option<Vec<JobFamily>> {
         let worker = self.roster.get(key)?;
-        let services = services_of(worker);
-        let batch = worker.kinds.iter().filter(|(kind, _)| !self.kinds.is_service(*kind));
-        let is_noisy = |kind: &Kind| harm(&self.interference, &services, *kind) >= NOISY;
-        let noisy: Vec<Kind> = batch.map(|(kind, _)| *kind).filter(is_noisy).collect();
+        let services = service_families(worker);
+        let batch = worker.families.iter().filter(|(family, _)| !self.families.is_service(*family));
+        let is_noisy = |family: &JobFamily| {
+            expected_harm(&self.interference, &services, *family) >= NOISY_SLOWDOWN
+        };
+        let noisy: Vec<JobFamily> = batch.map(|(family, _)| *family).filter(is_noisy).collect();
         (!noisy.is_empty()).then_some(noisy)
     }
 
@@ -131,23 +137,23 @@
     /// Reports come too late for the first seconds of a wave, and in them the tail is made:
     /// kinds that are known to be noisy are limited before they are heard. What a neighbour
     /// adds falls about with the square of its share.
-    fn foreseen_share(&self, key: WorkerKey) -> u32 {
+    fn predicted_share(&self, key: WorkerKey) -> u32 {
         let Some(worker) = self.roster.get(key) else { return FULL_SHARE };
-        let worst = services_of(worker)
+        let worst = service_families(worker)
             .into_iter()
-            .map(|service| self.interference.added(service, &worker.kinds))
+            .map(|service| self.interference.slowdown_of_all(service, &worker.families))
             .max()
             .unwrap_or(0);
-        let budget = TARGET - 1000;
+        let budget = TARGET_SLOWDOWN - 1000;
         if worst <= budget {
             return FULL_SHARE;
         }
         let share = (budget as f32 / worst as f32).sqrt() * 1000.0;
-        (share as u32).max(LEVELS[LEVELS.len() - 1])
+        (share as u32).max(SHARE_LEVELS[SHARE_LEVELS.len() - 1])
     }
 
     /// Orders a limit for the tasks of a worker that may be delayed, or for those of them
-    /// that are of the kinds `only`.
+    /// that are of the kinds `only_families`.
     ///
     /// A limit on a neighbour that disturbs nobody costs its work and helps nothing.
     fn set_share(
@@ -156,57 +162,61 @@
         key: WorkerKey,
         share: u32,
         slowdown: u32,
-        only: Option<&[Kind]>,
+        only_families: Option<&[JobFamily]>,
     ) {
         let Some(worker) = self.roster.get_mut(key) else { return };
         let mut is_changed = false;
-        for (task, held) in worker.held.iter_mut() {
-            let is_running = held.hold == Hold::Running && held.ending == Ending::No;
-            let is_meant = only.is_none_or(|only| only.contains(&held.class.kind));
-            let share = if is_meant { share } else { FULL_SHARE };
-            if !held.class.delay || !is_running || !is_step(held.share, share) {
+        for (task, allocation) in worker.allocations.iter_mut() {
+            let is_running = allocation.state == AllocationState::Running
+                && allocation.removal == Removal::NotPlanned;
+            let is_affected = only_families
+                .is_none_or(|only_families| only_families.contains(&allocation.class.family));
+            let share = if is_affected { share } else { FULL_SHARE };
+            if !allocation.class.delay || !is_running || !is_significant(allocation.share, share) {
                 continue;
             }
-            held.share = share;
-            let (task, incarnation) = (*task, held.incarnation);
+            allocation.share = share;
+            let (task, incarnation) = (*task, allocation.incarnation);
             worker.orders.retain(|order| !is_throttle_of(order, task));
             worker.orders.push(Order::Throttle { task, incarnation, share });
             is_changed = true;
         }
         if is_changed {
             worker.notes.add(now, Reason::Throttled { share, slowdown });
-            self.roster.touch(key);
+            self.roster.mark_for_call(key);
         }
     }
 
     /// Makes the neighbour leave that is expected to disturb the services most.
-    fn relieve(&mut self, now: Instant, key: WorkerKey, slowdown: u32) {
+    fn evict_worst_neighbour(&mut self, now: Instant, key: WorkerKey, slowdown: u32) {
         let Some(worker) = self.roster.get(key) else { return };
-        if worker.relief_at.is_some_and(|at| now < at) {
+        if worker.next_relief_at.is_some_and(|at| now < at) {
             return;
         }
         let Some(task) = self.worst_neighbour(key) else { return };
         let vm = worker.label.clone();
-        self.note(now, task, Reason::Disturbs { vm, slowdown });
+        self.note(now, task, Reason::EvictedForInterference { vm, slowdown });
         self.checkpoint(key, task);
         if let Some(worker) = self.worker_mut(key) {
-            worker.relief_at = Some(now + RELIEF_PERIOD);
-            worker.throttle.relieved();
+            worker.next_relief_at = Some(now + RELIEF_INTERVAL);
+            worker.throttle.restart_ineffective_timer();
         }
     }
 
     fn worst_neighbour(&self, key: WorkerKey) -> Option<TaskId> {
         let worker = self.roster.get(key)?;
-        let services = services_of(worker);
-        let able = worker.held.iter().filter(|(_, held)| {
-            held.class.evict
-                && !held.class.service
-                && held.hold == Hold::Running
-                && held.ending == Ending::No
+        let services = service_families(worker);
+        let able = worker.allocations.iter().filter(|(_, allocation)| {
+            allocation.class.evict
+                && !allocation.class.service
+                && allocation.state == AllocationState::Running
+                && allocation.removal == Removal::NotPlanned
         });
-        let harm = |kind: Kind| harm(&self.interference, &services, kind);
+        let expected_harm =
+            |family: JobFamily| expected_harm(&self.interference, &services, family);
         let worst = able.max_by(|(_, a), (_, b)| {
-            let interfering_only = harm(a.class.kind).total_cmp(&harm(b.class.kind));
+            let interfering_only =
+                expected_harm(a.class.family).total_cmp(&expected_harm(b.class.family));
             interfering_only.then(a.size.cpu_milli.cmp(&b.size.cpu_milli))
         });
         worst.map(|(task, _)| *task)
@@ -214,30 +224,31 @@
 }
 
 /// The kinds of the services on a worker, each once.
-fn services_of(worker: &Worker) -> Vec<Kind> {
-    let services = worker.held.iter().filter(|(_, held)| held.class.service);
-    let mut kinds: Vec<Kind> = services.map(|(_, held)| held.class.kind).collect();
-    kinds.sort_unstable();
-    kinds.dedup();
-    kinds
+fn service_families(worker: &Worker) -> Vec<JobFamily> {
+    let services = worker.allocations.iter().filter(|(_, allocation)| allocation.class.service);
+    let mut families: Vec<JobFamily> =
+        services.map(|(_, allocation)| allocation.class.family).collect();
+    families.sort_unstable();
+    families.dedup();
+    families
 }
 
 /// What a task of a kind is expected to add to services, in thousandths.
-fn harm(interference: &Interference, services: &[Kind], kind: Kind) -> f32 {
-    services.iter().map(|victim| interference.pair(*victim, kind)).sum()
+fn expected_harm(interference: &Interference, services: &[JobFamily], family: JobFamily) -> f32 {
+    services.iter().map(|victim| interference.slowdown_of_one(*victim, family)).sum()
 }
 
 /// The kinds beside one task of `own`.
-fn neighbours(weights: &[(Kind, f32)], own: Kind) -> Vec<(Kind, f32)> {
-    let but_itself = |(kind, weight): &(Kind, f32)| {
-        let weight = if *kind == own { (weight - 1.0).max(0.0) } else { *weight };
-        (*kind, weight)
+fn neighbours(weights: &[(JobFamily, f32)], own: JobFamily) -> Vec<(JobFamily, f32)> {
+    let but_itself = |(family, weight): &(JobFamily, f32)| {
+        let weight = if *family == own { (weight - 1.0).max(0.0) } else { *weight };
+        (*family, weight)
     };
     weights.iter().map(but_itself).collect()
 }
 
-fn is_step(old: u32, new: u32) -> bool {
-    old.abs_diff(new) > SHARE_STEP || new == FULL_SHARE && old != new
+fn is_significant(old: u32, new: u32) -> bool {
+    old.abs_diff(new) > MIN_SHARE_CHANGE || new == FULL_SHARE && old != new
 }
 
 fn is_throttle_of(order: &Order, task: TaskId) -> bool {
--- a/daisy-placement/src/evict.rs
+++ b/daisy-placement/src/evict.rs
@@ -7,19 +7,19 @@
 use crate::{
     holder::Holder,
     reason::Reason,
-    worker::{Ending, Hold, Standing, Worker, WorkerKey},
+    worker::{AllocationState, Availability, Removal, Worker, WorkerKey},
 };
 
 /// Between two searches for victims; each looks at every task of the data centre.
-const SEARCH_PERIOD: Duration = Duration::from_millis(20);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(20);
 /// How long room is waited for before the task goes back in line.
-const AWAIT: Duration = Duration::from_secs(10);
+const EVICTION_TIMEOUT: Duration = Duration::from_secs(10);
 /// The most tasks evicted for one start.
-const MOST_VICTIMS: usize = 8;
+const MAX_VICTIMS: usize = 8;
 
 /// Who would have to go for a task to fit.
 #[derive(Debug)]
-struct Plan {
+struct EvictionPlan {
     key: WorkerKey,
     victims: Vec<TaskId>,
 }
@@ -28,90 +28,100 @@
     /// Makes room for an urgent task and keeps it, or says that there is none to be made.
     pub(crate) fn try_evict(&mut self, now: Instant, id: JobId, index: u32) -> Option<()> {
         let job = self.jobs.get(&id)?;
-        if !job.is_urgent() || self.evict_at.is_some_and(|at| now < at) {
+        if !job.is_urgent() || self.next_eviction_search_at.is_some_and(|at| now < at) {
             return None;
         }
-        self.evict_at = Some(now + SEARCH_PERIOD);
+        self.next_eviction_search_at = Some(now + SEARCH_INTERVAL);
         let priority = job.spec.priority;
         let task = TaskId { job: id, index };
         let size = self.start_size(task)?;
-        let plan = self.plan(priority, size)?;
-        let vm = self.roster.get(plan.key)?.label.clone();
-        for victim in plan.victims {
-            let reason = Reason::Evicted { vm: vm.clone(), winner: task };
+        let eviction_plan = self.eviction_plan(priority, size)?;
+        let vm = self.roster.get(eviction_plan.key)?.label.clone();
+        for victim in eviction_plan.victims {
+            let reason = Reason::Evicted { vm: vm.clone(), evicted_for: task };
             self.note(now, victim, reason);
-            self.checkpoint(plan.key, victim);
+            self.checkpoint(eviction_plan.key, victim);
         }
-        self.leave_line(task);
-        self.start(now, plan.key, task, Hold::Awaiting);
+        self.remove_from_queue(task);
+        self.start(now, eviction_plan.key, task, AllocationState::AwaitingEviction);
         Some(())
     }
 
     /// The worker with the fewest, then the least important, victims.
-    fn plan(&self, priority: Priority, size: Resources) -> Option<Plan> {
+    fn eviction_plan(&self, priority: Priority, size: Resources) -> Option<EvictionPlan> {
         let plans = self.roster.iter().filter_map(|(key, worker)| {
             let victims = try_victims(worker, priority, size)?;
-            Some(Plan { key, victims })
+            Some(EvictionPlan { key, victims })
         });
-        plans.min_by_key(|plan| plan.victims.len())
+        plans.min_by_key(|eviction_plan| eviction_plan.victims.len())
     }
 
     /// Starts what has waited for victims to go, now that the worker says they have.
-    pub(crate) fn promote(&mut self, now: Instant, key: WorkerKey) {
+    pub(crate) fn start_awaiting(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.roster.get(key) else { return };
         let awaiting: Vec<TaskId> = worker
-            .held
+            .allocations
             .iter()
-            .filter(|(_, held)| held.hold == Hold::Awaiting)
+            .filter(|(_, allocation)| allocation.state == AllocationState::AwaitingEviction)
             .map(|(task, _)| *task)
             .collect();
         for task in awaiting {
-            self.promote_one(now, key, task);
+            self.start_or_give_up(now, key, task);
         }
     }
 
-    fn promote_one(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
+    fn start_or_give_up(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let Some(worker) = self.roster.get(key) else { return };
-        let Some(held) = worker.held.get(&task).copied() else { return };
+        let Some(allocation) = worker.allocations.get(&task).copied() else { return };
         // Only what the worker itself no longer reports has left: until then the room is
         // taken twice in our books, and nothing is ordered.
-        let others = worker.taken_but_awaiting();
-        let fits = others.try_add(held.size).is_some_and(|sum| sum.fits(worker.capacity));
-        let is_late = now >= held.since + AWAIT;
-        if !fits && !is_late {
+        let others = worker.allocated_without_awaiting();
+        let fits = others.try_add(allocation.size).is_some_and(|sum| sum.fits(worker.capacity));
+        let has_timed_out = now >= allocation.since + EVICTION_TIMEOUT;
+        if !fits && !has_timed_out {
             return;
         }
         if let Some(worker) = self.worker_mut(key) {
-            worker.let_go(task);
+            worker.release(task);
         }
         if fits {
-            self.take_back_number(task);
-            self.start(now, key, task, Hold::Queued);
+            self.reuse_incarnation(task);
+            self.start(now, key, task, AllocationState::Queued);
         } else {
-            self.take_back(now, task);
+            self.undo_start(now, task);
         }
     }
 }
 
 /// The tasks that would have to go, or `None` if that is not enough or not allowed.
 fn try_victims(worker: &Worker, priority: Priority, size: Resources) -> Option<Vec<TaskId>> {
-    let is_usable = worker.answers && worker.standing == Standing::Live && worker.faults.is_open();
-    let is_taken = worker.held.iter().any(|(_, held)| held.hold == Hold::Awaiting);
-    if !is_usable || is_taken || !size.fits(worker.capacity) {
+    let is_usable = worker.is_responsive
+        && worker.availability == Availability::Live
+        && worker.faults.is_open();
+    let has_pending_eviction = worker
+        .allocations
+        .iter()
+        .any(|(_, allocation)| allocation.state == AllocationState::AwaitingEviction);
+    if !is_usable || has_pending_eviction || !size.fits(worker.capacity) {
         return None;
     }
-    let mut able: Vec<(Priority, Reverse<u32>, TaskId, Resources)> = worker
-        .held
+    let mut evictable: Vec<(Priority, Reverse<u32>, TaskId, Resources)> = worker
+        .allocations
         .iter()
-        .filter(|(_, held)| held.hold == Hold::Running && held.ending == Ending::No)
-        .filter(|(_, held)| held.class.evict && held.class.priority < priority)
-        .map(|(task, held)| (held.class.priority, Reverse(held.size.cpu_milli), *task, held.size))
+        .filter(|(_, allocation)| {
+            allocation.state == AllocationState::Running
+                && allocation.removal == Removal::NotPlanned
+        })
+        .filter(|(_, allocation)| allocation.class.evict && allocation.class.priority < priority)
+        .map(|(task, allocation)| {
+            (allocation.class.priority, Reverse(allocation.size.cpu_milli), *task, allocation.size)
+        })
         .collect();
-    able.sort_unstable_by_key(|(priority, cpu, task, _)| (*priority, *cpu, *task));
+    evictable.sort_unstable_by_key(|(priority, cpu, task, _)| (*priority, *cpu, *task));
     let mut free = worker.free();
     let mut victims = Vec::new();
-    for (_, _, task, freed) in able {
-        if size.fits(free) || victims.len() == MOST_VICTIMS {
+    for (_, _, task, freed) in evictable {
+        if size.fits(free) || victims.len() == MAX_VICTIMS {
             break;
         }
         free = free.try_add(freed)?;
--- a/daisy-placement/src/holder.rs
+++ b/daisy-placement/src/holder.rs
@@ -11,13 +11,13 @@
 use crate::{
     interference::Interference,
     job::JobView,
-    kind::Kinds,
+    job_family::JobFamilies,
     options::Options,
-    place::Turn,
+    place::QueueEntry,
     reason::Notes,
     records::Outbox,
     roster::Roster,
-    task::{Local, Phase},
+    task::{LocalTask, Phase},
     worker::{Worker, WorkerKey},
 };
 
@@ -75,10 +75,10 @@
 }
 
 /// Between looks at what changes slowly: VMs that are leaving or gone, work given back.
-const CHORES: Duration = Duration::from_secs(1);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// New work is packed for this long after something found no room.
-const PACK_FOR: Duration = Duration::from_secs(60);
+const PACKING_PERIOD: Duration = Duration::from_secs(60);
 
 /// The holder of one data centre's workers.
 ///
@@ -90,40 +90,40 @@
     pub(crate) superseded: bool,
     pub(crate) log_reachable: bool,
     pub(crate) ledger_seen: bool,
-    pub(crate) started: Option<Instant>,
+    pub(crate) first_step_at: Option<Instant>,
     pub(crate) roster: Roster,
     /// Jobs with tasks that have not ended.
     pub(crate) jobs: SortedMap<JobId, JobView>,
     /// Reasons of tasks whose jobs are over, the oldest first.
-    pub(crate) past: VecDeque<(TaskId, Notes)>,
+    pub(crate) retired: VecDeque<(TaskId, Notes)>,
     /// Jobs below this number have been taken in.
     pub(crate) next_job: JobId,
     pub(crate) paused: Vec<WorkClass>,
     pub(crate) drained: Vec<Name>,
     pub(crate) outbox: Outbox,
     /// Whether room or work has changed since the last placement.
-    pub(crate) place_due: bool,
+    pub(crate) placement_due: bool,
     /// Jobs with waiting tasks, in the order of their turns.
-    pub(crate) line: Vec<Turn>,
+    pub(crate) queue: Vec<QueueEntry>,
     /// Tasks of earlier epochs whose whereabouts are not known.
     pub(crate) inherited: Vec<TaskId>,
     /// Whether something was learnt about them.
-    pub(crate) inherit_due: bool,
+    pub(crate) inherited_due: bool,
     /// The policy in force.
     pub(crate) policy: Policy,
     /// Quota and use of each team, as the ledger last showed them.
     pub(crate) teams: Vec<(Resources, Resources)>,
-    pub(crate) kinds: Kinds,
+    pub(crate) families: JobFamilies,
     pub(crate) interference: Interference,
     /// No search for victims before.
-    pub(crate) evict_at: Option<Instant>,
+    pub(crate) next_eviction_search_at: Option<Instant>,
     /// Whether new work is packed rather than spread: something has lately found no room.
-    pub(crate) packs: bool,
-    pub(crate) no_room_at: Option<Instant>,
+    pub(crate) is_packing: bool,
+    pub(crate) last_no_capacity_at: Option<Instant>,
     /// Batch tasks that wait, for each worker.
     pub(crate) backlog: f32,
     /// Slow chores are due then.
-    chores_at: Instant,
+    next_maintenance_at: Instant,
 }
 
 impl Holder {
@@ -135,27 +135,27 @@
             superseded: false,
             log_reachable: true,
             ledger_seen: false,
-            started: None,
+            first_step_at: None,
             roster,
             jobs: SortedMap::new(),
-            past: VecDeque::new(),
+            retired: VecDeque::new(),
             next_job: JobId(0),
             paused: Vec::new(),
             drained: Vec::new(),
             outbox: Outbox::default(),
-            place_due: false,
-            line: Vec::new(),
+            placement_due: false,
+            queue: Vec::new(),
             inherited: Vec::new(),
-            inherit_due: false,
+            inherited_due: false,
             policy: Policy::default(),
             teams: Vec::new(),
-            kinds: Kinds::default(),
+            families: JobFamilies::default(),
             interference: Interference::default(),
-            evict_at: None,
-            packs: false,
-            no_room_at: None,
+            next_eviction_search_at: None,
+            is_packing: false,
+            last_no_capacity_at: None,
             backlog: 0.0,
-            chores_at: Instant(0),
+            next_maintenance_at: Instant(0),
         }
     }
 
@@ -174,15 +174,15 @@
         if self.superseded {
             return;
         }
-        self.started.get_or_insert(now);
+        self.first_step_at.get_or_insert(now);
         match event {
-            Event::Ledger(state) => self.take_ledger(now, state),
-            Event::Vms(vms) => self.take_vms(now, vms),
-            Event::Report { vm, report } => self.take_report(now, vm, report),
-            Event::WorkerUpdate { vm } => self.take_news(now, vm),
-            Event::CallFailed { vm, sent } => self.take_silence(now, vm, sent),
+            Event::Ledger(state) => self.handle_ledger(now, state),
+            Event::Vms(vms) => self.handle_vm_list(now, vms),
+            Event::Report { vm, report } => self.handle_report(now, vm, report),
+            Event::WorkerUpdate { vm } => self.handle_worker_update(now, vm),
+            Event::CallFailed { vm, sent } => self.handle_failed_call(now, vm, sent),
             Event::Log { reachable } => self.log_reachable = reachable,
-            Event::Tick if self.is_ready() => self.take_tick(now),
+            Event::Tick if self.is_ready() => self.handle_tick(now),
             Event::Tick => {}
         }
         if self.superseded || !self.is_ready() {
@@ -191,39 +191,39 @@
         self.resolve_inherited(now);
         self.place(now);
         self.append(now, actions);
-        self.call(now, actions);
+        self.call_due_workers(now, actions);
     }
 
     /// Nothing is decided on half of the facts: a report could not be matched to its tasks.
     pub(crate) fn is_ready(&self) -> bool {
-        self.ledger_seen && self.roster.list_seen()
+        self.ledger_seen && self.roster.has_vm_list()
     }
 
-    fn take_tick(&mut self, now: Instant) {
-        if now >= self.chores_at {
-            self.chores_at = now + CHORES;
-            self.settle_gone(now);
-            self.probe(now);
-            self.leave(now);
-            self.refuse_late(now);
-            self.give_back(now);
+    fn handle_tick(&mut self, now: Instant) {
+        if now >= self.next_maintenance_at {
+            self.next_maintenance_at = now + MAINTENANCE_INTERVAL;
+            self.remove_lost_vms(now);
+            self.probe_quarantined_workers(now);
+            self.evacuate(now);
+            self.refuse_overdue(now);
+            self.return_unplaced(now);
             self.count_backlog();
-            self.packs = self.no_room_at.is_some_and(|at| now < at + PACK_FOR);
-            self.interference.fade(CHORES);
+            self.is_packing = self.last_no_capacity_at.is_some_and(|at| now < at + PACKING_PERIOD);
+            self.interference.decay(MAINTENANCE_INTERVAL);
         }
-        self.inherit_due = true;
-        self.roster.touch_all();
-        self.want(now);
-        self.place_due = true;
+        self.inherited_due = true;
+        self.roster.mark_all_for_call();
+        self.check_out_pending(now);
+        self.placement_due = true;
     }
 
-    pub(crate) fn local(&self, task: TaskId) -> Option<&Local> {
+    pub(crate) fn local(&self, task: TaskId) -> Option<&LocalTask> {
         self.jobs.get(&task.job)?.tasks.get(task.index as usize)
     }
 
-    pub(crate) fn local_mut(&mut self, task: TaskId) -> Option<&mut Local> {
+    pub(crate) fn local_mut(&mut self, task: TaskId) -> Option<&mut LocalTask> {
         let job = self.jobs.get_mut(&task.job)?;
-        job.quiet = false;
+        job.up_to_date = false;
         job.tasks.get_mut(task.index as usize)
     }
 
@@ -237,17 +237,17 @@
     }
 
     /// Puts a checked-out task that runs nowhere back in line.
-    pub(crate) fn wait(&mut self, now: Instant, task: TaskId) {
+    pub(crate) fn enqueue(&mut self, now: Instant, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        job.quiet = false;
+        job.up_to_date = false;
         let Some(local) = job.tasks.get_mut(task.index as usize) else { return };
         local.phase = Phase::Waiting { since: now };
         local.placed_at = None;
         job.waiting.push_back(task.index);
-        let turn = (Reverse(job.spec.priority), task.job);
-        if let Err(at) = self.line.binary_search(&turn) {
-            self.line.insert(at, turn);
+        let queue_entry = (Reverse(job.spec.priority), task.job);
+        if let Err(at) = self.queue.binary_search(&queue_entry) {
+            self.queue.insert(at, queue_entry);
         }
-        self.place_due = true;
+        self.placement_due = true;
     }
 }
--- a/daisy-placement/src/intake.rs
+++ b/daisy-placement/src/intake.rs
@@ -7,17 +7,17 @@
     holder::Holder,
     job::JobView,
     reason::Reason,
-    task::{Local, Phase},
-    worker::{Ending, WorkerKey},
+    task::{LocalTask, Phase},
+    worker::{Removal, WorkerKey},
 };
 
 /// Tasks of jobs that are over whose reasons are kept: some minutes' worth at 62 ends a
 /// second (the users' size plan).
-const PAST_TASKS: usize = 16_384;
+const MAX_RETIRED_TASKS: usize = 16_384;
 
 impl Holder {
     /// Takes a newer fold in.
-    pub(crate) fn take_ledger(&mut self, now: Instant, state: &State) {
+    pub(crate) fn handle_ledger(&mut self, now: Instant, state: &State) {
         let Some(holding) = state.holders.get(&self.options.dc) else { return };
         if holding.epoch > self.options.epoch || holding.released {
             self.superseded = true;
@@ -33,105 +33,108 @@
         self.teams.clear();
         self.teams.extend(state.teams.iter().map(|(_, team)| (team.limit, team.used)));
         self.apply_drains(now, &state.drained);
-        self.take_new_jobs(now, state);
+        self.add_new_jobs(now, state);
         let ids: Vec<JobId> = self.jobs.iter().map(|(id, _)| *id).collect();
         for id in ids {
             match state.jobs.get(id) {
-                Some(job) => self.take_job(now, id, job),
+                Some(job) => self.update_job(now, id, job),
                 None => drop(self.jobs.remove(&id)),
             }
         }
-        self.want(now);
+        self.check_out_pending(now);
     }
 
-    fn take_new_jobs(&mut self, now: Instant, state: &State) {
+    fn add_new_jobs(&mut self, now: Instant, state: &State) {
         let known = self.next_job;
         for (id, job) in state.jobs.iter().rev().take_while(|(id, _)| *id >= known) {
             if job.open > 0 {
-                let kind = self.kinds.of(&job.spec);
-                self.jobs.insert(id, JobView::new(now, id, job, kind, &self.options));
+                let family = self.families.of(&job.spec);
+                self.jobs.insert(id, JobView::new(now, id, job, family, &self.options));
             }
         }
         self.next_job = state.jobs.next_id();
     }
 
-    fn take_job(&mut self, now: Instant, id: JobId, job: &Job) {
+    fn update_job(&mut self, now: Instant, id: JobId, job: &Job) {
         let Some(view) = self.jobs.get_mut(&id) else { return };
         // Most jobs are as they were at the last fold; a look at each of their tasks would
         // be the largest part of a holder's processor time.
-        if view.quiet && view.generation == job.generation && view.last == job.tasks {
+        if view.up_to_date
+            && view.generation == job.generation
+            && view.last_ledger_tasks == job.tasks
+        {
             return;
         }
         if view.generation != job.generation {
             view.change(now, &job.spec, &self.options);
             view.generation = job.generation;
-            self.roster.unsettle(id);
+            self.roster.invalidate_confirmations(id);
         }
         view.cancelled = job.cancelled;
         view.pending.clear();
-        view.last.clone_from(&job.tasks);
+        view.last_ledger_tasks.clone_from(&job.tasks);
         for task in &job.tasks[view.tasks.len().min(job.tasks.len())..] {
-            view.tasks.push(Local::new(*task));
+            view.tasks.push(LocalTask::new(*task));
         }
-        for index in view.restless(self.options.dc, job) {
-            self.take_task(now, TaskId { job: id, index }, &job.tasks[index as usize]);
+        for index in view.tasks_to_update(self.options.dc, job) {
+            self.update_task(now, TaskId { job: id, index }, &job.tasks[index as usize]);
         }
         let dc = self.options.dc;
         let Some(view) = self.jobs.get_mut(&id) else { return };
-        view.quiet = view.restless(dc, job).is_empty();
-        if job.open == 0 && view.tasks.iter().all(|local| local.phase == Phase::Elsewhere) {
-            self.bury(id);
-            self.line.retain(|(_, job)| *job != id);
+        view.up_to_date = view.tasks_to_update(dc, job).is_empty();
+        if job.open == 0 && view.tasks.iter().all(|local| local.phase == Phase::NotOurs) {
+            self.retire_job(id);
+            self.queue.retain(|(_, job)| *job != id);
         }
     }
 
     /// Forgets a job that is over, and keeps what was said of its tasks for a while.
-    fn bury(&mut self, id: JobId) {
+    fn retire_job(&mut self, id: JobId) {
         let Some(view) = self.jobs.remove(&id) else { return };
         for (index, local) in (0_u32..).zip(view.tasks) {
-            self.past.push_back((TaskId { job: id, index }, local.notes));
+            self.retired.push_back((TaskId { job: id, index }, local.notes));
         }
-        let surplus = self.past.len().saturating_sub(PAST_TASKS);
-        self.past.drain(..surplus);
+        let surplus = self.retired.len().saturating_sub(MAX_RETIRED_TASKS);
+        self.retired.drain(..surplus);
     }
 
-    fn take_task(&mut self, now: Instant, id: TaskId, task: &Task) {
+    fn update_task(&mut self, now: Instant, id: TaskId, task: &Task) {
         let Some(view) = self.jobs.get_mut(&id.job) else { return };
         let Some(local) = view.tasks.get_mut(id.index as usize) else { return };
-        let is_idle = local.phase == Phase::Elsewhere && matches!(task.state, TaskState::Ended(_));
+        let is_idle = local.phase == Phase::NotOurs && matches!(task.state, TaskState::Ended(_));
         local.ledger = *task;
         if is_idle {
             return;
         }
         match task.state {
-            TaskState::Pending => self.take_pending(now, id),
+            TaskState::Pending => self.handle_pending(now, id),
             TaskState::Out(owner) if owner.dc == self.options.dc => {
                 let is_own = owner.epoch == self.options.epoch;
-                self.take_out(now, id, is_own);
+                self.handle_checked_out(now, id, is_own);
             }
-            TaskState::Out(_) | TaskState::Ended(_) => self.take_elsewhere(id),
+            TaskState::Out(_) | TaskState::Ended(_) => self.handle_not_ours(id),
         }
     }
 
     /// Nobody has the task: it may be asked for.
-    fn take_pending(&mut self, now: Instant, id: TaskId) {
+    fn handle_pending(&mut self, now: Instant, id: TaskId) {
         let Some(local) = self.local(id) else { return };
         match local.phase {
-            Phase::Pending { .. } | Phase::Asked { .. } => {}
+            Phase::Pending { .. } | Phase::CheckoutRequested { .. } => {}
             Phase::Ended { worker, .. } if local.is_end_recorded(local.incarnation) => {
                 let incarnation = local.incarnation;
                 self.acknowledge(worker, id, incarnation);
                 self.set_phase(id, Phase::Pending { since: now });
             }
-            Phase::Elsewhere | Phase::Inherited { .. } => {
+            Phase::NotOurs | Phase::Inherited { .. } => {
                 self.set_phase(id, Phase::Pending { since: now });
             }
             Phase::Waiting { .. } => {
-                self.leave_line(id);
+                self.remove_from_queue(id);
                 self.set_phase(id, Phase::Pending { since: now });
             }
             Phase::Returned { .. } => {
-                let again = now + self.options.limits.give_back;
+                let again = now + self.options.limits.return_after;
                 self.set_phase(id, Phase::Pending { since: again });
             }
             Phase::Ended { .. } => self.record_end(now, id),
@@ -140,25 +143,25 @@
         let Some(view) = self.jobs.get_mut(&id.job) else { return };
         if matches!(
             view.tasks[id.index as usize].phase,
-            Phase::Pending { .. } | Phase::Asked { .. }
+            Phase::Pending { .. } | Phase::CheckoutRequested { .. }
         ) {
             view.pending.push(id.index);
         }
     }
 
     /// The task is checked out to this data centre, by this epoch or an earlier one.
-    fn take_out(&mut self, now: Instant, id: TaskId, is_own: bool) {
+    fn handle_checked_out(&mut self, now: Instant, id: TaskId, is_own: bool) {
         let Some(local) = self.local(id) else { return };
         let is_cancelled = self.is_unwanted(id);
         match local.phase {
-            Phase::Elsewhere | Phase::Pending { .. } | Phase::Asked { .. } => {
+            Phase::NotOurs | Phase::Pending { .. } | Phase::CheckoutRequested { .. } => {
                 let incarnation = local.ledger.incarnation;
                 if let Some(local) = self.local_mut(id) {
                     local.incarnation = incarnation;
                 }
                 if is_own {
                     self.note(now, id, Reason::CheckedOut);
-                    self.wait(now, id);
+                    self.enqueue(now, id);
                 } else {
                     self.inherit(now, id);
                 }
@@ -166,11 +169,11 @@
             Phase::Ended { worker, .. } if local.is_end_recorded(local.incarnation) => {
                 let incarnation = local.incarnation;
                 self.acknowledge(worker, id, incarnation);
-                self.wait(now, id);
+                self.enqueue(now, id);
             }
             Phase::Ended { .. } => self.record_end(now, id),
             Phase::Running { worker } => {
-                self.record_place(now, id);
+                self.record_placement(now, id);
                 if is_cancelled {
                     self.stop(worker, id);
                 }
@@ -178,26 +181,28 @@
             Phase::Starting { worker } if is_cancelled => self.cancel_start(now, worker, id),
             Phase::Starting { worker } => self.start_recorded(now, worker, id),
             Phase::Waiting { .. } if is_cancelled => self.end_unstarted(now, id),
-            Phase::Returned { at } if now >= at + self.options.limits.resend => self.wait(now, id),
+            Phase::Returned { at } if now >= at + self.options.limits.resend_after => {
+                self.enqueue(now, id)
+            }
             Phase::Waiting { .. } | Phase::Inherited { .. } | Phase::Returned { .. } => {}
         }
     }
 
     /// The task is not ours, or will not run again.
-    fn take_elsewhere(&mut self, id: TaskId) {
+    fn handle_not_ours(&mut self, id: TaskId) {
         let Some(local) = self.local(id) else { return };
         match local.phase {
             Phase::Starting { worker } | Phase::Running { worker } => self.stop(worker, id),
             Phase::Ended { worker, .. } => {
                 let incarnation = local.incarnation;
                 self.acknowledge(worker, id, incarnation);
-                self.set_phase(id, Phase::Elsewhere);
+                self.set_phase(id, Phase::NotOurs);
             }
             Phase::Waiting { .. } => {
-                self.leave_line(id);
-                self.set_phase(id, Phase::Elsewhere);
+                self.remove_from_queue(id);
+                self.set_phase(id, Phase::NotOurs);
             }
-            _ => self.set_phase(id, Phase::Elsewhere),
+            _ => self.set_phase(id, Phase::NotOurs),
         }
     }
 
@@ -207,7 +212,7 @@
         }
     }
 
-    pub(crate) fn leave_line(&mut self, id: TaskId) {
+    pub(crate) fn remove_from_queue(&mut self, id: TaskId) {
         if let Some(job) = self.jobs.get_mut(&id.job) {
             job.waiting.retain(|index| *index != id.index);
         }
@@ -229,36 +234,37 @@
 
     /// Orders a task to be stopped where it is.
     pub(crate) fn stop(&mut self, key: WorkerKey, task: TaskId) {
-        self.order_end(key, task, |incarnation| Order::Stop { task, incarnation });
+        self.order_removal(key, task, |incarnation| Order::Stop { task, incarnation });
     }
 
     /// Gives the order that ends a task, once.
-    pub(crate) fn order_end(
+    pub(crate) fn order_removal(
         &mut self,
         key: WorkerKey,
         task: TaskId,
         order: impl FnOnce(Incarnation) -> Order,
     ) {
         let Some(worker) = self.worker_mut(key) else { return };
-        let Some(held) = worker.held.get_mut(&task) else { return };
-        if held.ending == Ending::Ordered {
+        let Some(allocation) = worker.allocations.get_mut(&task) else { return };
+        if allocation.removal == Removal::Ordered {
             return;
         }
-        held.ending = Ending::Ordered;
-        let order = order(held.incarnation);
+        allocation.removal = Removal::Ordered;
+        let order = order(allocation.incarnation);
         worker.orders.push(order);
-        self.roster.touch(key);
+        self.roster.mark_for_call(key);
     }
 
     /// Stops a start that is on its way; one that was never sent is taken back.
     fn cancel_start(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let Some(worker) = self.worker_mut(key) else { return };
-        let is_unsent = worker.held.get(&task).is_none_or(|held| held.hold.is_unsent());
+        let is_unsent =
+            worker.allocations.get(&task).is_none_or(|allocation| allocation.state.is_unsent());
         if !is_unsent {
             self.stop(key, task);
             return;
         }
-        worker.let_go(task);
+        worker.release(task);
         worker.orders.retain(|order| !is_start_of(order, task));
         self.roster.reindex(key);
         self.end_unstarted(now, task);
@@ -271,10 +277,10 @@
 
     /// Records how a task ends that we have and that runs nowhere.
     pub(crate) fn end_unstarted_as(&mut self, now: Instant, task: TaskId, exit: Exit) {
-        self.leave_line(task);
+        self.remove_from_queue(task);
         let Some(local) = self.local_mut(task) else { return };
         local.incarnation = local.next_incarnation();
-        local.phase = Phase::Ended { worker: None, exit, asked: None };
+        local.phase = Phase::Ended { worker: None, exit, recorded_at: None };
         self.record_end(now, task);
     }
 }
--- a/daisy-placement/src/job.rs
+++ b/daisy-placement/src/job.rs
@@ -9,11 +9,11 @@
 
 use crate::{
     fault::JobFaults,
-    kind::Kind,
+    job_family::JobFamily,
     options::Options,
-    reason::{Reason, TimedReason, Wait},
-    task::Local,
-    usage::Seen,
+    reason::{Reason, TimedReason, WaitReason},
+    task::LocalTask,
+    usage::MeasuredUsage,
     worker::Class,
 };
 
@@ -23,27 +23,27 @@
     pub id: JobId,
     pub spec: JobSpec,
     pub cancelled: bool,
-    pub tasks: Vec<Local>,
+    pub tasks: Vec<LocalTask>,
     /// The ledger's tasks as last looked at.
-    pub last: Vec<Task>,
+    pub last_ledger_tasks: Vec<Task>,
     /// The ledger's last change of the job.
     pub generation: Generation,
     /// Whether nothing is to be done while the ledger's tasks stay as they are.
-    pub quiet: bool,
+    pub up_to_date: bool,
     /// Checked out and runs nowhere, in the order of their turn.
     pub waiting: VecDeque<u32>,
     /// Seen pending in the last fold.
     pub pending: Vec<u32>,
     pub team: TeamId,
-    pub kind: Kind,
+    pub family: JobFamily,
     pub faults: JobFaults,
     /// Its waiting tasks are not looked at before.
-    pub look_at: Instant,
-    pub seen: Seen,
+    pub next_attempt_at: Instant,
+    pub measured: MeasuredUsage,
     /// When this holder saw it first, or as it was last changed.
     pub known_since: Instant,
     /// Why its waiting and pending tasks wait.
-    pub wait: Option<TimedReason>,
+    pub wait_reason: Option<TimedReason>,
     /// Allowed data centres by preference; `None` if there is only one to run in.
     preferred: Option<Vec<DcId>>,
 }
@@ -53,26 +53,26 @@
         now: Instant,
         id: JobId,
         job: &Job,
-        kind: Kind,
+        family: JobFamily,
         options: &Options,
     ) -> JobView {
         JobView {
             id,
             spec: job.spec.clone(),
             cancelled: job.cancelled,
-            tasks: job.tasks.iter().map(|task| Local::new(*task)).collect(),
-            last: Vec::new(),
+            tasks: job.tasks.iter().map(|task| LocalTask::new(*task)).collect(),
+            last_ledger_tasks: Vec::new(),
             generation: job.generation,
-            quiet: false,
+            up_to_date: false,
             waiting: VecDeque::new(),
             pending: Vec::new(),
             team: job.team,
-            kind,
+            family,
             faults: JobFaults::default(),
-            look_at: Instant(0),
-            seen: Seen::default(),
+            next_attempt_at: Instant(0),
+            measured: MeasuredUsage::default(),
             known_since: now,
-            wait: None,
+            wait_reason: None,
             preferred: preferred(&job.spec.data_centres, options),
         }
     }
@@ -85,13 +85,13 @@
     }
 
     /// The tasks that the ledger's newest word asks to be looked at.
-    pub(crate) fn restless(&self, dc: DcId, job: &Job) -> Vec<u32> {
+    pub(crate) fn tasks_to_update(&self, dc: DcId, job: &Job) -> Vec<u32> {
         let tasks = (0_u32..).zip(job.tasks.iter().zip(&self.tasks));
-        let is_restless = |index: u32, ledger: &Task, local: &Local| {
-            job.cancelled || index >= job.spec.tasks || !local.is_settled(dc, ledger)
+        let needs_update = |index: u32, ledger: &Task, local: &LocalTask| {
+            job.cancelled || index >= job.spec.tasks || !local.is_up_to_date(dc, ledger)
         };
         tasks
-            .filter(|(index, (ledger, local))| is_restless(*index, ledger, local))
+            .filter(|(index, (ledger, local))| needs_update(*index, ledger, local))
             .map(|(index, _)| index)
             .collect()
     }
@@ -105,7 +105,7 @@
         let JobSpec { priority, tolerance, .. } = self.spec;
         let service = self.is_service();
         Class {
-            kind: self.kind,
+            family: self.family,
             priority,
             service,
             delay: tolerance.delay && !service,
@@ -114,8 +114,8 @@
     }
 
     /// Notes why its tasks wait.
-    pub(crate) fn waits(&mut self, now: Instant, wait: Wait) {
-        self.wait = Some(TimedReason { at: now, reason: Reason::Waits(wait) });
+    pub(crate) fn set_wait_reason(&mut self, now: Instant, wait: WaitReason) {
+        self.wait_reason = Some(TimedReason { at: now, reason: Reason::NotRunning(wait) });
     }
 
     pub(crate) fn is_service(&self) -> bool {
@@ -135,18 +135,18 @@
         let count = preferred.len();
         let position = preferred.iter().position(|it| *it == dc)?;
         let in_turn = self.is_service() || self.spec.data_centres.is_empty();
-        let first = if in_turn { (index as usize + self.offset()) % count } else { 0 };
+        let first = if in_turn { (index as usize + self.rotation()) % count } else { 0 };
         Some(((position + count - first) % count) as u32)
     }
 
     /// The data centre that the job names first, where its data is taken to be.
-    pub(crate) fn try_first(&self) -> Option<DcId> {
+    pub(crate) fn try_first_choice(&self) -> Option<DcId> {
         let preferred = self.preferred.as_ref().filter(|_| !self.spec.data_centres.is_empty())?;
         preferred.first().copied()
     }
 
     /// Shifts the turn by job, so that one-task jobs do not all start in one data centre.
-    fn offset(&self) -> usize {
+    fn rotation(&self) -> usize {
         if self.spec.data_centres.is_empty() { self.id.0 as usize } else { 0 }
     }
 }
--- a/daisy-placement/src/caretaker.rs
+++ b/daisy-placement/src/lease_renewer.rs
@@ -29,9 +29,9 @@
 
 /// A worker as a caretaker sees it.
 #[derive(Debug, Clone, Copy)]
-struct Care {
-    due: Instant,
-    waits: bool,
+struct Renewal {
+    next_call_at: Instant,
+    is_outstanding: bool,
 }
 
 /// Renews the leases of a data centre's workers under its last known epoch, and no more.
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct LeaseRenewer {
     options: Options,
-    workers: SortedMap<VmId, Care>,
+    workers: SortedMap<VmId, Renewal>,
     ended: bool,
 }
 
@@ -82,10 +82,10 @@
     /// Takes `event` in at `now` and pushes the calls to make.
     pub fn step(&mut self, now: Instant, event: LeaseRenewerEvent<'_>, actions: &mut Vec<Action>) {
         match event {
-            LeaseRenewerEvent::Vms(vms) => self.take_vms(now, vms),
-            LeaseRenewerEvent::Report { vm, epoch } => self.take_report(now, vm, epoch),
+            LeaseRenewerEvent::Vms(vms) => self.handle_vm_list(now, vms),
+            LeaseRenewerEvent::Report { vm, epoch } => self.handle_report(now, vm, epoch),
             LeaseRenewerEvent::CallFailed { vm } => {
-                self.answered(vm, now + self.options.limits.retry)
+                self.answered(vm, now + self.options.limits.retry_interval)
             }
             LeaseRenewerEvent::Tick => {}
         }
@@ -94,37 +94,38 @@
         }
     }
 
-    fn take_vms(&mut self, now: Instant, vms: &[Vm]) {
+    fn handle_vm_list(&mut self, now: Instant, vms: &[Vm]) {
         let dc = self.options.dc;
         let ours = |vm: &&Vm| vm.role == VmRole::Worker && vm.dc == dc;
         let mut listed: Vec<VmId> = vms.iter().filter(ours).map(|vm| vm.id).collect();
         listed.sort_unstable();
         self.workers.retain(|vm, _| listed.binary_search(vm).is_ok());
         for vm in listed {
-            self.workers.get_or_insert_with(vm, || Care { due: now, waits: false });
+            self.workers
+                .get_or_insert_with(vm, || Renewal { next_call_at: now, is_outstanding: false });
         }
     }
 
-    fn take_report(&mut self, now: Instant, vm: VmId, epoch: Epoch) {
+    fn handle_report(&mut self, now: Instant, vm: VmId, epoch: Epoch) {
         // A higher epoch is a newer holder's: it renews, and calls under the old epoch
         // would only be refused.
         self.ended |= epoch > self.options.epoch;
         self.answered(vm, now + self.period());
     }
 
-    fn answered(&mut self, vm: VmId, due: Instant) {
-        if let Some(care) = self.workers.get_mut(&vm) {
-            *care = Care { due, waits: false };
+    fn answered(&mut self, vm: VmId, next_call_at: Instant) {
+        if let Some(renewal) = self.workers.get_mut(&vm) {
+            *renewal = Renewal { next_call_at, is_outstanding: false };
         }
     }
 
     fn renew(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let (epoch, lease) = (self.options.epoch, self.options.lease);
-        for (vm, care) in self.workers.iter_mut() {
-            if care.waits || now < care.due {
+        for (vm, renewal) in self.workers.iter_mut() {
+            if renewal.is_outstanding || now < renewal.next_call_at {
                 continue;
             }
-            care.waits = true;
+            renewal.is_outstanding = true;
             let call = WorkerCall { epoch, lease, orders: Vec::new() };
             actions.push(Action::Call { vm: *vm, call });
         }
--- a/daisy-placement/src/lib.rs
+++ b/daisy-placement/src/lib.rs
@@ -13,8 +13,9 @@
 #![deny(missing_docs, unsafe_code)]
 
 mod calls;
-mod caretaker;
+mod checkout;
 mod control;
+mod evacuate;
 mod evict;
 mod fault;
 mod holder;
@@ -23,8 +24,8 @@
 mod intake;
 mod interference;
 mod job;
-mod kind;
-mod leave;
+mod job_family;
+mod lease_renewer;
 mod options;
 mod place;
 mod reason;
@@ -36,16 +37,18 @@
 mod throttle;
 mod usage;
 mod view;
-mod want;
 mod worker;
 
 pub use crate::{
-    caretaker::{LeaseRenewer, LeaseRenewerEvent},
     holder::{Action, Event, Holder},
     interference::Interference,
-    kind::Kind,
+    job_family::JobFamily,
+    lease_renewer::{LeaseRenewer, LeaseRenewerEvent},
     options::{DataCentre, Limits, Options},
-    reason::{Label, Miss, Reason, TimedReason, Wait},
-    throttle::{Ceiling, LEVELS, Signal, TARGET, Throttle, ThrottleControl, ThrottleRule},
+    reason::{Reason, Shortfall, TimedReason, VmLabel, WaitReason},
+    throttle::{
+        Ceiling, SHARE_LEVELS, TARGET_SLOWDOWN, Throttle, ThrottleControl, ThrottleRule,
+        UsageSignal,
+    },
     view::{Replica, TaskStatus, TaskView, WorkerStatus, WorkerView},
 };
--- a/daisy-placement/src/options.rs
+++ b/daisy-placement/src/options.rs
@@ -45,47 +45,47 @@
     /// A worker is called at least this often; at most half of the lease is used.
     pub poll_interval: Duration,
     /// Before a worker that did not answer is called again.
-    pub retry: Duration,
+    pub retry_interval: Duration,
     /// Between two records of the same sort.
-    pub flush: Duration,
+    pub flush_interval: Duration,
     /// Before a record that the ledger does not show is appended again.
-    pub resend: Duration,
+    pub resend_after: Duration,
     /// Added to the lease before a VM that has left the list counts as gone for good.
-    pub gone_margin: Duration,
+    pub lost_vm_margin: Duration,
     /// Per rank of preference: before the next data centre checks a pending task out.
-    pub fallback: Duration,
+    pub fallback_delay: Duration,
     /// The same for urgent and critical work, which has 3.5 s in all.
-    pub urgent_fallback: Duration,
+    pub urgent_fallback_delay: Duration,
     /// Before a checked-out task that found no room is given back.
-    pub give_back: Duration,
+    pub return_after: Duration,
     /// Before batch tasks that never found room are refused for good, if their job may be.
-    pub refuse: Duration,
+    pub refuse_after: Duration,
     /// Checked-out tasks without a place kept for an outage of the log.
-    pub reserve: u32,
+    pub reserve_tasks: u32,
     /// Candidates weighed for one start.
     pub candidates: usize,
     /// How batch work beside services is limited; `None` for what the policy's weights say.
     pub control: Option<ThrottleControl>,
     /// Tasks named in one record.
-    pub record_tasks: usize,
+    pub max_record_tasks: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
             poll_interval: Duration::from_secs(2),
-            retry: Duration::from_millis(500),
-            flush: Duration::from_millis(200),
-            resend: Duration::from_secs(5),
-            gone_margin: Duration::from_secs(5),
-            fallback: Duration::from_secs(5),
-            urgent_fallback: Duration::from_secs(1),
-            give_back: Duration::from_secs(15),
-            refuse: Duration::from_secs(600),
-            reserve: 64,
+            retry_interval: Duration::from_millis(500),
+            flush_interval: Duration::from_millis(200),
+            resend_after: Duration::from_secs(5),
+            lost_vm_margin: Duration::from_secs(5),
+            fallback_delay: Duration::from_secs(5),
+            urgent_fallback_delay: Duration::from_secs(1),
+            return_after: Duration::from_secs(15),
+            refuse_after: Duration::from_secs(600),
+            reserve_tasks: 64,
             candidates: 12,
             control: None,
-            record_tasks: 512,
+            max_record_tasks: 512,
         }
     }
 }
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -5,20 +5,20 @@
 use daisy_model::{Exit, Instant, OrderResult, Resources, TaskId};
 
 /// The name of a VM, shared by all notes about it.
-pub type Label = Arc<str>;
+pub type VmLabel = Arc<str>;
 
 /// The worker that came closest to holding a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Miss {
+pub struct Shortfall {
     /// The worker.
-    pub vm: Label,
+    pub vm: VmLabel,
     /// What it lacked.
-    pub short: Resources,
+    pub missing: Resources,
 }
 
-impl fmt::Display for Miss {
+impl fmt::Display for Shortfall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "nearest miss: {} short of {}", self.vm, Amount(self.short))
+        write!(f, "nearest miss: {} short of {}", self.vm, Amount(self.missing))
     }
 }
 
@@ -36,7 +36,7 @@
             (accelerators > 0, format!("{accelerators} {plural}")),
         ];
         let parts: Vec<String> =
-            parts.into_iter().filter_map(|(is_there, text)| is_there.then_some(text)).collect();
+            parts.into_iter().filter_map(|(is_present, text)| is_present.then_some(text)).collect();
         f.write_str(if parts.is_empty() { "nothing" } else { "" })?;
         f.write_str(&parts.join(" and "))
     }
@@ -44,31 +44,31 @@
 
 /// Why a task does not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wait {
+pub enum WaitReason {
     /// No worker has room now.
-    NoRoom {
+    NoCapacity {
         /// What the task takes.
         size: Resources,
         /// The nearest miss, if there is any worker.
-        miss: Option<Miss>,
+        shortfall: Option<Shortfall>,
     },
     /// No worker could hold it even if it were empty.
     NeverFits {
         /// What the task takes.
         size: Resources,
         /// The nearest miss, if there is any worker.
-        miss: Option<Miss>,
+        shortfall: Option<Shortfall>,
     },
     /// The team's quota is used up.
     Quota,
     /// An operator paused the class.
     Paused,
     /// Its start must be recorded first, and the log takes no appends.
-    LogDown,
+    LogUnavailable,
     /// An earlier holder may have started it on a worker that has not answered.
     Blocked {
         /// The worker, or `None` if it may be any that has not answered.
-        vm: Option<Label>,
+        vm: Option<VmLabel>,
     },
     /// Its starts failed one after another.
     Backoff {
@@ -76,42 +76,44 @@
         wait: Duration,
     },
     /// Data centres that it prefers have their turn first.
-    Turn,
+    OtherDataCentreFirst,
 }
 
-impl fmt::Display for Wait {
+impl fmt::Display for WaitReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wait::NoRoom { size, miss } => {
+            WaitReason::NoCapacity { size, shortfall } => {
                 write!(f, "no worker with {} free", Amount(*size))?;
-                write_miss(f, miss)
+                write_shortfall(f, shortfall)
             }
-            Wait::NeverFits { size, miss } => {
+            WaitReason::NeverFits { size, shortfall } => {
                 write!(f, "no worker here can ever hold {}", Amount(*size))?;
-                write_miss(f, miss)
+                write_shortfall(f, shortfall)
             }
-            Wait::Quota => f.write_str("its team's quota is used up"),
-            Wait::Paused => f.write_str("operators paused its class of work"),
-            Wait::LogDown => {
+            WaitReason::Quota => f.write_str("its team's quota is used up"),
+            WaitReason::Paused => f.write_str("operators paused its class of work"),
+            WaitReason::LogUnavailable => {
                 f.write_str("its start must be recorded first and the log takes no appends")
             }
-            Wait::Blocked { vm: Some(vm) } => {
+            WaitReason::Blocked { vm: Some(vm) } => {
                 write!(f, "it may run on {vm}, which has not answered this holder")
             }
-            Wait::Blocked { vm: None } => f.write_str(
+            WaitReason::Blocked { vm: None } => f.write_str(
                 "an earlier holder may have started it on a worker that is not accounted for",
             ),
-            Wait::Backoff { wait } => {
+            WaitReason::Backoff { wait } => {
                 write!(f, "its starts failed; next try in {} ms", wait.as_millis())
             }
-            Wait::Turn => f.write_str("a data centre that it prefers goes first"),
+            WaitReason::OtherDataCentreFirst => {
+                f.write_str("a data centre that it prefers goes first")
+            }
         }
     }
 }
 
-fn write_miss(f: &mut fmt::Formatter<'_>, miss: &Option<Miss>) -> fmt::Result {
-    match miss {
-        Some(miss) => write!(f, "; {miss}"),
+fn write_shortfall(f: &mut fmt::Formatter<'_>, shortfall: &Option<Shortfall>) -> fmt::Result {
+    match shortfall {
+        Some(shortfall) => write!(f, "; {shortfall}"),
         None => f.write_str("; there is no open worker"),
     }
 }
@@ -120,7 +122,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reason {
     /// The task does not run yet.
-    Waits(Wait),
+    NotRunning(WaitReason),
     /// This data centre has the task.
     CheckedOut,
     /// The task was given back, so that another data centre may have it.
@@ -128,26 +130,26 @@
     /// The task goes to a worker.
     Placed {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
         /// How many workers with room were weighed.
-        weighed: usize,
+        considered: usize,
     },
     /// The answer to a start was lost: the task may or may not run.
-    StartLost {
+    StartUnconfirmed {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
     },
     /// A start took no effect.
-    StartRefused {
+    StartRejected {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
         /// What it said.
         result: OrderResult,
     },
     /// A worker reported that the task runs.
-    Runs {
+    ReportedRunning {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
     },
     /// The task ended.
     Ended {
@@ -157,26 +159,26 @@
     /// The task is stopped because its job no longer wants it, or another copy is recorded.
     Stopped {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
     },
     /// The task is checkpointed to make room.
     Evicted {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
         /// The task that gets the room.
-        winner: TaskId,
+        evicted_for: TaskId,
     },
     /// The task is checkpointed because it slows services down.
-    Disturbs {
+    EvictedForInterference {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
         /// The slowdown of the worst service there, in thousandths.
         slowdown: u32,
     },
     /// The task leaves a VM that is leaving or drained.
-    Moves {
+    Evacuated {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
     },
     /// The share of batch work on a worker changed.
     Throttled {
@@ -191,7 +193,7 @@
         running: usize,
     },
     /// The worker did not answer.
-    Silent,
+    CallFailed,
     /// Nothing new goes to the worker.
     Draining,
     /// The worker takes work again.
@@ -199,67 +201,71 @@
     /// The VM list does not have the VM any more.
     Unlisted,
     /// The worker failed what it started and gets nothing for a while.
-    PutAside {
+    Quarantined {
         /// Failures in a row.
         failures: u32,
         /// For how long.
         wait: Duration,
     },
     /// The worker gets one task to see whether it works again.
-    Probed,
+    Probing,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Waits(wait) => write!(f, "waits: {wait}"),
+            Reason::NotRunning(wait) => write!(f, "waits: {wait}"),
             Reason::CheckedOut => f.write_str("checked out by this data centre"),
             Reason::Returned => f.write_str("given back: no room here for a while"),
-            Reason::Placed { vm, weighed } => {
-                write!(f, "placed on {vm}, the best of {weighed} workers with room")
+            Reason::Placed { vm, considered } => {
+                write!(f, "placed on {vm}, the best of {considered} workers with room")
             }
-            Reason::StartLost { vm } => {
+            Reason::StartUnconfirmed { vm } => {
                 write!(f, "start sent to {vm}, answer lost: kept there until it answers")
             }
-            Reason::StartRefused { vm, result } => {
+            Reason::StartRejected { vm, result } => {
                 let what = match result {
                     OrderResult::NoRoom => "had no room",
                     _ => "could not start it",
                 };
                 write!(f, "{vm} {what}")
             }
-            Reason::Runs { vm } => write!(f, "runs on {vm}"),
-            Reason::Ended { exit } => write!(f, "ended: {}", ExitWords(*exit)),
+            Reason::ReportedRunning { vm } => write!(f, "runs on {vm}"),
+            Reason::Ended { exit } => write!(f, "ended: {}", ExitText(*exit)),
             Reason::Stopped { vm } => write!(f, "ordered to stop on {vm}"),
-            Reason::Evicted { vm, winner } => {
-                write!(f, "checkpointed on {vm} to make room for task {winner}")
+            Reason::Evicted { vm, evicted_for } => {
+                write!(f, "checkpointed on {vm} to make room for task {evicted_for}")
             }
-            Reason::Disturbs { vm, slowdown } => {
-                write!(f, "checkpointed on {vm}: services there are slowed to {}", Times(*slowdown))
+            Reason::EvictedForInterference { vm, slowdown } => {
+                write!(
+                    f,
+                    "checkpointed on {vm}: services there are slowed to {}",
+                    SlowdownFactor(*slowdown)
+                )
             }
-            Reason::Moves { vm } => write!(f, "leaves {vm}, which takes no more work"),
+            Reason::Evacuated { vm } => write!(f, "leaves {vm}, which takes no more work"),
             Reason::Throttled { share, slowdown } => {
-                let slow = Times(*slowdown);
+                let slow = SlowdownFactor(*slowdown);
                 write!(f, "batch work limited to {share}/1000 of its processors, services {slow}")
             }
             Reason::Answered { running } => write!(f, "answered, runs {running} tasks"),
-            Reason::Silent => f.write_str("did not answer"),
+            Reason::CallFailed => f.write_str("did not answer"),
             Reason::Draining => f.write_str("leaving or drained: gets nothing new"),
             Reason::Opened => f.write_str("takes work"),
             Reason::Unlisted => f.write_str("missing from the VM list"),
-            Reason::PutAside { failures, wait } => {
+            Reason::Quarantined { failures, wait } => {
                 write!(f, "put aside for {} s after {failures} failures in a row", wait.as_secs())
             }
-            Reason::Probed => f.write_str("gets one task to see whether it works again"),
+            Reason::Probing => f.write_str("gets one task to see whether it works again"),
         }
     }
 }
 
 /// An exit in words.
 #[derive(Debug)]
-struct ExitWords(Exit);
+struct ExitText(Exit);
 
-impl fmt::Display for ExitWords {
+impl fmt::Display for ExitText {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self.0 {
             Exit::Done => "done",
@@ -275,9 +281,9 @@
 
 /// A slowdown in thousandths, as `1.25 times`.
 #[derive(Debug)]
-struct Times(u32);
+struct SlowdownFactor(u32);
 
-impl fmt::Display for Times {
+impl fmt::Display for SlowdownFactor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{:02} times", self.0 / 1000, self.0 % 1000 / 10)
     }
@@ -298,14 +304,14 @@
 
 impl Notes {
     /// Reasons kept for each subject; what is older says little about the present.
-    const KEPT: usize = 6;
+    const MAX_REASONS: usize = 6;
 
     pub(crate) fn add(&mut self, at: Instant, reason: Reason) {
         if let Some(last) = self.0.last_mut().filter(|last| last.reason == reason) {
             last.at = at;
             return;
         }
-        if self.0.len() == Notes::KEPT {
+        if self.0.len() == Notes::MAX_REASONS {
             self.0.remove(0);
         }
         self.0.push(TimedReason { at, reason });
--- a/daisy-placement/src/records.rs
+++ b/daisy-placement/src/records.rs
@@ -15,17 +15,17 @@
 pub(crate) struct Outbox {
     pub placed: Vec<Placement>,
     pub ended: Vec<Ended>,
-    pub wanted: Vec<TaskId>,
-    pub returned: Vec<TaskId>,
-    flushed: Option<Instant>,
+    pub checkouts: Vec<TaskId>,
+    pub returns: Vec<TaskId>,
+    flushed_at: Option<Instant>,
 }
 
 impl Outbox {
     fn is_empty(&self) -> bool {
         self.placed.is_empty()
             && self.ended.is_empty()
-            && self.wanted.is_empty()
-            && self.returned.is_empty()
+            && self.checkouts.is_empty()
+            && self.returns.is_empty()
     }
 }
 
@@ -36,36 +36,36 @@
     /// Placements go before exits, so that the fold never sees an exit of an incarnation
     /// that it has not heard of.
     pub(crate) fn append(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let flush = self.options.limits.flush;
-        let is_early = self.outbox.flushed.is_some_and(|at| now < at + flush);
+        let flush_interval = self.options.limits.flush_interval;
+        let is_early = self.outbox.flushed_at.is_some_and(|at| now < at + flush_interval);
         if self.outbox.is_empty() || !self.log_reachable || is_early {
             return;
         }
-        self.outbox.flushed = Some(now);
+        self.outbox.flushed_at = Some(now);
         let (dc, epoch) = (self.options.dc, self.options.epoch);
-        let chunk = self.options.limits.record_tasks;
-        let Outbox { placed, ended, wanted, returned, .. } = &mut self.outbox;
+        let chunk = self.options.limits.max_record_tasks;
+        let Outbox { placed, ended, checkouts, returns, .. } = &mut self.outbox;
         for placements in chunks(std::mem::take(placed), chunk) {
             actions.push(Action::Append(Record::Placed { dc, epoch, placements }));
         }
         for exits in chunks(std::mem::take(ended), chunk) {
             actions.push(Action::Append(Record::Ended { dc, epoch, exits }));
         }
-        for tasks in chunks(std::mem::take(returned), chunk) {
+        for tasks in chunks(std::mem::take(returns), chunk) {
             actions.push(Action::Append(Record::Return { dc, epoch, tasks }));
         }
-        for tasks in chunks(std::mem::take(wanted), chunk) {
+        for tasks in chunks(std::mem::take(checkouts), chunk) {
             actions.push(Action::Append(Record::Checkout { dc, epoch, tasks }));
         }
     }
 
     /// Records where a task runs, unless the ledger shows it or was told a moment ago.
-    pub(crate) fn record_place(&mut self, now: Instant, task: TaskId) {
-        let resend = self.options.limits.resend;
+    pub(crate) fn record_placement(&mut self, now: Instant, task: TaskId) {
+        let resend_after = self.options.limits.resend_after;
         let Some(local) = self.local(task) else { return };
         let Phase::Running { worker } = local.phase else { return };
-        let is_told = local.placed_at.is_some_and(|at| now < at + resend);
-        if local.is_place_recorded() || is_told {
+        let is_recently_appended = local.placed_at.is_some_and(|at| now < at + resend_after);
+        if local.is_placement_recorded() || is_recently_appended {
             return;
         }
         let incarnation = local.incarnation;
@@ -78,14 +78,14 @@
 
     /// Records how a task ended, unless the ledger was told a moment ago.
     pub(crate) fn record_end(&mut self, now: Instant, task: TaskId) {
-        let resend = self.options.limits.resend;
+        let resend_after = self.options.limits.resend_after;
         let Some(local) = self.local_mut(task) else { return };
         let incarnation = local.incarnation;
-        let Phase::Ended { exit, asked, .. } = &mut local.phase else { return };
-        if asked.is_some_and(|at| now < at + resend) {
+        let Phase::Ended { exit, recorded_at, .. } = &mut local.phase else { return };
+        if recorded_at.is_some_and(|at| now < at + resend_after) {
             return;
         }
-        *asked = Some(now);
+        *recorded_at = Some(now);
         let exit = *exit;
         self.outbox.ended.push(Ended { task, incarnation, exit });
     }
--- a/daisy-placement/src/reports.rs
+++ b/daisy-placement/src/reports.rs
@@ -12,16 +12,16 @@
     intake::is_start_of,
     job::JobView,
     reason::Reason,
-    task::{Local, Phase},
-    worker::{Class, Ending, Held, Hold, WorkerKey},
+    task::{LocalTask, Phase},
+    worker::{Allocation, AllocationState, Class, Removal, WorkerKey},
 };
 
 /// A task that ends with an error within this time may have failed for its worker's sake.
-const SOON: Duration = Duration::from_secs(10);
+const EARLY_FAILURE_LIMIT: Duration = Duration::from_secs(10);
 
 impl Holder {
     /// Takes a worker's answer in.
-    pub(crate) fn take_report(&mut self, now: Instant, vm: VmId, report: &WorkerReport) {
+    pub(crate) fn handle_report(&mut self, now: Instant, vm: VmId, report: &WorkerReport) {
         // A higher epoch was shown to the worker: there is a newer holder, and whatever we
         // went on to order elsewhere could run a task a second time.
         if report.epoch > self.options.epoch {
@@ -29,67 +29,81 @@
             return;
         }
         if !report.accepted {
-            self.take_silence(now, vm, true);
+            self.handle_failed_call(now, vm, true);
             return;
         }
         let Some(key) = self.roster.try_key(vm) else { return };
         let Some(worker) = self.roster.get_mut(key) else { return };
         let Some(outstanding) = worker.outstanding.take() else { return };
-        if !worker.answers {
+        if !worker.is_responsive {
             worker.notes.add(now, Reason::Answered { running: report.running.len() });
         }
-        worker.heard = true;
-        worker.answers = true;
+        worker.has_answered = true;
+        worker.is_responsive = true;
         worker.capacity = report.capacity;
-        let before = std::mem::take(&mut worker.held);
+        let before = std::mem::take(&mut worker.allocations);
         worker.clear_taken();
         let results = Results { orders: &outstanding.orders, results: &report.results };
         for running in &report.running {
             let old = before.get(&running.task).filter(|it| it.incarnation == running.incarnation);
-            self.hold_running(now, key, running, old.copied());
+            self.record_running(now, key, running, old.copied());
         }
         for ended in &report.ended {
             let old = before.get(&ended.task).filter(|it| it.incarnation == ended.incarnation);
-            self.take_end(now, key, ended, old.map(|old| old.since));
+            self.handle_exit_report(now, key, ended, old.map(|old| old.since));
         }
-        self.settle_rest(now, key, &before, &results);
-        self.inherit_due = true;
-        self.control(now, key, &report.usage);
+        self.resolve_unreported(now, key, &before, &results);
+        self.inherited_due = true;
+        self.adjust_throttle(now, key, &report.usage);
         self.clear_suspect(now, key);
-        self.promote(now, key);
+        self.start_awaiting(now, key);
         self.roster.reindex(key);
-        self.roster.touch(key);
-        self.place_due = true;
+        self.roster.mark_for_call(key);
+        self.placement_due = true;
     }
 
-    fn hold_running(&mut self, now: Instant, key: WorkerKey, it: &Running, old: Option<Held>) {
+    fn record_running(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        it: &Running,
+        old: Option<Allocation>,
+    ) {
         // Most of a report is what the last one said; a look at each task's job would be
         // the largest part of a holder's processor time.
-        if let Some(old) = old.filter(|old| old.settled && old.ending == Ending::No) {
+        if let Some(old) = old.filter(|old| old.confirmed && old.removal == Removal::NotPlanned) {
             if let Some(worker) = self.worker_mut(key) {
-                worker.hold(it.task, Held { size: it.size, share: it.share, ..old });
+                worker.allocate(it.task, Allocation { size: it.size, share: it.share, ..old });
             }
             return;
         }
         let class = self.jobs.get(&it.task.job).map_or(Class::UNKNOWN, JobView::class);
         let Some(worker) = self.worker_mut(key) else { return };
         let Running { task, incarnation, size, share } = *it;
-        let ending = old.map_or(Ending::No, |old| old.ending);
+        let removal = old.map_or(Removal::NotPlanned, |old| old.removal);
         let since = old.map_or(now, |old| old.since);
-        let hold = Hold::Running;
-        let settled = false;
-        worker.hold(task, Held { incarnation, size, hold, ending, share, since, class, settled });
-        if self.is_known_there(key, task, incarnation) {
+        let state = AllocationState::Running;
+        let confirmed = false;
+        worker.allocate(
+            task,
+            Allocation { incarnation, size, state, removal, share, since, class, confirmed },
+        );
+        if self.may_run_on(key, task, incarnation) {
             if let Some(local) = self.local_mut(task) {
                 local.phase = Phase::Running { worker: key };
                 local.incarnation = incarnation;
             }
-            self.note_running(now, key, task, old.is_some_and(|old| old.hold == Hold::Running));
-            self.record_place(now, task);
+            self.note_running(
+                now,
+                key,
+                task,
+                old.is_some_and(|old| old.state == AllocationState::Running),
+            );
+            self.record_placement(now, task);
             if self.is_unwanted(task) {
                 self.stop(key, task);
             } else {
-                self.settle_held(key, task);
+                self.mark_confirmed(key, task);
             }
         } else if self.local(task).is_some() || task.job < self.next_job {
             // It runs where the ledger does not have it: a start that came late, or a record
@@ -99,21 +113,22 @@
     }
 
     /// Marks a task as in the ledger where it is.
-    fn settle_held(&mut self, key: WorkerKey, task: TaskId) {
-        let is_recorded = self.local(task).is_some_and(Local::is_place_recorded);
-        if let Some(held) = self.worker_mut(key).and_then(|it| it.held.get_mut(&task)) {
-            held.settled = is_recorded;
+    fn mark_confirmed(&mut self, key: WorkerKey, task: TaskId) {
+        let is_recorded = self.local(task).is_some_and(LocalTask::is_placement_recorded);
+        if let Some(allocation) = self.worker_mut(key).and_then(|it| it.allocations.get_mut(&task))
+        {
+            allocation.confirmed = is_recorded;
         }
     }
 
     fn note_running(&mut self, now: Instant, key: WorkerKey, task: TaskId, was_running: bool) {
         let Some(worker) = self.roster.get(key).filter(|_| !was_running) else { return };
         let vm = worker.label.clone();
-        self.note(now, task, Reason::Runs { vm });
+        self.note(now, task, Reason::ReportedRunning { vm });
     }
 
     /// Whether a worker is where a task may be, in the incarnation that it reports.
-    fn is_known_there(&self, key: WorkerKey, task: TaskId, incarnation: Incarnation) -> bool {
+    fn may_run_on(&self, key: WorkerKey, task: TaskId, incarnation: Incarnation) -> bool {
         let Some(local) = self.local(task) else { return false };
         match local.phase {
             Phase::Starting { worker } | Phase::Running { worker } => {
@@ -124,7 +139,13 @@
         }
     }
 
-    fn take_end(&mut self, now: Instant, key: WorkerKey, ended: &Ended, since: Option<Instant>) {
+    fn handle_exit_report(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        ended: &Ended,
+        since: Option<Instant>,
+    ) {
         let Ended { task, incarnation, exit } = *ended;
         let Some(local) = self.local(task) else {
             // The job is over and its end recorded, or we would have it.
@@ -137,125 +158,143 @@
             self.acknowledge(Some(key), task, incarnation);
             return;
         }
-        if self.is_known_there(key, task, incarnation)
+        if self.may_run_on(key, task, incarnation)
             && let Some(local) = self.local_mut(task)
         {
-            local.phase = Phase::Ended { worker: Some(key), exit, asked: None };
+            local.phase = Phase::Ended { worker: Some(key), exit, recorded_at: None };
             local.incarnation = incarnation;
             local.notes.add(now, Reason::Ended { exit });
-            self.judge_end(now, key, ended, since);
+            self.learn_from_exit(now, key, ended, since);
         }
         self.record_end(now, task);
     }
 
     /// Learns from an end: a worker that works or fails, a run time.
-    fn judge_end(&mut self, now: Instant, key: WorkerKey, ended: &Ended, since: Option<Instant>) {
+    fn learn_from_exit(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        ended: &Ended,
+        since: Option<Instant>,
+    ) {
         let job = ended.task.job;
         let run = since.map(|since| now.since(since));
         match ended.exit {
             Exit::Done => {
                 self.note_success(key, job);
                 if let Some((view, run)) = self.jobs.get_mut(&job).zip(run) {
-                    view.seen.add_run(run);
+                    view.measured.add_run_time(run);
                 }
             }
-            Exit::Failed if run.is_none_or(|run| run < SOON) => self.note_failure(now, key, job),
+            Exit::Failed if run.is_none_or(|run| run < EARLY_FAILURE_LIMIT) => {
+                self.note_failure(now, key, job)
+            }
             _ => {}
         }
     }
 
     /// Decides on what was held there and is not reported to run.
-    fn settle_rest(
+    fn resolve_unreported(
         &mut self,
         now: Instant,
         key: WorkerKey,
-        before: &SortedMap<TaskId, Held>,
+        before: &SortedMap<TaskId, Allocation>,
         results: &Results<'_>,
     ) {
-        for (task, held) in before.iter() {
+        for (task, allocation) in before.iter() {
             let Some(worker) = self.worker_mut(key) else { return };
-            if worker.held.contains_key(task) {
+            if worker.allocations.contains_key(task) {
                 continue;
             }
-            match held.hold {
-                Hold::Awaiting | Hold::Queued | Hold::Reserved => worker.hold(*task, *held),
-                Hold::Running => self.vanish(now, key, *task),
-                Hold::Sent | Hold::Maybe => self.settle_start(now, key, *task, held, results),
+            match allocation.state {
+                AllocationState::AwaitingEviction
+                | AllocationState::Queued
+                | AllocationState::AwaitingRecord => worker.allocate(*task, *allocation),
+                AllocationState::Running => self.end_vanished(now, key, *task),
+                AllocationState::Sent | AllocationState::Unconfirmed => {
+                    self.resolve_start(now, key, *task, allocation, results)
+                }
             }
         }
     }
 
     /// Decides on a start by the answer to it.
-    fn settle_start(
+    fn resolve_start(
         &mut self,
         now: Instant,
         key: WorkerKey,
         task: TaskId,
-        held: &Held,
+        allocation: &Allocation,
         results: &Results<'_>,
     ) {
-        if !self.is_known_there(key, task, held.incarnation) {
+        if !self.may_run_on(key, task, allocation.incarnation) {
             return;
         }
         if results.try_stop(task).is_some() {
             // Stopped before it ran; the worker does not start the incarnation any more.
-            self.wait_again(now, task);
+            self.requeue_or_cancel(now, task);
             return;
         }
-        match (results.try_start(task), held.hold) {
-            (Some(result @ (OrderResult::NoRoom | OrderResult::Failed)), Hold::Sent) => {
-                self.note_refused(now, key, task, result);
-                self.take_back(now, task);
+        match (results.try_start(task), allocation.state) {
+            (Some(result @ (OrderResult::NoRoom | OrderResult::Failed)), AllocationState::Sent) => {
+                self.note_rejected_start(now, key, task, result);
+                self.undo_start(now, task);
             }
             (Some(result @ (OrderResult::NoRoom | OrderResult::Failed)), _) => {
-                self.note_refused(now, key, task, result);
+                self.note_rejected_start(now, key, task, result);
                 // A copy of the lost call may still arrive: the incarnation is stopped for
                 // good before the task may start elsewhere.
                 if let Some(worker) = self.worker_mut(key) {
-                    worker.hold(task, *held);
+                    worker.allocate(task, *allocation);
                 }
                 self.stop(key, task);
             }
-            (Some(_), _) => self.vanish(now, key, task),
+            (Some(_), _) => self.end_vanished(now, key, task),
             (None, _) => {
                 if let Some(worker) = self.worker_mut(key) {
-                    worker.hold(task, *held);
+                    worker.allocate(task, *allocation);
                 }
             }
         }
     }
 
-    fn note_refused(&mut self, now: Instant, key: WorkerKey, task: TaskId, result: OrderResult) {
+    fn note_rejected_start(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        task: TaskId,
+        result: OrderResult,
+    ) {
         let Some(vm) = self.roster.get(key).map(|worker| worker.label.clone()) else { return };
-        self.note(now, task, Reason::StartRefused { vm, result });
+        self.note(now, task, Reason::StartRejected { vm, result });
         if result == OrderResult::Failed {
             self.note_failure(now, key, task.job);
         }
     }
 
     /// The worker neither runs the task nor has an exit report: its fate is unknown.
-    fn vanish(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
+    fn end_vanished(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let Some(local) = self.local_mut(task) else { return };
-        let is_there = matches!(local.phase,
+        let is_present = matches!(local.phase,
             Phase::Starting { worker } | Phase::Running { worker } if worker == key);
-        if is_there {
-            local.phase = Phase::Ended { worker: None, exit: Exit::Unknown, asked: None };
+        if is_present {
+            local.phase = Phase::Ended { worker: None, exit: Exit::Unknown, recorded_at: None };
             local.notes.add(now, Reason::Ended { exit: Exit::Unknown });
             self.record_end(now, task);
         }
     }
 
     /// A start that took no effect for certain: the incarnation may be used again.
-    pub(crate) fn take_back(&mut self, now: Instant, task: TaskId) {
-        self.take_back_number(task);
-        self.wait_again(now, task);
+    pub(crate) fn undo_start(&mut self, now: Instant, task: TaskId) {
+        self.reuse_incarnation(task);
+        self.requeue_or_cancel(now, task);
     }
 
     /// Gives the number of an incarnation back that was never sent, or had no effect.
-    pub(crate) fn take_back_number(&mut self, task: TaskId) {
+    pub(crate) fn reuse_incarnation(&mut self, task: TaskId) {
         if let Some(local) = self.local_mut(task) {
             // The ledger was told where the incarnation would run: it is spent.
-            let is_recorded = local.placed_at.is_some() || local.is_place_recorded();
+            let is_recorded = local.placed_at.is_some() || local.is_placement_recorded();
             if !is_recorded {
                 local.incarnation = Incarnation(local.incarnation.0.saturating_sub(1));
             }
@@ -263,11 +302,11 @@
     }
 
     /// Puts a task that did not start back in line, or ends it if it was cancelled.
-    pub(crate) fn wait_again(&mut self, now: Instant, task: TaskId) {
+    pub(crate) fn requeue_or_cancel(&mut self, now: Instant, task: TaskId) {
         if self.is_unwanted(task) {
             self.end_unstarted(now, task);
         } else {
-            self.wait(now, task);
+            self.enqueue(now, task);
         }
     }
 }
--- a/daisy-placement/src/roster.rs
+++ b/daisy-placement/src/roster.rs
@@ -6,7 +6,7 @@
     holder::Holder,
     index::FreeIndex,
     reason::Reason,
-    worker::{Standing, Worker, WorkerKey},
+    worker::{Availability, Worker, WorkerKey},
 };
 
 /// Workers by slot and by VM, with an index of their free room.
@@ -15,52 +15,52 @@
 #[derive(Debug)]
 pub(crate) struct Roster {
     slots: Vec<Option<Worker>>,
-    vacant: Vec<WorkerKey>,
+    free_slots: Vec<WorkerKey>,
     by_vm: SortedMap<VmId, WorkerKey>,
-    index: FreeIndex,
+    by_free: FreeIndex,
     /// What each worker holds in all.
-    whole: FreeIndex,
+    by_capacity: FreeIndex,
     rng: fastrand::Rng,
-    list_at: Option<Instant>,
+    vm_list_at: Option<Instant>,
     /// Workers that may have to be called.
-    touched: Vec<WorkerKey>,
+    marked_for_call: Vec<WorkerKey>,
 }
 
 impl Roster {
     pub(crate) fn new(seed: u64) -> Roster {
         Roster {
             slots: Vec::new(),
-            vacant: Vec::new(),
+            free_slots: Vec::new(),
             by_vm: SortedMap::new(),
-            index: FreeIndex::default(),
-            whole: FreeIndex::default(),
+            by_free: FreeIndex::default(),
+            by_capacity: FreeIndex::default(),
             rng: fastrand::Rng::with_seed(seed),
-            list_at: None,
-            touched: Vec::new(),
+            vm_list_at: None,
+            marked_for_call: Vec::new(),
         }
     }
 
-    pub(crate) fn list_seen(&self) -> bool {
-        self.list_at.is_some()
+    pub(crate) fn has_vm_list(&self) -> bool {
+        self.vm_list_at.is_some()
     }
 
     /// When the VM list was last taken in.
-    pub(crate) fn list_at(&self) -> Option<Instant> {
-        self.list_at
+    pub(crate) fn vm_list_at(&self) -> Option<Instant> {
+        self.vm_list_at
     }
 
     /// Has a worker looked at when calls are made.
-    pub(crate) fn touch(&mut self, key: WorkerKey) {
-        self.touched.push(key);
+    pub(crate) fn mark_for_call(&mut self, key: WorkerKey) {
+        self.marked_for_call.push(key);
     }
 
     /// Has all workers looked at when calls are made.
-    pub(crate) fn touch_all(&mut self) {
-        self.touched = self.keys();
+    pub(crate) fn mark_all_for_call(&mut self) {
+        self.marked_for_call = self.keys();
     }
 
-    pub(crate) fn take_touched(&mut self) -> Vec<WorkerKey> {
-        std::mem::take(&mut self.touched)
+    pub(crate) fn take_marked_for_call(&mut self) -> Vec<WorkerKey> {
+        std::mem::take(&mut self.marked_for_call)
     }
 
     pub(crate) fn get(&self, key: WorkerKey) -> Option<&Worker> {
@@ -89,31 +89,31 @@
             Some(worker) if worker.is_open() => worker.free(),
             _ => Resources::ZERO,
         };
-        self.index.set(key.index(), free);
-        let whole = self.get(key).map_or(Resources::ZERO, |worker| worker.capacity);
-        self.whole.set(key.index(), whole);
+        self.by_free.set(key.index(), free);
+        let capacity = self.get(key).map_or(Resources::ZERO, |worker| worker.capacity);
+        self.by_capacity.set(key.index(), capacity);
     }
 
     /// Whether some worker could hold `size` if nothing else ran there.
     pub(crate) fn can_ever_hold(&self, size: Resources) -> bool {
-        self.whole.has(size)
+        self.by_capacity.has(size)
     }
 
     /// Whether some worker that takes new work has room for `size`.
-    pub(crate) fn has_room(&self, size: Resources) -> bool {
-        self.index.has(size)
+    pub(crate) fn has_free(&self, size: Resources) -> bool {
+        self.by_free.has(size)
     }
 
     /// The most of each part that any worker holds.
-    pub(crate) fn largest(&self) -> Resources {
-        self.whole.largest()
+    pub(crate) fn largest_capacity(&self) -> Resources {
+        self.by_capacity.largest()
     }
 
     /// Has the next report looked at for each task of a job that was changed.
-    pub(crate) fn unsettle(&mut self, job: JobId) {
+    pub(crate) fn invalidate_confirmations(&mut self, job: JobId) {
         for worker in self.slots.iter_mut().flatten() {
-            for (task, held) in worker.held.iter_mut() {
-                held.settled &= task.job != job;
+            for (task, allocation) in worker.allocations.iter_mut() {
+                allocation.confirmed &= task.job != job;
             }
         }
     }
@@ -129,7 +129,7 @@
     pub(crate) fn find(&mut self, size: Resources, limit: usize, found: &mut Vec<WorkerKey>) {
         let mut slots = Vec::with_capacity(limit);
         let start = self.rng.usize(..self.slots.len().max(1));
-        self.index.find(size, start, limit, &mut slots);
+        self.by_free.find(size, start, limit, &mut slots);
         found.extend(slots.into_iter().map(WorkerKey::from_index));
         found.retain(|key| self.get(*key).is_some_and(Worker::is_open));
     }
@@ -137,14 +137,14 @@
     pub(crate) fn remove(&mut self, key: WorkerKey) {
         let Some(worker) = self.slots.get_mut(key.index()).and_then(Option::take) else { return };
         self.by_vm.remove(&worker.id);
-        self.index.set(key.index(), Resources::ZERO);
-        self.whole.set(key.index(), Resources::ZERO);
-        self.vacant.push(key);
+        self.by_free.set(key.index(), Resources::ZERO);
+        self.by_capacity.set(key.index(), Resources::ZERO);
+        self.free_slots.push(key);
     }
 
     fn insert(&mut self, worker: Worker) {
         let vm = worker.id;
-        let key = match self.vacant.pop() {
+        let key = match self.free_slots.pop() {
             Some(key) => {
                 self.slots[key.index()] = Some(worker);
                 key
@@ -155,15 +155,15 @@
             }
         };
         self.by_vm.insert(vm, key);
-        self.index.set(key.index(), Resources::ZERO);
-        self.touched.push(key);
+        self.by_free.set(key.index(), Resources::ZERO);
+        self.marked_for_call.push(key);
     }
 }
 
 impl Holder {
     /// Takes the platform's VM list in.
-    pub(crate) fn take_vms(&mut self, now: Instant, vms: &[Vm]) {
-        self.roster.list_at = Some(now);
+    pub(crate) fn handle_vm_list(&mut self, now: Instant, vms: &[Vm]) {
+        self.roster.vm_list_at = Some(now);
         let mut listed: Vec<VmId> = Vec::new();
         let dc = self.options.dc;
         for vm in vms.iter().filter(|vm| vm.role == VmRole::Worker && vm.dc == dc) {
@@ -171,35 +171,36 @@
             if self.roster.try_key(vm.id).is_none() {
                 self.roster.insert(Worker::new(vm, now));
             }
-            self.set_standing(now, vm);
+            self.update_availability(now, vm);
         }
         listed.sort_unstable();
-        self.note_missing(now, &listed);
+        self.mark_unlisted(now, &listed);
     }
 
-    fn set_standing(&mut self, now: Instant, vm: &Vm) {
-        let closed = vm.status == VmStatus::Leaving || self.drained.contains(&vm.name);
+    fn update_availability(&mut self, now: Instant, vm: &Vm) {
+        let is_draining = vm.status == VmStatus::Leaving || self.drained.contains(&vm.name);
         let Some(key) = self.roster.try_key(vm.id) else { return };
         let Some(worker) = self.roster.get_mut(key) else { return };
-        let standing = if closed { Standing::Draining } else { Standing::Live };
-        if worker.standing == standing && worker.leaving == (vm.status == VmStatus::Leaving) {
+        let availability = if is_draining { Availability::Draining } else { Availability::Live };
+        if worker.availability == availability && worker.leaving == (vm.status == VmStatus::Leaving)
+        {
             return;
         }
-        worker.stand(now, standing);
+        worker.set_availability(now, availability);
         worker.leaving = vm.status == VmStatus::Leaving;
         self.roster.reindex(key);
-        self.place_due = true;
+        self.placement_due = true;
     }
 
-    fn note_missing(&mut self, now: Instant, listed: &[VmId]) {
+    fn mark_unlisted(&mut self, now: Instant, listed: &[VmId]) {
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get_mut(key) else { continue };
             let is_listed = listed.binary_search(&worker.id).is_ok();
-            let is_gone = matches!(worker.standing, Standing::Unlisted { .. });
-            if is_listed || is_gone {
+            let is_unlisted = matches!(worker.availability, Availability::Unlisted { .. });
+            if is_listed || is_unlisted {
                 continue;
             }
-            worker.standing = Standing::Unlisted { since: now };
+            worker.availability = Availability::Unlisted { since: now };
             worker.notes.add(now, Reason::Unlisted);
             self.roster.reindex(key);
         }
@@ -214,12 +215,15 @@
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get_mut(key) else { continue };
             let is_drained = drained.contains(&worker.name);
-            if let Standing::Live | Standing::Draining = worker.standing {
-                let closed = worker.leaving || is_drained;
-                worker.stand(now, if closed { Standing::Draining } else { Standing::Live });
+            if let Availability::Live | Availability::Draining = worker.availability {
+                let is_draining = worker.leaving || is_drained;
+                worker.set_availability(
+                    now,
+                    if is_draining { Availability::Draining } else { Availability::Live },
+                );
             }
             self.roster.reindex(key);
         }
-        self.place_due = true;
+        self.placement_due = true;
     }
 }
--- a/daisy-placement/src/score.rs
+++ b/daisy-placement/src/score.rs
@@ -3,26 +3,26 @@
 use daisy_model::{JobId, Resources};
 
 use crate::{
-    control::NOISY,
+    control::NOISY_SLOWDOWN,
     holder::Holder,
     job::JobView,
     task::Phase,
-    throttle::TARGET,
+    throttle::TARGET_SLOWDOWN,
     worker::{Worker, WorkerKey},
 };
 
-/// What is left of an empty worker, in the measure of `left_over`.
-const WHOLE: u64 = 1_000;
+/// What is left of an empty worker, in the measure of `free_fraction`.
+const EMPTY_WORKER_FRACTION: u64 = 1_000;
 /// Of a rack that already has a replica of the service, for each replica.
-const SAME_RACK: u64 = 2_000;
+const SAME_RACK_COST: u64 = 2_000;
 /// Of a worker that already has a replica of the service.
-const SAME_WORKER: u64 = 8_000;
+const SAME_WORKER_COST: u64 = 8_000;
 /// Of accelerators left idle by a task that wants none, for each.
-const IDLE_ACCELERATOR: u64 = 1_000;
+const IDLE_ACCELERATOR_COST: u64 = 1_000;
 /// Of what a start is expected to add to the squared slowdowns of services.
-const SLOWDOWN: u64 = 8;
+const SLOWDOWN_COST: u64 = 8;
 /// Of one thousandth by which the worker's batch work is limited already.
-const LIMITED: u64 = 2;
+const THROTTLED_COST: u64 = 2;
 
 impl Holder {
     /// The cost of starting a task of `job` on a worker; the least is best.
@@ -40,19 +40,19 @@
     ) -> u64 {
         let Some(worker) = self.roster.get(key) else { return u64::MAX };
         let Some(rest) = worker.free().try_sub(size) else { return u64::MAX };
-        let left = left_over(rest, worker.capacity);
-        let mut cost = if self.packs { left } else { WHOLE - left };
+        let left = free_fraction(rest, worker.capacity);
+        let mut cost = if self.is_packing { left } else { EMPTY_WORKER_FRACTION - left };
         if size.accelerators == 0 {
-            cost += IDLE_ACCELERATOR * u64::from(rest.accelerators);
+            cost += IDLE_ACCELERATOR_COST * u64::from(rest.accelerators);
         }
-        cost += SLOWDOWN * self.expected_harm(job, worker);
+        cost += SLOWDOWN_COST * self.expected_interference(job, worker);
         if job.is_service() {
             let in_rack = racks.iter().find(|(rack, _)| *rack == worker.rack);
-            let on_worker = worker.kinds.iter().find(|(kind, _)| *kind == job.kind);
-            cost += SAME_RACK * in_rack.map_or(0, |(_, count)| *count);
-            cost += SAME_WORKER * on_worker.map_or(0, |(_, count)| u64::from(*count));
+            let on_worker = worker.families.iter().find(|(family, _)| *family == job.family);
+            cost += SAME_RACK_COST * in_rack.map_or(0, |(_, count)| *count);
+            cost += SAME_WORKER_COST * on_worker.map_or(0, |(_, count)| u64::from(*count));
         } else {
-            cost += LIMITED * u64::from(1000 - worker.throttle.share().min(1000));
+            cost += THROTTLED_COST * u64::from(1000 - worker.throttle.share().min(1000));
         }
         cost
     }
@@ -61,18 +61,19 @@
     ///
     /// The square spreads noisy neighbours: a second one on a worker costs more than the
     /// first one on the next, since a tail is made where several meet.
-    fn expected_harm(&self, job: &JobView, worker: &Worker) -> u64 {
+    fn expected_interference(&self, job: &JobView, worker: &Worker) -> u64 {
         let square = |slowdown: u32| u64::from(slowdown) * u64::from(slowdown) / 1000;
         if job.is_service() {
-            return square(self.interference.added(job.kind, &worker.kinds));
+            return square(self.interference.slowdown_of_all(job.family, &worker.families));
         }
-        let services = worker.kinds.iter().filter(|(kind, _)| self.kinds.is_service(*kind));
+        let services =
+            worker.families.iter().filter(|(family, _)| self.families.is_service(*family));
         let harms = services.map(|(service, count)| {
-            let added = self.interference.pair(*service, job.kind) as u32;
+            let added = self.interference.slowdown_of_one(*service, job.family) as u32;
             if added == 0 {
                 return 0;
             }
-            let before = self.interference.added(*service, &worker.kinds);
+            let before = self.interference.slowdown_of_all(*service, &worker.families);
             u64::from(*count) * (square(before + added) - square(before))
         });
         harms.sum()
@@ -82,20 +83,22 @@
     ///
     /// Tasks of one kind are noisy together; those of several kinds seldom are, so they
     /// may add up to twice as much.
-    pub(crate) fn is_too_much(&self, job: &JobView, worker: &Worker) -> bool {
-        const BUDGET: f32 = (TARGET - 1000) as f32;
-        let same = worker.kinds.iter().find(|(kind, _)| *kind == job.kind);
+    pub(crate) fn exceeds_interference_budget(&self, job: &JobView, worker: &Worker) -> bool {
+        const BUDGET: f32 = (TARGET_SLOWDOWN - 1000) as f32;
+        let same = worker.families.iter().find(|(family, _)| *family == job.family);
         let same = same.map_or(0, |(_, count)| *count) as f32 + 1.0;
-        let mut services = worker.kinds.iter().filter(|(kind, _)| self.kinds.is_service(*kind));
+        let mut services =
+            worker.families.iter().filter(|(family, _)| self.families.is_service(*family));
         services.any(|(service, _)| {
-            let each = self.interference.pair(*service, job.kind);
-            let all = || self.interference.added(*service, &worker.kinds) as f32 + each;
-            each > 0.0 && (each * same > BUDGET || each > NOISY && all() > 2.0 * BUDGET)
+            let each = self.interference.slowdown_of_one(*service, job.family);
+            let all =
+                || self.interference.slowdown_of_all(*service, &worker.families) as f32 + each;
+            each > 0.0 && (each * same > BUDGET || each > NOISY_SLOWDOWN && all() > 2.0 * BUDGET)
         })
     }
 
     /// How many replicas of a service each rack has.
-    pub(crate) fn racks_of(&self, id: JobId) -> Vec<(u16, u64)> {
+    pub(crate) fn replicas_per_rack(&self, id: JobId) -> Vec<(u16, u64)> {
         let mut racks: Vec<(u16, u64)> = Vec::new();
         let Some(job) = self.jobs.get(&id).filter(|job| job.is_service()) else { return racks };
         for local in &job.tasks {
@@ -113,7 +116,7 @@
 }
 
 /// What is left of a worker in thousandths, the mean of processors and memory.
-fn left_over(rest: Resources, whole: Resources) -> u64 {
+fn free_fraction(rest: Resources, whole: Resources) -> u64 {
     let part = |rest: u32, whole: u32| u64::from(rest) * 500 / u64::from(whole.max(1));
     part(rest.cpu_milli, whole.cpu_milli) + part(rest.memory_mib, whole.memory_mib)
 }
--- a/daisy-placement/src/task.rs
+++ b/daisy-placement/src/task.rs
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Ended, or with another data centre.
-    Elsewhere,
+    NotOurs,
     /// Nobody has it; seen pending since.
     Pending { since: Instant },
     /// A checkout was appended at `at` and is not folded yet.
-    Asked { since: Instant, at: Instant },
+    CheckoutRequested { since: Instant, at: Instant },
     /// Checked out under an earlier epoch; whether and where it runs is not known yet.
     Inherited { since: Instant },
     /// Checked out and runs nowhere.
@@ -24,13 +24,13 @@
     Starting { worker: WorkerKey },
     /// A worker reported it running.
     Running { worker: WorkerKey },
-    /// It ended, which the ledger does not show yet; `asked` is when the record was appended.
-    Ended { worker: Option<WorkerKey>, exit: Exit, asked: Option<Instant> },
+    /// It ended, which the ledger does not show yet; `recorded_at` is when the record was appended.
+    Ended { worker: Option<WorkerKey>, exit: Exit, recorded_at: Option<Instant> },
 }
 
 /// A task and where it stands.
 #[derive(Debug, Clone)]
-pub(crate) struct Local {
+pub(crate) struct LocalTask {
     pub phase: Phase,
     /// The incarnation that runs, or of the last start that may have taken effect.
     pub incarnation: Incarnation,
@@ -42,10 +42,10 @@
     pub notes: Notes,
 }
 
-impl Local {
-    pub(crate) fn new(ledger: Task) -> Local {
-        Local {
-            phase: Phase::Elsewhere,
+impl LocalTask {
+    pub(crate) fn new(ledger: Task) -> LocalTask {
+        LocalTask {
+            phase: Phase::NotOurs,
             incarnation: ledger.incarnation,
             placed_at: None,
             ledger,
@@ -63,22 +63,22 @@
     }
 
     /// Whether the ledger shows where `incarnation` runs.
-    pub(crate) fn is_place_recorded(&self) -> bool {
+    pub(crate) fn is_placement_recorded(&self) -> bool {
         self.ledger.incarnation >= self.incarnation && self.ledger.vm.is_some()
     }
 
     /// Whether the ledger's newest word on the task, `ledger`, asks for nothing.
-    pub(crate) fn is_settled(&self, dc: DcId, ledger: &Task) -> bool {
-        let is_quiet = match self.phase {
-            Phase::Running { .. } => self.is_place_recorded(),
-            Phase::Elsewhere => match ledger.state {
+    pub(crate) fn is_up_to_date(&self, dc: DcId, ledger: &Task) -> bool {
+        let is_phase_current = match self.phase {
+            Phase::Running { .. } => self.is_placement_recorded(),
+            Phase::NotOurs => match ledger.state {
                 TaskState::Pending => false,
                 TaskState::Out(owner) => owner.dc != dc,
                 TaskState::Ended(_) => true,
             },
             _ => false,
         };
-        is_quiet && self.ledger == *ledger
+        is_phase_current && self.ledger == *ledger
     }
 
     /// The worker of the incarnation that the ledger shows as started and not ended.
--- a/daisy-placement/src/throttle.rs
+++ b/daisy-placement/src/throttle.rs
@@ -5,10 +5,10 @@
 use daisy_model::{Instant, Objective};
 
 /// The shares that a worker's batch work may be limited to, in thousandths.
-pub const LEVELS: [u32; 6] = [1000, 750, 500, 350, 200, 100];
+pub const SHARE_LEVELS: [u32; 6] = [1000, 750, 500, 350, 200, 100];
 
 /// A slowdown of services that is taken for undisturbed, in thousandths.
-pub const TARGET: u32 = 1150;
+pub const TARGET_SLOWDOWN: u32 = 1150;
 
 /// How the share follows the reports.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -62,12 +62,12 @@
             let share = *level as f32 / 1000.0;
             v * share * share - backlog * share
         };
-        let levels = LEVELS.iter().filter(|level| **level >= Ceiling::LEAST);
+        let levels = SHARE_LEVELS.iter().filter(|level| **level >= Ceiling::MIN_SHARE);
         levels.min_by(|a, b| cost(a).total_cmp(&cost(b))).copied().unwrap_or(1000)
     }
 
     /// Less helps services little more and work much less.
-    const LEAST: u32 = 200;
+    const MIN_SHARE: u32 = 200;
 }
 
 impl ThrottleControl {
@@ -80,16 +80,16 @@
 
     /// How long services are borne to be slow, with batch work limited as far as it goes,
     /// before a neighbour is evicted: longer the more evictions weigh.
-    pub fn patience(objective: &Objective) -> Duration {
+    pub fn eviction_delay(objective: &Objective) -> Duration {
         let ratio = objective.evictions as f32 / objective.tail.max(1) as f32;
-        ThrottleControl::LEAST_PATIENCE
-            + Duration::from_secs_f32(ThrottleControl::PATIENCE * ratio.min(1.0))
+        ThrottleControl::MIN_EVICTION_DELAY
+            + Duration::from_secs_f32(ThrottleControl::EVICTION_DELAY_SECONDS * ratio.min(1.0))
     }
 
     /// Twice the lag of reports.
-    const LEAST_PATIENCE: Duration = Duration::from_secs(14);
+    const MIN_EVICTION_DELAY: Duration = Duration::from_secs(14);
     /// Seconds that are added where evictions weigh as much as the tail.
-    const PATIENCE: f32 = 300.0;
+    const EVICTION_DELAY_SECONDS: f32 = 300.0;
     /// Turns the ratio of tail to throughput into waiting tasks a worker: `V` of about 3 for
     /// Beaulac and 12 for Confeitaria, by `daisy-measure interference`.
     const BACKLOG_SCALE: f32 = 0.5;
@@ -97,13 +97,13 @@
 
 /// What a worker reported, some seconds late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Signal {
+pub struct UsageSignal {
     /// The slowdown of the worst service, in thousandths.
     pub slowdown: u32,
     /// Processor use of the worker, in thousandths of what it holds.
-    pub busy: u32,
+    pub cpu_use: u32,
     /// Processor use above which batch work is limited, in thousandths.
-    pub limit: u32,
+    pub max_cpu_use: u32,
 }
 
 /// The limit of one worker's batch work.
@@ -111,62 +111,70 @@
 pub struct Throttle {
     share: f32,
     /// Slowdown above the target that has not been made good yet.
-    debt: f32,
+    excess_slowdown: f32,
     /// Since when reports have been bad at the lowest share.
-    stuck_since: Option<Instant>,
+    at_minimum_since: Option<Instant>,
     /// No further cut before: what the last one did is not in the reports yet.
-    cut_at: Instant,
+    next_cut_at: Instant,
     /// When the last report came.
-    stepped: Option<Instant>,
+    last_step_at: Option<Instant>,
 }
 
 impl Default for Throttle {
     fn default() -> Throttle {
-        Throttle { share: 1000.0, debt: 0.0, stuck_since: None, cut_at: Instant(0), stepped: None }
+        Throttle {
+            share: 1000.0,
+            excess_slowdown: 0.0,
+            at_minimum_since: None,
+            next_cut_at: Instant(0),
+            last_step_at: None,
+        }
     }
 }
 
 impl Throttle {
     /// Added to the share for each second of good reports, in thousandths.
-    const INCREASE: f32 = 12.5;
+    const INCREASE_PER_SECOND: f32 = 12.5;
     /// The most seconds that one good report counts for.
-    const MOST_SECONDS: f32 = 10.0;
+    const MAX_INCREASE_SECONDS: f32 = 10.0;
     /// What a cut leaves of the share.
-    const DECREASE: f32 = 0.6;
-    const LEAST: f32 = 200.0;
+    const DECREASE_FACTOR: f32 = 0.6;
+    const MIN_SHARE: f32 = 200.0;
     /// From a cut until reports show its effect; reports lag by some seconds.
-    const LAG: Duration = Duration::from_secs(7);
+    const REPORT_LAG: Duration = Duration::from_secs(7);
 
     /// The share in force, in thousandths.
     pub fn share(&self) -> u32 {
         self.share as u32
     }
 
-    /// Whether limiting alone has not helped for `patience`: the worst neighbour should leave.
-    pub fn is_stuck(&self, now: Instant, patience: Duration) -> bool {
-        self.stuck_since.is_some_and(|since| now >= since + patience)
+    /// Whether limiting alone has not helped for `eviction_delay`: the worst neighbour should leave.
+    pub fn is_ineffective(&self, now: Instant, eviction_delay: Duration) -> bool {
+        self.at_minimum_since.is_some_and(|since| now >= since + eviction_delay)
     }
 
     /// Starts to count anew after a neighbour was made to leave.
-    pub fn relieved(&mut self) {
-        self.stuck_since = None;
+    pub fn restart_ineffective_timer(&mut self) {
+        self.at_minimum_since = None;
     }
 
     /// Takes a report in and returns the share to set.
-    pub fn step(&mut self, now: Instant, rule: ThrottleRule, signal: Signal) -> u32 {
-        let is_bad = signal.slowdown > TARGET;
-        let passed = self.stepped.replace(now).map_or(0.0, |at| now.since(at).as_secs_f32());
+    pub fn step(&mut self, now: Instant, rule: ThrottleRule, signal: UsageSignal) -> u32 {
+        let is_bad = signal.slowdown > TARGET_SLOWDOWN;
+        let elapsed = self.last_step_at.replace(now).map_or(0.0, |at| now.since(at).as_secs_f32());
         self.share = match rule {
             ThrottleRule::Off => 1000.0,
             ThrottleRule::Static(share) => share as f32,
-            ThrottleRule::Aimd => self.aimd(now, passed, is_bad || signal.busy > signal.limit),
+            ThrottleRule::Aimd => {
+                self.aimd(now, elapsed, is_bad || signal.cpu_use > signal.max_cpu_use)
+            }
             ThrottleRule::DriftPlusPenalty(v) => self.drift_plus_penalty(v, signal),
         };
-        let is_lowest = self.share <= Throttle::LEAST;
-        if !(is_bad && is_lowest) {
-            self.stuck_since = None;
-        } else if self.stuck_since.is_none() {
-            self.stuck_since = Some(now);
+        let is_at_minimum = self.share <= Throttle::MIN_SHARE;
+        if !(is_bad && is_at_minimum) {
+            self.at_minimum_since = None;
+        } else if self.at_minimum_since.is_none() {
+            self.at_minimum_since = Some(now);
         }
         self.share()
     }
@@ -175,29 +183,29 @@
     ///
     /// Cuts no more often than the lag: reports of the time before a cut would cut again
     /// and again, down to the floor, for one wave.
-    fn aimd(&mut self, now: Instant, passed: f32, is_bad: bool) -> f32 {
+    fn aimd(&mut self, now: Instant, elapsed: f32, is_bad: bool) -> f32 {
         if !is_bad {
-            let seconds = passed.min(Throttle::MOST_SECONDS);
-            return (self.share + Throttle::INCREASE * seconds).min(1000.0);
+            let seconds = elapsed.min(Throttle::MAX_INCREASE_SECONDS);
+            return (self.share + Throttle::INCREASE_PER_SECOND * seconds).min(1000.0);
         }
-        if now < self.cut_at {
+        if now < self.next_cut_at {
             return self.share;
         }
-        self.cut_at = now + Throttle::LAG;
-        (self.share * Throttle::DECREASE).max(Throttle::LEAST)
+        self.next_cut_at = now + Throttle::REPORT_LAG;
+        (self.share * Throttle::DECREASE_FACTOR).max(Throttle::MIN_SHARE)
     }
 
     /// The queue is the services' slowdown above the target that was not made good; a
     /// level's service is what it takes off the neighbours' use, which hurts more than in
     /// proportion; its penalty is the batch work lost.
-    fn drift_plus_penalty(&mut self, v: f32, signal: Signal) -> f32 {
-        let over = signal.slowdown as f32 - TARGET as f32;
-        self.debt = (self.debt + over).clamp(0.0, 10_000.0);
+    fn drift_plus_penalty(&mut self, v: f32, signal: UsageSignal) -> f32 {
+        let excess = signal.slowdown as f32 - TARGET_SLOWDOWN as f32;
+        self.excess_slowdown = (self.excess_slowdown + excess).clamp(0.0, 10_000.0);
         let cost = |level: &u32| {
             let share = *level as f32 / 1000.0;
-            v * (1.0 - share) * 1000.0 - self.debt * (1.0 - share * share)
+            v * (1.0 - share) * 1000.0 - self.excess_slowdown * (1.0 - share * share)
         };
-        let best = LEVELS.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
+        let best = SHARE_LEVELS.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
         best.copied().unwrap_or(1000) as f32
     }
 }
--- a/daisy-placement/src/usage.rs
+++ b/daisy-placement/src/usage.rs
@@ -6,7 +6,7 @@
 
 /// Measured use of a job's tasks.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Seen {
+pub(crate) struct MeasuredUsage {
     samples: u32,
     cpu_milli: f32,
     memory_peak_mib: u32,
@@ -15,22 +15,22 @@
 
 /// Samples before a declared size is corrected: one report may be of a task's first second.
 const TRUSTED_SAMPLES: u32 = 3;
-const RATE: f32 = 0.1;
+const CPU_SMOOTHING: f32 = 0.1;
 /// Kept above the highest memory seen, in percent: the next task may need a little more.
-const MEMORY_MARGIN: u64 = 10;
+const MEMORY_MARGIN_PERCENT: u64 = 10;
 
-impl Seen {
+impl MeasuredUsage {
     /// Takes one task's report in.
-    pub(crate) fn add(&mut self, used: Resources) {
+    pub(crate) fn add_sample(&mut self, used: Resources) {
         let cpu = used.cpu_milli as f32;
-        let rate = if self.samples == 0 { 1.0 } else { RATE };
+        let rate = if self.samples == 0 { 1.0 } else { CPU_SMOOTHING };
         self.cpu_milli += rate * (cpu - self.cpu_milli);
         self.memory_peak_mib = self.memory_peak_mib.max(used.memory_mib);
         self.samples = self.samples.saturating_add(1);
     }
 
     /// Takes the run time of a task that did its work in.
-    pub(crate) fn add_run(&mut self, run: Duration) {
+    pub(crate) fn add_run_time(&mut self, run: Duration) {
         let mean = self.run_time.map_or(run, |mean| mean.mul_f32(0.8) + run.mul_f32(0.2));
         self.run_time = Some(mean);
     }
@@ -47,13 +47,14 @@
     /// the price of the services' tail when both want them. So a size declared too large
     /// costs room, which the operator sees and mends, and one declared too small is raised
     /// here. No more is asked than `largest`, or the task could never run at all.
-    pub(crate) fn corrected(&self, declared: Resources, largest: Resources) -> Resources {
+    pub(crate) fn corrected_size(&self, declared: Resources, largest: Resources) -> Resources {
         if self.samples < TRUSTED_SAMPLES {
             return declared;
         }
-        let peak = u64::from(self.memory_peak_mib) * (100 + MEMORY_MARGIN) / 100;
-        let is_over = self.memory_peak_mib > declared.memory_mib;
-        let memory = if is_over { peak.min(u64::from(largest.memory_mib)) as u32 } else { 0 };
+        let peak = u64::from(self.memory_peak_mib) * (100 + MEMORY_MARGIN_PERCENT) / 100;
+        let is_memory_exceeded = self.memory_peak_mib > declared.memory_mib;
+        let memory =
+            if is_memory_exceeded { peak.min(u64::from(largest.memory_mib)) as u32 } else { 0 };
         let cpu = (self.cpu_milli as u32).min(largest.cpu_milli);
         Resources {
             cpu_milli: declared.cpu_milli.max(cpu),
--- a/daisy-placement/src/view.rs
+++ b/daisy-placement/src/view.rs
@@ -8,8 +8,8 @@
     holder::Holder,
     place::FULL_SHARE,
     reason::{Reason, TimedReason},
-    task::{Local, Phase},
-    worker::{Ending, Standing, Worker},
+    task::{LocalTask, Phase},
+    worker::{Availability, Removal, Worker},
 };
 
 /// How a worker stands with its holder.
@@ -62,7 +62,7 @@
     /// An earlier holder may have started it; blocked until that is known.
     Blocked,
     /// Ended; the ledger does not show it yet.
-    Ending,
+    Removal,
 }
 
 /// A task that the data centre has.
@@ -120,8 +120,10 @@
                 let Phase::Running { worker } = local.phase else { continue };
                 let Some(worker) = self.roster.get(worker) else { continue };
                 let task = TaskId { job: *id, index: index as u32 };
-                let is_ending =
-                    worker.held.get(&task).is_some_and(|held| held.ending != Ending::No);
+                let is_ending = worker
+                    .allocations
+                    .get(&task)
+                    .is_some_and(|allocation| allocation.removal != Removal::NotPlanned);
                 let leaving = is_ending || worker.leaving;
                 replicas.push(Replica { job: *id, task, vm: worker.id, leaving });
             }
@@ -131,29 +133,29 @@
 
     /// The last decisions about a task, oldest first; empty if this holder has made none.
     pub fn reasons(&self, task: TaskId) -> Vec<TimedReason> {
-        let Some(job) = self.jobs.get(&task.job) else { return self.past_reasons(task) };
+        let Some(job) = self.jobs.get(&task.job) else { return self.retired_reasons(task) };
         let Some(local) = job.tasks.get(task.index as usize) else { return Vec::new() };
         let mut notes = local.notes.to_vec();
         let is_waiting = matches!(
             local.phase,
-            Phase::Pending { .. } | Phase::Asked { .. } | Phase::Waiting { .. }
+            Phase::Pending { .. } | Phase::CheckoutRequested { .. } | Phase::Waiting { .. }
         );
         if is_waiting {
-            notes.extend(job.wait.clone());
+            notes.extend(job.wait_reason.clone());
         }
         notes
     }
 
-    fn past_reasons(&self, task: TaskId) -> Vec<TimedReason> {
-        let past = self.past.iter().rev().find(|(it, _)| *it == task);
-        past.map(|(_, notes)| notes.to_vec()).unwrap_or_default()
+    fn retired_reasons(&self, task: TaskId) -> Vec<TimedReason> {
+        let retired = self.retired.iter().rev().find(|(it, _)| *it == task);
+        retired.map(|(_, notes)| notes.to_vec()).unwrap_or_default()
     }
 
     /// Why jobs have tasks that nobody has checked out: paused, over their quota, not this
     /// data centre's turn, or fitting nowhere, with the nearest miss.
     pub fn waiting_jobs(&self) -> Vec<(JobId, TimedReason)> {
         let jobs = self.jobs.iter().filter(|(_, job)| !job.pending.is_empty());
-        jobs.filter_map(|(id, job)| Some((*id, job.wait.clone()?))).collect()
+        jobs.filter_map(|(id, job)| Some((*id, job.wait_reason.clone()?))).collect()
     }
 
     /// The last decisions about a VM, oldest first; empty if it is none of our workers.
@@ -168,39 +170,39 @@
         }
     }
 
-    fn try_task_view(&self, task: TaskId, local: &Local) -> Option<TaskView> {
+    fn try_task_view(&self, task: TaskId, local: &LocalTask) -> Option<TaskView> {
         let (status, since) = match local.phase {
-            Phase::Elsewhere
+            Phase::NotOurs
             | Phase::Pending { .. }
-            | Phase::Asked { .. }
+            | Phase::CheckoutRequested { .. }
             | Phase::Returned { .. } => return None,
             Phase::Waiting { since } => (TaskStatus::Waiting, Some(since)),
             Phase::Inherited { since } => (TaskStatus::Blocked, Some(since)),
             Phase::Starting { .. } => (TaskStatus::Starting, None),
             Phase::Running { .. } => (TaskStatus::Running, None),
-            Phase::Ended { .. } => (TaskStatus::Ending, None),
+            Phase::Ended { .. } => (TaskStatus::Removal, None),
         };
         let worker = local.try_worker().and_then(|key| self.roster.get(key));
-        let held = worker.and_then(|worker| worker.held.get(&task));
-        let share = held.map_or(FULL_SHARE, |held| held.share);
+        let allocation = worker.and_then(|worker| worker.allocations.get(&task));
+        let share = allocation.map_or(FULL_SHARE, |allocation| allocation.share);
         let vm = worker.map(|worker| worker.id).or(local.try_recorded_vm());
         let job = self.jobs.get(&task.job)?;
-        let run_time = job.seen.try_run_time(job.spec.run_time);
+        let run_time = job.measured.try_run_time(job.spec.run_time);
         let incarnation = local.incarnation;
         Some(TaskView { task, status, vm, incarnation, since, share, run_time })
     }
 }
 
 fn worker_view(worker: &Worker) -> WorkerView {
-    let status = match worker.standing {
-        Standing::Unlisted { .. } => WorkerStatus::Unlisted,
-        _ if !worker.heard => WorkerStatus::NeverAnswered,
-        _ if !worker.answers => WorkerStatus::Silent,
-        Standing::Draining => WorkerStatus::Draining,
-        _ if worker.faults.is_aside() => WorkerStatus::Quarantined,
-        Standing::Live => WorkerStatus::Open,
+    let status = match worker.availability {
+        Availability::Unlisted { .. } => WorkerStatus::Unlisted,
+        _ if !worker.has_answered => WorkerStatus::NeverAnswered,
+        _ if !worker.is_responsive => WorkerStatus::Silent,
+        Availability::Draining => WorkerStatus::Draining,
+        _ if worker.faults.is_quarantined() => WorkerStatus::Quarantined,
+        Availability::Live => WorkerStatus::Open,
     };
-    let shares = worker.held.iter().map(|(_, held)| held.share);
+    let shares = worker.allocations.iter().map(|(_, allocation)| allocation.share);
     WorkerView {
         vm: worker.id,
         name: worker.name.clone(),
@@ -208,7 +210,7 @@
         status,
         capacity: worker.capacity,
         allocated: worker.allocated,
-        tasks: worker.held.len(),
+        tasks: worker.allocations.len(),
         share: shares.min().unwrap_or(FULL_SHARE),
     }
 }
--- a/daisy-placement/src/worker.rs
+++ b/daisy-placement/src/worker.rs
@@ -7,9 +7,9 @@
 };
 
 use crate::{
-    fault::Faults,
-    kind::Kind,
-    reason::{Label, Notes, Reason},
+    fault::WorkerFaults,
+    job_family::JobFamily,
+    reason::{Notes, Reason, VmLabel},
     throttle::Throttle,
 };
 
@@ -29,7 +29,7 @@
 
 /// Whether the platform keeps a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum Availability {
     /// In use.
     Live,
     /// Leaving or drained: nothing new goes there.
@@ -40,51 +40,56 @@
 
 /// How sure it is that a worker holds a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Hold {
+pub(crate) enum AllocationState {
     /// Room is kept for when tasks that were ordered off the worker have gone.
-    Awaiting,
+    AwaitingEviction,
     /// Room is kept until the ledger shows the placement.
-    Reserved,
+    AwaitingRecord,
     /// A start waits for the next call.
     Queued,
     /// A start is in the outstanding call.
     Sent,
     /// A start was sent and its answer was lost: it may have taken effect.
-    Maybe,
+    Unconfirmed,
     /// Reported by the worker.
     Running,
 }
 
 /// A task's room on a worker.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Held {
+pub(crate) struct Allocation {
     pub incarnation: Incarnation,
     pub size: Resources,
-    pub hold: Hold,
-    pub ending: Ending,
+    pub state: AllocationState,
+    pub removal: Removal,
     /// The share last ordered or reported, in thousandths.
     pub share: u32,
     /// When the room was taken.
     pub since: Instant,
     pub class: Class,
     /// Reported before, and in the ledger: the next report of it needs no second look.
-    pub settled: bool,
+    pub confirmed: bool,
 }
 
-impl Hold {
+impl AllocationState {
     /// Whether no call has carried the start yet.
     pub(crate) fn is_unsent(self) -> bool {
-        matches!(self, Hold::Awaiting | Hold::Reserved | Hold::Queued)
+        matches!(
+            self,
+            AllocationState::AwaitingEviction
+                | AllocationState::AwaitingRecord
+                | AllocationState::Queued
+        )
     }
 }
 
 /// Whether a task is on its way off a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ending {
+pub(crate) enum Removal {
     /// It stays.
-    No,
-    /// Requests stop going to it; it is stopped at `until`.
-    Quiet { until: Instant },
+    NotPlanned,
+    /// Requests stop going to it; it is stopped at `stop_at`.
+    Unrouted { stop_at: Instant },
     /// A stop or checkpoint is ordered.
     Ordered,
 }
@@ -93,7 +98,7 @@
 /// looks at nothing else.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Class {
-    pub kind: Kind,
+    pub family: JobFamily,
     pub priority: Priority,
     pub service: bool,
     /// May be limited to a share of its processors.
@@ -105,7 +110,7 @@
 impl Class {
     /// Of a job that the ledger does not show any more: nothing may be done to it.
     pub(crate) const UNKNOWN: Class = Class {
-        kind: Kind(0),
+        family: JobFamily(0),
         priority: Priority::Critical,
         service: false,
         delay: false,
@@ -125,36 +130,36 @@
     pub id: VmId,
     pub name: Name,
     /// The name again, for notes.
-    pub label: Label,
+    pub label: VmLabel,
     pub rack: u16,
-    pub standing: Standing,
+    pub availability: Availability,
     /// Whether the VM list says that the VM is about to be taken away.
     pub leaving: bool,
     pub capacity: Resources,
-    /// What `held` takes together.
+    /// What `allocation` takes together.
     pub allocated: Resources,
-    pub held: SortedMap<TaskId, Held>,
+    pub allocations: SortedMap<TaskId, Allocation>,
     /// Orders for the next call.
     pub orders: Vec<Order>,
     pub outstanding: Option<Outstanding>,
     /// Whether it has answered under this epoch.
-    pub heard: bool,
+    pub has_answered: bool,
     /// Whether it answered the last call, and so has answered under this epoch.
-    pub answers: bool,
+    pub is_responsive: bool,
     pub called_at: Option<Instant>,
     /// When it is called next, orders or not.
-    pub due: Instant,
+    pub next_call_at: Instant,
     pub notes: Notes,
-    pub faults: Faults,
+    pub faults: WorkerFaults,
     pub throttle: Throttle,
     /// How many tasks of each kind it holds.
-    pub kinds: Vec<(Kind, u32)>,
+    pub families: Vec<(JobFamily, u32)>,
     /// Nothing is made to leave for disturbing services before.
-    pub relief_at: Option<Instant>,
+    pub next_relief_at: Option<Instant>,
     /// Nothing is learnt from its usage before: reports overlap.
-    pub learn_at: Instant,
+    pub next_learn_at: Instant,
     /// What it held of each kind at its last reports, weighed by share.
-    pub past: VecDeque<(Instant, Vec<(Kind, f32)>)>,
+    pub load_history: VecDeque<(Instant, Vec<(JobFamily, f32)>)>,
 }
 
 impl Worker {
@@ -164,24 +169,24 @@
             name: vm.name.clone(),
             label: vm.name.as_str().into(),
             rack: vm.rack,
-            standing: Standing::Live,
+            availability: Availability::Live,
             leaving: false,
             capacity: vm.capacity,
             allocated: Resources::ZERO,
-            held: SortedMap::new(),
+            allocations: SortedMap::new(),
             orders: Vec::new(),
             outstanding: None,
-            heard: false,
-            answers: false,
+            has_answered: false,
+            is_responsive: false,
             called_at: None,
-            due: now,
+            next_call_at: now,
             notes: Notes::default(),
-            faults: Faults::default(),
+            faults: WorkerFaults::default(),
             throttle: Throttle::default(),
-            kinds: Vec::new(),
-            relief_at: None,
-            learn_at: now,
-            past: VecDeque::new(),
+            families: Vec::new(),
+            next_relief_at: None,
+            next_learn_at: now,
+            load_history: VecDeque::new(),
         }
     }
 
@@ -190,16 +195,16 @@
     /// A worker that has not answered under this epoch may run what we do not know of, and
     /// a start there could take more than it holds.
     pub(crate) fn is_open(&self) -> bool {
-        self.answers && self.standing == Standing::Live && self.faults.is_open()
+        self.is_responsive && self.availability == Availability::Live && self.faults.is_open()
     }
 
     /// Notes and applies a change of the VM list or of operators' drains.
-    pub(crate) fn stand(&mut self, now: Instant, standing: Standing) {
-        if self.standing == standing {
+    pub(crate) fn set_availability(&mut self, now: Instant, availability: Availability) {
+        if self.availability == availability {
             return;
         }
-        self.standing = standing;
-        let is_live = standing == Standing::Live;
+        self.availability = availability;
+        let is_live = availability == Availability::Live;
         self.notes.add(now, if is_live { Reason::Opened } else { Reason::Draining });
     }
 
@@ -209,64 +214,71 @@
     }
 
     /// Counts a task's room as taken.
-    pub(crate) fn hold(&mut self, task: TaskId, held: Held) {
-        if let Some(old) = self.held.insert(task, held) {
+    pub(crate) fn allocate(&mut self, task: TaskId, allocation: Allocation) {
+        if let Some(old) = self.allocations.insert(task, allocation) {
             self.allocated = self.allocated.try_sub(old.size).unwrap_or(Resources::ZERO);
-            self.uncount(old.class.kind);
+            self.uncount(old.class.family);
         }
-        self.allocated = saturating_add(self.allocated, held.size);
-        self.count(held.class.kind);
+        self.allocated = saturating_add(self.allocated, allocation.size);
+        self.count(allocation.class.family);
     }
 
     /// Forgets what was taken, before a report is taken in.
     pub(crate) fn clear_taken(&mut self) {
         self.allocated = Resources::ZERO;
-        self.kinds.clear();
+        self.families.clear();
     }
 
     /// Notes what it holds now, and forgets what is older than `lag` but for the newest.
-    pub(crate) fn remember(&mut self, now: Instant, lag: Duration) {
-        let mut weights: Vec<(Kind, f32)> = Vec::with_capacity(self.kinds.len());
-        for (_, held) in self.held.iter().filter(|(_, held)| held.hold == Hold::Running) {
-            let share = held.share as f32 / 1000.0;
-            match weights.iter_mut().find(|(kind, _)| *kind == held.class.kind) {
+    pub(crate) fn record_load(&mut self, now: Instant, lag: Duration) {
+        let mut weights: Vec<(JobFamily, f32)> = Vec::with_capacity(self.families.len());
+        for (_, allocation) in self
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.state == AllocationState::Running)
+        {
+            let share = allocation.share as f32 / 1000.0;
+            match weights.iter_mut().find(|(family, _)| *family == allocation.class.family) {
                 Some((_, weight)) => *weight += share * share,
-                None => weights.push((held.class.kind, share * share)),
+                None => weights.push((allocation.class.family, share * share)),
             }
         }
-        self.past.push_back((now, weights));
-        while self.past.len() > 1 && self.past[1].0 + lag <= now {
-            self.past.pop_front();
+        self.load_history.push_back((now, weights));
+        while self.load_history.len() > 1 && self.load_history[1].0 + lag <= now {
+            self.load_history.pop_front();
         }
     }
 
     /// What is taken, without room that is kept for when others have gone.
-    pub(crate) fn taken_but_awaiting(&self) -> Resources {
-        let held = self.held.iter().filter(|(_, held)| held.hold != Hold::Awaiting);
-        held.map(|(_, held)| held.size).fold(Resources::ZERO, saturating_add)
+    pub(crate) fn allocated_without_awaiting(&self) -> Resources {
+        let allocation = self
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.state != AllocationState::AwaitingEviction);
+        allocation.map(|(_, allocation)| allocation.size).fold(Resources::ZERO, saturating_add)
     }
 
-    fn count(&mut self, kind: Kind) {
-        match self.kinds.iter_mut().find(|(it, _)| *it == kind) {
+    fn count(&mut self, family: JobFamily) {
+        match self.families.iter_mut().find(|(it, _)| *it == family) {
             Some((_, count)) => *count += 1,
-            None => self.kinds.push((kind, 1)),
+            None => self.families.push((family, 1)),
         }
     }
 
-    fn uncount(&mut self, kind: Kind) {
-        let Some(at) = self.kinds.iter().position(|(it, _)| *it == kind) else { return };
-        self.kinds[at].1 -= 1;
-        if self.kinds[at].1 == 0 {
-            self.kinds.swap_remove(at);
+    fn uncount(&mut self, family: JobFamily) {
+        let Some(at) = self.families.iter().position(|(it, _)| *it == family) else { return };
+        self.families[at].1 -= 1;
+        if self.families[at].1 == 0 {
+            self.families.swap_remove(at);
         }
     }
 
     /// Gives a task's room back.
-    pub(crate) fn let_go(&mut self, task: TaskId) -> Option<Held> {
-        let held = self.held.remove(&task)?;
-        self.allocated = self.allocated.try_sub(held.size).unwrap_or(Resources::ZERO);
-        self.uncount(held.class.kind);
-        Some(held)
+    pub(crate) fn release(&mut self, task: TaskId) -> Option<Allocation> {
+        let allocation = self.allocations.remove(&task)?;
+        self.allocated = self.allocated.try_sub(allocation.size).unwrap_or(Resources::ZERO);
+        self.uncount(allocation.class.family);
+        Some(allocation)
     }
 }
 
--- a/daisy-placement/tests/control.rs
+++ b/daisy-placement/tests/control.rs
@@ -6,7 +6,7 @@
 
 use daisy_model::{Instant, Objective, Usage, VmId};
 use daisy_placement::{
-    Ceiling, Interference, Kind, Signal, Throttle, ThrottleControl, ThrottleRule,
+    Ceiling, Interference, JobFamily, Throttle, ThrottleControl, ThrottleRule, UsageSignal,
 };
 use util::{World, batch, service, size, task};
 
@@ -61,7 +61,7 @@
 #[test]
 fn reports_of_the_time_before_a_cut_do_not_cut_again() {
     let mut throttle = Throttle::default();
-    let bad = Signal { slowdown: 2_000, busy: 500, limit: 800 };
+    let bad = UsageSignal { slowdown: 2_000, cpu_use: 500, max_cpu_use: 800 };
 
     let shares: Vec<u32> = (0..4)
         .map(|at| throttle.step(Instant::from_millis(10_000 + at * 2_000), ThrottleRule::Aimd, bad))
@@ -73,8 +73,8 @@
 /// A worker that reports often must not get its limit lifted sooner than one that does not.
 #[test]
 fn a_limit_rises_with_time_and_not_with_reports() {
-    let bad = Signal { slowdown: 2_000, busy: 500, limit: 800 };
-    let good = Signal { slowdown: 1_000, ..bad };
+    let bad = UsageSignal { slowdown: 2_000, cpu_use: 500, max_cpu_use: 800 };
+    let good = UsageSignal { slowdown: 1_000, ..bad };
     let share_after = |reports: u64| {
         let mut throttle = Throttle::default();
         throttle.step(Instant::from_millis(10_000), ThrottleRule::Aimd, bad);
@@ -106,7 +106,7 @@
 
 #[test]
 fn the_noisy_kind_is_told_from_its_quiet_neighbours() {
-    let (shop, quiet, noisy) = (Kind(1), Kind(2), Kind(3));
+    let (shop, quiet, noisy) = (JobFamily(1), JobFamily(2), JobFamily(3));
     let mut learnt = Interference::default();
     let mut rng = fastrand::Rng::with_seed(3);
 
@@ -116,7 +116,7 @@
         learnt.learn(shop, &[(quiet, quiets as f32), (noisy, noisies as f32)], slowdown);
     }
 
-    let found = (learnt.pair(shop, quiet), learnt.pair(shop, noisy));
+    let found = (learnt.slowdown_of_one(shop, quiet), learnt.slowdown_of_one(shop, noisy));
     assert!(found.0 < 20.0 && (100.0..150.0).contains(&found.1), "{found:?}");
 }
 
@@ -126,9 +126,9 @@
     let mut learnt = Interference::default();
 
     for at in 0..20_000_u32 {
-        let kinds = [(Kind((at % 900) as u16), 1.0), (Kind((at % 77) as u16), 1.0)];
-        learnt.learn(Kind((at % 40) as u16), &kinds, 1_500);
+        let kinds = [(JobFamily((at % 900) as u16), 1.0), (JobFamily((at % 77) as u16), 1.0)];
+        learnt.learn(JobFamily((at % 40) as u16), &kinds, 1_500);
     }
 
-    assert!(learnt.len() <= Interference::MOST, "{} pairs", learnt.len());
+    assert!(learnt.len() <= Interference::MAX_PAIRS, "{} pairs", learnt.len());
 }
