--- a/daisy-placement/src/calls.rs
+++ b/daisy-placement/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers: orders, renewals, silence.
+//! Calls to workers: orders, lease renewals and failed calls.
 
 use daisy_model::{Instant, Order, TaskId, VmId, WorkerCall};
 
@@ -8,17 +8,18 @@
     worker::{AllocationState, Availability, Outstanding, Worker, WorkerKey},
 };
 
-/// A worker is called this many times in a lease at least.
+/// The least number of calls to each worker within one lease.
 ///
-/// A lost call is known within seconds and said again after [`Limits::retry_interval`], so the other half
-/// of the lease holds several more tries and a change-over of holders; each renewal costs an
-/// exchange of about 480 bytes, which is most of what a holder spends (`docs/CAPACITY.md`).
+/// A lost call is detected within seconds and repeated after [`Limits::retry_interval`], so the
+/// other half of the lease leaves time for several more attempts and a change of holders. Each
+/// renewal is an exchange of about 480 bytes, which is most of a holder's traffic
+/// (`docs/CAPACITY.md`).
 ///
-/// [`Limits::retry_interval`]: crate::Limits::retry
+/// [`Limits::retry_interval`]: crate::Limits::retry_interval
 const CALLS_PER_LEASE: u32 = 2;
 
 impl Holder {
-    /// Calls every worker that has orders or is due.
+    /// Calls every worker that has orders to receive at once or whose next call is due.
     pub(crate) fn call_due_workers(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let poll_interval =
             self.options.limits.poll_interval.min(self.options.lease / CALLS_PER_LEASE);
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Calls a worker that has something to report without waiting for its turn.
+    /// Calls a worker that has something to report now rather than at its next regular call.
     pub(crate) fn handle_worker_update(&mut self, now: Instant, vm: VmId) {
         let Some(key) = self.roster.try_key(vm) else { return };
         let Some(worker) = self.roster.get_mut(key) else { return };
@@ -44,7 +45,7 @@
         self.roster.mark_for_call(key);
     }
 
-    /// Takes in that a call got no answer.
+    /// Handles a call that got no answer; `sent` tells whether it may have reached the worker.
     pub(crate) fn handle_failed_call(&mut self, now: Instant, vm: VmId, sent: bool) {
         let Some(key) = self.roster.try_key(vm) else { return };
         let retry_interval = self.options.limits.retry_interval;
@@ -70,8 +71,8 @@
                 _ => to_resend.push(order),
             }
         }
-        // Every order is idempotent, and the worker starts an incarnation once: the whole
-        // call is said again, before anything newer.
+        // Every order is idempotent, and a worker starts an incarnation only once, so the whole
+        // call is repeated before any newer order.
         to_resend.append(&mut worker.orders);
         worker.orders = to_resend;
         for task in unconfirmed {
@@ -81,7 +82,7 @@
         self.roster.reindex(key);
     }
 
-    /// Puts tasks whose start never left this process back in line.
+    /// Returns tasks whose start never left this process to the queue.
     fn requeue_unsent(&mut self, now: Instant, key: WorkerKey, tasks: Vec<TaskId>) {
         for task in tasks {
             if let Some(worker) = self.worker_mut(key) {
@@ -94,20 +95,20 @@
 
 fn is_due(worker: &Worker, now: Instant) -> bool {
     let is_unlisted = matches!(worker.availability, Availability::Unlisted { .. });
-    // Orders go at once to a worker that answers; one that does not is retried in its time.
+    // A responsive worker gets its orders at once; an unresponsive one is retried at its time.
     let has_prompt_orders = worker.is_responsive && worker.orders.iter().any(needs_prompt_call);
     !is_unlisted
         && worker.outstanding.is_none()
         && (has_prompt_orders || now >= worker.next_call_at)
 }
 
-/// An acknowledgement can wait for the next call; all else goes at once.
+/// Whether an order must go out at once. Only acknowledgements can wait for the next call.
 fn needs_prompt_call(order: &Order) -> bool {
     !matches!(order, Order::Acknowledge { .. })
 }
 
-/// Takes the orders for the next call; none go to a worker that has not yet answered under
-/// this epoch, for what runs there decides what may be ordered.
+/// Takes the orders for the next call. A worker that has not yet answered under this epoch gets
+/// none, since the tasks that run there decide what may be ordered.
 fn take_sendable_orders(worker: &mut Worker) -> Vec<Order> {
     if !worker.has_answered {
         return Vec::new();
@@ -120,7 +121,7 @@
     std::mem::take(&mut worker.orders)
 }
 
-/// Whether the lost call was the first to carry the start.
+/// Whether the failed call was the first one to carry the start.
 fn is_first_attempt(worker: &Worker, task: TaskId) -> bool {
     worker
         .allocations
@@ -128,10 +129,11 @@
         .is_some_and(|allocation| allocation.state == AllocationState::Sent)
 }
 
-/// The start may have taken effect: its room stays taken until the worker answers.
+/// Marks a start that may have taken effect: its capacity stays allocated until the worker
+/// answers.
 ///
-/// Without this the room would be given twice, once to the task that runs after all, and
-/// the task would be started a second time elsewhere.
+/// Otherwise the capacity would be given to a second task while the first one runs after all,
+/// and the first one would be started again elsewhere.
 fn mark_unconfirmed(worker: &mut Worker, task: TaskId) {
     if let Some(allocation) = worker.allocations.get_mut(&task) {
         allocation.state = AllocationState::Unconfirmed;
--- a/daisy-placement/src/checkout.rs
+++ b/daisy-placement/src/checkout.rs
@@ -1,4 +1,4 @@
-//! Which pending tasks this data centre checks out, and which it gives back.
+//! The choice of the pending tasks that this data centre checks out, and of those it returns.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -13,24 +13,25 @@
     worker::saturating_add,
 };
 
-/// The longest that a data centre of another region waits for the sake of bytes.
+/// The longest that a data centre of another region waits because of `region_bytes`.
 const MAX_REGION_WAIT: Duration = Duration::from_secs(600);
 
-/// What may still be asked for.
+/// What may still be checked out.
 #[derive(Debug)]
 struct CheckoutBudget {
-    /// Room that nothing checked out is going to take.
+    /// Free capacity that no checked-out task is going to use.
     free_capacity: Resources,
-    /// Tasks beyond the room, for an outage of the log.
+    /// The number of tasks beyond the free capacity, as work for an outage of the log.
     reserve: u32,
-    /// The same for urgent work, which may evict.
+    /// The same for urgent work, which may evict other tasks.
     urgent_reserve: u32,
 }
 
 impl CheckoutBudget {
-    /// Takes a task's room, or else one of the spare places.
+    /// Takes the size of a task from the free capacity, or else one task from the reserve.
     ///
-    /// `fits_one_worker` tells whether any single worker has room: the sum of many small rests does not.
+    /// `fits_one_worker` tells whether some single worker has the capacity: the sum of many
+    /// small remainders does not mean that.
     fn try_reserve(&mut self, job: &JobView, fits_one_worker: bool) -> Option<()> {
         if let Some(rest) = self.free_capacity.try_sub(job.size()).filter(|_| fits_one_worker) {
             self.free_capacity = rest;
@@ -43,9 +44,9 @@
 }
 
 impl Holder {
-    /// Asks for pending tasks that there is room for, and for a small reserve.
+    /// Requests checkouts of pending tasks that there is capacity for, and of a small reserve.
     ///
-    /// The reserve is what goes on being started while the log is down.
+    /// The reserve is the work that is still started while the log is down.
     pub(crate) fn check_out_pending(&mut self, now: Instant) {
         if !self.log_reachable || !self.is_ready() {
             return;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Said once and kept: the search for the nearest miss looks at every worker.
+    /// Recorded once and kept, since the search for the smallest shortfall visits every worker.
     fn note_never_fits(&mut self, now: Instant, id: JobId, size: Resources) {
         let is_noted = self.jobs.get(&id).and_then(|job| job.wait_reason.as_ref()).is_some_and(|wait| {
             matches!(wait.reason, Reason::NotRunning(WaitReason::NeverFits { size: it, .. }) if it == size)
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Whether it is this data centre's turn to ask for a task.
+    /// Whether this data centre may request the checkout of a task now.
     fn may_check_out(&self, now: Instant, job: &JobView, index: u32, phase: Phase) -> bool {
         let Some(rank) = job.try_rank(index, self.options.dc) else { return false };
         match phase {
@@ -165,10 +166,11 @@
         }
     }
 
-    /// How long the data centres before this one are given.
+    /// Returns how long the data centres before this one have to check a task out.
     ///
-    /// One in another region than the job's data waits besides for as long as the bytes
-    /// would take at the rate that the policy allows: by then it is no later than they are.
+    /// A data centre in another region than the job's data waits in addition for the time that
+    /// the transfer of `region_bytes` would take at the rate that the policy allows: for that
+    /// long, waiting costs no more time than the transfer.
     fn fallback_delay(&self, job: &JobView, rank: u32) -> Duration {
         let limits = &self.options.limits;
         let step =
@@ -186,10 +188,11 @@
         job.try_first_choice().is_some_and(|first| region(first) != region(self.options.dc))
     }
 
-    /// Ends tasks for good that found no room for long, if operators allow it.
+    /// Ends tasks for good that have found no capacity for long, if their job allows it.
     ///
-    /// Data centres pass a task on that finds no room, so the time counts from when its job was
-    /// seen, and each data centre first looks for room as long as before it gives a task back.
+    /// Data centres return tasks that find no capacity, so the time counts from when the job was
+    /// first seen. Each data centre first searches for half the time after which it returns a
+    /// task.
     pub(crate) fn refuse_overdue(&mut self, now: Instant) {
         let (refuse, min_wait) =
             (self.options.limits.refuse_after, self.options.limits.return_after / 2);
@@ -205,9 +208,10 @@
         }
     }
 
-    /// Checked-out tasks of some jobs that wait for room since `min_wait` or longer.
+    /// Returns checked-out tasks of the included jobs that have waited at least `min_wait` for
+    /// capacity.
     ///
-    /// What may have started is left out: it has to be settled first.
+    /// Tasks that may have started are left out: their outcome has to be known first.
     fn unstarted(
         &self,
         now: Instant,
@@ -221,7 +225,7 @@
                 let Some(local) = job.tasks.get(*index as usize) else { continue };
                 let Phase::Waiting { since } = local.phase else { continue };
                 let never_started = local.next_incarnation() == local.ledger.next_incarnation()
-                    && local.placed_at.is_none();
+                    && local.placement_recorded_at.is_none();
                 if never_started && now >= since + min_wait {
                     tasks.push(TaskId { job: *id, index: *index });
                 }
@@ -230,7 +234,8 @@
         tasks
     }
 
-    /// Gives tasks back that found no room for a while, so that others may take them.
+    /// Returns tasks that found no capacity for a while, so that other data centres may check
+    /// them out.
     pub(crate) fn return_unplaced(&mut self, now: Instant) {
         if self.options.data_centres.len() < 2 || !self.log_reachable {
             return;
@@ -246,7 +251,7 @@
 }
 
 impl Roster {
-    /// The free room of all workers that take new work.
+    /// Returns the free capacity of all workers that take new work.
     fn total_free(&self) -> Resources {
         self.iter()
             .filter(|(_, worker)| worker.is_open())
@@ -255,7 +260,7 @@
     }
 }
 
-/// Takes from a team's quota, if it has room; the ledger has the last word.
+/// Takes a size from a team's quota if it fits; the ledger makes the final decision.
 fn take_quota(quota: &mut Option<(Resources, Resources)>, size: Resources) -> bool {
     let Some((limit, used)) = quota else { return true };
     match used.try_add(size) {
--- a/daisy-placement/src/control.rs
+++ b/daisy-placement/src/control.rs
@@ -1,4 +1,4 @@
-//! What late usage reports lead to: learning, limits on batch work, and relief of services.
+//! Reactions to usage reports: learning interference, throttling batch work, relieving services.
 
 use std::time::Duration;
 
@@ -14,19 +14,20 @@
     worker::{AllocationState, Removal, Worker, WorkerKey},
 };
 
-/// How late usage is taken to be reported.
+/// The assumed delay of usage reports.
 const REPORT_LAG: Duration = Duration::from_secs(6);
-/// Between two looks at a worker's usage to learn from it.
+/// The interval between two reports of a worker that interference is learnt from.
 const LEARN_INTERVAL: Duration = Duration::from_secs(5);
-/// What a noisy task is expected to add to the services beside it, in thousandths.
+/// The slowdown from which a task counts as noisy for the services beside it, in thousandths.
 pub(crate) const NOISY_SLOWDOWN: f32 = 40.0;
-/// Between two tasks made to leave one worker: the effect of the first shows that late.
+/// The interval between two evictions for interference on one worker: the effect of the first
+/// one shows only after this time.
 const RELIEF_INTERVAL: Duration = Duration::from_secs(30);
-/// A changed limit is ordered only if it differs by more than this, in thousandths.
+/// The least change of a throttled share that is ordered, in thousandths.
 const MIN_SHARE_CHANGE: u32 = 40;
 
 impl Holder {
-    /// Takes a worker's usage in.
+    /// Handles a worker's usage report: learns from it and adjusts the throttling of batch work.
     pub(crate) fn adjust_throttle(&mut self, now: Instant, key: WorkerKey, usage: &[Usage]) {
         if usage.is_empty() {
             return;
@@ -59,7 +60,7 @@
             (Some(_), _) => {
                 share.min(control.ceiling.share(backlog)).min(self.predicted_share(key))
             }
-            // A fixed share is meant for noisy kinds, and there are none.
+            // A fixed share is meant for noisy families, and there are none here.
             (None, ThrottleRule::Static(_)) if control.interfering_only && !is_cpu_full => {
                 FULL_SHARE
             }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Counts the batch tasks that wait, for each worker that takes work.
+    /// Computes the number of waiting batch tasks per worker that takes new work.
     pub(crate) fn count_backlog(&mut self) {
         let batch = self.jobs.iter().filter(|(_, job)| !job.is_service() && !job.cancelled);
         let waiting: usize = batch.map(|(_, job)| job.waiting.len() + job.pending.len()).sum();
@@ -87,15 +88,15 @@
             }
         }
         let Some(worker) = self.roster.get(key) else { return };
-        // The report speaks of the neighbours that there were then: those that came since
-        // would be blamed for it, and those that left since would go free.
+        // The report describes the neighbours at the time of measurement. Neighbours that came
+        // since would be blamed for the slowdown, and those that left since would not.
         let Some((at, load_history)) = worker.load_history.front() else { return };
         if now < *at + REPORT_LAG {
             return;
         }
         for it in usage {
             let Some(allocation) = worker.allocations.get(&it.task) else { continue };
-            if allocation.class.service && now >= allocation.since + REPORT_LAG {
+            if allocation.class.is_service && now >= allocation.since + REPORT_LAG {
                 let neighbours = neighbours(load_history, allocation.class.family);
                 self.interference.learn(allocation.class.family, &neighbours, it.slowdown);
             }
@@ -105,12 +106,12 @@
     fn worst_service_slowdown(&self, key: WorkerKey, usage: &[Usage]) -> Option<u32> {
         let worker = self.roster.get(key)?;
         let is_service = |it: &&Usage| {
-            worker.allocations.get(&it.task).is_some_and(|allocation| allocation.class.service)
+            worker.allocations.get(&it.task).is_some_and(|allocation| allocation.class.is_service)
         };
         usage.iter().filter(is_service).map(|it| it.slowdown).max()
     }
 
-    /// Processor use of a worker in thousandths of what it holds.
+    /// Returns the processor use of a worker, in thousandths of its capacity.
     fn cpu_use(&self, key: WorkerKey, usage: &[Usage]) -> u32 {
         let Some(worker) = self.roster.get(key) else { return 0 };
         let used: u64 = usage.iter().map(|it| u64::from(it.used.cpu_milli)).sum();
@@ -118,9 +119,9 @@
         u32::try_from(used * 1000 / whole).unwrap_or(u32::MAX)
     }
 
-    /// The batch kinds on a worker that are known for noisy beside its services.
+    /// Returns the batch families on a worker that are known to be noisy for its services.
     ///
-    /// `None` where there are none: then all are limited alike.
+    /// Returns `None` if there are none: all batch work is throttled alike then.
     fn noisy_families(&self, key: WorkerKey) -> Option<Vec<JobFamily>> {
         let worker = self.roster.get(key)?;
         let services = service_families(worker);
@@ -132,11 +133,13 @@
         (!noisy.is_empty()).then_some(noisy)
     }
 
-    /// The share at which the neighbours are expected to keep the services near the target.
+    /// Predicts the share at which the neighbours are expected to keep the services near the
+    /// target slowdown.
     ///
-    /// Reports come too late for the first seconds of a wave, and in them the tail is made:
-    /// kinds that are known to be noisy are limited before they are heard. What a neighbour
-    /// adds falls about with the square of its share.
+    /// Reports come too late for the first seconds of a burst of noise, and these seconds
+    /// determine the tail latency. Families known to be noisy are therefore throttled before a
+    /// report shows it. The slowdown caused by a neighbour falls about with the square of its
+    /// share.
     fn predicted_share(&self, key: WorkerKey) -> u32 {
         let Some(worker) = self.roster.get(key) else { return FULL_SHARE };
         let worst = service_families(worker)
@@ -152,10 +155,10 @@
         (share as u32).max(SHARE_LEVELS[SHARE_LEVELS.len() - 1])
     }
 
-    /// Orders a limit for the tasks of a worker that may be delayed, or for those of them
-    /// that are of the kinds `only_families`.
+    /// Orders a share for the tasks of a worker that may be delayed, or only for those of
+    /// `only_families` if given; the others get their full share.
     ///
-    /// A limit on a neighbour that disturbs nobody costs its work and helps nothing.
+    /// Throttling a neighbour that disturbs no service would cost its work and help nobody.
     fn set_share(
         &mut self,
         now: Instant,
@@ -172,7 +175,10 @@
             let is_affected = only_families
                 .is_none_or(|only_families| only_families.contains(&allocation.class.family));
             let share = if is_affected { share } else { FULL_SHARE };
-            if !allocation.class.delay || !is_running || !is_significant(allocation.share, share) {
+            if !allocation.class.may_delay
+                || !is_running
+                || !is_significant(allocation.share, share)
+            {
                 continue;
             }
             allocation.share = share;
@@ -187,7 +193,7 @@
         }
     }
 
-    /// Makes the neighbour leave that is expected to disturb the services most.
+    /// Checkpoints the neighbour that is expected to slow the services down most.
     fn evict_worst_neighbour(&mut self, now: Instant, key: WorkerKey, slowdown: u32) {
         let Some(worker) = self.roster.get(key) else { return };
         if worker.next_relief_at.is_some_and(|at| now < at) {
@@ -207,8 +213,8 @@
         let worker = self.roster.get(key)?;
         let services = service_families(worker);
         let able = worker.allocations.iter().filter(|(_, allocation)| {
-            allocation.class.evict
-                && !allocation.class.service
+            allocation.class.may_evict
+                && !allocation.class.is_service
                 && allocation.state == AllocationState::Running
                 && allocation.removal == Removal::NotPlanned
         });
@@ -223,9 +229,9 @@
     }
 }
 
-/// The kinds of the services on a worker, each once.
+/// Returns the families of the services on a worker, each one once.
 fn service_families(worker: &Worker) -> Vec<JobFamily> {
-    let services = worker.allocations.iter().filter(|(_, allocation)| allocation.class.service);
+    let services = worker.allocations.iter().filter(|(_, allocation)| allocation.class.is_service);
     let mut families: Vec<JobFamily> =
         services.map(|(_, allocation)| allocation.class.family).collect();
     families.sort_unstable();
@@ -233,12 +239,13 @@
     families
 }
 
-/// What a task of a kind is expected to add to services, in thousandths.
+/// Returns the slowdown that a task of a family is expected to add to the services in total, in
+/// thousandths.
 fn expected_harm(interference: &Interference, services: &[JobFamily], family: JobFamily) -> f32 {
     services.iter().map(|victim| interference.slowdown_of_one(*victim, family)).sum()
 }
 
-/// The kinds beside one task of `own`.
+/// Returns the families beside one task of the family `own`.
 fn neighbours(weights: &[(JobFamily, f32)], own: JobFamily) -> Vec<(JobFamily, f32)> {
     let but_itself = |(family, weight): &(JobFamily, f32)| {
         let weight = if *family == own { (weight - 1.0).max(0.0) } else { *weight };
--- a/daisy-placement/src/evacuate.rs
+++ b/daisy-placement/src/evacuate.rs
@@ -1,4 +1,4 @@
-//! Work leaves VMs that are leaving or drained.
+//! Evacuation of VMs that are leaving or drained.
 
 use std::time::Duration;
 
@@ -11,19 +11,20 @@
     worker::{AllocationState, Availability, Removal, WorkerKey},
 };
 
-/// Requests stop going to a replica this long before it is stopped.
+/// How long a replica gets no requests before it is stopped.
 ///
-/// The users ask that a leaving backend server gets nothing new after a few seconds; what
-/// is in flight then has as long again to end.
+/// The users require that a leaving backend server gets no new request after a few seconds;
+/// requests in flight then have the same time again to finish.
 const QUIET: Duration = Duration::from_secs(5);
 
 impl Holder {
-    /// Takes what may leave off VMs that take no more work.
+    /// Moves tasks off VMs that take no more work, as far as they may be moved.
     ///
-    /// Batch work that may be evicted goes at once. A service's replicas go one at a time,
-    /// each only when there is room for it elsewhere: it is taken out of the routes first,
-    /// then stopped, then started anew. To start the new one before the old one is stopped
-    /// would be kinder, but they are one task, and no task runs in two places.
+    /// Batch tasks that may be evicted are checkpointed at once. The replicas of a service move
+    /// one at a time, and only when another worker has capacity: a replica is first taken out of
+    /// the routes, then stopped, then started elsewhere. Starting the new replica before
+    /// stopping the old one would avoid the gap, but both are the same task, and no task may run
+    /// in two places.
     pub(crate) fn evacuate(&mut self, now: Instant) {
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get(key) else { continue };
@@ -42,9 +43,9 @@
             .filter(|(_, allocation)| allocation.state == AllocationState::Running);
         let to_move: Vec<(TaskId, bool, Removal)> = running
             .filter(|(_, allocation)| {
-                allocation.class.evict || allocation.class.service && is_leaving
+                allocation.class.may_evict || allocation.class.is_service && is_leaving
             })
-            .map(|(task, allocation)| (*task, allocation.class.service, allocation.removal))
+            .map(|(task, allocation)| (*task, allocation.class.is_service, allocation.removal))
             .collect();
         for (task, is_service, removal) in to_move {
             match removal {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes a replica out of the routes, if its service can do without it for a moment.
+    /// Takes a replica out of the routes if its service can run without it for a moment.
     fn unroute(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         if !self.are_all_replicas_running(task.job) {
             return;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Whether every replica that this data centre has of a service runs and stays.
+    /// Whether all replicas of a service in this data centre run and none is being removed.
     fn are_all_replicas_running(&self, job: JobId) -> bool {
         let Some(view) = self.jobs.get(&job) else { return false };
         view.tasks.iter().enumerate().all(|(index, local)| match local.phase {
@@ -94,7 +95,7 @@
         self.checkpoint(key, task);
     }
 
-    /// Orders a task to be checkpointed and stopped; it is resumed once that is recorded.
+    /// Orders a task to be checkpointed and stopped; it resumes once that is recorded.
     pub(crate) fn checkpoint(&mut self, key: WorkerKey, task: TaskId) {
         self.order_removal(key, task, |incarnation| Order::Checkpoint { task, incarnation });
     }
--- a/daisy-placement/src/evict.rs
+++ b/daisy-placement/src/evict.rs
@@ -1,4 +1,4 @@
-//! Urgent work takes room from work that may be evicted.
+//! Eviction: urgent work takes capacity from tasks that may be evicted.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -10,14 +10,15 @@
     worker::{AllocationState, Availability, Removal, Worker, WorkerKey},
 };
 
-/// Between two searches for victims; each looks at every task of the data centre.
+/// The interval between two searches for victims; each search visits every task of the data
+/// centre.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(20);
-/// How long room is waited for before the task goes back in line.
+/// How long capacity is awaited before the task returns to the queue.
 const EVICTION_TIMEOUT: Duration = Duration::from_secs(10);
 /// The most tasks evicted for one start.
 const MAX_VICTIMS: usize = 8;
 
-/// Who would have to go for a task to fit.
+/// A worker and the tasks to evict there so that a task fits.
 #[derive(Debug)]
 struct EvictionPlan {
     key: WorkerKey,
@@ -25,7 +26,8 @@
 }
 
 impl Holder {
-    /// Makes room for an urgent task and keeps it, or says that there is none to be made.
+    /// Evicts tasks for an urgent task and reserves their capacity for it. Returns `None` if
+    /// eviction is not possible now.
     pub(crate) fn try_evict(&mut self, now: Instant, id: JobId, index: u32) -> Option<()> {
         let job = self.jobs.get(&id)?;
         if !job.is_urgent() || self.next_eviction_search_at.is_some_and(|at| now < at) {
@@ -47,7 +49,7 @@
         Some(())
     }
 
-    /// The worker with the fewest, then the least important, victims.
+    /// Returns the plan with the fewest victims.
     fn eviction_plan(&self, priority: Priority, size: Resources) -> Option<EvictionPlan> {
         let plans = self.roster.iter().filter_map(|(key, worker)| {
             let victims = try_victims(worker, priority, size)?;
@@ -56,7 +58,7 @@
         plans.min_by_key(|eviction_plan| eviction_plan.victims.len())
     }
 
-    /// Starts what has waited for victims to go, now that the worker says they have.
+    /// Starts the tasks whose victims have ended according to the worker.
     pub(crate) fn start_awaiting(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.roster.get(key) else { return };
         let awaiting: Vec<TaskId> = worker
@@ -73,8 +75,8 @@
     fn start_or_give_up(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let Some(worker) = self.roster.get(key) else { return };
         let Some(allocation) = worker.allocations.get(&task).copied() else { return };
-        // Only what the worker itself no longer reports has left: until then the room is
-        // taken twice in our books, and nothing is ordered.
+        // A victim has ended only when the worker no longer reports it. Until then the capacity
+        // is allocated twice in the holder's accounts, and nothing is ordered.
         let others = worker.allocated_without_awaiting();
         let fits = others.try_add(allocation.size).is_some_and(|sum| sum.fits(worker.capacity));
         let has_timed_out = now >= allocation.since + EVICTION_TIMEOUT;
@@ -93,7 +95,8 @@
     }
 }
 
-/// The tasks that would have to go, or `None` if that is not enough or not allowed.
+/// Returns the tasks to evict, least important first, or `None` if evicting them is not allowed
+/// or does not free enough capacity.
 fn try_victims(worker: &Worker, priority: Priority, size: Resources) -> Option<Vec<TaskId>> {
     let is_usable = worker.is_responsive
         && worker.availability == Availability::Live
@@ -112,7 +115,9 @@
             allocation.state == AllocationState::Running
                 && allocation.removal == Removal::NotPlanned
         })
-        .filter(|(_, allocation)| allocation.class.evict && allocation.class.priority < priority)
+        .filter(|(_, allocation)| {
+            allocation.class.may_evict && allocation.class.priority < priority
+        })
         .map(|(task, allocation)| {
             (allocation.class.priority, Reverse(allocation.size.cpu_milli), *task, allocation.size)
         })
--- a/daisy-placement/src/fault.rs
+++ b/daisy-placement/src/fault.rs
@@ -1,4 +1,4 @@
-//! Workers that fail what they start.
+//! Quarantine of workers that fail what they start, and backoff of jobs whose starts fail.
 
 use std::time::Duration;
 
@@ -10,36 +10,37 @@
     worker::{AllocationState, WorkerKey},
 };
 
-/// Failures in a row after which a worker is put aside.
+/// The number of consecutive failures after which a worker is quarantined.
 const FAILURES_TO_QUARANTINE: u32 = 3;
-/// How long a worker is put aside the first time; twice as long each time after.
+/// The duration of a worker's first quarantine; it doubles with each further one.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(10);
-/// The longest that a worker is put aside: ten minutes and a bit.
+/// The most doublings of the quarantine, which bound it to a little over ten minutes (640 s)
+/// before the random part.
 const MAX_QUARANTINE_DOUBLINGS: u32 = 6;
-/// At most one worker in so many is put aside: when more fail, the cause lies elsewhere,
-/// and putting all aside would stop all work.
+/// At most one in this many workers is quarantined. When more fail, the cause lies elsewhere,
+/// and quarantining all of them would stop all work.
 const QUARANTINE_DIVISOR: usize = 4;
-/// A task that ran for this long shows that its worker works.
+/// The run time of a task after which its worker is considered healthy.
 const HEALTHY_RUN_TIME: Duration = Duration::from_secs(10);
-/// First wait of a job whose start failed; twice as long each time after.
+/// The first backoff of a job whose start failed; it doubles with each further failure.
 const FIRST_JOB_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_JOB_BACKOFF_DOUBLINGS: u32 = 7;
 
-/// What speaks against a worker.
+/// The recent failures of a worker and its quarantine.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct WorkerFaults {
     consecutive_failures: u32,
-    /// The job of the first failure in a row.
+    /// The job of the first of the consecutive failures.
     first_job: Option<JobId>,
     /// Whether more than one job failed.
     several_jobs: bool,
-    /// How often it has been put aside since it last worked.
+    /// The number of quarantines since the worker was last healthy.
     quarantine_count: u32,
-    /// It gets nothing until then.
+    /// The worker gets no task until this time.
     quarantined_until: Option<Instant>,
-    /// It gets one task, to see whether it works.
+    /// Whether the worker gets a single task to test whether it works again.
     probing: bool,
-    /// The probe is on its way.
+    /// Whether that task has been given to the worker.
     probe_sent: bool,
 }
 
@@ -57,24 +58,24 @@
         self.consecutive_failures > 0 || self.probing
     }
 
-    /// Notes that a task was given to the worker.
+    /// Records that a task was given to the worker.
     pub(crate) fn note_start(&mut self) {
         self.probe_sent = self.probing;
     }
 }
 
-/// What speaks against a job.
+/// The recent failures of a job.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct JobFaults {
     consecutive_failures: u32,
-    /// Two workers that failed it; more are of no interest.
+    /// Up to two workers on which the job failed; more make no difference.
     failed_on: Vec<VmId>,
-    /// Nothing of it starts before.
+    /// No task of the job starts before this time.
     pub(crate) retry_at: Option<Instant>,
 }
 
 impl Holder {
-    /// Takes in that a task failed on a worker, at its start or soon after.
+    /// Records that a task failed on a worker, at its start or soon after.
     pub(crate) fn note_failure(&mut self, now: Instant, key: WorkerKey, job: JobId) {
         let Some(vm) = self.roster.get(key).map(|worker| worker.id) else { return };
         let is_job_at_fault = self.has_failed_elsewhere(job, vm);
@@ -86,7 +87,7 @@
         faults.consecutive_failures = faults.consecutive_failures.saturating_add(1);
         let first = *faults.first_job.get_or_insert(job);
         faults.several_jobs |= first != job;
-        // A job that fails on other workers as well speaks against itself, not against them.
+        // A job that also fails on other workers is at fault itself, not its workers.
         let is_worker_at_fault = !is_job_at_fault || faults.several_jobs;
         let is_quarantine_due = (faults.consecutive_failures >= FAILURES_TO_QUARANTINE
             || faults.probing)
@@ -97,7 +98,7 @@
         {
             return;
         }
-        // Spread by up to a half, so that workers that failed together are tried apart.
+        // A random addition of up to a half spreads the probes of workers that failed together.
         let wait =
             FIRST_QUARANTINE * 2_u32.pow(faults.quarantine_count.min(MAX_QUARANTINE_DOUBLINGS));
         let wait = wait + wait * random / 1000;
@@ -109,7 +110,7 @@
         self.roster.reindex(key);
     }
 
-    /// Takes in that a worker ran a task as it should.
+    /// Records that a worker ran a task successfully.
     pub(crate) fn note_success(&mut self, key: WorkerKey, job: JobId) {
         if let Some(worker) = self.roster.get_mut(key) {
             worker.faults = WorkerFaults::default();
@@ -119,14 +120,15 @@
         }
     }
 
-    /// Clears a suspect worker that has run something for a while.
+    /// Clears the failures of a worker that has run a task for long enough.
     pub(crate) fn clear_suspect(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.roster.get(key).filter(|it| it.faults.is_suspect()) else { return };
         let old = worker.allocations.iter().find(|(_, allocation)| {
             allocation.state == AllocationState::Running
                 && now >= allocation.since + HEALTHY_RUN_TIME
         });
-        // While it fails other work, what ran before proves nothing: only a probe clears.
+        // While a quarantined worker is probed, tasks that ran before prove nothing: only the
+        // probe clears it.
         let is_probe = worker.faults.probing;
         if let Some((task, allocation)) = old
             && (!is_probe || now < allocation.since + 3 * HEALTHY_RUN_TIME)
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Gives workers that have been aside for long enough one task each.
+    /// Lets workers whose quarantine is over have one task each as a probe.
     pub(crate) fn probe_quarantined_workers(&mut self, now: Instant) {
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get_mut(key) else { continue };
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Whether a job has failed on another worker since it last ran as it should.
+    /// Whether a job has failed on another worker since it last succeeded.
     fn has_failed_elsewhere(&self, job: JobId, vm: VmId) -> bool {
         let Some(job) = self.jobs.get(&job) else { return false };
         job.faults.failed_on.iter().any(|other| *other != vm)
--- a/daisy-placement/src/holder.rs
+++ b/daisy-placement/src/holder.rs
@@ -1,4 +1,4 @@
-//! The decisions of a data centre's holder: what it learns and what it wants done.
+//! The holder of a data centre: its inputs, its actions and its main step.
 
 use std::{cmp::Reverse, collections::VecDeque, time::Duration};
 
@@ -21,23 +21,23 @@
     worker::{Worker, WorkerKey},
 };
 
-/// What a holder learns.
+/// An input of a [`Holder`].
 #[derive(Debug)]
 pub enum Event<'a> {
-    /// The fold of the log has moved on.
+    /// The fold of the log has advanced.
     Ledger(&'a State),
-    /// The platform's VM list, whole.
+    /// The platform's complete VM list.
     Vms(&'a [Vm]),
     /// A worker answered the outstanding call.
     ///
-    /// An answer that comes after `CallFailed` was said of its call must not be passed on.
+    /// An answer must not be passed on after `CallFailed` was passed for its call.
     Report {
         /// The worker.
         vm: VmId,
-        /// Its answer.
+        /// The worker's answer.
         report: &'a WorkerReport,
     },
-    /// A worker has something to report, such as a task that ended: it is called at once.
+    /// A worker has something to report, such as a task that ended; it is called at once.
     WorkerUpdate {
         /// The worker.
         vm: VmId,
@@ -46,26 +46,26 @@
     CallFailed {
         /// The worker.
         vm: VmId,
-        /// Whether the call may have reached it.
+        /// Whether the call may have reached the worker.
         sent: bool,
     },
-    /// Whether the log takes appends; taken to be so until said otherwise.
+    /// Whether the log accepts appends; assumed to be so until the first such event.
     Log {
         /// Whether the last append was answered.
         reachable: bool,
     },
-    /// Time has passed; at least every 100 ms.
+    /// Time has passed; sent at least every 100 ms.
     Tick,
 }
 
-/// What a holder wants done.
+/// An action that a holder requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Append a record to the log, again under the same append id until it is taken.
+    /// Append a record to the log; retried under the same append id until the log accepts it.
     Append(Record),
-    /// Call a worker; at most one call a worker is outstanding.
+    /// Call a worker; each worker has at most one outstanding call.
     ///
-    /// Each call is followed by exactly one `Report` or `CallFailed` of that worker.
+    /// Each call is followed by exactly one `Report` or `CallFailed` event of that worker.
     Call {
         /// The worker.
         vm: VmId,
@@ -74,16 +74,17 @@
     },
 }
 
-/// Between looks at what changes slowly: VMs that are leaving or gone, work given back.
+/// The interval between checks of what changes slowly, such as leaving and lost VMs and tasks to
+/// return.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// New work is packed for this long after something found no room.
+/// How long new work is packed after a task found no capacity.
 const PACKING_PERIOD: Duration = Duration::from_secs(60);
 
 /// The holder of one data centre's workers.
 ///
-/// It acts once it has seen a [`State`] and a VM list, and never again after a worker or
-/// the ledger has shown a higher epoch.
+/// It acts once it has received a [`State`] and a VM list, and stops for good as soon as a
+/// worker or the ledger shows a higher epoch.
 #[derive(Debug)]
 pub struct Holder {
     pub(crate) options: Options,
@@ -94,40 +95,40 @@
     pub(crate) roster: Roster,
     /// Jobs with tasks that have not ended.
     pub(crate) jobs: SortedMap<JobId, JobView>,
-    /// Reasons of tasks whose jobs are over, the oldest first.
+    /// The reasons of tasks whose jobs are over, oldest first.
     pub(crate) retired: VecDeque<(TaskId, Notes)>,
-    /// Jobs below this number have been taken in.
+    /// All jobs below this id have been added.
     pub(crate) next_job: JobId,
     pub(crate) paused: Vec<WorkClass>,
     pub(crate) drained: Vec<Name>,
     pub(crate) outbox: Outbox,
-    /// Whether room or work has changed since the last placement.
+    /// Whether capacity or work has changed since the last placement.
     pub(crate) placement_due: bool,
-    /// Jobs with waiting tasks, in the order of their turns.
+    /// Jobs with waiting tasks, in the order in which they are served.
     pub(crate) queue: Vec<QueueEntry>,
-    /// Tasks of earlier epochs whose whereabouts are not known.
+    /// Tasks checked out under earlier epochs that may run on an unknown worker.
     pub(crate) inherited: Vec<TaskId>,
-    /// Whether something was learnt about them.
+    /// Whether new information about the inherited tasks has arrived.
     pub(crate) inherited_due: bool,
     /// The policy in force.
     pub(crate) policy: Policy,
-    /// Quota and use of each team, as the ledger last showed them.
+    /// The quota and the use of each team, as last shown by the ledger.
     pub(crate) teams: Vec<(Resources, Resources)>,
     pub(crate) families: JobFamilies,
     pub(crate) interference: Interference,
-    /// No search for victims before.
+    /// No search for eviction victims takes place before this time.
     pub(crate) next_eviction_search_at: Option<Instant>,
-    /// Whether new work is packed rather than spread: something has lately found no room.
+    /// Whether new work is packed rather than spread, because a task recently found no capacity.
     pub(crate) is_packing: bool,
     pub(crate) last_no_capacity_at: Option<Instant>,
-    /// Batch tasks that wait, for each worker.
+    /// The number of waiting batch tasks per worker.
     pub(crate) backlog: f32,
-    /// Slow chores are due then.
+    /// When the next maintenance is due.
     next_maintenance_at: Instant,
 }
 
 impl Holder {
-    /// A holder that knows nothing yet.
+    /// Creates a holder that has received no input yet.
     pub fn new(options: Options) -> Holder {
         let roster = Roster::new(options.seed);
         Holder {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// The fencing token of this holding.
+    /// Returns the epoch of this holder, its fencing token.
     pub fn epoch(&self) -> Epoch {
         self.options.epoch
     }
@@ -169,7 +170,7 @@
         self.superseded
     }
 
-    /// Takes `event` in at `now` and pushes what is to be done.
+    /// Handles `event` at time `now` and pushes the actions to carry out.
     pub fn step(&mut self, now: Instant, event: Event<'_>, actions: &mut Vec<Action>) {
         if self.superseded {
             return;
@@ -194,7 +195,8 @@
         self.call_due_workers(now, actions);
     }
 
-    /// Nothing is decided on half of the facts: a report could not be matched to its tasks.
+    /// Whether both the ledger and the VM list have been received. Without both, a worker's
+    /// report could not be matched to its tasks.
     pub(crate) fn is_ready(&self) -> bool {
         self.ledger_seen && self.roster.has_vm_list()
     }
@@ -227,7 +229,7 @@
         job.tasks.get_mut(task.index as usize)
     }
 
-    /// Whether a task is of a cancelled job, or of those that a change took away.
+    /// Whether a task belongs to a cancelled job or was removed by a change of its job.
     pub(crate) fn is_unwanted(&self, task: TaskId) -> bool {
         self.jobs.get(&task.job).is_none_or(|job| job.cancelled || task.index >= job.spec.tasks)
     }
@@ -236,13 +238,13 @@
         self.roster.get_mut(key)
     }
 
-    /// Puts a checked-out task that runs nowhere back in line.
+    /// Puts a checked-out task that runs nowhere into the queue.
     pub(crate) fn enqueue(&mut self, now: Instant, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.up_to_date = false;
         let Some(local) = job.tasks.get_mut(task.index as usize) else { return };
         local.phase = Phase::Waiting { since: now };
-        local.placed_at = None;
+        local.placement_recorded_at = None;
         job.waiting.push_back(task.index);
         let queue_entry = (Reverse(job.spec.priority), task.job);
         if let Err(at) = self.queue.binary_search(&queue_entry) {
--- a/daisy-placement/src/index.rs
+++ b/daisy-placement/src/index.rs
@@ -1,23 +1,24 @@
-//! Free room of all workers, searched without looking at each.
+//! An index of the free capacity of all workers, searched without visiting each of them.
 
 use std::ops::Range;
 
 use daisy_model::Resources;
 
-/// A binary tree over worker slots; each node holds the part-wise most of its leaves.
+/// A binary tree over worker slots. Each node holds the maximum of each resource over its
+/// leaves.
 ///
-/// A change costs one walk to the root; a search skips every subtree in which some part
-/// of the room is too small everywhere, so that a start costs about `log(workers)` for
-/// each candidate.
+/// An update walks one path to the root. A search skips every subtree in which some resource is
+/// too small everywhere, so a start costs about `log(workers)` for each candidate.
 #[derive(Debug, Default)]
 pub(crate) struct FreeIndex {
-    /// Node 1 is the root, node `n` has children `2n` and `2n + 1`; leaves start at `width`.
+    /// Node 1 is the root, node `n` has the children `2n` and `2n + 1`, and the leaves start at
+    /// `width`.
     nodes: Vec<Resources>,
     width: usize,
 }
 
 impl FreeIndex {
-    /// Sets the room of a slot; no room takes it out of every search for more than nothing.
+    /// Sets the free capacity of a slot. A slot with none is found only by searches for nothing.
     pub(crate) fn set(&mut self, slot: usize, free: Resources) {
         if slot >= self.width {
             self.grow(slot + 1);
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Pushes up to `limit` slots with room for `size`, searching on from slot `start`.
+    /// Pushes up to `limit` slots with free capacity for `size`, searching from slot `start` and
+    /// wrapping around.
     pub(crate) fn find(&self, size: Resources, start: usize, limit: usize, found: &mut Vec<usize>) {
         if self.width == 0 {
             return;
@@ -45,19 +47,19 @@
         }
     }
 
-    /// Whether some slot has room for `size`.
+    /// Whether some slot has free capacity for `size`.
     pub(crate) fn has(&self, size: Resources) -> bool {
         let mut found = Vec::new();
         self.find(size, 0, 1, &mut found);
         !found.is_empty()
     }
 
-    /// The most of each part in any slot.
+    /// Returns the maximum of each resource over all slots.
     pub(crate) fn largest(&self) -> Resources {
         self.nodes.get(1).copied().unwrap_or(Resources::ZERO)
     }
 
-    /// Searches the subtree at `node`, whose leaves are `span` slots from `first` on.
+    /// Searches the subtree at `node`, whose leaves are the `span` slots from `first` on.
     fn visit(&self, node: usize, first: usize, span: usize, search: &mut Search<'_>) {
         let is_outside = first >= search.range.end || first + span <= search.range.start;
         let is_full = search.found.len() >= search.limit;
@@ -87,7 +89,7 @@
     }
 }
 
-/// What is searched for, where, and what was found.
+/// The parameters of a search and its results.
 #[derive(Debug)]
 struct Search<'a> {
     size: Resources,
--- a/daisy-placement/src/inherit.rs
+++ b/daisy-placement/src/inherit.rs
@@ -1,7 +1,7 @@
-//! Tasks that an earlier holder checked out, and VMs that are gone.
+//! Tasks that an earlier holder checked out, and VMs that are lost.
 //!
-//! What a dead holder started without having recorded it may run on any worker; it is
-//! started again only when it can run on none.
+//! A task that an earlier holder started without having recorded it may run on any worker. It is
+//! started again only when no worker can run it any more.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
     worker::{Availability, WorkerKey},
 };
 
-/// What is known of an inherited task.
-enum Fate {
-    /// It runs or its exit report waits on a worker that has not answered.
+/// What is known about an inherited task.
+enum InheritedOutcome {
+    /// It runs, or its exit report waits, on a worker that has not answered yet.
     Blocked,
     /// No worker has it, and no earlier start can still take effect.
     NeverStarted,
-    /// No worker has it, and it may have run.
+    /// No worker has it, but it may have run.
     Unknown,
 }
 
 impl Holder {
-    /// Notes a task that an earlier epoch checked out.
+    /// Records a task that an earlier epoch checked out.
     pub(crate) fn inherit(&mut self, now: Instant, task: TaskId) {
         self.set_phase(task, Phase::Inherited { since: now });
         self.inherited.push(task);
-        // It may have been reported before the fold showed it.
+        // A worker may have reported it before the fold showed the checkout.
         let keys = self.roster.keys();
         for key in keys {
             let allocation = self.roster.get(key).and_then(|it| it.allocations.get(&task)).copied();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Decides on inherited tasks whose workers have all answered or are gone.
+    /// Decides on inherited tasks whose workers have all answered or are lost.
     pub(crate) fn resolve_inherited(&mut self, now: Instant) {
         if self.inherited.is_empty() || !std::mem::take(&mut self.inherited_due) {
             return;
@@ -51,14 +51,14 @@
         let are_all_workers_known = self.are_all_workers_known(now);
         let tasks = std::mem::take(&mut self.inherited);
         for task in tasks {
-            match self.fate(now, task, are_all_workers_known) {
+            match self.inherited_outcome(now, task, are_all_workers_known) {
                 None => {}
-                Some(Fate::Blocked) => {
+                Some(InheritedOutcome::Blocked) => {
                     self.note_blocked(now, task);
                     self.inherited.push(task);
                 }
-                Some(Fate::NeverStarted) => self.requeue_or_cancel(now, task),
-                Some(Fate::Unknown) => self.end_unknown(now, task),
+                Some(InheritedOutcome::NeverStarted) => self.requeue_or_cancel(now, task),
+                Some(InheritedOutcome::Unknown) => self.end_unknown(now, task),
             }
         }
     }
@@ -70,21 +70,28 @@
         self.note(now, task, Reason::NotRunning(WaitReason::Blocked { vm }));
     }
 
-    fn fate(&self, now: Instant, task: TaskId, are_all_workers_known: bool) -> Option<Fate> {
+    fn inherited_outcome(
+        &self,
+        now: Instant,
+        task: TaskId,
+        are_all_workers_known: bool,
+    ) -> Option<InheritedOutcome> {
         let local = self.local(task)?;
         let Phase::Inherited { .. } = local.phase else { return None };
         let is_restartable = self.jobs.get(&task.job).is_some_and(|job| job.spec.restartable);
         Some(match local.try_recorded_vm() {
-            // A start that is recorded first: no record, no start.
-            None if !is_restartable => Fate::NeverStarted,
-            None if are_all_workers_known => Fate::Unknown,
-            None => Fate::Blocked,
-            Some(vm) if self.is_accounted_for(now, vm) => Fate::Unknown,
-            Some(_) => Fate::Blocked,
+            // Such a start is recorded before it is ordered: without a record there was no
+            // start.
+            None if !is_restartable => InheritedOutcome::NeverStarted,
+            None if are_all_workers_known => InheritedOutcome::Unknown,
+            None => InheritedOutcome::Blocked,
+            Some(vm) if self.is_accounted_for(now, vm) => InheritedOutcome::Unknown,
+            Some(_) => InheritedOutcome::Blocked,
         })
     }
 
-    /// Whether a worker can no longer run what an earlier epoch started there unseen.
+    /// Whether a worker can no longer run a task that an earlier epoch started there unknown to
+    /// this holder.
     fn is_accounted_for(&self, now: Instant, vm: VmId) -> bool {
         match self.roster.try_key(vm).and_then(|key| self.roster.get(key)) {
             Some(worker) if worker.has_answered => true,
@@ -93,11 +100,11 @@
         }
     }
 
-    /// Whether every worker that an unrecorded start may have reached is accounted for.
+    /// Whether every worker that may have received an unrecorded start is accounted for.
     ///
-    /// A VM that left the list just before we became the holder is not known to us at all,
-    /// and one that was just added is not in our list yet: only a list that is a lease
-    /// younger than our claim rules both out.
+    /// A VM that left the list just before this holder's claim is unknown to it, and a VM that
+    /// was just added is not in its list yet. Only a list received at least the lease and the
+    /// margin after this holder's first step rules out both.
     fn are_all_workers_known(&self, now: Instant) -> bool {
         self.is_vm_list_current()
             && self.roster.iter().all(|(_, worker)| {
@@ -111,11 +118,11 @@
         self.roster.vm_list_at().is_some_and(|at| at >= first_step_at + self.lost_vm_wait())
     }
 
-    /// Whether a VM has been missing from the list for longer than any lease that anyone
-    /// gave it can last.
+    /// Whether a VM has been missing from the list for longer than any lease it was given can
+    /// last.
     ///
-    /// Before that its tasks may still run, and starting them elsewhere would run them in
-    /// two places. The lease is counted from the last call that may have reached the VM.
+    /// Until then its tasks may still run, and starting them elsewhere would run them in two
+    /// places. The lease is counted from the last call that may have reached the VM.
     fn is_lost_for_good(
         &self,
         now: Instant,
@@ -131,7 +138,7 @@
         self.options.lease + self.options.limits.lost_vm_margin
     }
 
-    /// Ends what ran on VMs that are gone for good, and forgets the VMs.
+    /// Ends the tasks of VMs that are lost for good and removes these VMs.
     pub(crate) fn remove_lost_vms(&mut self, now: Instant) {
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get(key) else { continue };
@@ -145,7 +152,7 @@
         }
     }
 
-    /// Decides on the inherited tasks recorded on a VM before it is forgotten.
+    /// Ends the inherited tasks that are recorded on a VM before it is removed.
     fn resolve_inherited_on(&mut self, now: Instant, vm: VmId) {
         let of_vm = |holder: &Holder, task: &TaskId| {
             holder.local(*task).is_some_and(|local| {
@@ -175,7 +182,7 @@
         self.forget_exit_reports(key);
     }
 
-    /// Exit reports of a VM that is gone need no acknowledgement any more.
+    /// Drops the worker of exit reports of a lost VM; they need no acknowledgement any more.
     fn forget_exit_reports(&mut self, key: WorkerKey) {
         for (_, job) in self.jobs.iter_mut() {
             for local in &mut job.tasks {
@@ -188,13 +195,14 @@
         }
     }
 
-    /// Records that a task's fate is unknown; the ledger lets only restartable work run again.
+    /// Records that a task's outcome is unknown; the ledger lets only restartable work run
+    /// again.
     pub(crate) fn end_unknown(&mut self, now: Instant, task: TaskId) {
         let Some(local) = self.local_mut(task) else { return };
         if let Phase::Inherited { .. } = local.phase
             && local.try_recorded_vm().is_none()
         {
-            // The incarnation that may have run is the one after the last recorded.
+            // The incarnation that may have run is the one after the last recorded one.
             local.incarnation = Incarnation(local.ledger.incarnation.0 + 1);
         }
         local.phase = Phase::Ended { worker: None, exit: Exit::Unknown, recorded_at: None };
--- a/daisy-placement/src/intake.rs
+++ b/daisy-placement/src/intake.rs
@@ -1,4 +1,4 @@
-//! What the fold of the log changes for the holder.
+//! Updates of the holder from the fold of the log.
 
 use daisy_ledger::{Job, State, Task, TaskState};
 use daisy_model::{Exit, Incarnation, Instant, JobId, Order, TaskId};
@@ -11,19 +11,20 @@
     worker::{Removal, WorkerKey},
 };
 
-/// Tasks of jobs that are over whose reasons are kept: some minutes' worth at 62 ends a
+/// The number of tasks of finished jobs whose reasons are kept: some minutes' worth at 62 ends a
 /// second (the users' size plan).
 const MAX_RETIRED_TASKS: usize = 16_384;
 
 impl Holder {
-    /// Takes a newer fold in.
+    /// Applies a newer fold of the log.
     pub(crate) fn handle_ledger(&mut self, now: Instant, state: &State) {
         let Some(holding) = state.holders.get(&self.options.dc) else { return };
         if holding.epoch > self.options.epoch || holding.released {
             self.superseded = true;
             return;
         }
-        // A fold that has not reached our claim may lack what the holder before us recorded.
+        // A fold that has not reached this holder's claim may lack records of the previous
+        // holder.
         if holding.epoch < self.options.epoch {
             return;
         }
@@ -57,8 +58,8 @@
 
     fn update_job(&mut self, now: Instant, id: JobId, job: &Job) {
         let Some(view) = self.jobs.get_mut(&id) else { return };
-        // Most jobs are as they were at the last fold; a look at each of their tasks would
-        // be the largest part of a holder's processor time.
+        // Most jobs have not changed since the last fold. Checking each of their tasks would
+        // take most of a holder's processor time.
         if view.up_to_date
             && view.generation == job.generation
             && view.last_ledger_tasks == job.tasks
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Forgets a job that is over, and keeps what was said of its tasks for a while.
+    /// Removes a finished job and keeps the reasons of its tasks for a while.
     fn retire_job(&mut self, id: JobId) {
         let Some(view) = self.jobs.remove(&id) else { return };
         for (index, local) in (0_u32..).zip(view.tasks) {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Nobody has the task: it may be asked for.
+    /// Handles a task that no data centre has: it may be checked out.
     fn handle_pending(&mut self, now: Instant, id: TaskId) {
         let Some(local) = self.local(id) else { return };
         match local.phase {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The task is checked out to this data centre, by this epoch or an earlier one.
+    /// Handles a task that is checked out to this data centre, by this epoch or an earlier one.
     fn handle_checked_out(&mut self, now: Instant, id: TaskId, is_own: bool) {
         let Some(local) = self.local(id) else { return };
         let is_cancelled = self.is_unwanted(id);
@@ -188,7 +189,7 @@
         }
     }
 
-    /// The task is not ours, or will not run again.
+    /// Handles a task that another data centre has, or that will not run again.
     fn handle_not_ours(&mut self, id: TaskId) {
         let Some(local) = self.local(id) else { return };
         match local.phase {
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Lets the worker forget an exit report whose end the ledger shows.
+    /// Lets the worker forget an exit report once the ledger shows the end.
     pub(crate) fn acknowledge(
         &mut self,
         worker: Option<WorkerKey>,
@@ -232,12 +233,12 @@
         }
     }
 
-    /// Orders a task to be stopped where it is.
+    /// Orders a task to be stopped on its worker.
     pub(crate) fn stop(&mut self, key: WorkerKey, task: TaskId) {
         self.order_removal(key, task, |incarnation| Order::Stop { task, incarnation });
     }
 
-    /// Gives the order that ends a task, once.
+    /// Orders the end of a task on its worker, unless it is already ordered.
     pub(crate) fn order_removal(
         &mut self,
         key: WorkerKey,
@@ -255,7 +256,7 @@
         self.roster.mark_for_call(key);
     }
 
-    /// Stops a start that is on its way; one that was never sent is taken back.
+    /// Stops a start that is on its way, or cancels it if no call has carried it yet.
     fn cancel_start(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let Some(worker) = self.worker_mut(key) else { return };
         let is_unsent =
@@ -270,12 +271,12 @@
         self.end_unstarted(now, task);
     }
 
-    /// Records the end of a cancelled task that we have and that runs nowhere.
+    /// Records the end of a cancelled task that is checked out here and runs nowhere.
     pub(crate) fn end_unstarted(&mut self, now: Instant, task: TaskId) {
         self.end_unstarted_as(now, task, Exit::Stopped);
     }
 
-    /// Records how a task ends that we have and that runs nowhere.
+    /// Records the given exit for a task that is checked out here and runs nowhere.
     pub(crate) fn end_unstarted_as(&mut self, now: Instant, task: TaskId, exit: Exit) {
         self.remove_from_queue(task);
         let Some(local) = self.local_mut(task) else { return };
--- a/daisy-placement/src/interference.rs
+++ b/daisy-placement/src/interference.rs
@@ -1,4 +1,4 @@
-//! How much one kind of work slows another down, learnt from late reports.
+//! Learns from delayed reports how much one family of jobs slows another one down.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 
 use crate::job_family::JobFamily;
 
-/// What a pair of kinds was seen to do.
+/// What is learnt about a pair of families.
 #[derive(Debug, Clone, Copy)]
 struct Pair {
-    /// Slowdown that one neighbour adds, in thousandths.
+    /// The slowdown that one neighbour adds, in thousandths.
     added: f32,
-    /// When it was last learnt from, in samples.
+    /// The number of the last sample that this pair was learnt from.
     last_sample: u32,
 }
 
-/// Slowdowns by pair of kinds, bounded.
+/// The learnt slowdowns by pair of families, bounded in number.
 ///
-/// A task's slowdown is taken for the sum of what its neighbours add; each sample's error
-/// is shared out among the neighbours present (normalised least mean squares). A sum is
-/// not the truth, but it orders neighbours rightly and needs two numbers a pair.
+/// A task's slowdown is modelled as the sum of what its neighbours add, and each sample's error
+/// is distributed over the neighbours present (normalised least mean squares). The real slowdown
+/// is not a sum, but the model ranks neighbours correctly and needs only two numbers per pair.
 #[derive(Debug, Default)]
 pub struct Interference {
     pairs: SortedMap<(JobFamily, JobFamily), Pair>,
@@ -27,34 +27,35 @@
 }
 
 impl Interference {
-    /// Pairs remembered; the one not learnt from for longest is forgotten first.
+    /// The maximum number of pairs; those not learnt from for longest are forgotten first.
     pub const MAX_PAIRS: usize = 4_096;
-    /// Share of a sample's error that is learnt where more was seen than expected.
+    /// The learning rate when more slowdown is observed than expected.
     ///
-    /// Noise comes in waves, and the tail is made in them: what a kind does at its worst is
-    /// remembered for longer than what it does in between.
+    /// Noise comes in bursts, which determine the tail latency, so the worst behaviour of a
+    /// family is remembered for longer than its behaviour in between.
     const RISE_RATE: f32 = 0.1;
-    /// The same where less was seen.
+    /// The learning rate when less slowdown is observed than expected.
     const FALL_RATE: f32 = 0.02;
-    /// Neighbours that are limited to next to nothing teach nothing.
+    /// Samples with less neighbour weight than this are ignored: strongly throttled neighbours
+    /// show nothing.
     const MIN_POWER: f32 = 0.05;
-    /// No neighbour makes a task faster.
+    /// The least slowdown of a pair: no neighbour makes a task faster.
     const MIN_SLOWDOWN: f32 = 0.0;
 
-    /// The number of pairs known.
+    /// Returns the number of known pairs.
     pub fn len(&self) -> usize {
         self.pairs.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether no pair is known.
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
 
-    /// Learns from the slowdown of a task of `victim` beside `neighbours`.
+    /// Learns from the slowdown of a task of the family `victim` beside `neighbours`.
     ///
-    /// Neighbours are weighed by kind: 1 for each task that is not limited, less for one
-    /// that is. `slowdown` is in thousandths, 1000 being undisturbed.
+    /// Neighbours are weighted by family: 1 for each task that is not throttled, less for one
+    /// that is. `slowdown` is in thousandths, 1000 meaning undisturbed.
     pub fn learn(&mut self, victim: JobFamily, neighbours: &[(JobFamily, f32)], slowdown: u32) {
         let power: f32 = neighbours.iter().map(|(_, weight)| weight * weight).sum();
         if power < Interference::MIN_POWER {
@@ -73,10 +74,10 @@
         }
     }
 
-    /// Forgets a little of everything, for `elapsed` since the last time.
+    /// Reduces all learnt slowdowns for the time `elapsed` since the last call.
     ///
-    /// Work that is limited for what was learnt of it shows nothing new of itself: without
-    /// this, a kind that was blamed wrongly once would be limited for ever.
+    /// Throttled work shows nothing new about itself. Without this, a family that was blamed
+    /// wrongly once would stay throttled for ever.
     pub fn decay(&mut self, elapsed: Duration) {
         let remaining = 0.5_f32.powf(elapsed.as_secs_f32() / Interference::HALF_LIFE_SECONDS);
         for (_, pair) in self.pairs.iter_mut() {
@@ -84,11 +85,12 @@
         }
     }
 
-    /// Seconds after which half of what was learnt is forgotten: longer than a wave of noise
-    /// and the quiet after it.
+    /// The half-life of what was learnt, in seconds: longer than a burst of noise and the pause
+    /// after it.
     const HALF_LIFE_SECONDS: f32 = 300.0;
 
-    /// The slowdown that neighbours are expected to add to a task, in thousandths.
+    /// Returns the slowdown that all neighbours together are expected to add to a task, in
+    /// thousandths.
     pub fn slowdown_of_all(&self, victim: JobFamily, neighbours: &[(JobFamily, u32)]) -> u32 {
         let each = neighbours
             .iter()
@@ -96,7 +98,7 @@
         each.sum::<f32>() as u32
     }
 
-    /// The slowdown that one neighbour is expected to add, in thousandths.
+    /// Returns the slowdown that one neighbour is expected to add to a task, in thousandths.
     pub fn slowdown_of_one(&self, victim: JobFamily, neighbour: JobFamily) -> f32 {
         self.pairs.get(&(victim, neighbour)).map_or(0.0, |pair| pair.added)
     }
@@ -115,7 +117,7 @@
         self.pairs.insert((victim, neighbour), Pair { added, last_sample });
     }
 
-    /// Forgets the older half of the pairs, so that the search is paid once for many.
+    /// Forgets the older half of the pairs, so that one search serves many insertions.
     fn forget_oldest(&mut self) {
         let mut ages: Vec<u32> = self.pairs.iter().map(|(_, pair)| pair.last_sample).collect();
         ages.sort_unstable();
--- a/daisy-placement/src/job.rs
+++ b/daisy-placement/src/job.rs
@@ -1,4 +1,4 @@
-//! What a holder knows of one job.
+//! The holder's view of a job.
 
 use std::collections::VecDeque;
 
@@ -24,27 +24,27 @@
     pub spec: JobSpec,
     pub cancelled: bool,
     pub tasks: Vec<LocalTask>,
-    /// The ledger's tasks as last looked at.
+    /// The ledger's tasks when the job was last updated.
     pub last_ledger_tasks: Vec<Task>,
-    /// The ledger's last change of the job.
+    /// The ledger's generation of the job when it was last updated.
     pub generation: Generation,
-    /// Whether nothing is to be done while the ledger's tasks stay as they are.
+    /// Whether the job needs no update as long as the ledger's tasks stay the same.
     pub up_to_date: bool,
-    /// Checked out and runs nowhere, in the order of their turn.
+    /// The tasks that are checked out and run nowhere, in the order in which they are placed.
     pub waiting: VecDeque<u32>,
-    /// Seen pending in the last fold.
+    /// The tasks that were pending in the last fold.
     pub pending: Vec<u32>,
     pub team: TeamId,
     pub family: JobFamily,
     pub faults: JobFaults,
-    /// Its waiting tasks are not looked at before.
+    /// The waiting tasks are not considered for placement before this time.
     pub next_attempt_at: Instant,
     pub measured: MeasuredUsage,
-    /// When this holder saw it first, or as it was last changed.
+    /// When this holder first saw the job, or saw its last change.
     pub known_since: Instant,
-    /// Why its waiting and pending tasks wait.
+    /// Why the waiting and pending tasks do not run.
     pub wait_reason: Option<TimedReason>,
-    /// Allowed data centres by preference; `None` if there is only one to run in.
+    /// The allowed data centres in order of preference; `None` if the cluster has only one.
     preferred: Option<Vec<DcId>>,
 }
 
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Takes an operator's change in.
+    /// Applies an operator's change of the job.
     pub(crate) fn change(&mut self, now: Instant, spec: &JobSpec, options: &Options) {
         self.known_since = now;
         self.spec = spec.clone();
         self.preferred = preferred(&spec.data_centres, options);
     }
 
-    /// The tasks that the ledger's newest word asks to be looked at.
+    /// Returns the tasks that need an update for the ledger's newest state `job`.
     pub(crate) fn tasks_to_update(&self, dc: DcId, job: &Job) -> Vec<u32> {
         let tasks = (0_u32..).zip(job.tasks.iter().zip(&self.tasks));
         let needs_update = |index: u32, ledger: &Task, local: &LocalTask| {
@@ -100,20 +100,20 @@
         self.spec.size
     }
 
-    /// What a worker's room for one of its tasks is marked with.
+    /// Returns the properties of the job that are stored with each allocation of its tasks.
     pub(crate) fn class(&self) -> Class {
         let JobSpec { priority, tolerance, .. } = self.spec;
-        let service = self.is_service();
+        let is_service = self.is_service();
         Class {
             family: self.family,
             priority,
-            service,
-            delay: tolerance.delay && !service,
-            evict: tolerance.evict,
+            is_service,
+            may_delay: tolerance.delay && !is_service,
+            may_evict: tolerance.evict,
         }
     }
 
-    /// Notes why its tasks wait.
+    /// Records why the job's tasks do not run.
     pub(crate) fn set_wait_reason(&mut self, now: Instant, wait: WaitReason) {
         self.wait_reason = Some(TimedReason { at: now, reason: Reason::NotRunning(wait) });
     }
@@ -126,10 +126,11 @@
         self.spec.priority >= Priority::Urgent
     }
 
-    /// How many data centres go before `dc` for a task, or `None` if `dc` may not run it.
+    /// Returns the number of data centres that precede `dc` for a task, or `None` if `dc` may
+    /// not run it.
     ///
-    /// A service's replicas take their data centres in turn, so that one lost data centre
-    /// takes only its share of them; so does batch work without a declared preference.
+    /// The replicas of a service rotate over their data centres, so that a lost data centre
+    /// takes only its share of them. Batch work without declared data centres rotates as well.
     pub(crate) fn try_rank(&self, index: u32, dc: DcId) -> Option<u32> {
         let Some(preferred) = &self.preferred else { return Some(0) };
         let count = preferred.len();
@@ -139,13 +140,13 @@
         Some(((position + count - first) % count) as u32)
     }
 
-    /// The data centre that the job names first, where its data is taken to be.
+    /// Returns the data centre that the job names first, where its data is assumed to be.
     pub(crate) fn try_first_choice(&self) -> Option<DcId> {
         let preferred = self.preferred.as_ref().filter(|_| !self.spec.data_centres.is_empty())?;
         preferred.first().copied()
     }
 
-    /// Shifts the turn by job, so that one-task jobs do not all start in one data centre.
+    /// Returns a rotation by job, so that single-task jobs do not all start in one data centre.
     fn rotation(&self) -> usize {
         if self.spec.data_centres.is_empty() { self.id.0 as usize } else { 0 }
     }
--- a/daisy-placement/src/job_family.rs
+++ b/daisy-placement/src/job_family.rs
@@ -1,15 +1,15 @@
-//! Kinds of jobs: jobs whose names differ in their trailing number only.
+//! Families of jobs: jobs whose names differ only in their trailing number.
 //!
-//! `renders-20261203` and `renders-20261204` are one kind, so that what was learnt of one
-//! holds for the next; jobs come and go too fast to learn from each alone.
+//! `renders-20261203` and `renders-20261204` are one family, so that what was learnt about one
+//! applies to the next. Jobs come and go too fast to learn about each one alone.
 
 use daisy_model::{JobKind, JobSpec, SortedMap};
 
-/// A kind of jobs.
+/// A family of jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobFamily(pub u16);
 
-/// The kinds seen so far, to a bound.
+/// The families seen so far, bounded in number.
 #[derive(Debug, Default)]
 pub(crate) struct JobFamilies {
     by_name_stem: SortedMap<Box<str>, JobFamily>,
@@ -17,16 +17,16 @@
 }
 
 impl JobFamilies {
-    /// Kinds told apart; all later ones share [`JobFamilies::OTHER`].
+    /// The maximum number of distinct families; all later ones share [`JobFamilies::OTHER`].
     const MAX_FAMILIES: usize = 1_000;
     const OTHER: JobFamily = JobFamily(0);
 
-    /// Whether a kind is of services; kinds that are not told apart are not.
+    /// Whether a family consists of services; [`JobFamilies::OTHER`] does not.
     pub(crate) fn is_service(&self, family: JobFamily) -> bool {
         self.services.binary_search(&family).is_ok()
     }
 
-    /// The kind of a job.
+    /// Returns the family of a job and adds it if it is new.
     pub(crate) fn of(&mut self, spec: &JobSpec) -> JobFamily {
         let stem = spec.name.as_str().trim_end_matches(|c: char| c.is_ascii_digit() || c == '-');
         let job_type = if spec.kind == JobKind::Service { "service" } else { "batch" };
--- a/daisy-placement/src/lease_renewer.rs
+++ b/daisy-placement/src/lease_renewer.rs
@@ -1,4 +1,4 @@
-//! Leases are kept up while a data centre has no holder that answers.
+//! Renews leases while a data centre has no holder that answers.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 
 use crate::{holder::Action, options::Options};
 
-/// What a caretaker learns.
+/// An input of a [`LeaseRenewer`].
 #[derive(Debug)]
 pub enum LeaseRenewerEvent<'a> {
-    /// The platform's VM list, whole.
+    /// The platform's complete VM list.
     Vms(&'a [Vm]),
     /// A worker answered the outstanding call.
     Report {
         /// The worker.
         vm: VmId,
-        /// The highest epoch that it has seen.
+        /// The highest epoch that the worker has seen.
         epoch: Epoch,
     },
     /// The outstanding call got no answer.
@@ -23,41 +23,40 @@
         /// The worker.
         vm: VmId,
     },
-    /// Time has passed; at least every second.
+    /// Time has passed; sent at least every second.
     Tick,
 }
 
-/// A worker as a caretaker sees it.
+/// When a worker is called next, and whether a call is outstanding.
 #[derive(Debug, Clone, Copy)]
 struct Renewal {
     next_call_at: Instant,
     is_outstanding: bool,
 }
 
-/// Renews the leases of a data centre's workers under its last known epoch, and no more.
+/// Renews the leases of a data centre's workers under its last known epoch, and does nothing
+/// else.
 ///
-/// An entry VM runs one while the holder of its data centre is silent and nobody can claim
-/// the data centre because the log is down. It sends calls without orders, so it decides
-/// nothing: tasks run on that were running, and none is started, stopped or moved.
+/// An entry VM runs one while the holder of its data centre does not answer and nobody can claim
+/// the data centre because the log is down. Its calls carry no orders, so it decides nothing:
+/// running tasks go on, and none is started, stopped or moved.
 ///
-/// # Availability against "never in two places"
+/// # Why renewals are not bounded in time
 ///
-/// A lease ends work on a VM that nobody reaches, so that the work may start elsewhere. A
-/// renewal therefore never endangers anything as long as nobody starts the work elsewhere
-/// on the strength of time alone. Here nobody does: a new holder starts a task again only
-/// if its worker has answered the new epoch, which shuts out every earlier one, or if the
-/// platform's list has dropped the VM and a lease and a margin have passed since. So an old
-/// holder, or a caretaker, may renew for as long as the log is out of reach: a shop that is
-/// cut off from the platform for an hour keeps its checkout. Bounded renewals were weighed
-/// and ruled out: after the bound all services of a data centre would end at once, in the
-/// very hour in which nobody can start them again.
+/// A lease ends the work on an unreachable VM so that the work may start elsewhere. A renewal is
+/// therefore safe as long as nobody starts the work elsewhere only because time has passed.
+/// Nobody does: a new holder starts a task again only if its worker has answered the new epoch,
+/// which fences every earlier one, or if the platform's list has dropped the VM and a lease and
+/// a margin have passed since. So an old holder or a lease renewer may renew for as long as the
+/// log is unreachable: a shop that is cut off from the platform for an hour keeps its checkout.
+/// Bounded renewals were considered and rejected: at the bound all services of a data centre
+/// would end at once, at a time when nobody can start them again.
 ///
-/// What remains is a VM that the list drops while it runs on, cut off together with
-/// an old holder or caretaker that still renews it. That a VM missing from the list is gone
-/// is the platform's word, and those who renew heed it too: a VM missing from their list is
-/// not renewed. An old holder that sees neither the list nor the log while the VM in
-/// question still runs would be needed, and it must outlast lease and margin; see
-/// `docs/OPERATING.md`.
+/// One case remains: a VM that the list drops while it still runs, cut off together with an old
+/// holder or lease renewer that still renews its lease. The platform guarantees that a VM
+/// missing from the list is lost, and renewers rely on it as well: a VM missing from their list
+/// is not renewed. The case therefore needs an old holder that sees neither the list nor the log
+/// while the VM still runs, for longer than the lease and the margin; see `docs/OPERATING.md`.
 #[derive(Debug)]
 pub struct LeaseRenewer {
     options: Options,
@@ -66,20 +65,21 @@
 }
 
 impl LeaseRenewer {
-    /// Renewals are made this many times in a lease.
+    /// The number of renewals within one lease.
     const CALLS_PER_LEASE: u32 = 3;
 
-    /// A caretaker under the epoch that was last seen in the ledger.
+    /// Creates a lease renewer under the last epoch that the ledger showed.
     pub fn new(options: Options) -> LeaseRenewer {
         LeaseRenewer { options, workers: SortedMap::new(), ended: false }
     }
 
-    /// Whether a worker has seen a higher epoch: a holder is back, and the caretaker's work done.
+    /// Whether a worker has seen a higher epoch: a holder is active again, and this renewer is
+    /// done.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// Takes `event` in at `now` and pushes the calls to make.
+    /// Handles `event` at time `now` and pushes the calls to make.
     pub fn step(&mut self, now: Instant, event: LeaseRenewerEvent<'_>, actions: &mut Vec<Action>) {
         match event {
             LeaseRenewerEvent::Vms(vms) => self.handle_vm_list(now, vms),
@@ -107,8 +107,8 @@
     }
 
     fn handle_report(&mut self, now: Instant, vm: VmId, epoch: Epoch) {
-        // A higher epoch is a newer holder's: it renews, and calls under the old epoch
-        // would only be refused.
+        // A higher epoch belongs to a newer holder, which renews the leases itself; calls under
+        // the old epoch would only be rejected.
         self.ended |= epoch > self.options.epoch;
         self.answered(vm, now + self.period());
     }
--- a/daisy-placement/src/lib.rs
+++ b/daisy-placement/src/lib.rs
@@ -1,14 +1,14 @@
-//! Who runs where: fit, eviction, interference, quotas, leases.
+//! Placement of tasks on workers: capacity, eviction, interference, quotas and leases.
 //!
-//! [`Holder`] decides for one data centre under one epoch. It never sees a socket or a
-//! clock: events and the present time come in, actions go out. [`LeaseRenewer`] keeps leases
-//! up, and no more, while a data centre has no holder that can act.
+//! [`Holder`] decides for one data centre under one epoch. It uses neither sockets nor a clock:
+//! events and the current time are passed in, and actions are returned. [`LeaseRenewer`] renews
+//! leases, and does nothing else, while a data centre has no holder that can act.
 //!
-//! A holder first calls each worker with nothing but its epoch and reads what runs there.
-//! It checks pending tasks out through the log, starts them on the best of a few workers
-//! with room, and records where they run and how they end; an exit report is acknowledged
-//! only after the ledger shows it. What may have taken effect counts as if it had, until
-//! the worker says otherwise.
+//! A holder first calls each worker with only its epoch and reads what runs there. It checks
+//! pending tasks out through the log, starts them on the best of a few workers with free
+//! capacity, and records where they run and how they end. An exit report is acknowledged only
+//! after the ledger shows the end. A start that may have taken effect is treated as if it had
+//! until the worker reports otherwise.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-placement/src/options.rs
+++ b/daisy-placement/src/options.rs
@@ -1,4 +1,4 @@
-//! How a holder works.
+//! The options of a holder.
 
 use std::time::Duration;
 
@@ -6,67 +6,70 @@
 
 use crate::throttle::ThrottleControl;
 
-/// A data centre and the region that it stands in.
+/// A data centre and its region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DataCentre {
-    /// The name that jobs prefer it by.
+    /// The name under which jobs list it.
     pub name: Name,
-    /// Data centres of one region have the same number.
+    /// The region's number, equal for all data centres of one region.
     pub region: u16,
 }
 
-/// How a holder works.
+/// The options of a holder.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The data centre held.
+    /// The data centre that is held.
     pub dc: DcId,
-    /// The fencing token of this holding.
+    /// The epoch of the holder, its fencing token.
     pub epoch: Epoch,
     /// How long a worker's tasks go on without a call.
     pub lease: Duration,
-    /// Seeds every random choice.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// All data centres in the order of their numbers; empty if there is only one.
+    /// All data centres in the order of their ids; empty if there is only one.
     pub data_centres: Vec<DataCentre>,
-    /// Periods and bounds.
+    /// Intervals and bounds.
     pub limits: Limits,
 }
 
 impl Options {
-    /// Options of a cluster with one data centre, at the limits of the design.
+    /// Creates options for a cluster with one data centre and default limits.
     pub fn new(dc: DcId, epoch: Epoch, lease: Duration, seed: u64) -> Options {
         Options { dc, epoch, lease, seed, data_centres: Vec::new(), limits: Limits::default() }
     }
 }
 
-/// Periods and bounds of a holder.
+/// The intervals and bounds of a holder.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// A worker is called at least this often; at most half of the lease is used.
+    /// The longest interval between two calls of a worker; at most half of the lease is used.
     pub poll_interval: Duration,
-    /// Before a worker that did not answer is called again.
+    /// The time before a worker that did not answer is called again.
     pub retry_interval: Duration,
-    /// Between two records of the same sort.
+    /// The least interval between two appends of gathered records.
     pub flush_interval: Duration,
-    /// Before a record that the ledger does not show is appended again.
+    /// The time before a record that the ledger does not show is appended again.
     pub resend_after: Duration,
-    /// Added to the lease before a VM that has left the list counts as gone for good.
+    /// The time added to the lease before a VM that has left the list is treated as lost for
+    /// good.
     pub lost_vm_margin: Duration,
-    /// Per rank of preference: before the next data centre checks a pending task out.
+    /// The time, per rank of preference, before the next data centre checks a pending task out.
     pub fallback_delay: Duration,
-    /// The same for urgent and critical work, which has 3.5 s in all.
+    /// The same for urgent and critical work, which must start within 3.5 s in total.
     pub urgent_fallback_delay: Duration,
-    /// Before a checked-out task that found no room is given back.
+    /// The time before a checked-out task that found no capacity is returned.
     pub return_after: Duration,
-    /// Before batch tasks that never found room are refused for good, if their job may be.
+    /// The time before batch tasks that never found capacity are refused for good, if their job
+    /// allows it.
     pub refuse_after: Duration,
-    /// Checked-out tasks without a place kept for an outage of the log.
+    /// The number of tasks checked out beyond the free capacity, as work for an outage of the
+    /// log.
     pub reserve_tasks: u32,
-    /// Candidates weighed for one start.
+    /// The number of candidate workers considered for one start.
     pub candidates: usize,
-    /// How batch work beside services is limited; `None` for what the policy's weights say.
+    /// How batch work beside services is throttled; `None` derives it from the policy's weights.
     pub control: Option<ThrottleControl>,
-    /// Tasks named in one record.
+    /// The maximum number of tasks in one record.
     pub max_record_tasks: usize,
 }
 
--- a/daisy-placement/src/place.rs
+++ b/daisy-placement/src/place.rs
@@ -1,4 +1,4 @@
-//! Placement: which worker a checked-out task starts on.
+//! Placement: the choice of the worker on which a checked-out task starts.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -15,20 +15,20 @@
     worker::{Allocation, AllocationState, Removal, WorkerKey},
 };
 
-/// A share that is not limited, in thousandths.
+/// The share of a task that is not throttled, in thousandths.
 pub(crate) const FULL_SHARE: u32 = 1000;
 
-/// How long work waits for a worker where it disturbs nobody much.
+/// The longest that a task waits for a worker where it disturbs the services less.
 const MAX_INTERFERENCE_WAIT: Duration = Duration::from_secs(30);
 
-/// Between two looks at work that was put off.
+/// The interval between two attempts to place deferred work.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A place in line: urgent work first, then the older job.
+/// A position in the queue: urgent work first, then the older job.
 pub(crate) type QueueEntry = (Reverse<Priority>, JobId);
 
 impl Holder {
-    /// Starts what waits, as far as there is room.
+    /// Starts waiting tasks as long as there is capacity for them.
     pub(crate) fn place(&mut self, now: Instant) {
         if !std::mem::take(&mut self.placement_due) {
             return;
@@ -37,7 +37,7 @@
         for (_, id) in &queue {
             self.place_job(now, *id);
         }
-        // Tasks that came back in line meanwhile have put their jobs in a new one.
+        // Jobs whose tasks came back to the queue meanwhile are in a new queue.
         let added = std::mem::replace(&mut self.queue, queue);
         for queue_entry in added {
             if let Err(at) = self.queue.binary_search(&queue_entry) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The next task of a job that may start now.
+    /// Returns the next task of a job that may start now.
     fn try_next_task(&mut self, now: Instant, id: JobId) -> Option<u32> {
         let is_paused = self.jobs.get(&id).is_some_and(|job| self.is_paused(job));
         let log_reachable = self.log_reachable;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The best of a few workers with room.
+    /// Chooses the best of a few workers with free capacity.
     fn choose(&mut self, now: Instant, task: TaskId) -> Option<WorkerKey> {
         let size = self.start_size(task)?;
         let mut found = Vec::new();
@@ -109,10 +109,10 @@
         Some(best)
     }
 
-    /// Whether a task that may be delayed should leave its place to quieter work for now.
+    /// Whether a task that may be delayed should leave its place to less noisy work for now.
     ///
-    /// On a full cluster room comes free one worker at a time, and there is nothing to
-    /// choose but who takes it: noisy work would gather wherever it happens to come free.
+    /// On a full cluster capacity becomes free on one worker at a time, so the only choice is
+    /// which task takes it. Noisy work would gather wherever capacity happens to become free.
     fn should_defer(&self, now: Instant, task: TaskId, key: WorkerKey) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let Some(worker) = self.roster.get(key) else { return false };
@@ -123,23 +123,26 @@
         may_wait && self.exceeds_interference_budget(job, worker)
     }
 
-    /// Looks at a job again after a moment, not at each report that brings a little room.
+    /// Defers a job for a moment, so that it is not tried at each report that frees a little
+    /// capacity.
     fn defer(&mut self, now: Instant, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.next_attempt_at = now + RECHECK_INTERVAL;
         }
     }
 
-    /// What a task is started with: as checked out, or more if more was seen in use.
+    /// Returns the size to start a task with: the checked-out size, or more if more use was
+    /// measured.
     pub(crate) fn start_size(&self, task: TaskId) -> Option<Resources> {
         let job = self.jobs.get(&task.job)?;
         let declared = job.tasks.get(task.index as usize)?.ledger.size;
         Some(job.measured.corrected_size(declared, self.roster.largest_capacity()))
     }
 
-    /// Takes room on a worker and orders the start, or waits with it for room or record.
+    /// Allocates capacity on a worker for a task and orders the start, unless the start first
+    /// has to await an eviction or the record of the placement.
     ///
-    /// See `must_record_first` for what has to be recorded before the order.
+    /// See `must_record_first` for the starts that are recorded first.
     pub(crate) fn start(
         &mut self,
         now: Instant,
@@ -181,11 +184,11 @@
         self.roster.reindex(key);
     }
 
-    /// Orders a start that the ledger has just shown, or records it again.
+    /// Orders a start whose placement the ledger now shows, or appends a lost record again.
     pub(crate) fn start_recorded(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let resend_after = self.options.limits.resend_after;
         let Some(local) = self.local(task) else { return };
-        let is_lost = local.placed_at.is_some_and(|at| now >= at + resend_after);
+        let is_lost = local.placement_recorded_at.is_some_and(|at| now >= at + resend_after);
         let incarnation = local.incarnation;
         let checkpoint = local.ledger.checkpoint;
         let shown = (local.ledger.incarnation, local.ledger.vm);
@@ -209,7 +212,7 @@
 
     fn record_start(&mut self, now: Instant, task: TaskId, incarnation: Incarnation, vm: VmId) {
         if let Some(local) = self.local_mut(task) {
-            local.placed_at = Some(now);
+            local.placement_recorded_at = Some(now);
         }
         self.outbox.placed.push(Placement { task, incarnation, vm });
     }
@@ -219,17 +222,18 @@
         allocation.is_some_and(|allocation| allocation.state.is_unsent())
     }
 
-    /// Says why the first task in line found no room, with the nearest miss.
+    /// Records why the first task in the queue found no capacity, with the smallest shortfall.
     ///
-    /// The search looks at every worker, so it is made at most once a second for a job.
+    /// The search visits every worker, so it is made at most once a second per job.
     fn note_no_capacity(&mut self, now: Instant, task: TaskId) {
         const MIN_INTERVAL_MS: u128 = 1_000;
         self.last_no_capacity_at = Some(now);
         let Some(size) = self.start_size(task) else { return };
         let Some(job) = self.jobs.get(&task.job) else { return };
         let is_recent = job.wait_reason.as_ref().is_some_and(|wait| {
-            let is_room = matches!(wait.reason, Reason::NotRunning(WaitReason::NoCapacity { .. }));
-            is_room && now.since(wait.at).as_millis() < MIN_INTERVAL_MS
+            let is_no_capacity =
+                matches!(wait.reason, Reason::NotRunning(WaitReason::NoCapacity { .. }));
+            is_no_capacity && now.since(wait.at).as_millis() < MIN_INTERVAL_MS
         });
         if is_recent {
             return;
@@ -240,7 +244,7 @@
         }
     }
 
-    /// The open worker that lacks the least for `size`.
+    /// Returns the worker open for new work that is missing the least for `size`.
     pub(crate) fn smallest_shortfall(&self, size: Resources) -> Option<Shortfall> {
         let open = self.roster.iter().filter(|(_, worker)| worker.is_open());
         let shortfalls = open.map(|(_, worker)| {
@@ -252,7 +256,7 @@
         Some(Shortfall { vm: vm.clone(), missing })
     }
 
-    /// The worker that would lack the least for `size` if it were empty.
+    /// Returns the worker that would be missing the least for `size` if it were empty.
     pub(crate) fn smallest_shortfall_when_empty(&self, size: Resources) -> Option<Shortfall> {
         let shortfalls = self.roster.iter().map(|(_, worker)| {
             let missing = missing_resources(size, worker.capacity);
@@ -272,16 +276,16 @@
     }
 }
 
-/// What `room` lacks for `size`.
-fn missing_resources(size: Resources, room: Resources) -> Resources {
+/// Returns what `available` is missing for `size`.
+fn missing_resources(size: Resources, available: Resources) -> Resources {
     Resources {
-        cpu_milli: size.cpu_milli.saturating_sub(room.cpu_milli),
-        memory_mib: size.memory_mib.saturating_sub(room.memory_mib),
-        accelerators: size.accelerators.saturating_sub(room.accelerators),
+        cpu_milli: size.cpu_milli.saturating_sub(available.cpu_milli),
+        memory_mib: size.memory_mib.saturating_sub(available.memory_mib),
+        accelerators: size.accelerators.saturating_sub(available.accelerators),
     }
 }
 
-/// A shortage in thousandths of what a worker holds, its parts summed.
+/// Returns missing resources in thousandths of a worker's capacity, summed over the resources.
 fn relative_size(missing: Resources, whole: Resources) -> u64 {
     let part = |missing: u32, whole: u32| u64::from(missing) * 1000 / u64::from(whole.max(1));
     part(missing.cpu_milli, whole.cpu_milli)
@@ -291,11 +295,11 @@
 
 /// Whether a start has to be in the ledger before it is ordered.
 ///
-/// Restartable work starts at once and is recorded afterwards. Work that must not run again
-/// when its fate is unknown is recorded first: else a new holder could not tell a task that
-/// never started from one that ran on a VM which is gone. So is any incarnation but the one
-/// after the last ended: a new holder takes that one for started, and would give the
-/// number of a later one out a second time.
+/// Restartable work starts at once and is recorded afterwards. Work that must not run again when
+/// its outcome is unknown is recorded first: otherwise a new holder could not distinguish a task
+/// that never started from one that ran on a lost VM. An incarnation other than the one after
+/// the last ended incarnation is recorded first as well: a new holder assumes that only that one
+/// was started, and would use a later number a second time.
 fn must_record_first(local: &LocalTask, is_restartable: bool) -> bool {
     !is_restartable || local.next_incarnation() != local.ledger.next_incarnation()
 }
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -1,18 +1,18 @@
-//! Why a task or a VM is where it is, in words.
+//! The reasons for the state of a task or VM, and their text for operators.
 
 use std::{fmt, sync::Arc, time::Duration};
 
 use daisy_model::{Exit, Instant, OrderResult, Resources, TaskId};
 
-/// The name of a VM, shared by all notes about it.
+/// The name of a VM, shared by all reasons that mention it.
 pub type VmLabel = Arc<str>;
 
-/// The worker that came closest to holding a task.
+/// The worker that came closest to fitting a task, and what it was missing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shortfall {
     /// The worker.
     pub vm: VmLabel,
-    /// What it lacked.
+    /// The resources that it was missing.
     pub missing: Resources,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Resources with the parts that are zero left out.
+/// Displays resources without those that are zero.
 #[derive(Debug)]
 struct Amount(Resources);
 
@@ -45,37 +45,37 @@
 /// Why a task does not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaitReason {
-    /// No worker has room now.
+    /// No worker has enough free capacity now.
     NoCapacity {
-        /// What the task takes.
+        /// The size of the task.
         size: Resources,
-        /// The nearest miss, if there is any worker.
+        /// The smallest shortfall, if there is any worker.
         shortfall: Option<Shortfall>,
     },
-    /// No worker could hold it even if it were empty.
+    /// No worker could fit the task even if it were empty.
     NeverFits {
-        /// What the task takes.
+        /// The size of the task.
         size: Resources,
-        /// The nearest miss, if there is any worker.
+        /// The smallest shortfall, if there is any worker.
         shortfall: Option<Shortfall>,
     },
     /// The team's quota is used up.
     Quota,
-    /// An operator paused the class.
+    /// An operator paused the class of work.
     Paused,
-    /// Its start must be recorded first, and the log takes no appends.
+    /// The start must be recorded first, and the log accepts no appends.
     LogUnavailable,
-    /// An earlier holder may have started it on a worker that has not answered.
+    /// An earlier holder may have started the task on a worker that has not answered.
     Blocked {
-        /// The worker, or `None` if it may be any that has not answered.
+        /// The worker, or `None` if it may be any worker that has not answered.
         vm: Option<VmLabel>,
     },
-    /// Its starts failed one after another.
+    /// Several starts failed in a row.
     Backoff {
-        /// How long until the next try.
+        /// The time until the next attempt.
         wait: Duration,
     },
-    /// Data centres that it prefers have their turn first.
+    /// Data centres that the job prefers may check the task out first.
     OtherDataCentreFirst,
 }
 
@@ -118,20 +118,20 @@
     }
 }
 
-/// One decision or finding about a task or VM.
+/// A decision or observation about a task or VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reason {
     /// The task does not run yet.
     NotRunning(WaitReason),
-    /// This data centre has the task.
+    /// The task is checked out by this data centre.
     CheckedOut,
-    /// The task was given back, so that another data centre may have it.
+    /// The task was returned, so that another data centre may check it out.
     Returned,
-    /// The task goes to a worker.
+    /// The task was placed on a worker.
     Placed {
         /// The worker.
         vm: VmLabel,
-        /// How many workers with room were weighed.
+        /// The number of workers with free capacity that were considered.
         considered: usize,
     },
     /// The answer to a start was lost: the task may or may not run.
@@ -143,7 +143,7 @@
     StartRejected {
         /// The worker.
         vm: VmLabel,
-        /// What it said.
+        /// The result that the worker reported.
         result: OrderResult,
     },
     /// A worker reported that the task runs.
@@ -153,29 +153,30 @@
     },
     /// The task ended.
     Ended {
-        /// How.
+        /// How the task ended.
         exit: Exit,
     },
-    /// The task is stopped because its job no longer wants it, or another copy is recorded.
+    /// The task is stopped because its job no longer needs it, or because another copy is
+    /// recorded.
     Stopped {
         /// The worker.
         vm: VmLabel,
     },
-    /// The task is checkpointed to make room.
+    /// The task is checkpointed to free capacity for another task.
     Evicted {
         /// The worker.
         vm: VmLabel,
-        /// The task that gets the room.
+        /// The task that gets the capacity.
         evicted_for: TaskId,
     },
     /// The task is checkpointed because it slows services down.
     EvictedForInterference {
         /// The worker.
         vm: VmLabel,
-        /// The slowdown of the worst service there, in thousandths.
+        /// The slowdown of the worst service on the worker, in thousandths.
         slowdown: u32,
     },
-    /// The task leaves a VM that is leaving or drained.
+    /// The task is checkpointed because its VM is leaving or drained.
     Evacuated {
         /// The worker.
         vm: VmLabel,
@@ -184,30 +185,30 @@
     Throttled {
         /// The share in thousandths.
         share: u32,
-        /// The slowdown of the worst service there, in thousandths.
+        /// The slowdown of the worst service on the worker, in thousandths.
         slowdown: u32,
     },
     /// The worker answered under this epoch.
     Answered {
-        /// How many tasks it runs.
+        /// The number of tasks that run on it.
         running: usize,
     },
     /// The worker did not answer.
     CallFailed,
-    /// Nothing new goes to the worker.
+    /// The worker gets no new work.
     Draining,
     /// The worker takes work again.
     Opened,
-    /// The VM list does not have the VM any more.
+    /// The VM is missing from the VM list.
     Unlisted,
-    /// The worker failed what it started and gets nothing for a while.
+    /// The worker failed what it started and gets no work for a while.
     Quarantined {
-        /// Failures in a row.
+        /// The number of consecutive failures.
         failures: u32,
-        /// For how long.
+        /// The duration of the quarantine.
         wait: Duration,
     },
-    /// The worker gets one task to see whether it works again.
+    /// The worker gets one task to test whether it works again.
     Probing,
 }
 
@@ -261,7 +262,7 @@
     }
 }
 
-/// An exit in words.
+/// Displays an exit for operators.
 #[derive(Debug)]
 struct ExitText(Exit);
 
@@ -279,7 +280,7 @@
     }
 }
 
-/// A slowdown in thousandths, as `1.25 times`.
+/// Displays a slowdown in thousandths as `1.25 times`.
 #[derive(Debug)]
 struct SlowdownFactor(u32);
 
@@ -289,21 +290,21 @@
     }
 }
 
-/// A reason and when it came up, by the holder's clock.
+/// A reason and its time by the holder's clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedReason {
-    /// When, or when last if it came up again and again.
+    /// The time of the reason, or of its last repetition.
     pub at: Instant,
-    /// What.
+    /// The reason.
     pub reason: Reason,
 }
 
-/// The last few reasons of one subject, oldest first.
+/// The last few reasons of one task or worker, oldest first.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Notes(Vec<TimedReason>);
 
 impl Notes {
-    /// Reasons kept for each subject; what is older says little about the present.
+    /// The maximum number of reasons for each subject; older ones say little about the present.
     const MAX_REASONS: usize = 6;
 
     pub(crate) fn add(&mut self, at: Instant, reason: Reason) {
--- a/daisy-placement/src/records.rs
+++ b/daisy-placement/src/records.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the log, batched.
+//! Batches of records to append to the log.
 
 use daisy_ledger::{Placement, Record};
 use daisy_model::{Ended, Instant, TaskId};
@@ -8,7 +8,7 @@
     task::Phase,
 };
 
-/// Facts that the ledger does not show yet, and wishes.
+/// Records that the ledger does not show yet.
 ///
 /// Each list is bounded by the number of tasks that the holder has.
 #[derive(Debug, Default)]
@@ -30,11 +30,11 @@
 }
 
 impl Holder {
-    /// Appends what has gathered, at most once a flush period.
+    /// Appends the gathered records, at most once per flush interval.
     ///
-    /// While the log is down nothing is appended; the facts stay here and go out together.
-    /// Placements go before exits, so that the fold never sees an exit of an incarnation
-    /// that it has not heard of.
+    /// While the log is down nothing is appended; the records stay here and are appended
+    /// together later. Placements precede exits, so that the fold never sees an exit of an
+    /// incarnation that it does not know.
     pub(crate) fn append(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let flush_interval = self.options.limits.flush_interval;
         let is_early = self.outbox.flushed_at.is_some_and(|at| now < at + flush_interval);
@@ -59,24 +59,26 @@
         }
     }
 
-    /// Records where a task runs, unless the ledger shows it or was told a moment ago.
+    /// Records where a task runs, unless the ledger shows it or the record was appended
+    /// recently.
     pub(crate) fn record_placement(&mut self, now: Instant, task: TaskId) {
         let resend_after = self.options.limits.resend_after;
         let Some(local) = self.local(task) else { return };
         let Phase::Running { worker } = local.phase else { return };
-        let is_recently_appended = local.placed_at.is_some_and(|at| now < at + resend_after);
+        let is_recently_appended =
+            local.placement_recorded_at.is_some_and(|at| now < at + resend_after);
         if local.is_placement_recorded() || is_recently_appended {
             return;
         }
         let incarnation = local.incarnation;
         let Some(vm) = self.roster.get(worker).map(|worker| worker.id) else { return };
         if let Some(local) = self.local_mut(task) {
-            local.placed_at = Some(now);
+            local.placement_recorded_at = Some(now);
         }
         self.outbox.placed.push(Placement { task, incarnation, vm });
     }
 
-    /// Records how a task ended, unless the ledger was told a moment ago.
+    /// Records how a task ended, unless the record was appended recently.
     pub(crate) fn record_end(&mut self, now: Instant, task: TaskId) {
         let resend_after = self.options.limits.resend_after;
         let Some(local) = self.local_mut(task) else { return };
--- a/daisy-placement/src/reports.rs
+++ b/daisy-placement/src/reports.rs
@@ -1,4 +1,4 @@
-//! Answers of workers: what runs, what ended, what came of orders.
+//! Reports of workers: what runs, what ended, and the results of orders.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
     worker::{Allocation, AllocationState, Class, Removal, WorkerKey},
 };
 
-/// A task that ends with an error within this time may have failed for its worker's sake.
+/// A task that ends with an error within this time may have failed because of its worker.
 const EARLY_FAILURE_LIMIT: Duration = Duration::from_secs(10);
 
 impl Holder {
-    /// Takes a worker's answer in.
+    /// Handles a worker's report.
     pub(crate) fn handle_report(&mut self, now: Instant, vm: VmId, report: &WorkerReport) {
-        // A higher epoch was shown to the worker: there is a newer holder, and whatever we
-        // went on to order elsewhere could run a task a second time.
+        // The worker has seen a higher epoch, so there is a newer holder. Anything that this
+        // holder ordered from now on could run a task a second time.
         if report.epoch > self.options.epoch {
             self.superseded = true;
             return;
@@ -69,8 +69,8 @@
         it: &Running,
         old: Option<Allocation>,
     ) {
-        // Most of a report is what the last one said; a look at each task's job would be
-        // the largest part of a holder's processor time.
+        // Most of a report repeats the previous one. Checking the job of each task would take
+        // most of a holder's processor time.
         if let Some(old) = old.filter(|old| old.confirmed && old.removal == Removal::NotPlanned) {
             if let Some(worker) = self.worker_mut(key) {
                 worker.allocate(it.task, Allocation { size: it.size, share: it.share, ..old });
@@ -106,13 +106,13 @@
                 self.mark_confirmed(key, task);
             }
         } else if self.local(task).is_some() || task.job < self.next_job {
-            // It runs where the ledger does not have it: a start that came late, or a record
-            // that was lost. One of two copies has to go, and the recorded one stays.
+            // The task runs where the ledger does not have it, because a start arrived late or a
+            // record was lost. One of the two copies must end, and the recorded one stays.
             self.stop(key, task);
         }
     }
 
-    /// Marks a task as in the ledger where it is.
+    /// Marks a running task as confirmed if the ledger shows its placement.
     fn mark_confirmed(&mut self, key: WorkerKey, task: TaskId) {
         let is_recorded = self.local(task).is_some_and(LocalTask::is_placement_recorded);
         if let Some(allocation) = self.worker_mut(key).and_then(|it| it.allocations.get_mut(&task))
@@ -127,7 +127,7 @@
         self.note(now, task, Reason::ReportedRunning { vm });
     }
 
-    /// Whether a worker is where a task may be, in the incarnation that it reports.
+    /// Whether a task may run on a worker in the incarnation that the worker reports.
     fn may_run_on(&self, key: WorkerKey, task: TaskId, incarnation: Incarnation) -> bool {
         let Some(local) = self.local(task) else { return false };
         match local.phase {
@@ -148,7 +148,7 @@
     ) {
         let Ended { task, incarnation, exit } = *ended;
         let Some(local) = self.local(task) else {
-            // The job is over and its end recorded, or we would have it.
+            // An unknown job with a known id is over, and its end is recorded.
             if task.job < self.next_job {
                 self.acknowledge(Some(key), task, incarnation);
             }
@@ -169,7 +169,7 @@
         self.record_end(now, task);
     }
 
-    /// Learns from an end: a worker that works or fails, a run time.
+    /// Learns from an exit whether the worker works, and how long the job's tasks run.
     fn learn_from_exit(
         &mut self,
         now: Instant,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Decides on what was held there and is not reported to run.
+    /// Decides on the earlier allocations that the report does not show as running.
     fn resolve_unreported(
         &mut self,
         now: Instant,
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Decides on a start by the answer to it.
+    /// Decides on a start by the result that the worker reported for it.
     fn resolve_start(
         &mut self,
         now: Instant,
@@ -231,7 +231,8 @@
             return;
         }
         if results.try_stop(task).is_some() {
-            // Stopped before it ran; the worker does not start the incarnation any more.
+            // The task was stopped before it ran; the worker does not start this incarnation any
+            // more.
             self.requeue_or_cancel(now, task);
             return;
         }
@@ -242,8 +243,8 @@
             }
             (Some(result @ (OrderResult::NoRoom | OrderResult::Failed)), _) => {
                 self.note_rejected_start(now, key, task, result);
-                // A copy of the lost call may still arrive: the incarnation is stopped for
-                // good before the task may start elsewhere.
+                // A copy of the lost call may still arrive, so the incarnation must be stopped
+                // for good before the task may start elsewhere.
                 if let Some(worker) = self.worker_mut(key) {
                     worker.allocate(task, *allocation);
                 }
@@ -272,7 +273,7 @@
         }
     }
 
-    /// The worker neither runs the task nor has an exit report: its fate is unknown.
+    /// Ends a task that its worker neither runs nor has an exit report of, with unknown outcome.
     fn end_vanished(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let Some(local) = self.local_mut(task) else { return };
         let is_present = matches!(local.phase,
@@ -284,24 +285,25 @@
         }
     }
 
-    /// A start that took no effect for certain: the incarnation may be used again.
+    /// Undoes a start that certainly took no effect, so that its incarnation may be used again.
     pub(crate) fn undo_start(&mut self, now: Instant, task: TaskId) {
         self.reuse_incarnation(task);
         self.requeue_or_cancel(now, task);
     }
 
-    /// Gives the number of an incarnation back that was never sent, or had no effect.
+    /// Makes the incarnation of a start that was never sent or had no effect available again.
     pub(crate) fn reuse_incarnation(&mut self, task: TaskId) {
         if let Some(local) = self.local_mut(task) {
-            // The ledger was told where the incarnation would run: it is spent.
-            let is_recorded = local.placed_at.is_some() || local.is_placement_recorded();
+            // A placement record with this incarnation was appended, so it cannot be used again.
+            let is_recorded =
+                local.placement_recorded_at.is_some() || local.is_placement_recorded();
             if !is_recorded {
                 local.incarnation = Incarnation(local.incarnation.0.saturating_sub(1));
             }
         }
     }
 
-    /// Puts a task that did not start back in line, or ends it if it was cancelled.
+    /// Returns a task that did not start to the queue, or ends it if it is not wanted any more.
     pub(crate) fn requeue_or_cancel(&mut self, now: Instant, task: TaskId) {
         if self.is_unwanted(task) {
             self.end_unstarted(now, task);
@@ -311,7 +313,7 @@
     }
 }
 
-/// The orders of a call with what came of them.
+/// The orders of a call with their results.
 struct Results<'a> {
     orders: &'a [Order],
     results: &'a [OrderResult],
--- a/daisy-placement/src/roster.rs
+++ b/daisy-placement/src/roster.rs
@@ -9,20 +9,20 @@
     worker::{Availability, Worker, WorkerKey},
 };
 
-/// Workers by slot and by VM, with an index of their free room.
+/// The workers by slot and by VM, with an index of their free capacity.
 ///
-/// The slot of a VM that is gone is used again, so that replacements take no memory.
+/// The slot of a removed VM is reused, so that replacements need no further memory.
 #[derive(Debug)]
 pub(crate) struct Roster {
     slots: Vec<Option<Worker>>,
     free_slots: Vec<WorkerKey>,
     by_vm: SortedMap<VmId, WorkerKey>,
     by_free: FreeIndex,
-    /// What each worker holds in all.
+    /// An index of each worker's total capacity.
     by_capacity: FreeIndex,
     rng: fastrand::Rng,
     vm_list_at: Option<Instant>,
-    /// Workers that may have to be called.
+    /// The workers that may have to be called.
     marked_for_call: Vec<WorkerKey>,
 }
 
@@ -44,17 +44,17 @@
         self.vm_list_at.is_some()
     }
 
-    /// When the VM list was last taken in.
+    /// Returns when the VM list was last received.
     pub(crate) fn vm_list_at(&self) -> Option<Instant> {
         self.vm_list_at
     }
 
-    /// Has a worker looked at when calls are made.
+    /// Has a worker checked when the next calls are made.
     pub(crate) fn mark_for_call(&mut self, key: WorkerKey) {
         self.marked_for_call.push(key);
     }
 
-    /// Has all workers looked at when calls are made.
+    /// Has all workers checked when the next calls are made.
     pub(crate) fn mark_all_for_call(&mut self) {
         self.marked_for_call = self.keys();
     }
@@ -83,7 +83,7 @@
         self.by_vm.iter().map(|(_, key)| *key).collect()
     }
 
-    /// Brings the index up to date with a worker.
+    /// Updates the indexes for a worker.
     pub(crate) fn reindex(&mut self, key: WorkerKey) {
         let free = match self.get(key) {
             Some(worker) if worker.is_open() => worker.free(),
@@ -94,22 +94,23 @@
         self.by_capacity.set(key.index(), capacity);
     }
 
-    /// Whether some worker could hold `size` if nothing else ran there.
+    /// Whether some worker could fit `size` if nothing else ran there.
     pub(crate) fn can_ever_hold(&self, size: Resources) -> bool {
         self.by_capacity.has(size)
     }
 
-    /// Whether some worker that takes new work has room for `size`.
+    /// Whether some worker that takes new work has free capacity for `size`.
     pub(crate) fn has_free(&self, size: Resources) -> bool {
         self.by_free.has(size)
     }
 
-    /// The most of each part that any worker holds.
+    /// Returns the maximum of each resource over all workers' capacities.
     pub(crate) fn largest_capacity(&self) -> Resources {
         self.by_capacity.largest()
     }
 
-    /// Has the next report looked at for each task of a job that was changed.
+    /// Clears the confirmation of all tasks of a changed job, so that the next report of each is
+    /// checked.
     pub(crate) fn invalidate_confirmations(&mut self, job: JobId) {
         for worker in self.slots.iter_mut().flatten() {
             for (task, allocation) in worker.allocations.iter_mut() {
@@ -118,12 +119,12 @@
         }
     }
 
-    /// A number below `bound`.
+    /// Returns a random number below `bound`.
     pub(crate) fn random(&mut self, bound: u32) -> u32 {
         self.rng.u32(..bound)
     }
 
-    /// Up to `limit` workers with room for `size`, from a random place on.
+    /// Finds up to `limit` workers with free capacity for `size`, starting at a random slot.
     ///
     /// The random start spreads equal choices; the same seed gives the same choices.
     pub(crate) fn find(&mut self, size: Resources, limit: usize, found: &mut Vec<WorkerKey>) {
@@ -161,7 +162,7 @@
 }
 
 impl Holder {
-    /// Takes the platform's VM list in.
+    /// Handles the platform's VM list.
     pub(crate) fn handle_vm_list(&mut self, now: Instant, vms: &[Vm]) {
         self.roster.vm_list_at = Some(now);
         let mut listed: Vec<VmId> = Vec::new();
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Applies operators' drains to the workers known.
+    /// Applies operators' drains to the known workers.
     pub(crate) fn apply_drains(&mut self, now: Instant, drained: &[Name]) {
         if self.drained == drained {
             return;
--- a/daisy-placement/src/score.rs
+++ b/daisy-placement/src/score.rs
@@ -1,4 +1,4 @@
-//! What speaks for and against a worker with room.
+//! The cost of starting a task on a worker.
 
 use daisy_model::{JobId, Resources};
 
@@ -11,26 +11,26 @@
     worker::{Worker, WorkerKey},
 };
 
-/// What is left of an empty worker, in the measure of `free_fraction`.
+/// The `free_fraction` of an empty worker.
 const EMPTY_WORKER_FRACTION: u64 = 1_000;
-/// Of a rack that already has a replica of the service, for each replica.
+/// The cost of a rack that already has a replica of the service, for each replica.
 const SAME_RACK_COST: u64 = 2_000;
-/// Of a worker that already has a replica of the service.
+/// The cost of a worker that already has a replica of the service, for each replica.
 const SAME_WORKER_COST: u64 = 8_000;
-/// Of accelerators left idle by a task that wants none, for each.
+/// The cost of each accelerator left idle by a task that needs none.
 const IDLE_ACCELERATOR_COST: u64 = 1_000;
-/// Of what a start is expected to add to the squared slowdowns of services.
+/// The cost factor of the squared slowdown that a start is expected to add to services.
 const SLOWDOWN_COST: u64 = 8;
-/// Of one thousandth by which the worker's batch work is limited already.
+/// The cost of each thousandth by which the worker's batch work is already throttled.
 const THROTTLED_COST: u64 = 2;
 
 impl Holder {
-    /// The cost of starting a task of `job` on a worker; the least is best.
+    /// Returns the cost of starting a task of `job` on a worker; the least is best.
     ///
-    /// Work is spread over the emptiest workers, where it disturbs and is disturbed least,
-    /// as long as everything finds room; when something does not, new work is packed, so
-    /// that whole workers come free for large tasks. What disturbs services, or loses two
-    /// replicas with one rack, costs more than either.
+    /// Work is spread over the emptiest workers, where interference is least, as long as
+    /// everything finds capacity. When something does not, new work is packed, so that whole
+    /// workers become free for large tasks. Starts that disturb services, or that would lose two
+    /// replicas with one rack, cost more than either.
     pub(crate) fn cost(
         &self,
         job: &JobView,
@@ -57,10 +57,10 @@
         cost
     }
 
-    /// What the start is expected to do to services, in thousandths of slowdown squared.
+    /// Returns the interference of a start with services, in thousandths of slowdown squared.
     ///
-    /// The square spreads noisy neighbours: a second one on a worker costs more than the
-    /// first one on the next, since a tail is made where several meet.
+    /// The square spreads noisy neighbours: a second one on a worker costs more than the first
+    /// one on another worker, since the tail latency is made where several meet.
     fn expected_interference(&self, job: &JobView, worker: &Worker) -> u64 {
         let square = |slowdown: u32| u64::from(slowdown) * u64::from(slowdown) / 1000;
         if job.is_service() {
@@ -79,10 +79,10 @@
         harms.sum()
     }
 
-    /// Whether a start is expected to slow a service there beyond the target.
+    /// Whether a start is expected to slow a service on the worker beyond the target.
     ///
-    /// Tasks of one kind are noisy together; those of several kinds seldom are, so they
-    /// may add up to twice as much.
+    /// Tasks of one family are noisy at the same time; those of several families seldom are, so
+    /// their slowdowns may add up to twice as much.
     pub(crate) fn exceeds_interference_budget(&self, job: &JobView, worker: &Worker) -> bool {
         const BUDGET: f32 = (TARGET_SLOWDOWN - 1000) as f32;
         let same = worker.families.iter().find(|(family, _)| *family == job.family);
@@ -97,7 +97,7 @@
         })
     }
 
-    /// How many replicas of a service each rack has.
+    /// Returns the number of replicas of a service on each rack.
     pub(crate) fn replicas_per_rack(&self, id: JobId) -> Vec<(u16, u64)> {
         let mut racks: Vec<(u16, u64)> = Vec::new();
         let Some(job) = self.jobs.get(&id).filter(|job| job.is_service()) else { return racks };
@@ -115,7 +115,7 @@
     }
 }
 
-/// What is left of a worker in thousandths, the mean of processors and memory.
+/// Returns what is left of a worker in thousandths, the mean of processors and memory.
 fn free_fraction(rest: Resources, whole: Resources) -> u64 {
     let part = |rest: u32, whole: u32| u64::from(rest) * 500 / u64::from(whole.max(1));
     part(rest.cpu_milli, whole.cpu_milli) + part(rest.memory_mib, whole.memory_mib)
--- a/daisy-placement/src/usage.rs
+++ b/daisy-placement/src/usage.rs
@@ -1,10 +1,10 @@
-//! What a job's tasks have taken, against what was declared.
+//! The measured resource use of a job's tasks.
 
 use std::time::Duration;
 
 use daisy_model::Resources;
 
-/// Measured use of a job's tasks.
+/// The measured resource use of a job's tasks.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MeasuredUsage {
     samples: u32,
@@ -13,14 +13,16 @@
     run_time: Option<Duration>,
 }
 
-/// Samples before a declared size is corrected: one report may be of a task's first second.
+/// The number of samples before a declared size is corrected: a single report may describe a
+/// task's first second.
 const TRUSTED_SAMPLES: u32 = 3;
 const CPU_SMOOTHING: f32 = 0.1;
-/// Kept above the highest memory seen, in percent: the next task may need a little more.
+/// The margin above the highest measured memory, in percent: the next task may need a little
+/// more.
 const MEMORY_MARGIN_PERCENT: u64 = 10;
 
 impl MeasuredUsage {
-    /// Takes one task's report in.
+    /// Adds the use that one task reported.
     pub(crate) fn add_sample(&mut self, used: Resources) {
         let cpu = used.cpu_milli as f32;
         let rate = if self.samples == 0 { 1.0 } else { CPU_SMOOTHING };
@@ -29,24 +31,26 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// Takes the run time of a task that did its work in.
+    /// Adds the run time of a task that completed its work.
     pub(crate) fn add_run_time(&mut self, run: Duration) {
         let mean = self.run_time.map_or(run, |mean| mean.mul_f32(0.8) + run.mul_f32(0.2));
         self.run_time = Some(mean);
     }
 
-    /// The run time seen, or that declared.
+    /// Returns the measured run time, or else the declared one.
     pub(crate) fn try_run_time(&self, declared: Option<Duration>) -> Option<Duration> {
         self.run_time.or(declared)
     }
 
-    /// The size that a task is started with: what is declared, or more if more was seen.
+    /// Returns the size to start a task with: the declared size, or more if more use was
+    /// measured.
     ///
-    /// Never less. Memory that was not used yesterday may be used today, and the VM that
-    /// runs out kills whatever it likes; processors given twice are lent to batch work at
-    /// the price of the services' tail when both want them. So a size declared too large
-    /// costs room, which the operator sees and mends, and one declared too small is raised
-    /// here. No more is asked than `largest`, or the task could never run at all.
+    /// The size is never reduced. Memory that was not used yesterday may be used today, and a VM
+    /// that runs out of memory kills arbitrary processes. Overcommitted processors would be lent
+    /// to batch work at the cost of the services' tail latency when both need them. So a size
+    /// declared too large costs capacity, which the operator sees and corrects, and a size
+    /// declared too small is raised here. It is raised to `largest` at most, since otherwise the
+    /// task could never run.
     pub(crate) fn corrected_size(&self, declared: Resources, largest: Resources) -> Resources {
         if self.samples < TRUSTED_SAMPLES {
             return declared;
--- a/daisy-placement/src/view.rs
+++ b/daisy-placement/src/view.rs
@@ -1,4 +1,4 @@
-//! What a holder knows, as plain data for `show` and `why`.
+//! The holder's state as plain data for `show` and `why`.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
     worker::{Availability, Removal, Worker},
 };
 
-/// How a worker stands with its holder.
+/// The state of a worker, as its holder sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// Takes new work.
+    /// It takes new work.
     Open,
-    /// Has not answered under this epoch.
+    /// It has not answered under this epoch.
     NeverAnswered,
-    /// Did not answer the last call.
+    /// It did not answer the last call.
     Silent,
-    /// Leaving or drained.
+    /// It is leaving or drained.
     Draining,
-    /// Missing from the VM list.
+    /// It is missing from the VM list.
     Unlisted,
-    /// Put aside after failures.
+    /// It is quarantined after failures.
     Quarantined,
 }
 
@@ -34,53 +34,53 @@
 pub struct WorkerView {
     /// The VM.
     pub vm: VmId,
-    /// Its name.
+    /// The VM's name.
     pub name: Name,
-    /// Its rack.
+    /// The VM's rack.
     pub rack: u16,
-    /// How it stands.
+    /// The worker's state.
     pub status: WorkerStatus,
-    /// What it holds in all.
+    /// Its total capacity.
     pub capacity: Resources,
-    /// What is taken, tasks included whose start is not answered yet.
+    /// Its allocated capacity, including tasks whose start is not answered yet.
     pub allocated: Resources,
-    /// How many tasks take it.
+    /// The number of tasks with an allocation.
     pub tasks: usize,
     /// The lowest share of processors among its tasks, in thousandths.
     pub share: u32,
 }
 
-/// How a task stands with its holder.
+/// The state of a task, as its holder sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskStatus {
-    /// Checked out, runs nowhere yet.
+    /// It is checked out and runs nowhere yet.
     Waiting,
     /// Its start is on the way.
     Starting,
-    /// Runs.
+    /// It runs.
     Running,
-    /// An earlier holder may have started it; blocked until that is known.
+    /// An earlier holder may have started it; it is blocked until that is known.
     Blocked,
-    /// Ended; the ledger does not show it yet.
+    /// It ended; the ledger does not show it yet.
     Removal,
 }
 
-/// A task that the data centre has.
+/// A task that is checked out by the data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskView {
     /// The task.
     pub task: TaskId,
-    /// How it stands.
+    /// The task's state.
     pub status: TaskStatus,
     /// Its worker.
     pub vm: Option<VmId>,
-    /// Its incarnation, that of the last start if it does not run.
+    /// Its incarnation, or that of the last start if it does not run.
     pub incarnation: Incarnation,
     /// Since when it waits or is blocked.
     pub since: Option<Instant>,
     /// Its share of its processors, in thousandths.
     pub share: u32,
-    /// The run time to expect: seen in the job's tasks, or else as declared.
+    /// The expected run time: measured on the job's tasks, or else as declared.
     pub run_time: Option<Duration>,
 }
 
@@ -89,7 +89,7 @@
 pub struct Replica {
     /// The service.
     pub job: JobId,
-    /// The replica.
+    /// The replica's task.
     pub task: TaskId,
     /// Its worker.
     pub vm: VmId,
@@ -98,12 +98,12 @@
 }
 
 impl Holder {
-    /// The workers of the data centre by VM.
+    /// Returns the workers of the data centre, ordered by VM.
     pub fn workers(&self) -> Vec<WorkerView> {
         self.roster.iter().map(|(_, worker)| worker_view(worker)).collect()
     }
 
-    /// The tasks that the data centre has, in the order of their ids.
+    /// Returns the tasks that are checked out by the data centre, ordered by id, in any state.
     pub fn checked_out_tasks(&self) -> Vec<TaskView> {
         let tasks = self.jobs.iter().flat_map(|(id, job)| {
             let tasks = job.tasks.iter().enumerate();
@@ -112,7 +112,7 @@
         tasks.filter_map(|(task, local)| self.try_task_view(task, local)).collect()
     }
 
-    /// The running replicas of all services, to route requests to.
+    /// Returns the running replicas of all services, as targets for requests.
     pub fn replicas(&self) -> Vec<Replica> {
         let mut replicas = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.is_service()) {
@@ -131,7 +131,7 @@
         replicas
     }
 
-    /// The last decisions about a task, oldest first; empty if this holder has made none.
+    /// Returns the last reasons of a task, oldest first; empty if this holder has recorded none.
     pub fn reasons(&self, task: TaskId) -> Vec<TimedReason> {
         let Some(job) = self.jobs.get(&task.job) else { return self.retired_reasons(task) };
         let Some(local) = job.tasks.get(task.index as usize) else { return Vec::new() };
@@ -151,14 +151,14 @@
         retired.map(|(_, notes)| notes.to_vec()).unwrap_or_default()
     }
 
-    /// Why jobs have tasks that nobody has checked out: paused, over their quota, not this
-    /// data centre's turn, or fitting nowhere, with the nearest miss.
+    /// Returns why jobs have tasks that no data centre has checked out: paused, over their
+    /// quota, another data centre first, or fitting on no worker, with the smallest shortfall.
     pub fn waiting_jobs(&self) -> Vec<(JobId, TimedReason)> {
         let jobs = self.jobs.iter().filter(|(_, job)| !job.pending.is_empty());
         jobs.filter_map(|(id, job)| Some((*id, job.wait_reason.clone()?))).collect()
     }
 
-    /// The last decisions about a VM, oldest first; empty if it is none of our workers.
+    /// Returns the last reasons of a VM, oldest first; empty if it is not a worker here.
     pub fn vm_reasons(&self, vm: VmId) -> Vec<TimedReason> {
         let worker = self.roster.try_key(vm).and_then(|key| self.roster.get(key));
         worker.map(|worker| worker.notes.to_vec()).unwrap_or_default()
--- a/daisy-placement/src/worker.rs
+++ b/daisy-placement/src/worker.rs
@@ -1,4 +1,4 @@
-//! What a holder knows of one worker.
+//! The holder's view of a worker.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -27,23 +27,23 @@
     }
 }
 
-/// Whether the platform keeps a worker.
+/// Whether the VM list and the operators' drains allow new work on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Availability {
-    /// In use.
+    /// Available for new work.
     Live,
-    /// Leaving or drained: nothing new goes there.
+    /// Leaving or drained: it gets no new work.
     Draining,
-    /// Missing from the VM list since.
+    /// Missing from the VM list since `since`.
     Unlisted { since: Instant },
 }
 
-/// How sure it is that a worker holds a task.
+/// The state of a task's allocation on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AllocationState {
-    /// Room is kept for when tasks that were ordered off the worker have gone.
+    /// Capacity is reserved until the evicted tasks have ended.
     AwaitingEviction,
-    /// Room is kept until the ledger shows the placement.
+    /// Capacity is reserved until the ledger shows the placement.
     AwaitingRecord,
     /// A start waits for the next call.
     Queued,
@@ -51,11 +51,11 @@
     Sent,
     /// A start was sent and its answer was lost: it may have taken effect.
     Unconfirmed,
-    /// Reported by the worker.
+    /// The worker reported the task as running.
     Running,
 }
 
-/// A task's room on a worker.
+/// The capacity of a worker that is allocated to a task.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Allocation {
     pub incarnation: Incarnation,
@@ -64,10 +64,11 @@
     pub removal: Removal,
     /// The share last ordered or reported, in thousandths.
     pub share: u32,
-    /// When the room was taken.
+    /// When the capacity was allocated.
     pub since: Instant,
     pub class: Class,
-    /// Reported before, and in the ledger: the next report of it needs no second look.
+    /// Whether the task was reported before and the ledger shows its placement, so that the next
+    /// report of it needs no check.
     pub confirmed: bool,
 }
 
@@ -83,60 +84,60 @@
     }
 }
 
-/// Whether a task is on its way off a worker.
+/// Whether a task is being removed from a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Removal {
-    /// It stays.
+    /// The task stays.
     NotPlanned,
-    /// Requests stop going to it; it is stopped at `stop_at`.
+    /// The task is out of the routes and is stopped at `stop_at`.
     Unrouted { stop_at: Instant },
     /// A stop or checkpoint is ordered.
     Ordered,
 }
 
-/// What the job of a held task allows, kept with the room so that a search for victims
-/// looks at nothing else.
+/// What the job of a task allows, stored with the allocation so that a search for victims needs
+/// nothing else.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Class {
     pub family: JobFamily,
     pub priority: Priority,
-    pub service: bool,
-    /// May be limited to a share of its processors.
-    pub delay: bool,
-    /// May be checkpointed.
-    pub evict: bool,
+    pub is_service: bool,
+    /// Whether the task may be throttled to a share of its processors.
+    pub may_delay: bool,
+    /// Whether the task may be checkpointed.
+    pub may_evict: bool,
 }
 
 impl Class {
-    /// Of a job that the ledger does not show any more: nothing may be done to it.
+    /// The class of a task whose job the ledger does not show any more: it must not be touched.
     pub(crate) const UNKNOWN: Class = Class {
         family: JobFamily(0),
         priority: Priority::Critical,
-        service: false,
-        delay: false,
-        evict: false,
+        is_service: false,
+        may_delay: false,
+        may_evict: false,
     };
 }
 
-/// A call that waits for its answer.
+/// A call whose answer is outstanding.
 #[derive(Debug)]
 pub(crate) struct Outstanding {
     pub orders: Vec<Order>,
 }
 
-/// One worker of the data centre.
+/// A worker of the data centre.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub id: VmId,
     pub name: Name,
-    /// The name again, for notes.
+    /// The name as a shared string for reasons.
     pub label: VmLabel,
     pub rack: u16,
     pub availability: Availability,
     /// Whether the VM list says that the VM is about to be taken away.
     pub leaving: bool,
     pub capacity: Resources,
-    /// What `allocation` takes together.
+    /// The sum of the sizes in `allocations`.
     pub allocated: Resources,
     pub allocations: SortedMap<TaskId, Allocation>,
     /// Orders for the next call.
@@ -144,21 +145,21 @@
     pub outstanding: Option<Outstanding>,
     /// Whether it has answered under this epoch.
     pub has_answered: bool,
-    /// Whether it answered the last call, and so has answered under this epoch.
+    /// Whether it answered the last call, which implies that it has answered under this epoch.
     pub is_responsive: bool,
     pub called_at: Option<Instant>,
-    /// When it is called next, orders or not.
+    /// When it is called next, even without orders.
     pub next_call_at: Instant,
     pub notes: Notes,
     pub faults: WorkerFaults,
     pub throttle: Throttle,
-    /// How many tasks of each kind it holds.
+    /// The number of allocated tasks of each family.
     pub families: Vec<(JobFamily, u32)>,
-    /// Nothing is made to leave for disturbing services before.
+    /// No task is evicted for interference before this time.
     pub next_relief_at: Option<Instant>,
-    /// Nothing is learnt from its usage before: reports overlap.
+    /// Nothing is learnt from usage reports before this time, since reports overlap.
     pub next_learn_at: Instant,
-    /// What it held of each kind at its last reports, weighed by share.
+    /// The weights of the families that ran here at the last reports, from the tasks' shares.
     pub load_history: VecDeque<(Instant, Vec<(JobFamily, f32)>)>,
 }
 
@@ -190,15 +191,15 @@
         }
     }
 
-    /// Whether new work may go there at all.
+    /// Whether the worker may get new work at all.
     ///
-    /// A worker that has not answered under this epoch may run what we do not know of, and
-    /// a start there could take more than it holds.
+    /// A worker that has not answered under this epoch may run unknown tasks, and a start could
+    /// exceed its capacity.
     pub(crate) fn is_open(&self) -> bool {
         self.is_responsive && self.availability == Availability::Live && self.faults.is_open()
     }
 
-    /// Notes and applies a change of the VM list or of operators' drains.
+    /// Records and applies a change of the VM list or of the operators' drains.
     pub(crate) fn set_availability(&mut self, now: Instant, availability: Availability) {
         if self.availability == availability {
             return;
@@ -208,12 +209,12 @@
         self.notes.add(now, if is_live { Reason::Opened } else { Reason::Draining });
     }
 
-    /// The room that is left; none if more is taken than the worker holds.
+    /// Returns the free capacity; none if more is allocated than the worker has.
     pub(crate) fn free(&self) -> Resources {
         self.capacity.try_sub(self.allocated).unwrap_or(Resources::ZERO)
     }
 
-    /// Counts a task's room as taken.
+    /// Allocates capacity to a task.
     pub(crate) fn allocate(&mut self, task: TaskId, allocation: Allocation) {
         if let Some(old) = self.allocations.insert(task, allocation) {
             self.allocated = self.allocated.try_sub(old.size).unwrap_or(Resources::ZERO);
@@ -223,13 +224,13 @@
         self.count(allocation.class.family);
     }
 
-    /// Forgets what was taken, before a report is taken in.
+    /// Resets the allocated sums before a report is applied.
     pub(crate) fn clear_taken(&mut self) {
         self.allocated = Resources::ZERO;
         self.families.clear();
     }
 
-    /// Notes what it holds now, and forgets what is older than `lag` but for the newest.
+    /// Records the current load and drops entries older than `lag`, except the newest of them.
     pub(crate) fn record_load(&mut self, now: Instant, lag: Duration) {
         let mut weights: Vec<(JobFamily, f32)> = Vec::with_capacity(self.families.len());
         for (_, allocation) in self
@@ -249,7 +250,7 @@
         }
     }
 
-    /// What is taken, without room that is kept for when others have gone.
+    /// Returns the allocated capacity without what is reserved until an eviction ends.
     pub(crate) fn allocated_without_awaiting(&self) -> Resources {
         let allocation = self
             .allocations
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Gives a task's room back.
+    /// Frees the capacity of a task.
     pub(crate) fn release(&mut self, task: TaskId) -> Option<Allocation> {
         let allocation = self.allocations.remove(&task)?;
         self.allocated = self.allocated.try_sub(allocation.size).unwrap_or(Resources::ZERO);
@@ -282,7 +283,8 @@
     }
 }
 
-/// The sum with each part bounded: an unbelievable report must not wrap round to free room.
+/// Returns the sum with each resource saturated: an implausible report must not wrap around to
+/// free capacity.
 pub(crate) fn saturating_add(a: Resources, b: Resources) -> Resources {
     Resources {
         cpu_milli: a.cpu_milli.saturating_add(b.cpu_milli),
