--- a/daisy-placement/src/control.rs
+++ b/daisy-placement/src/control.rs
@@ -76,9 +76,9 @@
     pub(crate) fn count_backlog(&mut self) {
         let batch = self.jobs.iter().filter(|(_, job)| !job.is_service() && !job.cancelled);
         let waiting: usize = batch.map(|(_, job)| job.waiting.len() + job.pending.len()).sum();
-        let here = self.options.data_centres.len().max(1);
+        let data_centres = self.options.data_centres.len().max(1);
         let open = self.roster.iter().filter(|(_, worker)| worker.is_open()).count();
-        self.backlog = waiting as f32 / (here * open.max(1)) as f32;
+        self.backlog = waiting as f32 / (data_centres * open.max(1)) as f32;
     }
 
     fn learn(&mut self, now: Instant, key: WorkerKey, usage: &[Usage]) {
@@ -90,14 +90,14 @@
         let Some(worker) = self.roster.get(key) else { return };
         // The report describes the neighbours at the time of measurement. Neighbours that came
         // since would be blamed for the slowdown, and those that left since would not.
-        let Some((at, load_history)) = worker.load_history.front() else { return };
+        let Some((at, weights)) = worker.load_history.front() else { return };
         if now < *at + REPORT_LAG {
             return;
         }
         for it in usage {
             let Some(allocation) = worker.allocations.get(&it.task) else { continue };
             if allocation.class.is_service && now >= allocation.since + REPORT_LAG {
-                let neighbours = neighbours(load_history, allocation.class.family);
+                let neighbours = neighbours(weights, allocation.class.family);
                 self.interference.learn(allocation.class.family, &neighbours, it.slowdown);
             }
         }
@@ -115,8 +115,8 @@
     fn cpu_use(&self, key: WorkerKey, usage: &[Usage]) -> u32 {
         let Some(worker) = self.roster.get(key) else { return 0 };
         let used: u64 = usage.iter().map(|it| u64::from(it.used.cpu_milli)).sum();
-        let whole = u64::from(worker.capacity.cpu_milli.max(1));
-        u32::try_from(used * 1000 / whole).unwrap_or(u32::MAX)
+        let capacity = u64::from(worker.capacity.cpu_milli.max(1));
+        u32::try_from(used * 1000 / capacity).unwrap_or(u32::MAX)
     }
 
     /// Returns the batch families on a worker that are known to be noisy for its services.
@@ -172,8 +172,8 @@
         for (task, allocation) in worker.allocations.iter_mut() {
             let is_running = allocation.state == AllocationState::Running
                 && allocation.removal == Removal::NotPlanned;
-            let is_affected = only_families
-                .is_none_or(|only_families| only_families.contains(&allocation.class.family));
+            let is_affected =
+                only_families.is_none_or(|families| families.contains(&allocation.class.family));
             let share = if is_affected { share } else { FULL_SHARE };
             if !allocation.class.may_delay
                 || !is_running
@@ -212,7 +212,7 @@
     fn worst_neighbour(&self, key: WorkerKey) -> Option<TaskId> {
         let worker = self.roster.get(key)?;
         let services = service_families(worker);
-        let able = worker.allocations.iter().filter(|(_, allocation)| {
+        let evictable = worker.allocations.iter().filter(|(_, allocation)| {
             allocation.class.may_evict
                 && !allocation.class.is_service
                 && allocation.state == AllocationState::Running
@@ -220,10 +220,9 @@
         });
         let expected_harm =
             |family: JobFamily| expected_harm(&self.interference, &services, family);
-        let worst = able.max_by(|(_, a), (_, b)| {
-            let interfering_only =
-                expected_harm(a.class.family).total_cmp(&expected_harm(b.class.family));
-            interfering_only.then(a.size.cpu_milli.cmp(&b.size.cpu_milli))
+        let worst = evictable.max_by(|(_, a), (_, b)| {
+            let by_harm = expected_harm(a.class.family).total_cmp(&expected_harm(b.class.family));
+            by_harm.then(a.size.cpu_milli.cmp(&b.size.cpu_milli))
         });
         worst.map(|(task, _)| *task)
     }
@@ -247,11 +246,11 @@
 
 /// Returns the families beside one task of the family `own`.
 fn neighbours(weights: &[(JobFamily, f32)], own: JobFamily) -> Vec<(JobFamily, f32)> {
-    let but_itself = |(family, weight): &(JobFamily, f32)| {
+    let without_itself = |(family, weight): &(JobFamily, f32)| {
         let weight = if *family == own { (weight - 1.0).max(0.0) } else { *weight };
         (*family, weight)
     };
-    weights.iter().map(but_itself).collect()
+    weights.iter().map(without_itself).collect()
 }
 
 fn is_significant(old: u32, new: u32) -> bool {
--- a/daisy-placement/src/evict.rs
+++ b/daisy-placement/src/evict.rs
@@ -100,7 +100,7 @@
 fn try_victims(worker: &Worker, priority: Priority, size: Resources) -> Option<Vec<TaskId>> {
     let is_usable = worker.is_responsive
         && worker.availability == Availability::Live
-        && worker.faults.is_open();
+        && worker.faults.accepts_tasks();
     let has_pending_eviction = worker
         .allocations
         .iter()
--- a/daisy-placement/src/fault.rs
+++ b/daisy-placement/src/fault.rs
@@ -46,7 +46,7 @@
 
 impl WorkerFaults {
     /// Whether the worker may be given a task.
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn accepts_tasks(&self) -> bool {
         self.quarantined_until.is_none() && !(self.probing && self.probe_sent)
     }
 
@@ -99,14 +99,14 @@
             return;
         }
         // A random addition of up to a half spreads the probes of workers that failed together.
-        let wait =
+        let duration =
             FIRST_QUARANTINE * 2_u32.pow(faults.quarantine_count.min(MAX_QUARANTINE_DOUBLINGS));
-        let wait = wait + wait * random / 1000;
+        let duration = duration + duration * random / 1000;
         faults.quarantine_count += 1;
-        faults.quarantined_until = Some(now + wait);
+        faults.quarantined_until = Some(now + duration);
         faults.probing = false;
         let failures = faults.consecutive_failures;
-        worker.notes.add(now, Reason::Quarantined { failures, wait });
+        worker.notes.add(now, Reason::Quarantined { failures, duration });
         self.roster.reindex(key);
     }
 
@@ -123,14 +123,14 @@
     /// Clears the failures of a worker that has run a task for long enough.
     pub(crate) fn clear_suspect(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.roster.get(key).filter(|it| it.faults.is_suspect()) else { return };
-        let old = worker.allocations.iter().find(|(_, allocation)| {
+        let proof = worker.allocations.iter().find(|(_, allocation)| {
             allocation.state == AllocationState::Running
                 && now >= allocation.since + HEALTHY_RUN_TIME
         });
         // While a quarantined worker is probed, tasks that ran before prove nothing: only the
         // probe clears it.
         let is_probe = worker.faults.probing;
-        if let Some((task, allocation)) = old
+        if let Some((task, allocation)) = proof
             && (!is_probe || now < allocation.since + 3 * HEALTHY_RUN_TIME)
         {
             let job = task.job;
@@ -161,14 +161,14 @@
     fn back_off_job(&mut self, now: Instant, job: JobId, vm: VmId) {
         let Some(job) = self.jobs.get_mut(&job) else { return };
         let faults = &mut job.faults;
-        let wait = FIRST_JOB_BACKOFF
+        let retry_in = FIRST_JOB_BACKOFF
             * 2_u32.pow(faults.consecutive_failures.min(MAX_JOB_BACKOFF_DOUBLINGS));
         faults.consecutive_failures = faults.consecutive_failures.saturating_add(1);
-        faults.retry_at = Some(now + wait);
+        faults.retry_at = Some(now + retry_in);
         if faults.failed_on.len() < 2 && !faults.failed_on.contains(&vm) {
             faults.failed_on.push(vm);
         }
-        job.set_wait_reason(now, WaitReason::Backoff { wait });
+        job.set_wait_reason(now, WaitReason::Backoff { retry_in });
     }
 
     fn is_quarantine_limit_reached(&self) -> bool {
--- a/daisy-placement/src/intake.rs
+++ b/daisy-placement/src/intake.rs
@@ -46,8 +46,8 @@
     }
 
     fn add_new_jobs(&mut self, now: Instant, state: &State) {
-        let known = self.next_job;
-        for (id, job) in state.jobs.iter().rev().take_while(|(id, _)| *id >= known) {
+        let first_new = self.next_job;
+        for (id, job) in state.jobs.iter().rev().take_while(|(id, _)| *id >= first_new) {
             if job.open > 0 {
                 let family = self.families.of(&job.spec);
                 self.jobs.insert(id, JobView::new(now, id, job, family, &self.options));
@@ -135,8 +135,8 @@
                 self.set_phase(id, Phase::Pending { since: now });
             }
             Phase::Returned { .. } => {
-                let again = now + self.options.limits.return_after;
-                self.set_phase(id, Phase::Pending { since: again });
+                let retry_at = now + self.options.limits.return_after;
+                self.set_phase(id, Phase::Pending { since: retry_at });
             }
             Phase::Ended { .. } => self.record_end(now, id),
             Phase::Starting { worker } | Phase::Running { worker } => self.stop(worker, id),
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -73,7 +73,7 @@
     /// Several starts failed in a row.
     Backoff {
         /// The time until the next attempt.
-        wait: Duration,
+        retry_in: Duration,
     },
     /// Data centres that the job prefers may check the task out first.
     OtherDataCentreFirst,
@@ -101,8 +101,8 @@
             WaitReason::Blocked { vm: None } => f.write_str(
                 "an earlier holder may have started it on a worker that is not accounted for",
             ),
-            WaitReason::Backoff { wait } => {
-                write!(f, "its starts failed; next try in {} ms", wait.as_millis())
+            WaitReason::Backoff { retry_in } => {
+                write!(f, "its starts failed; next try in {} ms", retry_in.as_millis())
             }
             WaitReason::OtherDataCentreFirst => {
                 f.write_str("a data centre that it prefers goes first")
@@ -206,7 +206,7 @@
         /// The number of consecutive failures.
         failures: u32,
         /// The duration of the quarantine.
-        wait: Duration,
+        duration: Duration,
     },
     /// The worker gets one task to test whether it works again.
     Probing,
@@ -254,8 +254,12 @@
             Reason::Draining => f.write_str("leaving or drained: gets nothing new"),
             Reason::Opened => f.write_str("takes work"),
             Reason::Unlisted => f.write_str("missing from the VM list"),
-            Reason::Quarantined { failures, wait } => {
-                write!(f, "put aside for {} s after {failures} failures in a row", wait.as_secs())
+            Reason::Quarantined { failures, duration } => {
+                write!(
+                    f,
+                    "put aside for {} s after {failures} failures in a row",
+                    duration.as_secs()
+                )
             }
             Reason::Probing => f.write_str("gets one task to see whether it works again"),
         }
--- a/daisy-placement/src/reports.rs
+++ b/daisy-placement/src/reports.rs
@@ -41,18 +41,19 @@
         worker.has_answered = true;
         worker.is_responsive = true;
         worker.capacity = report.capacity;
-        let before = std::mem::take(&mut worker.allocations);
+        let previous = std::mem::take(&mut worker.allocations);
         worker.clear_taken();
         let results = Results { orders: &outstanding.orders, results: &report.results };
         for running in &report.running {
-            let old = before.get(&running.task).filter(|it| it.incarnation == running.incarnation);
+            let old =
+                previous.get(&running.task).filter(|it| it.incarnation == running.incarnation);
             self.record_running(now, key, running, old.copied());
         }
         for ended in &report.ended {
-            let old = before.get(&ended.task).filter(|it| it.incarnation == ended.incarnation);
+            let old = previous.get(&ended.task).filter(|it| it.incarnation == ended.incarnation);
             self.handle_exit_report(now, key, ended, old.map(|old| old.since));
         }
-        self.resolve_unreported(now, key, &before, &results);
+        self.resolve_unreported(now, key, &previous, &results);
         self.inherited_due = true;
         self.adjust_throttle(now, key, &report.usage);
         self.clear_suspect(now, key);
@@ -198,10 +199,10 @@
         &mut self,
         now: Instant,
         key: WorkerKey,
-        before: &SortedMap<TaskId, Allocation>,
+        previous: &SortedMap<TaskId, Allocation>,
         results: &Results<'_>,
     ) {
-        for (task, allocation) in before.iter() {
+        for (task, allocation) in previous.iter() {
             let Some(worker) = self.worker_mut(key) else { return };
             if worker.allocations.contains_key(task) {
                 continue;
@@ -328,8 +329,8 @@
         self.try_find(|order| matches!(order, Order::Stop { task: it, .. } if *it == task))
     }
 
-    fn try_find(&self, is_it: impl Fn(&Order) -> bool) -> Option<OrderResult> {
-        let at = self.orders.iter().position(is_it)?;
+    fn try_find(&self, is_match: impl Fn(&Order) -> bool) -> Option<OrderResult> {
+        let at = self.orders.iter().position(is_match)?;
         self.results.get(at).copied()
     }
 }
--- a/daisy-placement/src/worker.rs
+++ b/daisy-placement/src/worker.rs
@@ -196,7 +196,7 @@
     /// A worker that has not answered under this epoch may run unknown tasks, and a start could
     /// exceed its capacity.
     pub(crate) fn is_open(&self) -> bool {
-        self.is_responsive && self.availability == Availability::Live && self.faults.is_open()
+        self.is_responsive && self.availability == Availability::Live && self.faults.accepts_tasks()
     }
 
     /// Records and applies a change of the VM list or of the operators' drains.
--- a/daisy-placement/tests/changeover.rs
+++ b/daisy-placement/tests/changeover.rs
@@ -1,4 +1,4 @@
-//! A holder is replaced: what runs goes on, and nothing is started twice.
+//! Replacement of a holder: running tasks go on, and no task is started twice.
 
 mod util;
 
@@ -8,61 +8,60 @@
 use daisy_placement::{Event, TaskStatus};
 use util::{World, batch, size, task};
 
-/// A start's answer is lost and the worker cannot be reached any more.
-/// A user would see the task run on two workers, if the second start went elsewhere.
-/// The task stays with the worker until it answers, and was started once.
+/// The answer to a start is lost and the worker becomes unreachable. A second start elsewhere
+/// would run the task on two workers, so the task stays with its worker until that answers.
 #[test]
-fn a_lost_start_answer_keeps_the_task_where_it_may_run() {
+fn a_task_is_not_started_elsewhere_when_the_answer_to_its_start_is_lost() {
     let mut world = World::new(2, size(8, 32));
     world.run(Duration::from_secs(1));
     world.create(batch("lists", 1, size(4, 8)));
     world.lost_answers = vec![VmId(1), VmId(2)];
     world.run(Duration::from_millis(300));
-    let place = world.places(task(0, 0))[0];
+    let location = world.workers_running(task(0, 0))[0];
     world.lost_answers.clear();
-    world.cut = vec![place];
+    world.unreachable = vec![location];
 
     world.run(Duration::from_secs(20));
-    let while_cut = world.places(task(0, 0));
-    world.cut.clear();
+    let while_unreachable = world.workers_running(task(0, 0));
+    world.unreachable.clear();
     world.run(Duration::from_secs(5));
 
-    assert_eq!(while_cut, [place], "nothing was started elsewhere");
-    assert_eq!(world.places(task(0, 0)), [place]);
+    assert_eq!(while_unreachable, [location], "nothing was started elsewhere");
+    assert_eq!(world.workers_running(task(0, 0)), [location]);
     let starts: usize = world.workers.iter().map(|(_, it)| it.started.len()).sum();
     assert_eq!(starts, 1);
 }
 
-/// The holder dies after it started a task and before it recorded where; the worker is cut off.
-/// A user would see the task run twice, if the new holder took the missing record for a
-/// task that never started. It is blocked, and runs on where it was.
+/// The holder fails after it started a task and before it recorded the placement, and the worker
+/// is cut off. If the new holder took the missing record for a task that never started, the task
+/// would run twice. It is blocked instead, and goes on where it runs.
 #[test]
-fn an_unrecorded_start_blocks_until_its_worker_answers() {
+fn a_task_with_an_unrecorded_start_is_blocked_until_its_worker_answers() {
     let mut world = World::new(2, size(8, 32));
     world.run(Duration::from_secs(1));
     world.create(batch("lists", 1, size(4, 8)));
-    let place = world.run_to_first_start();
+    let location = world.run_to_first_start();
     assert_eq!(world.state.task(task(0, 0)).unwrap().incarnation, Incarnation(0));
     world.replace_holder();
-    world.cut = vec![place];
+    world.unreachable = vec![location];
 
     world.run(Duration::from_secs(20));
     let blocked = world.holder.checked_out_tasks()[0].status;
-    let while_cut = world.places(task(0, 0));
-    world.cut.clear();
+    let while_unreachable = world.workers_running(task(0, 0));
+    world.unreachable.clear();
     world.run(Duration::from_secs(5));
 
     assert_eq!(blocked, TaskStatus::Blocked);
-    assert_eq!(while_cut, [place]);
-    assert_eq!(world.places(task(0, 0)), [place]);
-    assert_eq!(world.state.task(task(0, 0)).unwrap().vm, Some(place));
+    assert_eq!(while_unreachable, [location]);
+    assert_eq!(world.workers_running(task(0, 0)), [location]);
+    assert_eq!(world.state.task(task(0, 0)).unwrap().vm, Some(location));
 }
 
-/// A holder freezes, is replaced, and wakes up with calls and records still to make.
-/// A user would see two schedulers give the same room away.
-/// The first worker that shows the higher epoch ends the old holder.
+/// A holder pauses, is replaced, and resumes with calls and records still to make. Two holders
+/// could allocate the same capacity, so the old one stops at the first worker that shows the
+/// higher epoch.
 #[test]
-fn a_stale_holder_stops_at_the_first_higher_epoch() {
+fn a_replaced_holder_stops_at_the_first_higher_epoch() {
     let mut world = World::new(1, size(8, 32));
     world.run(Duration::from_secs(1));
     let mut old = world.replace_holder();
@@ -82,7 +81,7 @@
 
 /// The ledger shows a later claim before any worker does.
 #[test]
-fn a_later_claim_in_the_ledger_ends_the_holder() {
+fn a_holder_stops_when_the_ledger_shows_a_later_claim() {
     let mut world = World::new(1, size(8, 32));
     world.run(Duration::from_secs(1));
     let mut old = world.replace_holder();
--- a/daisy-placement/tests/control.rs
+++ b/daisy-placement/tests/control.rs
@@ -1,4 +1,4 @@
-//! Batch work beside services: limited first, evicted last, and only what disturbs.
+//! Batch work beside services: throttled first, evicted last, and only what interferes.
 
 mod util;
 
@@ -10,56 +10,57 @@
 };
 use util::{World, batch, service, size, task};
 
-/// Tells the holder that the service on worker 1 takes so many thousandths of its time.
-fn slow_down(world: &mut World, slowdown: u32) {
+/// Has worker 1 report the slowdown of its services, in thousandths.
+fn report_slowdown(world: &mut World, slowdown: u32) {
     let worker = world.worker(1);
     let usage = worker.running.iter().map(|it| Usage { task: it.task, used: it.size, slowdown });
     worker.usage = usage.collect();
 }
 
-/// A batch job disturbs the checkout; the reports of it come seconds later.
-/// Callers would wait on and on; the job is limited, and only if that does not help evicted.
+/// A batch job slows the checkout down, and the reports arrive seconds later. The job is
+/// throttled, and evicted only if that does not help; otherwise callers would wait ever longer.
 #[test]
-fn a_disturbing_neighbour_is_limited_before_it_is_evicted() {
+fn a_noisy_neighbour_is_throttled_before_it_is_evicted() {
     let mut world = World::new(1, size(16, 64));
     world.create(service("shop", 1, size(2, 2)));
     world.create(batch("renders", 1, size(4, 4)));
     world.run(Duration::from_secs(3));
 
-    slow_down(&mut world, 3_000);
+    report_slowdown(&mut world, 3_000);
     world.run(Duration::from_secs(12));
     let share = world.worker(1).running.iter().map(|it| it.share).min();
-    let while_limited = world.worker(1).taken_off;
+    let while_limited = world.worker(1).ended_by_order;
     world.run(Duration::from_secs(120));
 
     assert!(share < Some(1_000), "{share:?}");
     assert_eq!(while_limited, 0);
-    assert!(world.worker(1).taken_off > 0);
-    assert_eq!(world.places(task(0, 0)), [VmId(1)], "the service itself stays");
+    assert!(world.worker(1).ended_by_order > 0);
+    assert_eq!(world.workers_running(task(0, 0)), [VmId(1)], "the service itself stays");
 }
 
-/// A kind was noisy once; at its limit it shows nothing of itself any more.
-/// Users would see it crawl for ever.
+/// A family was noisy once, and while it is throttled it shows nothing new. Without a rise of
+/// the share it would stay throttled for ever.
 #[test]
-fn the_limit_is_lifted_when_services_are_well() {
+fn throttling_ends_when_services_are_undisturbed() {
     let mut world = World::new(1, size(16, 64));
     world.create(service("shop", 1, size(2, 2)));
     world.create(batch("renders", 1, size(4, 4)));
     world.run(Duration::from_secs(3));
-    slow_down(&mut world, 3_000);
+    report_slowdown(&mut world, 3_000);
     world.run(Duration::from_secs(10));
 
-    slow_down(&mut world, 1_000);
+    report_slowdown(&mut world, 1_000);
     world.run(Duration::from_secs(2_400));
 
     let shares: Vec<u32> = world.worker(1).running.iter().map(|it| it.share).collect();
     assert!(shares.iter().all(|share| *share >= 960), "{shares:?}");
 }
 
-/// A wave of noise is reported late; reports of the time before a cut go on for seconds.
-/// Batch work would be cut to the floor for each wave, if each report cut it again.
+/// A burst of noise is reported late, and reports from before a cut arrive for seconds after it.
+/// If each of them cut the share again, batch work would fall to the lowest share for each
+/// burst.
 #[test]
-fn reports_of_the_time_before_a_cut_do_not_cut_again() {
+fn reports_from_before_a_cut_do_not_cut_the_share_again() {
     let mut throttle = Throttle::default();
     let bad = UsageSignal { slowdown: 2_000, cpu_use: 500, max_cpu_use: 800 };
 
@@ -70,9 +71,9 @@
     assert_eq!(shares, [600, 600, 600, 600]);
 }
 
-/// A worker that reports often must not get its limit lifted sooner than one that does not.
+/// The share of a worker that reports often must not rise faster than that of another worker.
 #[test]
-fn a_limit_rises_with_time_and_not_with_reports() {
+fn the_share_rises_with_time_and_not_with_the_number_of_reports() {
     let bad = UsageSignal { slowdown: 2_000, cpu_use: 500, max_cpu_use: 800 };
     let good = UsageSignal { slowdown: 1_000, ..bad };
     let share_after = |reports: u64| {
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_longer_backlog_raises_the_ceiling_of_noisy_work() {
+fn a_longer_backlog_raises_the_highest_share_of_noisy_work() {
     let beaulac = ThrottleControl::of(&Objective { tail: 800, throughput: 150, evictions: 50 });
     let confeitaria = ThrottleControl::of(&Objective { tail: 950, throughput: 40, evictions: 10 });
 
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn the_noisy_kind_is_told_from_its_quiet_neighbours() {
+fn a_noisy_family_is_distinguished_from_its_quiet_neighbours() {
     let (shop, quiet, noisy) = (JobFamily(1), JobFamily(2), JobFamily(3));
     let mut learnt = Interference::default();
     let mut rng = fastrand::Rng::with_seed(3);
@@ -120,14 +121,14 @@
     assert!(found.0 < 20.0 && (100.0..150.0).contains(&found.1), "{found:?}");
 }
 
-/// Jobs come and go for months; what was learnt of each must not pile up.
+/// Jobs come and go for months; what is learnt about each must not accumulate.
 #[test]
-fn what_is_learnt_of_pairs_is_bounded() {
+fn the_number_of_learnt_pairs_is_bounded() {
     let mut learnt = Interference::default();
 
     for at in 0..20_000_u32 {
-        let kinds = [(JobFamily((at % 900) as u16), 1.0), (JobFamily((at % 77) as u16), 1.0)];
-        learnt.learn(JobFamily((at % 40) as u16), &kinds, 1_500);
+        let neighbours = [(JobFamily((at % 900) as u16), 1.0), (JobFamily((at % 77) as u16), 1.0)];
+        learnt.learn(JobFamily((at % 40) as u16), &neighbours, 1_500);
     }
 
     assert!(learnt.len() <= Interference::MAX_PAIRS, "{} pairs", learnt.len());
--- a/daisy-placement/tests/evict.rs
+++ b/daisy-placement/tests/evict.rs
@@ -1,4 +1,4 @@
-//! Urgent work makes room, and what made room comes back once.
+//! Eviction for urgent work, and the single resumption of evicted tasks.
 
 mod util;
 
@@ -11,10 +11,9 @@
     JobSpec { priority: Priority::Urgent, ..batch(text, 1, size(4, 4)) }
 }
 
-/// An urgent costing is asked for while batch work fills every VM.
-/// The estimator would lose the order; urgent work starts within 3.5 s.
+/// An urgent task is created while batch work fills every VM. It must start within 3.5 s.
 #[test]
-fn urgent_work_starts_in_time_on_a_full_cluster() {
+fn urgent_work_starts_within_its_limit_on_a_full_cluster() {
     let mut world = World::new(2, size(4, 16));
     world.create(batch("lists", 2, size(4, 4)));
     world.run(Duration::from_secs(3));
@@ -22,16 +21,20 @@
 
     world.run(Duration::from_millis(3_500));
 
-    assert_eq!(world.places(task(1, 0)).len(), 1);
-    let no_room: usize = world.workers.iter().map(|(_, it)| it.no_room).sum();
-    assert_eq!(no_room, 0, "nothing was ordered before the victim had gone");
-    assert!(world.why(task(1, 0)).starts_with("runs on"), "{}", world.why(task(1, 0)));
+    assert_eq!(world.workers_running(task(1, 0)).len(), 1);
+    let rejected_starts: usize = world.workers.iter().map(|(_, it)| it.rejected_starts).sum();
+    assert_eq!(rejected_starts, 0, "no start was ordered before the victim had ended");
+    assert!(
+        world.last_reason(task(1, 0)).starts_with("runs on"),
+        "{}",
+        world.last_reason(task(1, 0))
+    );
 }
 
-/// A checkpoint takes seconds, and the victim runs on meanwhile.
-/// The VM would be over its size, if the start went out with the order to checkpoint.
+/// A checkpoint takes seconds, during which the victim runs on. A start sent together with the
+/// checkpoint order would exceed the VM's capacity.
 #[test]
-fn the_room_of_a_victim_is_used_only_when_it_has_gone() {
+fn the_capacity_of_an_evicted_task_is_used_only_after_it_has_ended() {
     let mut world = World::new(1, size(4, 16));
     world.worker(1).checkpoint_time = Duration::from_secs(2);
     world.create(batch("lists", 1, size(4, 4)));
@@ -40,13 +43,13 @@
 
     world.run(Duration::from_secs(6));
 
-    assert_eq!(world.worker(1).no_room, 0);
-    assert_eq!(world.places(task(1, 0)).len(), 1);
+    assert_eq!(world.worker(1).rejected_starts, 0);
+    assert_eq!(world.workers_running(task(1, 0)).len(), 1);
 }
 
-/// The evicted task is resumed from its checkpoint, once, under the next incarnation.
+/// The evicted task resumes from its checkpoint, once, under the next incarnation.
 #[test]
-fn evicted_work_resumes_once_when_there_is_room_again() {
+fn an_evicted_task_resumes_once_when_there_is_capacity_again() {
     let mut world = World::new(1, size(4, 16));
     world.create(batch("lists", 1, size(4, 4)));
     world.run(Duration::from_secs(3));
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn work_that_may_not_be_evicted_stays() {
+fn a_task_that_may_not_be_evicted_keeps_running() {
     let mut world = World::new(1, size(4, 16));
     let tolerance = Tolerance { delay: true, evict: false, refuse: false };
     world.create(JobSpec { tolerance, ..batch("lists", 1, size(4, 4)) });
@@ -73,21 +76,25 @@
 
     world.run(Duration::from_secs(5));
 
-    assert_eq!(world.places(task(0, 0)).len(), 1);
-    assert_eq!(world.places(task(1, 0)), []);
+    assert_eq!(world.workers_running(task(0, 0)).len(), 1);
+    assert_eq!(world.workers_running(task(1, 0)), []);
 }
 
-/// The holder dies after the worker made the checkpoint and before that is recorded.
-/// A user would see the work start from its beginning, or twice from the checkpoint.
+/// The holder fails after the worker made the checkpoint and before that is recorded. The task
+/// must neither start from its beginning nor resume twice from the checkpoint.
 #[test]
-fn a_holder_killed_between_checkpoint_and_resume_loses_nothing() {
+fn a_checkpoint_is_resumed_once_when_the_holder_fails_before_recording_it() {
     let mut world = World::new(1, size(4, 16));
     world.create(batch("lists", 1, size(4, 4)));
     world.run(Duration::from_secs(3));
     world.worker(1).finish(task(0, 0), daisy_model::Exit::Checkpointed(77));
     world.log_up = false;
     world.run(Duration::from_secs(3));
-    assert_eq!(world.worker(1).ended.len(), 1, "kept until the ledger shows it");
+    assert_eq!(
+        world.worker(1).ended.len(),
+        1,
+        "the exit report is kept until the ledger shows the end"
+    );
     world.log_up = true;
     world.replace_holder();
 
@@ -98,10 +105,10 @@
     assert_eq!(checkpoints, [None, Some(77)]);
 }
 
-/// An operator cancels a job while its task is being evicted; the task ends in the middle.
-/// Nothing of it may run again, and its worker may forget it.
+/// An operator cancels a job while its task is being evicted, and the task ends meanwhile. The
+/// task must not run again, and the worker may forget its exit report.
 #[test]
-fn a_cancelled_job_does_not_come_back_from_its_checkpoint() {
+fn a_task_of_a_cancelled_job_is_not_resumed_from_its_checkpoint() {
     let mut world = World::new(1, size(4, 16));
     world.create(batch("lists", 1, size(4, 4)));
     world.run(Duration::from_secs(3));
@@ -118,7 +125,7 @@
 
 /// A thousand tasks are cancelled in one burst, some running, some waiting.
 #[test]
-fn a_burst_of_cancellations_stops_all_and_starts_nothing() {
+fn a_burst_of_cancellations_stops_all_tasks_and_starts_none() {
     let mut world = World::new(4, size(16, 64));
     for at in 0..100 {
         world.create(batch(&format!("lists-{at}"), 10, size(1, 1)));
--- a/daisy-placement/tests/fault.rs
+++ b/daisy-placement/tests/fault.rs
@@ -7,21 +7,21 @@
 use daisy_placement::WorkerStatus;
 use util::{World, batch, size};
 
-fn aside(world: &World) -> usize {
+fn quarantined(world: &World) -> usize {
     world.holder.workers().iter().filter(|it| it.status == WorkerStatus::Quarantined).count()
 }
 
-/// One worker fails everything that it starts, at once, and so always has room.
-/// Users would see most of their starts fail there.
+/// One worker fails at once everything that it starts, and so always has free capacity. Without
+/// quarantine most starts would go there and fail.
 #[test]
-fn a_worker_that_fails_everything_is_put_aside_and_tried_again() {
+fn a_worker_that_fails_every_start_is_quarantined_and_later_used_again() {
     let mut world = World::new(4, size(8, 32));
     world.worker(2).broken = true;
     for at in 0..6 {
         world.create(batch(&format!("lists-{at}"), 4, size(1, 1)));
     }
     world.run(Duration::from_secs(6));
-    let while_broken = (aside(&world), world.running());
+    let while_broken = (quarantined(&world), world.running());
 
     world.worker(2).broken = false;
     world.run(Duration::from_secs(60));
@@ -29,14 +29,13 @@
     world.run(Duration::from_secs(30));
 
     assert_eq!(while_broken, (1, 24));
-    assert_eq!((aside(&world), world.running()), (0, 32));
-    assert!(!world.worker(2).running.is_empty(), "it is used again");
+    assert_eq!((quarantined(&world), world.running()), (0, 32));
+    assert!(!world.worker(2).running.is_empty(), "the repaired worker is used again");
 }
 
-/// A job cannot start anywhere.
-/// Users would see every worker put aside for its sake, and all work stand still.
+/// A job fails on every worker. If each of them were quarantined for it, all work would stop.
 #[test]
-fn a_job_that_fails_everywhere_puts_no_cluster_aside() {
+fn a_job_that_fails_on_every_worker_does_not_quarantine_the_cluster() {
     let mut world = World::new(12, size(8, 32));
     for id in 1..=12 {
         world.worker(id).broken = true;
@@ -45,7 +44,10 @@
 
     world.run(Duration::from_secs(20));
 
-    assert!(aside(&world) <= 1, "{} workers are aside", aside(&world));
-    let why = world.why(util::task(0, 0));
-    assert!(why.contains("its starts failed") || why.contains("could not start it"), "{why}");
+    assert!(quarantined(&world) <= 1, "{} workers are quarantined", quarantined(&world));
+    let last_reason = world.last_reason(util::task(0, 0));
+    assert!(
+        last_reason.contains("its starts failed") || last_reason.contains("could not start it"),
+        "{last_reason}"
+    );
 }
--- a/daisy-placement/tests/holder.rs
+++ b/daisy-placement/tests/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's ordinary course: poll, check out, start, record, acknowledge.
+//! The holder's normal operation: poll, check out, start, record, acknowledge.
 
 mod util;
 
@@ -9,7 +9,7 @@
 use util::{World, batch, size, task};
 
 #[test]
-fn declared_work_is_started_and_recorded() {
+fn created_work_is_started_and_its_placement_is_recorded() {
     let mut world = World::new(3, size(8, 32));
     world.create(batch("lists", 6, size(4, 8)));
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_full_cluster_starts_the_rest_when_room_comes_free() {
+fn a_waiting_task_starts_when_capacity_becomes_free() {
     let mut world = World::new(2, size(4, 32));
     world.create(batch("lists", 3, size(4, 8)));
     world.run(Duration::from_secs(3));
--- a/daisy-placement/tests/leave.rs
+++ b/daisy-placement/tests/leave.rs
@@ -1,4 +1,4 @@
-//! VMs that are drained, leave, or are gone.
+//! VMs that are drained, leaving or lost.
 
 mod util;
 
@@ -8,11 +8,11 @@
 use util::{LEASE, World, batch, service, size, task};
 
 #[test]
-fn what_may_be_evicted_leaves_a_drained_vm_and_nothing_new_comes() {
+fn evictable_tasks_leave_a_drained_vm_and_no_new_task_starts_there() {
     let mut world = World::new(2, size(8, 32));
     world.create(batch("lists", 2, size(2, 2)));
     world.run(Duration::from_secs(3));
-    let drained = world.places(task(0, 0))[0];
+    let drained = world.workers_running(task(0, 0))[0];
     let vm = world.vms.iter().find(|it| it.id == drained).unwrap().name.clone();
 
     world.command(Command::Drain { vm });
@@ -24,10 +24,10 @@
     assert_eq!(world.running(), 4);
 }
 
-/// A rack of VMs is about to be taken away with all replicas of a service on it.
-/// Callers would see the service gone, if all its replicas moved at one time.
+/// A rack of VMs with all replicas of a service is about to be taken away. If all replicas moved
+/// at the same time, the service would be unavailable.
 #[test]
-fn replicas_leave_one_at_a_time_and_out_of_the_routes_first() {
+fn the_replicas_of_a_service_leave_their_vms_one_at_a_time() {
     let mut world = World::new(6, size(8, 32));
     for vm in &mut world.vms[3..] {
         vm.status = VmStatus::Leaving;
@@ -50,23 +50,23 @@
     assert_eq!((left, world.running()), (0, 3));
 }
 
-/// A VM dies with its tasks and leaves the list.
-/// A user would see a task in two places, if the VM still ran it under its lease.
+/// A VM fails with its tasks and leaves the list. It might still run them under its lease, so
+/// they are not started elsewhere before the lease and the margin are over.
 #[test]
-fn work_of_a_vm_that_is_gone_waits_for_its_lease() {
+fn a_task_of_a_lost_vm_is_not_started_elsewhere_before_the_lease_is_over() {
     let mut world = World::new(2, size(8, 32));
     world.create(batch("lists", 1, size(2, 2)));
     world.run(Duration::from_secs(3));
-    let gone = world.places(task(0, 0))[0];
-    world.vms.retain(|vm| vm.id != gone);
-    world.cut = vec![gone];
+    let lost = world.workers_running(task(0, 0))[0];
+    world.vms.retain(|vm| vm.id != lost);
+    world.unreachable = vec![lost];
 
     world.run(LEASE);
     let while_leased: usize = world.workers.iter().map(|(_, it)| it.started.len()).sum();
     world.run(Duration::from_secs(10));
 
     assert_eq!(while_leased, 1);
-    let places = world.places(task(0, 0));
-    assert_eq!(places.len(), 1);
-    assert_ne!(places, [gone]);
+    let workers = world.workers_running(task(0, 0));
+    assert_eq!(workers.len(), 1);
+    assert_ne!(workers, [lost]);
 }
--- a/daisy-placement/tests/util/build.rs
+++ b/daisy-placement/tests/util/build.rs
@@ -1,4 +1,4 @@
-//! Declared things with small sizes.
+//! Builders of small jobs, VMs and commands.
 
 use std::net::SocketAddr;
 
--- a/daisy-placement/tests/util/chaos.rs
+++ b/daisy-placement/tests/util/chaos.rs
@@ -1,7 +1,7 @@
-//! A schedule of deliveries, losses, delays and replacements drawn from a seed.
+//! A random schedule of deliveries, losses, delays and replacements, drawn from a seed.
 //!
-//! Calls, answers and appends travel on their own and arrive late, twice or never; old
-//! holders go on acting after they have been replaced; VMs die and vanish from the list.
+//! Calls, answers and appends travel independently and arrive late, twice or never. Old holders
+//! go on acting after they were replaced, and VMs fail and vanish from the list.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,7 +14,7 @@
 
 use super::{FakeWorker, LEASE, Started, name, quota, size, vm};
 
-/// One process that believes itself the holder, with its own fold.
+/// A process that considers itself the holder, with its own fold.
 #[derive(Debug)]
 struct Process {
     holder: Holder,
@@ -22,12 +22,12 @@
     appends: VecDeque<Batch>,
     sender: u64,
     seq: u64,
-    /// Cannot reach the log.
-    cut: bool,
-    /// Paused: it sees and does nothing until it wakes up.
-    frozen: bool,
-    /// How many VM lists back it reads.
-    lag: usize,
+    /// Whether it cannot reach the log.
+    log_unreachable: bool,
+    /// Whether it is paused: it sees and does nothing until it resumes.
+    paused: bool,
+    /// The age of the VM list that it reads, in lists.
+    vm_list_lag: usize,
 }
 
 #[derive(Debug)]
@@ -36,38 +36,38 @@
     Report { vm: VmId, report: WorkerReport },
 }
 
-/// A message from or to the process at `process`.
+/// A message from or to the process at index `process`.
 #[derive(Debug)]
 struct InFlight {
     process: usize,
     message: Message,
 }
 
-/// Everything that the schedule drives.
+/// The whole state of a schedule.
 #[derive(Debug)]
 pub struct Chaos {
     rng: fastrand::Rng,
     now: Instant,
     log: Vec<Batch>,
     vms: Vec<Vm>,
-    /// Older VM lists, the newest last: processes read them with a lag.
-    lists: VecDeque<Vec<Vm>>,
-    /// VMs that left the list and go on under their lease, out of reach.
-    ghosts: Vec<VmId>,
+    /// The last VM lists, newest last; processes read older ones according to their lag.
+    vm_lists: VecDeque<Vec<Vm>>,
+    /// VMs that left the list and still run under their lease, unreachable.
+    unlisted_running: Vec<VmId>,
     workers: SortedMap<VmId, FakeWorker>,
     processes: Vec<Process>,
-    flying: Vec<InFlight>,
-    starts: SortedMap<(TaskId, u32), usize>,
-    counted: SortedMap<VmId, usize>,
-    resumed: SortedMap<(TaskId, u64), usize>,
+    in_flight: Vec<InFlight>,
+    start_counts: SortedMap<(TaskId, u32), usize>,
+    checked_starts: SortedMap<VmId, usize>,
+    resume_counts: SortedMap<(TaskId, u64), usize>,
     next_vm: u32,
-    calm: bool,
+    faults_ended: bool,
 }
 
 const CAPACITY: Resources = Resources { cpu_milli: 8_000, memory_mib: 32_768, accelerators: 0 };
 const WORKERS: u32 = 4;
-/// VM lists remembered: a process reads one up to this many steps old.
-const LISTS: usize = 20;
+/// The number of VM lists kept: a process reads one that is less than this many steps old.
+const MAX_VM_LISTS: usize = 20;
 
 impl Chaos {
     pub fn new(seed: u64) -> Chaos {
@@ -77,23 +77,23 @@
             now: Instant::from_millis(1_000),
             log: Vec::new(),
             workers: vms.iter().map(|vm| (vm.id, FakeWorker::new(CAPACITY))).collect(),
-            lists: VecDeque::from([vms.clone()]),
-            ghosts: Vec::new(),
+            vm_lists: VecDeque::from([vms.clone()]),
+            unlisted_running: Vec::new(),
             vms,
             processes: Vec::new(),
-            flying: Vec::new(),
-            starts: SortedMap::new(),
-            counted: SortedMap::new(),
-            resumed: SortedMap::new(),
+            in_flight: Vec::new(),
+            start_counts: SortedMap::new(),
+            checked_starts: SortedMap::new(),
+            resume_counts: SortedMap::new(),
             next_vm: WORKERS + 1,
-            calm: false,
+            faults_ended: false,
         };
         chaos.command(quota(size(4_000, 16_000)));
         chaos.claim();
         chaos
     }
 
-    /// Runs `steps` random steps and checks after each.
+    /// Runs `steps` random steps and checks the rules after each.
     pub fn run(&mut self, steps: usize) -> Result<(), String> {
         for _ in 0..steps {
             self.step();
@@ -102,14 +102,14 @@
         Ok(())
     }
 
-    /// Ends all faults and runs until everything declared has ended.
+    /// Ends all faults and runs until all created work has ended.
     pub fn settle(&mut self) -> Result<(), String> {
-        self.calm = true;
+        self.faults_ended = true;
         self.workers.iter_mut().for_each(|(_, worker)| worker.broken = false);
         for vm in &mut self.vms {
             vm.status = VmStatus::Live;
         }
-        for vm in self.newest().drained {
+        for vm in self.newest_state().drained {
             self.command(Command::Undrain { vm });
         }
         self.cancel_services();
@@ -118,11 +118,11 @@
             self.step();
             self.finish_some();
             self.check()?;
-            if self.is_over() {
+            if self.has_finished() {
                 return Ok(());
             }
         }
-        Err(format!("work is left over: {:?}", self.left_over()))
+        Err(format!("unfinished work after the faults ended: {:?}", self.unfinished()))
     }
 
     fn step(&mut self) {
@@ -131,21 +131,21 @@
         for (_, worker) in self.workers.iter_mut() {
             worker.lapse(self.now);
         }
-        self.lists.push_back(self.vms.clone());
-        if self.lists.len() > LISTS {
-            self.lists.pop_front();
+        self.vm_lists.push_back(self.vms.clone());
+        if self.vm_lists.len() > MAX_VM_LISTS {
+            self.vm_lists.pop_front();
         }
         self.tick();
         for _ in 0..self.rng.usize(0..12) {
             self.deliver();
         }
         self.append();
-        if !self.calm {
-            self.disturb();
+        if !self.faults_ended {
+            self.inject_fault();
         }
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         match self.rng.u32(0..400) {
             0..=5 => self.claim(),
             6..=9 => self.kill_vm(),
@@ -153,8 +153,8 @@
             31..=35 => self.cancel_one(),
             36..=70 => self.finish_some(),
             71..=75 => self.toggle_log(),
-            76..=80 => self.jump(),
-            100..=110 => self.toggle_frozen(),
+            76..=80 => self.skip_time(),
+            100..=110 => self.toggle_pause(),
             81..=90 => self.toggle_broken(),
             91..=95 => self.toggle_drain(),
             96..=99 => self.leave_vm(),
@@ -162,15 +162,15 @@
         }
     }
 
-    /// A long pause of everything but the workers' clocks.
-    fn jump(&mut self) {
+    /// Skips time for everything; only the workers' leases go on.
+    fn skip_time(&mut self) {
         let seconds = self.rng.u64(1..40);
         self.now = self.now + Duration::from_secs(seconds);
     }
 
     fn toggle_drain(&mut self) {
         let vm = self.vms[self.rng.usize(..self.vms.len())].name.clone();
-        let is_drained = self.newest().drained.contains(&vm);
+        let is_drained = self.newest_state().drained.contains(&vm);
         self.command(if is_drained { Command::Undrain { vm } } else { Command::Drain { vm } });
     }
 
@@ -181,7 +181,7 @@
         vm.status = if is_live { VmStatus::Leaving } else { VmStatus::Live };
     }
 
-    /// A worker fails every start from now on, or works again, or its checkpoints take time.
+    /// Toggles whether a worker fails every start, or changes how long its checkpoints take.
     fn toggle_broken(&mut self) {
         let at = self.rng.usize(..self.vms.len());
         let Some(worker) = self.workers.get_mut(&self.vms[at].id) else { return };
@@ -192,27 +192,30 @@
         }
     }
 
-    fn toggle_frozen(&mut self) {
+    fn toggle_pause(&mut self) {
         let at = self.rng.usize(..self.processes.len());
-        self.processes[at].frozen = !self.processes[at].frozen;
+        self.processes[at].paused = !self.processes[at].paused;
     }
 
     fn toggle_log(&mut self) {
         let at = self.rng.usize(..self.processes.len());
-        self.processes[at].cut = !self.processes[at].cut;
+        self.processes[at].log_unreachable = !self.processes[at].log_unreachable;
     }
 
-    /// A new process claims the data centre; the old ones go on, or most of them die.
+    /// A new process claims the data centre; the old ones go on, or all of them lose the log and
+    /// their pending appends.
     fn claim(&mut self) {
-        if self.calm {
-            self.processes.iter_mut().for_each(|it| (it.cut, it.frozen) = (false, false));
+        if self.faults_ended {
+            self.processes
+                .iter_mut()
+                .for_each(|it| (it.log_unreachable, it.paused) = (false, false));
         }
         let offset = self.push(Record::Claim { dc: DcId(0), holder: VmId(900) });
         let options = Options::new(DcId(0), Epoch(offset + 1), LEASE, self.rng.u64(..));
         if self.processes.len() > 2 || self.rng.bool() {
             for it in &mut self.processes {
                 it.appends.clear();
-                it.cut = true;
+                it.log_unreachable = true;
             }
         }
         self.processes.push(Process {
@@ -221,9 +224,9 @@
             appends: VecDeque::new(),
             sender: offset + 10,
             seq: 0,
-            cut: false,
-            frozen: false,
-            lag: self.rng.usize(0..LISTS),
+            log_unreachable: false,
+            paused: false,
+            vm_list_lag: self.rng.usize(0..MAX_VM_LISTS),
         });
     }
 
@@ -260,7 +263,7 @@
     }
 
     fn cancel_one(&mut self) {
-        let state = self.newest();
+        let state = self.newest_state();
         let jobs: Vec<_> = state.jobs.iter().filter(|(_, job)| job.open > 0).collect();
         let Some((_, job)) = jobs.get(self.rng.usize(..jobs.len().max(1))) else { return };
         let command = Command::Cancel { kind: job.spec.kind, job: job.spec.name.clone() };
@@ -268,7 +271,7 @@
     }
 
     fn cancel_services(&mut self) {
-        let state = self.newest();
+        let state = self.newest_state();
         let services = state.jobs.iter().filter(|(_, job)| job.spec.kind == JobKind::Service);
         let names: Vec<_> = services.map(|(_, job)| job.spec.name.clone()).collect();
         for job in names {
@@ -276,14 +279,14 @@
         }
     }
 
-    /// A VM dies, or is cut off and goes on until its lease lapses; a new VM comes.
+    /// A VM fails, or is cut off and runs on until its lease lapses; a new VM is added.
     fn kill_vm(&mut self) {
         let at = self.rng.usize(..self.vms.len());
         let dead = self.vms.remove(at).id;
         if self.rng.bool() {
             self.workers.remove(&dead);
         } else {
-            self.ghosts.push(dead);
+            self.unlisted_running.push(dead);
         }
         let new = vm(self.next_vm, CAPACITY);
         self.next_vm += 1;
@@ -305,28 +308,28 @@
 
     fn tick(&mut self) {
         for at in 0..self.processes.len() {
-            if self.processes[at].frozen {
+            if self.processes[at].paused {
                 continue;
             }
             let mut actions = Vec::new();
-            let reachable = !self.processes[at].cut;
+            let reachable = !self.processes[at].log_unreachable;
             if reachable {
                 self.catch_up(at);
             }
             let it = &mut self.processes[at];
             it.holder.step(self.now, Event::Log { reachable }, &mut actions);
-            let back = if self.calm { 0 } else { it.lag };
-            let list = self.lists.len().saturating_sub(1 + back);
-            it.holder.step(self.now, Event::Vms(&self.lists[list]), &mut actions);
+            let back = if self.faults_ended { 0 } else { it.vm_list_lag };
+            let list = self.vm_lists.len().saturating_sub(1 + back);
+            it.holder.step(self.now, Event::Vms(&self.vm_lists[list]), &mut actions);
             it.holder.step(self.now, Event::Ledger(&it.state), &mut actions);
             it.holder.step(self.now, Event::Tick, &mut actions);
-            self.take(at, actions);
+            self.queue_actions(at, actions);
         }
     }
 
-    /// Folds some of what the process has not seen yet.
+    /// Folds some of the batches that the process has not seen yet.
     fn catch_up(&mut self, at: usize) {
-        let most = if self.calm { usize::MAX } else { self.rng.usize(0..6) };
+        let most = if self.faults_ended { usize::MAX } else { self.rng.usize(0..6) };
         let it = &mut self.processes[at];
         let from = it.state.next.0 as usize;
         for (offset, batch) in self.log.iter().enumerate().skip(from).take(most) {
@@ -334,7 +337,7 @@
         }
     }
 
-    fn take(&mut self, process: usize, actions: Vec<Action>) {
+    fn queue_actions(&mut self, process: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Append(record) => {
@@ -345,18 +348,18 @@
                 }
                 Action::Call { vm, call } => {
                     let message = Message::Call { vm, call, is_copy: false };
-                    self.flying.push(InFlight { process, message });
+                    self.in_flight.push(InFlight { process, message });
                 }
             }
         }
     }
 
-    /// Appends of processes that reach the log, some of them twice.
+    /// Appends the batches of processes that reach the log, some of them twice.
     fn append(&mut self) {
         for at in 0..self.processes.len() {
-            let is_slow = !self.calm && self.rng.bool();
+            let is_slow = !self.faults_ended && self.rng.bool();
             let it = &mut self.processes[at];
-            if it.cut || it.frozen || is_slow {
+            if it.log_unreachable || it.paused || is_slow {
                 continue;
             }
             while let Some(batch) = it.appends.pop_front() {
@@ -369,13 +372,13 @@
     }
 
     fn deliver(&mut self) {
-        if self.flying.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let at = self.rng.usize(..self.flying.len());
-        let InFlight { process, message } = self.flying.swap_remove(at);
-        if self.processes[process].frozen && matches!(message, Message::Report { .. }) {
-            return self.flying.push(InFlight { process, message });
+        let at = self.rng.usize(..self.in_flight.len());
+        let InFlight { process, message } = self.in_flight.swap_remove(at);
+        if self.processes[process].paused && matches!(message, Message::Report { .. }) {
+            return self.in_flight.push(InFlight { process, message });
         }
         match message {
             Message::Call { vm, call, is_copy } => self.deliver_call(process, vm, call, is_copy),
@@ -384,22 +387,22 @@
     }
 
     fn deliver_call(&mut self, process: usize, vm: VmId, call: WorkerCall, is_copy: bool) {
-        let fate = if self.calm { 9 } else { self.rng.u32(0..10) };
-        // Lost, though a copy of it may arrive late.
-        if fate == 0 && !is_copy {
+        let outcome = if self.faults_ended { 9 } else { self.rng.u32(0..10) };
+        // The call is lost, though a copy of it may arrive late.
+        if outcome == 0 && !is_copy {
             if self.rng.bool() {
                 let message = Message::Call { vm, call, is_copy: true };
-                self.flying.push(InFlight { process, message });
+                self.in_flight.push(InFlight { process, message });
             }
-            return self.silence(process, vm, true);
+            return self.fail_call(process, vm, true);
         }
-        if fate == 1 && !is_copy {
-            return self.silence(process, vm, false);
+        if outcome == 1 && !is_copy {
+            return self.fail_call(process, vm, false);
         }
-        let worker = self.workers.get_mut(&vm).filter(|_| !self.ghosts.contains(&vm));
+        let worker = self.workers.get_mut(&vm).filter(|_| !self.unlisted_running.contains(&vm));
         let Some(worker) = worker else {
             if !is_copy {
-                self.silence(process, vm, true);
+                self.fail_call(process, vm, true);
             }
             return;
         };
@@ -407,36 +410,36 @@
         if is_copy {
             return;
         }
-        // Took effect, but the answer is lost.
-        if fate == 2 {
-            return self.silence(process, vm, true);
+        // The call took effect, but its answer is lost.
+        if outcome == 2 {
+            return self.fail_call(process, vm, true);
         }
-        self.flying.push(InFlight { process, message: Message::Report { vm, report } });
+        self.in_flight.push(InFlight { process, message: Message::Report { vm, report } });
     }
 
     fn deliver_report(&mut self, process: usize, vm: VmId, report: &WorkerReport) {
         let mut actions = Vec::new();
         let it = &mut self.processes[process];
         it.holder.step(self.now, Event::Report { vm, report }, &mut actions);
-        self.take(process, actions);
+        self.queue_actions(process, actions);
     }
 
-    fn silence(&mut self, process: usize, vm: VmId, sent: bool) {
+    fn fail_call(&mut self, process: usize, vm: VmId, sent: bool) {
         let mut actions = Vec::new();
         let it = &mut self.processes[process];
         it.holder.step(self.now, Event::CallFailed { vm, sent }, &mut actions);
-        self.take(process, actions);
+        self.queue_actions(process, actions);
     }
 
     fn check(&mut self) -> Result<(), String> {
-        self.check_places()?;
+        self.check_single_copy()?;
         let workers = std::mem::take(&mut self.workers);
         let mut checked = Ok(());
         for (vm, worker) in workers.iter() {
-            if worker.no_room > 0 {
-                checked = Err(format!("{vm:?} was given more than it holds"));
+            if worker.rejected_starts > 0 {
+                checked = Err(format!("{vm:?} was ordered starts beyond its capacity"));
             }
-            let from = self.counted.insert(*vm, worker.started.len()).unwrap_or(0);
+            let from = self.checked_starts.insert(*vm, worker.started.len()).unwrap_or(0);
             for started in &worker.started[from..] {
                 checked = checked.and(self.check_start(started));
             }
@@ -445,7 +448,7 @@
         checked
     }
 
-    fn check_places(&self) -> Result<(), String> {
+    fn check_single_copy(&self) -> Result<(), String> {
         let mut running: Vec<TaskId> = self
             .workers
             .iter()
@@ -460,13 +463,13 @@
 
     fn check_start(&mut self, started: &Started) -> Result<(), String> {
         let Started { task, incarnation, checkpoint, .. } = *started;
-        let count = self.starts.get_or_insert_with((task, incarnation.0), || 0);
+        let count = self.start_counts.get_or_insert_with((task, incarnation.0), || 0);
         *count += 1;
         if *count > 1 {
             return Err(format!("task {task} incarnation {incarnation} was started twice"));
         }
         let Some(token) = checkpoint else { return Ok(()) };
-        let count = self.resumed.get_or_insert_with((task, token), || 0);
+        let count = self.resume_counts.get_or_insert_with((task, token), || 0);
         *count += 1;
         if *count > 1 {
             return Err(format!("task {task} was resumed twice from one checkpoint"));
@@ -474,7 +477,7 @@
         Ok(())
     }
 
-    fn newest(&self) -> State {
+    fn newest_state(&self) -> State {
         let mut state = State::default();
         for (offset, batch) in self.log.iter().enumerate() {
             state.apply(Offset(offset as u64), batch);
@@ -482,13 +485,13 @@
         state
     }
 
-    fn is_over(&self) -> bool {
+    fn has_finished(&self) -> bool {
         let Some(last) = self.processes.last() else { return false };
         last.state.next.0 as usize == self.log.len()
             && last.state.jobs.iter().all(|(_, job)| job.open == 0)
     }
 
-    fn left_over(&self) -> Vec<String> {
+    fn unfinished(&self) -> Vec<String> {
         let Some(last) = self.processes.last() else { return Vec::new() };
         let tasks = last.holder.checked_out_tasks();
         tasks
--- a/daisy-placement/tests/util/mod.rs
+++ b/daisy-placement/tests/util/mod.rs
@@ -1,6 +1,7 @@
-//! Fixtures: a log that folds at once, workers that keep the platform's rules, and a driver.
+//! Fixtures: a log that is folded at once, workers that enforce the platform's rules, and a
+//! driver.
 
-// Each test binary uses its part of the fixtures.
+// Each test binary uses only a part of the fixtures.
 #![allow(dead_code, unused_imports)]
 
 mod build;
--- a/daisy-placement/tests/util/worker.rs
+++ b/daisy-placement/tests/util/worker.rs
@@ -7,7 +7,7 @@
     TaskId, Usage, WorkerCall, WorkerReport,
 };
 
-/// One start that took effect.
+/// A start that took effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Started {
     pub at: Instant,
@@ -16,7 +16,7 @@
     pub checkpoint: Option<u64>,
 }
 
-/// Refuses lower epochs, starts an incarnation once, never exceeds its capacity, keeps exit
+/// Rejects lower epochs, starts an incarnation once, never exceeds its capacity, keeps exit
 /// reports until they are acknowledged, and ends its tasks when the lease lapses.
 #[derive(Debug, Clone)]
 pub struct FakeWorker {
@@ -25,21 +25,21 @@
     pub running: Vec<Running>,
     pub ended: Vec<Ended>,
     pub started: Vec<Started>,
-    /// Starts refused for want of room.
-    pub no_room: usize,
-    /// Measured use that reports carry.
+    /// The number of starts rejected for lack of capacity.
+    pub rejected_starts: usize,
+    /// The measured use in the reports.
     pub usage: Vec<Usage>,
-    /// Checkpoints made and tasks stopped by order.
-    pub taken_off: usize,
+    /// The number of tasks ended by a checkpoint or stop order.
+    pub ended_by_order: usize,
     /// How long a checkpoint takes; the task runs on meanwhile.
     pub checkpoint_time: Duration,
     checkpoints: Vec<(Instant, TaskId, Incarnation)>,
     /// Whether every start fails.
     pub broken: bool,
-    pub renewed: Option<Instant>,
-    pub lapsed: usize,
+    pub renewed_at: Option<Instant>,
+    pub lapsed_tasks: usize,
     lease_end: Instant,
-    seen: SortedMap<TaskId, Incarnation>,
+    used_incarnations: SortedMap<TaskId, Incarnation>,
 }
 
 impl FakeWorker {
@@ -50,16 +50,16 @@
             running: Vec::new(),
             ended: Vec::new(),
             started: Vec::new(),
-            no_room: 0,
+            rejected_starts: 0,
             usage: Vec::new(),
-            taken_off: 0,
+            ended_by_order: 0,
             checkpoint_time: Duration::ZERO,
             checkpoints: Vec::new(),
             broken: false,
-            renewed: None,
-            lapsed: 0,
+            renewed_at: None,
+            lapsed_tasks: 0,
             lease_end: Instant(0),
-            seen: SortedMap::new(),
+            used_incarnations: SortedMap::new(),
         }
     }
 
@@ -71,17 +71,17 @@
         }
         self.epoch = call.epoch;
         self.lease_end = self.lease_end.max(now + call.lease);
-        self.renewed = Some(now);
+        self.renewed_at = Some(now);
         let results = call.orders.iter().map(|order| self.carry_out(now, order)).collect();
         self.report(true, results)
     }
 
-    /// Ends all tasks if the lease has run out by the worker's own clock.
+    /// Ends all tasks if the lease has lapsed by the worker's own clock.
     pub fn lapse(&mut self, now: Instant) {
         if now <= self.lease_end {
             return;
         }
-        self.lapsed += self.running.len();
+        self.lapsed_tasks += self.running.len();
         for it in std::mem::take(&mut self.running) {
             let Running { task, incarnation, .. } = it;
             self.ended.push(Ended { task, incarnation, exit: Exit::LeaseLapsed });
@@ -89,9 +89,9 @@
     }
 
     fn checkpoint(&mut self, now: Instant, task: TaskId, incarnation: Incarnation) -> OrderResult {
-        let is_there =
+        let is_running =
             self.running.iter().any(|it| (it.task, it.incarnation) == (task, incarnation));
-        if self.checkpoint_time.is_zero() || !is_there {
+        if self.checkpoint_time.is_zero() || !is_running {
             return self.end(task, incarnation, checkpointed(incarnation));
         }
         if !self.checkpoints.iter().any(|it| (it.1, it.2) == (task, incarnation)) {
@@ -161,7 +161,11 @@
 
     fn start(&mut self, started: Started, size: Resources) -> OrderResult {
         let Started { task, incarnation, .. } = started;
-        if self.seen.get(&task).is_some_and(|seen| *seen >= incarnation) {
+        if self
+            .used_incarnations
+            .get(&task)
+            .is_some_and(|used_incarnations| *used_incarnations >= incarnation)
+        {
             return OrderResult::Done;
         }
         if self.broken {
@@ -169,26 +173,26 @@
         }
         let taken = self.taken().try_add(size);
         if !taken.is_some_and(|taken| taken.fits(self.capacity)) {
-            self.no_room += 1;
+            self.rejected_starts += 1;
             return OrderResult::NoRoom;
         }
-        self.seen.insert(task, incarnation);
+        self.used_incarnations.insert(task, incarnation);
         self.started.push(started);
         self.running.push(Running { task, incarnation, size, share: 1000 });
         OrderResult::Done
     }
 
     fn end(&mut self, task: TaskId, incarnation: Incarnation, exit: Exit) -> OrderResult {
-        let is_it = |it: &Running| (it.task, it.incarnation) == (task, incarnation);
-        if let Some(at) = self.running.iter().position(is_it) {
+        let is_match = |it: &Running| (it.task, it.incarnation) == (task, incarnation);
+        if let Some(at) = self.running.iter().position(is_match) {
             self.running.remove(at);
-            self.taken_off += 1;
+            self.ended_by_order += 1;
             self.ended.push(Ended { task, incarnation, exit });
             return OrderResult::Done;
         }
-        // Stopped for good: a copy of a lost call must not start it later.
-        let seen = self.seen.get_or_insert_with(task, || incarnation);
-        *seen = (*seen).max(incarnation);
+        // The incarnation is stopped for good: a copy of a lost call must not start it later.
+        let used_incarnations = self.used_incarnations.get_or_insert_with(task, || incarnation);
+        *used_incarnations = (*used_incarnations).max(incarnation);
         OrderResult::Unknown
     }
 }
--- a/daisy-placement/tests/util/world.rs
+++ b/daisy-placement/tests/util/world.rs
@@ -1,4 +1,4 @@
-//! A driver of holders against a log and workers.
+//! A driver of a holder with a log and workers.
 
 use std::time::Duration;
 
@@ -23,17 +23,17 @@
     pub workers: SortedMap<VmId, FakeWorker>,
     pub holder: Holder,
     /// Workers that no call reaches.
-    pub cut: Vec<VmId>,
-    /// Workers whose next answers are lost after the call took effect.
+    pub unreachable: Vec<VmId>,
+    /// Workers whose next answer is lost after the call took effect.
     pub lost_answers: Vec<VmId>,
-    /// Calls that did not arrive in time, which a test may deliver late.
-    pub late: Vec<(VmId, WorkerCall)>,
+    /// Calls that did not arrive in time and that a test may deliver later.
+    pub late_calls: Vec<(VmId, WorkerCall)>,
     pub log_up: bool,
     pub records: Vec<Record>,
     seq: u64,
 }
 
-/// A call without orders.
+/// Returns a call without orders.
 pub fn empty_call(epoch: Epoch) -> WorkerCall {
     WorkerCall { epoch, lease: LEASE, orders: Vec::new() }
 }
@@ -43,7 +43,8 @@
 }
 
 impl World {
-    /// Workers numbered from 1 with equal capacity, a team with room for all, and a holder.
+    /// Creates workers numbered from 1 with equal capacity, a team with unlimited quota, and a
+    /// holder.
     pub fn new(workers: u32, capacity: Resources) -> World {
         let vms: Vec<Vm> = (1..=workers).map(|id| vm(id, capacity)).collect();
         let mut world = World {
@@ -52,9 +53,9 @@
             workers: vms.iter().map(|vm| (vm.id, FakeWorker::new(capacity))).collect(),
             vms,
             holder: Holder::new(Options::new(DcId(0), Epoch(0), LEASE, 7)),
-            cut: Vec::new(),
+            unreachable: Vec::new(),
             lost_answers: Vec::new(),
-            late: Vec::new(),
+            late_calls: Vec::new(),
             log_up: true,
             records: Vec::new(),
             seq: 0,
@@ -65,7 +66,7 @@
         world
     }
 
-    /// Claims the data centre under options that a test changes.
+    /// Claims the data centre with options that a test changes.
     pub fn hold_with(&mut self, change: impl FnOnce(&mut Options)) {
         let offset = self.append(Record::Claim { dc: DcId(0), holder: VmId(900) });
         let mut options = Options::new(DcId(0), Epoch(offset + 1), LEASE, 7);
@@ -73,7 +74,7 @@
         self.holder = Holder::new(options);
     }
 
-    /// Claims the data centre for a new holder; the old one is handed back.
+    /// Claims the data centre for a new holder and returns the old one.
     pub fn replace_holder(&mut self) -> Holder {
         let offset = self.append(Record::Claim { dc: DcId(0), holder: VmId(900) });
         let options = Options::new(DcId(0), Epoch(offset + 1), LEASE, 7);
@@ -108,9 +109,9 @@
         offset.0
     }
 
-    /// Delivers the calls that were late; their answers reach nobody.
-    pub fn deliver_late(&mut self) {
-        for (vm, call) in std::mem::take(&mut self.late) {
+    /// Delivers the late calls and drops their answers.
+    pub fn deliver_late_calls(&mut self) {
+        for (vm, call) in std::mem::take(&mut self.late_calls) {
             let now = self.now;
             self.workers.get_mut(&vm).expect("the worker exists").call(now, &call);
         }
@@ -120,38 +121,38 @@
         self.workers.get_mut(&VmId(id)).expect("the worker exists")
     }
 
-    /// Where a task runs.
-    pub fn places(&self, task: TaskId) -> Vec<VmId> {
+    /// Returns the workers that run a task.
+    pub fn workers_running(&self, task: TaskId) -> Vec<VmId> {
         self.workers.iter().filter(|(_, it)| it.runs(task)).map(|(id, _)| *id).collect()
     }
 
-    /// The last reason known for a task, in words.
-    pub fn why(&self, task: TaskId) -> String {
+    /// Returns the last known reason for a task as text.
+    pub fn last_reason(&self, task: TaskId) -> String {
         self.holder.reasons(task).last().map(|it| it.reason.to_string()).unwrap_or_default()
     }
 
-    /// The number of tasks that run.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         self.workers.iter().map(|(_, it)| it.running.len()).sum()
     }
 
-    /// Lets time pass in ticks, with every answer and every fold delivered at once.
+    /// Runs ticks for the time `span`, with every answer and every fold delivered at once.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + TICK;
-            self.turn();
+            self.tick();
         }
     }
 
-    /// Lets time pass until a worker has started a task; calls back nothing of it.
+    /// Runs ticks until a worker has started a task, and returns that worker.
     ///
-    /// The answer of that call is lost, as if the holder had died at that moment.
+    /// The answer of that call is lost, as if the holder had failed at that moment.
     pub fn run_to_first_start(&mut self) -> VmId {
         for _ in 0..100 {
             self.now = self.now + TICK;
             self.lost_answers = self.vms.iter().map(|vm| vm.id).collect();
-            self.turn();
+            self.tick();
             self.lost_answers.clear();
             let started = self.workers.iter().find(|(_, it)| !it.running.is_empty());
             if let Some((vm, _)) = started {
@@ -161,28 +162,28 @@
         panic!("no worker started anything");
     }
 
-    /// One tick with all that follows from it.
-    pub fn turn(&mut self) {
+    /// Runs one tick and everything that follows from it.
+    pub fn tick(&mut self) {
         let vms = self.vms.clone();
         for (_, worker) in self.workers.iter_mut() {
             worker.lapse(self.now);
         }
         let reachable = self.log_up;
-        let mut todo = Vec::new();
-        self.holder.step(self.now, Event::Log { reachable }, &mut todo);
-        self.holder.step(self.now, Event::Ledger(&self.state), &mut todo);
-        self.holder.step(self.now, Event::Vms(&vms), &mut todo);
-        self.holder.step(self.now, Event::Tick, &mut todo);
-        while !todo.is_empty() {
+        let mut actions = Vec::new();
+        self.holder.step(self.now, Event::Log { reachable }, &mut actions);
+        self.holder.step(self.now, Event::Ledger(&self.state), &mut actions);
+        self.holder.step(self.now, Event::Vms(&vms), &mut actions);
+        self.holder.step(self.now, Event::Tick, &mut actions);
+        while !actions.is_empty() {
             let mut next = Vec::new();
-            for action in todo {
-                self.act(action, &mut next);
+            for action in actions {
+                self.carry_out(action, &mut next);
             }
-            todo = next;
+            actions = next;
         }
     }
 
-    fn act(&mut self, action: Action, next: &mut Vec<Action>) {
+    fn carry_out(&mut self, action: Action, next: &mut Vec<Action>) {
         match action {
             Action::Append(record) => {
                 assert!(self.log_up, "nothing is appended while the log is down");
@@ -198,10 +199,10 @@
         }
     }
 
-    /// The answer, or whether the call may have reached the worker.
+    /// Returns the answer, or as an error whether the call may have reached the worker.
     fn deliver(&mut self, vm: VmId, call: &WorkerCall) -> Result<WorkerReport, bool> {
-        if self.cut.contains(&vm) {
-            self.late.push((vm, call.clone()));
+        if self.unreachable.contains(&vm) {
+            self.late_calls.push((vm, call.clone()));
             return Err(true);
         }
         let Some(worker) = self.workers.get_mut(&vm) else { return Err(false) };
--- a/daisy-placement/tests/want.rs
+++ b/daisy-placement/tests/want.rs
@@ -14,7 +14,7 @@
     options.data_centres = vec![dc("braga", 1), dc("lisbon", 2), dc("porto", 1)];
 }
 
-fn out_here(world: &World, job: u32, tasks: u32) -> usize {
+fn checked_out_here(world: &World, job: u32, tasks: u32) -> usize {
     let dc = DcId(0);
     let is_out = |index: &u32| {
         let state = world.state.task(task(job, *index)).unwrap().state;
@@ -24,23 +24,23 @@
 }
 
 #[test]
-fn replicas_are_shared_out_over_data_centres_and_fall_back() {
+fn replicas_are_distributed_over_data_centres_and_fall_back_to_others() {
     let mut world = World::new(2, size(16, 64));
     world.hold_with(three_data_centres);
     world.create(service("shop", 6, size(1, 1)));
 
     world.run(Duration::from_millis(700));
-    let at_first = out_here(&world, 0, 6);
+    let at_first = checked_out_here(&world, 0, 6);
     world.run(Duration::from_secs(4));
 
     assert_eq!(at_first, 2, "a third of the replicas is this data centre's");
-    assert_eq!(out_here(&world, 0, 6), 6, "the others did not take theirs in time");
+    assert_eq!(checked_out_here(&world, 0, 6), 6, "the others did not take theirs in time");
 }
 
-/// A batch job reads much data that lies in the other region.
-/// Users pay for every byte on the link, so waiting there comes first.
+/// A batch job reads much data of the other region. Users pay for every byte on the link, so its
+/// own region has priority.
 #[test]
-fn work_with_many_region_bytes_waits_for_its_own_region() {
+fn a_job_with_much_data_in_another_region_is_left_to_that_region_first() {
     let mut world = World::new(2, size(16, 64));
     world.hold_with(three_data_centres);
     let data_centres = vec![name("lisbon"), name("braga")];
@@ -48,14 +48,14 @@
     world.create(JobSpec { data_centres, region_bytes, ..batch("lists", 1, size(1, 1)) });
 
     world.run(Duration::from_secs(60));
-    let early = out_here(&world, 0, 1);
+    let early = checked_out_here(&world, 0, 1);
     world.run(Duration::from_secs(10));
 
-    assert_eq!((early, out_here(&world, 0, 1)), (0, 1));
+    assert_eq!((early, checked_out_here(&world, 0, 1)), (0, 1));
 }
 
 #[test]
-fn a_job_that_names_other_data_centres_only_is_left_to_them() {
+fn a_job_that_names_only_other_data_centres_is_not_checked_out_here() {
     let mut world = World::new(2, size(16, 64));
     world.hold_with(three_data_centres);
     world.create(JobSpec { data_centres: vec![name("porto")], ..batch("lists", 1, size(1, 1)) });
@@ -63,12 +63,12 @@
 
     world.run(Duration::from_secs(60));
 
-    assert_eq!(out_here(&world, 0, 1), 0);
-    assert_eq!(out_here(&world, 1, 1), 0, "no data centre has that name");
+    assert_eq!(checked_out_here(&world, 0, 1), 0);
+    assert_eq!(checked_out_here(&world, 1, 1), 0, "no data centre has that name");
 }
 
 #[test]
-fn tasks_without_room_are_given_back() {
+fn tasks_that_find_no_capacity_are_returned() {
     let mut world = World::new(1, size(4, 16));
     world.hold_with(three_data_centres);
     world.create(JobSpec { data_centres: vec![name("braga")], ..batch("lists", 3, size(4, 4)) });
@@ -77,13 +77,13 @@
 
     let returned = world.records.iter().any(|record| matches!(record, Record::Return { .. }));
     assert!(returned);
-    assert_eq!(out_here(&world, 0, 3), 1);
+    assert_eq!(checked_out_here(&world, 0, 3), 1);
 }
 
-/// A job needs more of a worker than any worker holds, and its team's quota has room.
-/// Its operators must be told at once why it does not start, or they wait for ever.
+/// A job needs more of a worker than any worker has, and its team's quota is not used up. Its
+/// operators must see at once why it does not start.
 #[test]
-fn a_job_that_fits_nowhere_is_said_so_with_the_nearest_miss() {
+fn the_job_reason_names_the_smallest_shortfall_when_no_worker_can_fit_it() {
     let mut world = World::new(2, size(16, 64));
     world.create(batch("wide", 1, size(20, 1)));
 
@@ -95,10 +95,10 @@
     assert!(texts[0].contains("short of 4000m of processor"), "{texts:?}");
 }
 
-/// A job that may be refused finds no room for ten minutes, since other work fills the workers.
-/// Its operators said that they would rather hear a no than wait; a job beside it goes on waiting.
+/// A job that may be refused finds no capacity for ten minutes, since other work fills the
+/// workers. Its operators prefer a refusal to waiting; a job beside it goes on waiting.
 #[test]
-fn work_that_may_be_refused_is_refused_when_it_finds_no_room_for_long() {
+fn a_refusable_task_is_refused_when_it_finds_no_capacity_for_ten_minutes() {
     let mut world = World::new(1, size(4, 16));
     world.create(batch("full", 1, size(4, 1)));
     world.run(Duration::from_secs(1));
