--- a/daisy-placement/src/checkout.rs
+++ b/daisy-placement/src/checkout.rs
@@ -68,7 +68,7 @@
             CheckoutBudget { free_capacity, reserve: reserve_tasks, urgent_reserve: reserve_tasks };
         for (_, id) in &self.queue {
             let Some(job) = self.jobs.get(id) else { continue };
-            let fits_one_worker = self.roster.has_free(job.size());
+            let fits_one_worker = self.roster.has_free_capacity(job.size());
             for _ in &job.waiting {
                 if budget.try_reserve(job, fits_one_worker).is_none() {
                     break;
@@ -95,10 +95,10 @@
             return self.set_job_wait_reason(now, id, WaitReason::Paused);
         }
         let size = job.size();
-        if !self.roster.can_ever_hold(size) {
+        if !self.roster.can_ever_fit(size) {
             return self.note_never_fits(now, id, size);
         }
-        let fits_one_worker = self.roster.has_free(size);
+        let fits_one_worker = self.roster.has_free_capacity(size);
         let team = usize::from(job.team.0);
         let mut quota = self.teams.get(team).copied();
         let mut to_check_out = Vec::new();
@@ -147,9 +147,13 @@
 
     /// Recorded once and kept, since the search for the smallest shortfall visits every worker.
     fn note_never_fits(&mut self, now: Instant, id: JobId, size: Resources) {
-        let is_noted = self.jobs.get(&id).and_then(|job| job.wait_reason.as_ref()).is_some_and(|wait| {
-            matches!(wait.reason, Reason::NotRunning(WaitReason::NeverFits { size: it, .. }) if it == size)
-        });
+        let is_noted =
+            self.jobs.get(&id).and_then(|job| job.wait_reason.as_ref()).is_some_and(|wait| {
+                matches!(
+                    wait.reason,
+                    Reason::NotRunning(WaitReason::NeverFits { size: it, .. }) if it == size
+                )
+            });
         if !is_noted {
             let shortfall = self.smallest_shortfall_when_empty(size);
             self.set_job_wait_reason(now, id, WaitReason::NeverFits { size, shortfall });
--- a/daisy-placement/src/control.rs
+++ b/daisy-placement/src/control.rs
@@ -22,7 +22,7 @@
 pub(crate) const NOISY_SLOWDOWN: f32 = 40.0;
 /// The interval between two evictions for interference on one worker: the effect of the first
 /// one shows only after this time.
-const RELIEF_INTERVAL: Duration = Duration::from_secs(30);
+const INTERFERENCE_EVICTION_INTERVAL: Duration = Duration::from_secs(30);
 /// The least change of a throttled share that is ordered, in thousandths.
 const MIN_SHARE_CHANGE: u32 = 40;
 
@@ -196,7 +196,7 @@
     /// Checkpoints the neighbour that is expected to slow the services down most.
     fn evict_worst_neighbour(&mut self, now: Instant, key: WorkerKey, slowdown: u32) {
         let Some(worker) = self.roster.get(key) else { return };
-        if worker.next_relief_at.is_some_and(|at| now < at) {
+        if worker.next_interference_eviction_at.is_some_and(|at| now < at) {
             return;
         }
         let Some(task) = self.worst_neighbour(key) else { return };
@@ -204,7 +204,7 @@
         self.note(now, task, Reason::EvictedForInterference { vm, slowdown });
         self.checkpoint(key, task);
         if let Some(worker) = self.worker_mut(key) {
-            worker.next_relief_at = Some(now + RELIEF_INTERVAL);
+            worker.next_interference_eviction_at = Some(now + INTERFERENCE_EVICTION_INTERVAL);
             worker.throttle.restart_ineffective_timer();
         }
     }
--- a/daisy-placement/src/inherit.rs
+++ b/daisy-placement/src/inherit.rs
@@ -127,10 +127,10 @@
         &self,
         now: Instant,
         availability: Availability,
-        called: Option<Instant>,
+        last_call_at: Option<Instant>,
     ) -> bool {
         let Availability::Unlisted { since } = availability else { return false };
-        let renewed = called.map_or(since, |at| at.max(since));
+        let renewed = last_call_at.map_or(since, |at| at.max(since));
         now >= renewed + self.lost_vm_wait()
     }
 
@@ -154,14 +154,14 @@
 
     /// Ends the inherited tasks that are recorded on a VM before it is removed.
     fn resolve_inherited_on(&mut self, now: Instant, vm: VmId) {
-        let of_vm = |holder: &Holder, task: &TaskId| {
+        let is_on_vm = |holder: &Holder, task: &TaskId| {
             holder.local(*task).is_some_and(|local| {
                 local.try_recorded_vm() == Some(vm)
                     && matches!(local.phase, Phase::Inherited { .. })
             })
         };
         let tasks: Vec<TaskId> =
-            self.inherited.iter().copied().filter(|task| of_vm(self, task)).collect();
+            self.inherited.iter().copied().filter(|task| is_on_vm(self, task)).collect();
         for task in tasks {
             self.end_unknown(now, task);
         }
--- a/daisy-placement/src/job.rs
+++ b/daisy-placement/src/job.rs
@@ -78,7 +78,7 @@
     }
 
     /// Applies an operator's change of the job.
-    pub(crate) fn change(&mut self, now: Instant, spec: &JobSpec, options: &Options) {
+    pub(crate) fn apply_change(&mut self, now: Instant, spec: &JobSpec, options: &Options) {
         self.known_since = now;
         self.spec = spec.clone();
         self.preferred = preferred(&spec.data_centres, options);
--- a/daisy-placement/src/intake.rs
+++ b/daisy-placement/src/ledger_updates.rs
@@ -67,7 +67,7 @@
             return;
         }
         if view.generation != job.generation {
-            view.change(now, &job.spec, &self.options);
+            view.apply_change(now, &job.spec, &self.options);
             view.generation = job.generation;
             self.roster.invalidate_confirmations(id);
         }
@@ -102,9 +102,10 @@
     fn update_task(&mut self, now: Instant, id: TaskId, task: &Task) {
         let Some(view) = self.jobs.get_mut(&id.job) else { return };
         let Some(local) = view.tasks.get_mut(id.index as usize) else { return };
-        let is_idle = local.phase == Phase::NotOurs && matches!(task.state, TaskState::Ended(_));
+        let is_finished =
+            local.phase == Phase::NotOurs && matches!(task.state, TaskState::Ended(_));
         local.ledger = *task;
-        if is_idle {
+        if is_finished {
             return;
         }
         match task.state {
--- a/daisy-placement/src/reports.rs
+++ b/daisy-placement/src/reports.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     holder::Holder,
-    intake::is_start_of,
     job::JobView,
+    ledger_updates::is_start_of,
     reason::Reason,
     task::{LocalTask, Phase},
     worker::{Allocation, AllocationState, Class, Removal, WorkerKey},
@@ -42,7 +42,7 @@
         worker.is_responsive = true;
         worker.capacity = report.capacity;
         let previous = std::mem::take(&mut worker.allocations);
-        worker.clear_taken();
+        worker.clear_allocated();
         let results = Results { orders: &outstanding.orders, results: &report.results };
         for running in &report.running {
             let old =
--- a/daisy-placement/src/roster.rs
+++ b/daisy-placement/src/roster.rs
@@ -95,12 +95,12 @@
     }
 
     /// Whether some worker could fit `size` if nothing else ran there.
-    pub(crate) fn can_ever_hold(&self, size: Resources) -> bool {
+    pub(crate) fn can_ever_fit(&self, size: Resources) -> bool {
         self.by_capacity.has(size)
     }
 
     /// Whether some worker that takes new work has free capacity for `size`.
-    pub(crate) fn has_free(&self, size: Resources) -> bool {
+    pub(crate) fn has_free_capacity(&self, size: Resources) -> bool {
         self.by_free.has(size)
     }
 
--- a/daisy-placement/src/score.rs
+++ b/daisy-placement/src/score.rs
@@ -85,15 +85,17 @@
     /// their slowdowns may add up to twice as much.
     pub(crate) fn exceeds_interference_budget(&self, job: &JobView, worker: &Worker) -> bool {
         const BUDGET: f32 = (TARGET_SLOWDOWN - 1000) as f32;
-        let same = worker.families.iter().find(|(family, _)| *family == job.family);
-        let same = same.map_or(0, |(_, count)| *count) as f32 + 1.0;
+        let same_family_tasks = worker.families.iter().find(|(family, _)| *family == job.family);
+        let same_family_tasks = same_family_tasks.map_or(0, |(_, count)| *count) as f32 + 1.0;
         let mut services =
             worker.families.iter().filter(|(family, _)| self.families.is_service(*family));
         services.any(|(service, _)| {
-            let each = self.interference.slowdown_of_one(*service, job.family);
-            let all =
-                || self.interference.slowdown_of_all(*service, &worker.families) as f32 + each;
-            each > 0.0 && (each * same > BUDGET || each > NOISY_SLOWDOWN && all() > 2.0 * BUDGET)
+            let per_task = self.interference.slowdown_of_one(*service, job.family);
+            let total =
+                || self.interference.slowdown_of_all(*service, &worker.families) as f32 + per_task;
+            per_task > 0.0
+                && (per_task * same_family_tasks > BUDGET
+                    || per_task > NOISY_SLOWDOWN && total() > 2.0 * BUDGET)
         })
     }
 
--- a/daisy-placement/src/worker.rs
+++ b/daisy-placement/src/worker.rs
@@ -156,7 +156,7 @@
     /// The number of allocated tasks of each family.
     pub families: Vec<(JobFamily, u32)>,
     /// No task is evicted for interference before this time.
-    pub next_relief_at: Option<Instant>,
+    pub next_interference_eviction_at: Option<Instant>,
     /// Nothing is learnt from usage reports before this time, since reports overlap.
     pub next_learn_at: Instant,
     /// The weights of the families that ran here at the last reports, from the tasks' shares.
@@ -185,7 +185,7 @@
             faults: WorkerFaults::default(),
             throttle: Throttle::default(),
             families: Vec::new(),
-            next_relief_at: None,
+            next_interference_eviction_at: None,
             next_learn_at: now,
             load_history: VecDeque::new(),
         }
@@ -225,7 +225,7 @@
     }
 
     /// Resets the allocated sums before a report is applied.
-    pub(crate) fn clear_taken(&mut self) {
+    pub(crate) fn clear_allocated(&mut self) {
         self.allocated = Resources::ZERO;
         self.families.clear();
     }
@@ -252,11 +252,11 @@
 
     /// Returns the allocated capacity without what is reserved until an eviction ends.
     pub(crate) fn allocated_without_awaiting(&self) -> Resources {
-        let allocation = self
+        let allocations = self
             .allocations
             .iter()
             .filter(|(_, allocation)| allocation.state != AllocationState::AwaitingEviction);
-        allocation.map(|(_, allocation)| allocation.size).fold(Resources::ZERO, saturating_add)
+        allocations.map(|(_, allocation)| allocation.size).fold(Resources::ZERO, saturating_add)
     }
 
     fn count(&mut self, family: JobFamily) {
