--- a/daisy-placement/src/view.rs
+++ b/daisy-placement/src/view.rs
@@ -62,7 +62,7 @@
     /// An earlier holder may have started it; it is blocked until that is known.
     Blocked,
     /// It ended; the ledger does not show it yet.
-    Removal,
+    Ending,
 }
 
 /// A task that is checked out by the data centre.
@@ -180,7 +180,7 @@
             Phase::Inherited { since } => (TaskStatus::Blocked, Some(since)),
             Phase::Starting { .. } => (TaskStatus::Starting, None),
             Phase::Running { .. } => (TaskStatus::Running, None),
-            Phase::Ended { .. } => (TaskStatus::Removal, None),
+            Phase::Ended { .. } => (TaskStatus::Ending, None),
         };
         let worker = local.try_worker().and_then(|key| self.roster.get(key));
         let allocation = worker.and_then(|worker| worker.allocations.get(&task));
