--- a/daisy-placement/src/holder.rs
+++ b/daisy-placement/src/holder.rs
@@ -1,4 +1,4 @@
-//! The decisions of a data centre's holder: what it learns and what it wants done.
+//! The holder of a data centre: its inputs, its actions and its main step.
 
 use std::{cmp::Reverse, collections::VecDeque, time::Duration};
 
@@ -11,61 +11,61 @@
 use crate::{
     interference::Interference,
     job::JobView,
-    kind::Kinds,
+    job_family::JobFamilies,
     options::Options,
-    place::Turn,
+    place::QueueEntry,
     reason::Notes,
     records::Outbox,
     roster::Roster,
-    task::{Local, Phase},
+    task::{LocalTask, Phase},
     worker::{Worker, WorkerKey},
 };
 
-/// What a holder learns.
+/// An input of a [`Holder`].
 #[derive(Debug)]
 pub enum Event<'a> {
-    /// The fold of the log has moved on.
+    /// The fold of the log has advanced.
     Ledger(&'a State),
-    /// The platform's VM list, whole.
+    /// The platform's complete VM list.
     Vms(&'a [Vm]),
     /// A worker answered the outstanding call.
     ///
-    /// An answer that comes after `Silent` was said of its call must not be passed on.
+    /// An answer must not be passed on after `CallFailed` was passed for its call.
     Report {
         /// The worker.
         vm: VmId,
-        /// Its answer.
+        /// The worker's answer.
         report: &'a WorkerReport,
     },
-    /// A worker has something to report, such as a task that ended: it is called at once.
-    News {
+    /// A worker has something to report, such as a task that ended; it is called at once.
+    WorkerUpdate {
         /// The worker.
         vm: VmId,
     },
     /// The outstanding call got no answer.
-    Silent {
+    CallFailed {
         /// The worker.
         vm: VmId,
-        /// Whether the call may have reached it.
+        /// Whether the call may have reached the worker.
         sent: bool,
     },
-    /// Whether the log takes appends; taken to be so until said otherwise.
+    /// Whether the log accepts appends; assumed to be so until the first such event.
     Log {
         /// Whether the last append was answered.
         reachable: bool,
     },
-    /// Time has passed; at least every 100 ms.
+    /// Time has passed; sent at least every 100 ms.
     Tick,
 }
 
-/// What a holder wants done.
+/// An action that a holder requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Append a record to the log, again under the same append id until it is taken.
+    /// Append a record to the log; retried under the same append id until the log accepts it.
     Append(Record),
-    /// Call a worker; at most one call a worker is outstanding.
+    /// Call a worker; each worker has at most one outstanding call.
     ///
-    /// Each call is followed by exactly one `Report` or `Silent` of that worker.
+    /// Each call is followed by exactly one `Report` or `CallFailed` event of that worker.
     Call {
         /// The worker.
         vm: VmId,
@@ -74,60 +74,61 @@
     },
 }
 
-/// Between looks at what changes slowly: VMs that are leaving or gone, work given back.
-const CHORES: Duration = Duration::from_secs(1);
+/// The interval between checks of what changes slowly, such as leaving and lost VMs and tasks to
+/// return.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// New work is packed for this long after something found no room.
-const PACK_FOR: Duration = Duration::from_secs(60);
+/// How long new work is packed after a task found no capacity.
+const PACKING_PERIOD: Duration = Duration::from_secs(60);
 
 /// The holder of one data centre's workers.
 ///
-/// It acts once it has seen a [`State`] and a VM list, and never again after a worker or
-/// the ledger has shown a higher epoch.
+/// It acts once it has received a [`State`] and a VM list, and stops for good as soon as a
+/// worker or the ledger shows a higher epoch.
 #[derive(Debug)]
 pub struct Holder {
     pub(crate) options: Options,
     pub(crate) superseded: bool,
     pub(crate) log_reachable: bool,
     pub(crate) ledger_seen: bool,
-    pub(crate) started: Option<Instant>,
+    pub(crate) first_step_at: Option<Instant>,
     pub(crate) roster: Roster,
     /// Jobs with tasks that have not ended.
     pub(crate) jobs: SortedMap<JobId, JobView>,
-    /// Reasons of tasks whose jobs are over, the oldest first.
-    pub(crate) past: VecDeque<(TaskId, Notes)>,
-    /// Jobs below this number have been taken in.
+    /// The reasons of tasks whose jobs are over, oldest first.
+    pub(crate) retired: VecDeque<(TaskId, Notes)>,
+    /// All jobs below this id have been added.
     pub(crate) next_job: JobId,
     pub(crate) paused: Vec<WorkClass>,
     pub(crate) drained: Vec<Name>,
     pub(crate) outbox: Outbox,
-    /// Whether room or work has changed since the last placement.
-    pub(crate) place_due: bool,
-    /// Jobs with waiting tasks, in the order of their turns.
-    pub(crate) line: Vec<Turn>,
-    /// Tasks of earlier epochs whose whereabouts are not known.
+    /// Whether capacity or work has changed since the last placement.
+    pub(crate) placement_due: bool,
+    /// Jobs with waiting tasks, in the order in which they are served.
+    pub(crate) queue: Vec<QueueEntry>,
+    /// Tasks checked out under earlier epochs that may run on an unknown worker.
     pub(crate) inherited: Vec<TaskId>,
-    /// Whether something was learnt about them.
-    pub(crate) inherit_due: bool,
+    /// Whether new information about the inherited tasks has arrived.
+    pub(crate) inherited_due: bool,
     /// The policy in force.
     pub(crate) policy: Policy,
-    /// Quota and use of each team, as the ledger last showed them.
+    /// The quota and the use of each team, as last shown by the ledger.
     pub(crate) teams: Vec<(Resources, Resources)>,
-    pub(crate) kinds: Kinds,
+    pub(crate) families: JobFamilies,
     pub(crate) interference: Interference,
-    /// No search for victims before.
-    pub(crate) evict_at: Option<Instant>,
-    /// Whether new work is packed rather than spread: something has lately found no room.
-    pub(crate) packs: bool,
-    pub(crate) no_room_at: Option<Instant>,
-    /// Batch tasks that wait, for each worker.
+    /// No search for eviction victims takes place before this time.
+    pub(crate) next_eviction_search_at: Option<Instant>,
+    /// Whether new work is packed rather than spread, because a task recently found no capacity.
+    pub(crate) is_packing: bool,
+    pub(crate) last_no_capacity_at: Option<Instant>,
+    /// The number of waiting batch tasks per worker.
     pub(crate) backlog: f32,
-    /// Slow chores are due then.
-    chores_at: Instant,
+    /// When the next maintenance is due.
+    next_maintenance_at: Instant,
 }
 
 impl Holder {
-    /// A holder that knows nothing yet.
+    /// Creates a holder that has received no input yet.
     pub fn new(options: Options) -> Holder {
         let roster = Roster::new(options.seed);
         Holder {
@@ -135,31 +136,31 @@
             superseded: false,
             log_reachable: true,
             ledger_seen: false,
-            started: None,
+            first_step_at: None,
             roster,
             jobs: SortedMap::new(),
-            past: VecDeque::new(),
+            retired: VecDeque::new(),
             next_job: JobId(0),
             paused: Vec::new(),
             drained: Vec::new(),
             outbox: Outbox::default(),
-            place_due: false,
-            line: Vec::new(),
+            placement_due: false,
+            queue: Vec::new(),
             inherited: Vec::new(),
-            inherit_due: false,
+            inherited_due: false,
             policy: Policy::default(),
             teams: Vec::new(),
-            kinds: Kinds::default(),
+            families: JobFamilies::default(),
             interference: Interference::default(),
-            evict_at: None,
-            packs: false,
-            no_room_at: None,
+            next_eviction_search_at: None,
+            is_packing: false,
+            last_no_capacity_at: None,
             backlog: 0.0,
-            chores_at: Instant(0),
+            next_maintenance_at: Instant(0),
         }
     }
 
-    /// The fencing token of this holding.
+    /// Returns the epoch of this holder, its fencing token.
     pub fn epoch(&self) -> Epoch {
         self.options.epoch
     }
@@ -169,20 +170,20 @@
         self.superseded
     }
 
-    /// Takes `event` in at `now` and pushes what is to be done.
+    /// Handles `event` at time `now` and pushes the actions to carry out.
     pub fn step(&mut self, now: Instant, event: Event<'_>, actions: &mut Vec<Action>) {
         if self.superseded {
             return;
         }
-        self.started.get_or_insert(now);
+        self.first_step_at.get_or_insert(now);
         match event {
-            Event::Ledger(state) => self.take_ledger(now, state),
-            Event::Vms(vms) => self.take_vms(now, vms),
-            Event::Report { vm, report } => self.take_report(now, vm, report),
-            Event::News { vm } => self.take_news(now, vm),
-            Event::Silent { vm, sent } => self.take_silence(now, vm, sent),
+            Event::Ledger(state) => self.handle_ledger(now, state),
+            Event::Vms(vms) => self.handle_vm_list(now, vms),
+            Event::Report { vm, report } => self.handle_report(now, vm, report),
+            Event::WorkerUpdate { vm } => self.handle_worker_update(now, vm),
+            Event::CallFailed { vm, sent } => self.handle_failed_call(now, vm, sent),
             Event::Log { reachable } => self.log_reachable = reachable,
-            Event::Tick if self.is_ready() => self.take_tick(now),
+            Event::Tick if self.is_ready() => self.handle_tick(now),
             Event::Tick => {}
         }
         if self.superseded || !self.is_ready() {
@@ -191,43 +192,44 @@
         self.resolve_inherited(now);
         self.place(now);
         self.append(now, actions);
-        self.call(now, actions);
+        self.call_due_workers(now, actions);
     }
 
-    /// Nothing is decided on half of the facts: a report could not be matched to its tasks.
+    /// Whether both the ledger and the VM list have been received. Without both, a worker's
+    /// report could not be matched to its tasks.
     pub(crate) fn is_ready(&self) -> bool {
-        self.ledger_seen && self.roster.list_seen()
+        self.ledger_seen && self.roster.has_vm_list()
     }
 
-    fn take_tick(&mut self, now: Instant) {
-        if now >= self.chores_at {
-            self.chores_at = now + CHORES;
-            self.settle_gone(now);
-            self.probe(now);
-            self.leave(now);
-            self.refuse_late(now);
-            self.give_back(now);
+    fn handle_tick(&mut self, now: Instant) {
+        if now >= self.next_maintenance_at {
+            self.next_maintenance_at = now + MAINTENANCE_INTERVAL;
+            self.remove_lost_vms(now);
+            self.probe_quarantined_workers(now);
+            self.evacuate(now);
+            self.refuse_overdue(now);
+            self.return_unplaced(now);
             self.count_backlog();
-            self.packs = self.no_room_at.is_some_and(|at| now < at + PACK_FOR);
-            self.interference.fade(CHORES);
+            self.is_packing = self.last_no_capacity_at.is_some_and(|at| now < at + PACKING_PERIOD);
+            self.interference.decay(MAINTENANCE_INTERVAL);
         }
-        self.inherit_due = true;
-        self.roster.touch_all();
-        self.want(now);
-        self.place_due = true;
+        self.inherited_due = true;
+        self.roster.mark_all_for_call();
+        self.check_out_pending(now);
+        self.placement_due = true;
     }
 
-    pub(crate) fn local(&self, task: TaskId) -> Option<&Local> {
+    pub(crate) fn local(&self, task: TaskId) -> Option<&LocalTask> {
         self.jobs.get(&task.job)?.tasks.get(task.index as usize)
     }
 
-    pub(crate) fn local_mut(&mut self, task: TaskId) -> Option<&mut Local> {
+    pub(crate) fn local_mut(&mut self, task: TaskId) -> Option<&mut LocalTask> {
         let job = self.jobs.get_mut(&task.job)?;
-        job.quiet = false;
+        job.up_to_date = false;
         job.tasks.get_mut(task.index as usize)
     }
 
-    /// Whether a task is of a cancelled job, or of those that a change took away.
+    /// Whether a task belongs to a cancelled job or was removed by a change of its job.
     pub(crate) fn is_unwanted(&self, task: TaskId) -> bool {
         self.jobs.get(&task.job).is_none_or(|job| job.cancelled || task.index >= job.spec.tasks)
     }
@@ -236,18 +238,18 @@
         self.roster.get_mut(key)
     }
 
-    /// Puts a checked-out task that runs nowhere back in line.
-    pub(crate) fn wait(&mut self, now: Instant, task: TaskId) {
+    /// Puts a checked-out task that runs nowhere into the queue.
+    pub(crate) fn enqueue(&mut self, now: Instant, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        job.quiet = false;
+        job.up_to_date = false;
         let Some(local) = job.tasks.get_mut(task.index as usize) else { return };
         local.phase = Phase::Waiting { since: now };
-        local.placed_at = None;
+        local.placement_recorded_at = None;
         job.waiting.push_back(task.index);
-        let turn = (Reverse(job.spec.priority), task.job);
-        if let Err(at) = self.line.binary_search(&turn) {
-            self.line.insert(at, turn);
+        let queue_entry = (Reverse(job.spec.priority), task.job);
+        if let Err(at) = self.queue.binary_search(&queue_entry) {
+            self.queue.insert(at, queue_entry);
         }
-        self.place_due = true;
+        self.placement_due = true;
     }
 }
--- a/daisy-placement/src/job.rs
+++ b/daisy-placement/src/job.rs
@@ -1,4 +1,4 @@
-//! What a holder knows of one job.
+//! The holder's view of a job.
 
 use std::collections::VecDeque;
 
@@ -9,11 +9,11 @@
 
 use crate::{
     fault::JobFaults,
-    kind::Kind,
+    job_family::JobFamily,
     options::Options,
-    reason::{Noted, Reason, Wait},
-    task::Local,
-    usage::Seen,
+    reason::{Reason, TimedReason, WaitReason},
+    task::LocalTask,
+    usage::MeasuredUsage,
     worker::Class,
 };
 
@@ -23,28 +23,28 @@
     pub id: JobId,
     pub spec: JobSpec,
     pub cancelled: bool,
-    pub tasks: Vec<Local>,
-    /// The ledger's tasks as last looked at.
-    pub last: Vec<Task>,
-    /// The ledger's last change of the job.
+    pub tasks: Vec<LocalTask>,
+    /// The ledger's tasks when the job was last updated.
+    pub last_ledger_tasks: Vec<Task>,
+    /// The ledger's generation of the job when it was last updated.
     pub generation: Generation,
-    /// Whether nothing is to be done while the ledger's tasks stay as they are.
-    pub quiet: bool,
-    /// Checked out and runs nowhere, in the order of their turn.
+    /// Whether the job needs no update as long as the ledger's tasks stay the same.
+    pub up_to_date: bool,
+    /// The tasks that are checked out and run nowhere, in the order in which they are placed.
     pub waiting: VecDeque<u32>,
-    /// Seen pending in the last fold.
+    /// The tasks that were pending in the last fold.
     pub pending: Vec<u32>,
     pub team: TeamId,
-    pub kind: Kind,
+    pub family: JobFamily,
     pub faults: JobFaults,
-    /// Its waiting tasks are not looked at before.
-    pub look_at: Instant,
-    pub seen: Seen,
-    /// When this holder saw it first, or as it was last changed.
+    /// The waiting tasks are not considered for placement before this time.
+    pub next_attempt_at: Instant,
+    pub measured: MeasuredUsage,
+    /// When this holder first saw the job, or saw its last change.
     pub known_since: Instant,
-    /// Why its waiting and pending tasks wait.
-    pub wait: Option<Noted>,
-    /// Allowed data centres by preference; `None` if there is only one to run in.
+    /// Why the waiting and pending tasks do not run.
+    pub wait_reason: Option<TimedReason>,
+    /// The allowed data centres in order of preference; `None` if the cluster has only one.
     preferred: Option<Vec<DcId>>,
 }
 
@@ -53,45 +53,45 @@
         now: Instant,
         id: JobId,
         job: &Job,
-        kind: Kind,
+        family: JobFamily,
         options: &Options,
     ) -> JobView {
         JobView {
             id,
             spec: job.spec.clone(),
             cancelled: job.cancelled,
-            tasks: job.tasks.iter().map(|task| Local::new(*task)).collect(),
-            last: Vec::new(),
+            tasks: job.tasks.iter().map(|task| LocalTask::new(*task)).collect(),
+            last_ledger_tasks: Vec::new(),
             generation: job.generation,
-            quiet: false,
+            up_to_date: false,
             waiting: VecDeque::new(),
             pending: Vec::new(),
             team: job.team,
-            kind,
+            family,
             faults: JobFaults::default(),
-            look_at: Instant(0),
-            seen: Seen::default(),
+            next_attempt_at: Instant(0),
+            measured: MeasuredUsage::default(),
             known_since: now,
-            wait: None,
+            wait_reason: None,
             preferred: preferred(&job.spec.data_centres, options),
         }
     }
 
-    /// Takes an operator's change in.
-    pub(crate) fn change(&mut self, now: Instant, spec: &JobSpec, options: &Options) {
+    /// Applies an operator's change of the job.
+    pub(crate) fn apply_change(&mut self, now: Instant, spec: &JobSpec, options: &Options) {
         self.known_since = now;
         self.spec = spec.clone();
         self.preferred = preferred(&spec.data_centres, options);
     }
 
-    /// The tasks that the ledger's newest word asks to be looked at.
-    pub(crate) fn restless(&self, dc: DcId, job: &Job) -> Vec<u32> {
+    /// Returns the tasks that need an update for the ledger's newest state `job`.
+    pub(crate) fn tasks_to_update(&self, dc: DcId, job: &Job) -> Vec<u32> {
         let tasks = (0_u32..).zip(job.tasks.iter().zip(&self.tasks));
-        let is_restless = |index: u32, ledger: &Task, local: &Local| {
-            job.cancelled || index >= job.spec.tasks || !local.is_settled(dc, ledger)
+        let needs_update = |index: u32, ledger: &Task, local: &LocalTask| {
+            job.cancelled || index >= job.spec.tasks || !local.is_up_to_date(dc, ledger)
         };
         tasks
-            .filter(|(index, (ledger, local))| is_restless(*index, ledger, local))
+            .filter(|(index, (ledger, local))| needs_update(*index, ledger, local))
             .map(|(index, _)| index)
             .collect()
     }
@@ -100,22 +100,22 @@
         self.spec.size
     }
 
-    /// What a worker's room for one of its tasks is marked with.
+    /// Returns the properties of the job that are stored with each allocation of its tasks.
     pub(crate) fn class(&self) -> Class {
         let JobSpec { priority, tolerance, .. } = self.spec;
-        let service = self.is_service();
+        let is_service = self.is_service();
         Class {
-            kind: self.kind,
+            family: self.family,
             priority,
-            service,
-            delay: tolerance.delay && !service,
-            evict: tolerance.evict,
+            is_service,
+            may_delay: tolerance.delay && !is_service,
+            may_evict: tolerance.evict,
         }
     }
 
-    /// Notes why its tasks wait.
-    pub(crate) fn waits(&mut self, now: Instant, wait: Wait) {
-        self.wait = Some(Noted { at: now, reason: Reason::Waits(wait) });
+    /// Records why the job's tasks do not run.
+    pub(crate) fn set_wait_reason(&mut self, now: Instant, wait: WaitReason) {
+        self.wait_reason = Some(TimedReason { at: now, reason: Reason::NotRunning(wait) });
     }
 
     pub(crate) fn is_service(&self) -> bool {
@@ -126,27 +126,28 @@
         self.spec.priority >= Priority::Urgent
     }
 
-    /// How many data centres go before `dc` for a task, or `None` if `dc` may not run it.
+    /// Returns the number of data centres that precede `dc` for a task, or `None` if `dc` may
+    /// not run it.
     ///
-    /// A service's replicas take their data centres in turn, so that one lost data centre
-    /// takes only its share of them; so does batch work without a declared preference.
+    /// The replicas of a service rotate over their data centres, so that a lost data centre
+    /// takes only its share of them. Batch work without declared data centres rotates as well.
     pub(crate) fn try_rank(&self, index: u32, dc: DcId) -> Option<u32> {
         let Some(preferred) = &self.preferred else { return Some(0) };
         let count = preferred.len();
         let position = preferred.iter().position(|it| *it == dc)?;
         let in_turn = self.is_service() || self.spec.data_centres.is_empty();
-        let first = if in_turn { (index as usize + self.offset()) % count } else { 0 };
+        let first = if in_turn { (index as usize + self.rotation()) % count } else { 0 };
         Some(((position + count - first) % count) as u32)
     }
 
-    /// The data centre that the job names first, where its data is taken to be.
-    pub(crate) fn try_first(&self) -> Option<DcId> {
+    /// Returns the data centre that the job names first, where its data is assumed to be.
+    pub(crate) fn try_first_choice(&self) -> Option<DcId> {
         let preferred = self.preferred.as_ref().filter(|_| !self.spec.data_centres.is_empty())?;
         preferred.first().copied()
     }
 
-    /// Shifts the turn by job, so that one-task jobs do not all start in one data centre.
-    fn offset(&self) -> usize {
+    /// Returns a rotation by job, so that single-task jobs do not all start in one data centre.
+    fn rotation(&self) -> usize {
         if self.spec.data_centres.is_empty() { self.id.0 as usize } else { 0 }
     }
 }
--- a/daisy-placement/src/lib.rs
+++ b/daisy-placement/src/lib.rs
@@ -1,30 +1,31 @@
-//! Who runs where: fit, eviction, interference, quotas, leases.
+//! Placement of tasks on workers: capacity, eviction, interference, quotas and leases.
 //!
-//! [`Holder`] decides for one data centre under one epoch. It never sees a socket or a
-//! clock: events and the present time come in, actions go out. [`Caretaker`] keeps leases
-//! up, and no more, while a data centre has no holder that can act.
+//! [`Holder`] decides for one data centre under one epoch. It uses neither sockets nor a clock:
+//! events and the current time are passed in, and actions are returned. [`LeaseRenewer`] renews
+//! leases, and does nothing else, while a data centre has no holder that can act.
 //!
-//! A holder first calls each worker with nothing but its epoch and reads what runs there.
-//! It checks pending tasks out through the log, starts them on the best of a few workers
-//! with room, and records where they run and how they end; an exit report is acknowledged
-//! only after the ledger shows it. What may have taken effect counts as if it had, until
-//! the worker says otherwise.
+//! A holder first calls each worker with only its epoch and reads what runs there. It checks
+//! pending tasks out through the log, starts them on the best of a few workers with free
+//! capacity, and records where they run and how they end. An exit report is acknowledged only
+//! after the ledger shows the end. A start that may have taken effect is treated as if it had
+//! until the worker reports otherwise.
 
 #![deny(missing_docs, unsafe_code)]
 
 mod calls;
-mod caretaker;
+mod checkout;
 mod control;
+mod evacuate;
 mod evict;
 mod fault;
 mod holder;
 mod index;
 mod inherit;
-mod intake;
 mod interference;
 mod job;
-mod kind;
-mod leave;
+mod job_family;
+mod lease_renewer;
+mod ledger_updates;
 mod options;
 mod place;
 mod reason;
@@ -36,16 +37,18 @@
 mod throttle;
 mod usage;
 mod view;
-mod want;
 mod worker;
 
 pub use crate::{
-    caretaker::{CareEvent, Caretaker},
     holder::{Action, Event, Holder},
     interference::Interference,
-    kind::Kind,
+    job_family::JobFamily,
+    lease_renewer::{LeaseRenewer, LeaseRenewerEvent},
     options::{DataCentre, Limits, Options},
-    reason::{Label, Miss, Noted, Reason, Wait},
-    throttle::{Ceiling, Control, LEVELS, Rule, Signal, TARGET, Throttle},
+    reason::{Reason, Shortfall, TimedReason, VmLabel, WaitReason},
+    throttle::{
+        Ceiling, SHARE_LEVELS, TARGET_SLOWDOWN, Throttle, ThrottleControl, ThrottleRule,
+        UsageSignal,
+    },
     view::{Replica, TaskStatus, TaskView, WorkerStatus, WorkerView},
 };
--- a/daisy-placement/src/options.rs
+++ b/daisy-placement/src/options.rs
@@ -1,91 +1,94 @@
-//! How a holder works.
+//! The options of a holder.
 
 use std::time::Duration;
 
 use daisy_model::{DcId, Epoch, Name};
 
-use crate::throttle::Control;
+use crate::throttle::ThrottleControl;
 
-/// A data centre and the region that it stands in.
+/// A data centre and its region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DataCentre {
-    /// The name that jobs prefer it by.
+    /// The name under which jobs list it.
     pub name: Name,
-    /// Data centres of one region have the same number.
+    /// The region's number, equal for all data centres of one region.
     pub region: u16,
 }
 
-/// How a holder works.
+/// The options of a holder.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The data centre held.
+    /// The data centre that is held.
     pub dc: DcId,
-    /// The fencing token of this holding.
+    /// The epoch of the holder, its fencing token.
     pub epoch: Epoch,
     /// How long a worker's tasks go on without a call.
     pub lease: Duration,
-    /// Seeds every random choice.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// All data centres in the order of their numbers; empty if there is only one.
+    /// All data centres in the order of their ids; empty if there is only one.
     pub data_centres: Vec<DataCentre>,
-    /// Periods and bounds.
+    /// Intervals and bounds.
     pub limits: Limits,
 }
 
 impl Options {
-    /// Options of a cluster with one data centre, at the limits of the design.
+    /// Creates options for a cluster with one data centre and default limits.
     pub fn new(dc: DcId, epoch: Epoch, lease: Duration, seed: u64) -> Options {
         Options { dc, epoch, lease, seed, data_centres: Vec::new(), limits: Limits::default() }
     }
 }
 
-/// Periods and bounds of a holder.
+/// The intervals and bounds of a holder.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// A worker is called at least this often; at most half of the lease is used.
-    pub poll: Duration,
-    /// Before a worker that did not answer is called again.
-    pub retry: Duration,
-    /// Between two records of the same sort.
-    pub flush: Duration,
-    /// Before a record that the ledger does not show is appended again.
-    pub resend: Duration,
-    /// Added to the lease before a VM that has left the list counts as gone for good.
-    pub gone_margin: Duration,
-    /// Per rank of preference: before the next data centre checks a pending task out.
-    pub fallback: Duration,
-    /// The same for urgent and critical work, which has 3.5 s in all.
-    pub urgent_fallback: Duration,
-    /// Before a checked-out task that found no room is given back.
-    pub give_back: Duration,
-    /// Before batch tasks that never found room are refused for good, if their job may be.
-    pub refuse: Duration,
-    /// Checked-out tasks without a place kept for an outage of the log.
-    pub reserve: u32,
-    /// Candidates weighed for one start.
+    /// The longest interval between two calls of a worker; at most half of the lease is used.
+    pub poll_interval: Duration,
+    /// The time before a worker that did not answer is called again.
+    pub retry_interval: Duration,
+    /// The least interval between two appends of gathered records.
+    pub flush_interval: Duration,
+    /// The time before a record that the ledger does not show is appended again.
+    pub resend_after: Duration,
+    /// The time added to the lease before a VM that has left the list is treated as lost for
+    /// good.
+    pub lost_vm_margin: Duration,
+    /// The time, per rank of preference, before the next data centre checks a pending task out.
+    pub fallback_delay: Duration,
+    /// The same for urgent and critical work, which must start within 3.5 s in total.
+    pub urgent_fallback_delay: Duration,
+    /// The time before a checked-out task that found no capacity is returned.
+    pub return_after: Duration,
+    /// The time before batch tasks that never found capacity are refused for good, if their job
+    /// allows it.
+    pub refuse_after: Duration,
+    /// The number of tasks checked out beyond the free capacity, as work for an outage of the
+    /// log.
+    pub reserve_tasks: u32,
+    /// The number of candidate workers considered for one start.
     pub candidates: usize,
-    /// How batch work beside services is limited; `None` for what the policy's weights say.
-    pub control: Option<Control>,
-    /// Tasks named in one record.
-    pub record_tasks: usize,
+    /// How batch work beside services is throttled; `None` derives it from the policy's weights.
+    pub control: Option<ThrottleControl>,
+    /// The maximum number of tasks in one record.
+    pub max_record_tasks: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            poll: Duration::from_secs(2),
-            retry: Duration::from_millis(500),
-            flush: Duration::from_millis(200),
-            resend: Duration::from_secs(5),
-            gone_margin: Duration::from_secs(5),
-            fallback: Duration::from_secs(5),
-            urgent_fallback: Duration::from_secs(1),
-            give_back: Duration::from_secs(15),
-            refuse: Duration::from_secs(600),
-            reserve: 64,
+            poll_interval: Duration::from_secs(2),
+            retry_interval: Duration::from_millis(500),
+            flush_interval: Duration::from_millis(200),
+            resend_after: Duration::from_secs(5),
+            lost_vm_margin: Duration::from_secs(5),
+            fallback_delay: Duration::from_secs(5),
+            urgent_fallback_delay: Duration::from_secs(1),
+            return_after: Duration::from_secs(15),
+            refuse_after: Duration::from_secs(600),
+            reserve_tasks: 64,
             candidates: 12,
             control: None,
-            record_tasks: 512,
+            max_record_tasks: 512,
         }
     }
 }
--- a/daisy-placement/src/place.rs
+++ b/daisy-placement/src/place.rs
@@ -1,4 +1,4 @@
-//! Placement: which worker a checked-out task starts on.
+//! Placement: the choice of the worker on which a checked-out task starts.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -10,178 +10,192 @@
 use crate::{
     holder::Holder,
     job::JobView,
-    reason::{Miss, Reason, Wait},
-    task::{Local, Phase},
-    worker::{Ending, Held, Hold, WorkerKey},
+    reason::{Reason, Shortfall, WaitReason},
+    task::{LocalTask, Phase},
+    worker::{Allocation, AllocationState, Removal, WorkerKey},
 };
 
-/// A share that is not limited, in thousandths.
+/// The share of a task that is not throttled, in thousandths.
 pub(crate) const FULL_SHARE: u32 = 1000;
 
-/// How long work waits for a worker where it disturbs nobody much.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The longest that a task waits for a worker where it disturbs the services less.
+const MAX_INTERFERENCE_WAIT: Duration = Duration::from_secs(30);
 
-/// Between two looks at work that was put off.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+/// The interval between two attempts to place deferred work.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A place in line: urgent work first, then the older job.
-pub(crate) type Turn = (Reverse<Priority>, JobId);
+/// A position in the queue: urgent work first, then the older job.
+pub(crate) type QueueEntry = (Reverse<Priority>, JobId);
 
 impl Holder {
-    /// Starts what waits, as far as there is room.
+    /// Starts waiting tasks as long as there is capacity for them.
     pub(crate) fn place(&mut self, now: Instant) {
-        if !std::mem::take(&mut self.place_due) {
+        if !std::mem::take(&mut self.placement_due) {
             return;
         }
-        let line = std::mem::take(&mut self.line);
-        for (_, id) in &line {
+        let queue = std::mem::take(&mut self.queue);
+        for (_, id) in &queue {
             self.place_job(now, *id);
         }
-        // Tasks that came back in line meanwhile have put their jobs in a new one.
-        let added = std::mem::replace(&mut self.line, line);
-        for turn in added {
-            if let Err(at) = self.line.binary_search(&turn) {
-                self.line.insert(at, turn);
+        // Jobs whose tasks came back to the queue meanwhile are in a new queue.
+        let added = std::mem::replace(&mut self.queue, queue);
+        for queue_entry in added {
+            if let Err(at) = self.queue.binary_search(&queue_entry) {
+                self.queue.insert(at, queue_entry);
             }
         }
         let jobs = &self.jobs;
-        self.line.retain(|(_, id)| jobs.get(id).is_some_and(|job| !job.waiting.is_empty()));
+        self.queue.retain(|(_, id)| jobs.get(id).is_some_and(|job| !job.waiting.is_empty()));
     }
 
     fn place_job(&mut self, now: Instant, id: JobId) {
-        while let Some(index) = self.try_next(now, id) {
+        while let Some(index) = self.try_next_task(now, id) {
             let task = TaskId { job: id, index };
             match self.choose(now, task) {
                 Some(key) => {
-                    self.leave_front(id);
-                    self.start(now, key, task, Hold::Queued);
+                    self.dequeue_front(id);
+                    self.start(now, key, task, AllocationState::Queued);
                 }
                 None if self.try_evict(now, id, index).is_some() => {}
-                None if self.jobs.get(&id).is_some_and(|job| now < job.look_at) => return,
-                None => return self.note_no_room(now, task),
+                None if self.jobs.get(&id).is_some_and(|job| now < job.next_attempt_at) => return,
+                None => return self.note_no_capacity(now, task),
             }
         }
     }
 
-    /// The next task of a job that may start now.
-    fn try_next(&mut self, now: Instant, id: JobId) -> Option<u32> {
+    /// Returns the next task of a job that may start now.
+    fn try_next_task(&mut self, now: Instant, id: JobId) -> Option<u32> {
         let is_paused = self.jobs.get(&id).is_some_and(|job| self.is_paused(job));
         let log_reachable = self.log_reachable;
         let job = self.jobs.get_mut(&id)?;
         let index = job.waiting.front().copied()?;
         let local = job.tasks.get(index as usize)?;
         if is_paused {
-            job.waits(now, Wait::Paused);
+            job.set_wait_reason(now, WaitReason::Paused);
             return None;
         }
-        if is_recorded_first(local, job.spec.restartable) && !log_reachable {
-            job.waits(now, Wait::LogDown);
+        if must_record_first(local, job.spec.restartable) && !log_reachable {
+            job.set_wait_reason(now, WaitReason::LogUnavailable);
             return None;
         }
-        if job.faults.retry_at.is_some_and(|at| now < at) || now < job.look_at {
+        if job.faults.retry_at.is_some_and(|at| now < at) || now < job.next_attempt_at {
             return None;
         }
         Some(index)
     }
 
-    fn leave_front(&mut self, id: JobId) {
+    fn dequeue_front(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.waiting.pop_front();
-            job.wait = None;
+            job.wait_reason = None;
         }
     }
 
-    /// The best of a few workers with room.
+    /// Chooses the best of a few workers with free capacity.
     fn choose(&mut self, now: Instant, task: TaskId) -> Option<WorkerKey> {
         let size = self.start_size(task)?;
         let mut found = Vec::new();
         self.roster.find(size, self.options.limits.candidates, &mut found);
-        let weighed = found.len();
-        let racks = self.racks_of(task.job);
+        let considered = found.len();
+        let racks = self.replicas_per_rack(task.job);
         let job = self.jobs.get(&task.job)?;
         let best = found.into_iter().min_by_key(|key| self.cost(job, size, &racks, *key))?;
-        if self.is_better_later(now, task, best) {
-            self.put_off(now, task.job);
+        if self.should_defer(now, task, best) {
+            self.defer(now, task.job);
             return None;
         }
         let vm = self.roster.get(best)?.label.clone();
-        self.note(now, task, Reason::Placed { vm, weighed });
+        self.note(now, task, Reason::Placed { vm, considered });
         Some(best)
     }
 
-    /// Whether a task that may be delayed should leave its place to quieter work for now.
+    /// Whether a task that may be delayed should leave its place to less noisy work for now.
     ///
-    /// On a full cluster room comes free one worker at a time, and there is nothing to
-    /// choose but who takes it: noisy work would gather wherever it happens to come free.
-    fn is_better_later(&self, now: Instant, task: TaskId, key: WorkerKey) -> bool {
+    /// On a full cluster capacity becomes free on one worker at a time, so the only choice is
+    /// which task takes it. Noisy work would gather wherever capacity happens to become free.
+    fn should_defer(&self, now: Instant, task: TaskId, key: WorkerKey) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let Some(worker) = self.roster.get(key) else { return false };
         let Some(local) = job.tasks.get(task.index as usize) else { return false };
         let Phase::Waiting { since } = local.phase else { return false };
-        let may_wait = job.spec.tolerance.delay && !job.is_service() && now < since + PATIENCE;
-        may_wait && self.is_too_much(job, worker)
+        let may_wait =
+            job.spec.tolerance.delay && !job.is_service() && now < since + MAX_INTERFERENCE_WAIT;
+        may_wait && self.exceeds_interference_budget(job, worker)
     }
 
-    /// Looks at a job again after a moment, not at each report that brings a little room.
-    fn put_off(&mut self, now: Instant, id: JobId) {
+    /// Defers a job for a moment, so that it is not tried at each report that frees a little
+    /// capacity.
+    fn defer(&mut self, now: Instant, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.look_at = now + LOOK_PERIOD;
+            job.next_attempt_at = now + RECHECK_INTERVAL;
         }
     }
 
-    /// What a task is started with: as checked out, or more if more was seen in use.
+    /// Returns the size to start a task with: the checked-out size, or more if more use was
+    /// measured.
     pub(crate) fn start_size(&self, task: TaskId) -> Option<Resources> {
         let job = self.jobs.get(&task.job)?;
         let declared = job.tasks.get(task.index as usize)?.ledger.size;
-        Some(job.seen.corrected(declared, self.roster.largest()))
+        Some(job.measured.corrected_size(declared, self.roster.largest_capacity()))
     }
 
-    /// Takes room on a worker and orders the start, or waits with it for room or record.
+    /// Allocates capacity on a worker for a task and orders the start, unless the start first
+    /// has to await an eviction or the record of the placement.
     ///
-    /// See `is_recorded_first` for what has to be recorded before the order.
-    pub(crate) fn start(&mut self, now: Instant, key: WorkerKey, task: TaskId, hold: Hold) {
+    /// See `must_record_first` for the starts that are recorded first.
+    pub(crate) fn start(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        task: TaskId,
+        state: AllocationState,
+    ) {
         let Some(size) = self.start_size(task) else { return };
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        job.quiet = false;
+        job.up_to_date = false;
         let (is_restartable, class) = (job.spec.restartable, job.class());
         let Some(local) = job.tasks.get_mut(task.index as usize) else { return };
-        let is_recorded_first = is_recorded_first(local, is_restartable);
+        let must_record_first = must_record_first(local, is_restartable);
         local.incarnation = local.next_incarnation();
         local.phase = Phase::Starting { worker: key };
         let incarnation = local.incarnation;
         let checkpoint = local.ledger.checkpoint;
-        let hold = if is_recorded_first && hold == Hold::Queued { Hold::Reserved } else { hold };
+        let state = if must_record_first && state == AllocationState::Queued {
+            AllocationState::AwaitingRecord
+        } else {
+            state
+        };
         let Some(worker) = self.roster.get_mut(key) else { return };
-        let ending = Ending::No;
+        let removal = Removal::NotPlanned;
         let share = FULL_SHARE;
-        let settled = false;
-        worker.hold(
+        let confirmed = false;
+        worker.allocate(
             task,
-            Held { incarnation, size, hold, ending, share, since: now, class, settled },
+            Allocation { incarnation, size, state, removal, share, since: now, class, confirmed },
         );
         worker.faults.note_start();
         let vm = worker.id;
-        if hold == Hold::Queued {
+        if state == AllocationState::Queued {
             worker.orders.push(Order::Start { task, incarnation, size, checkpoint });
-            self.roster.touch(key);
-        } else if hold == Hold::Reserved {
+            self.roster.mark_for_call(key);
+        } else if state == AllocationState::AwaitingRecord {
             self.record_start(now, task, incarnation, vm);
         }
         self.roster.reindex(key);
     }
 
-    /// Orders a start that the ledger has just shown, or records it again.
+    /// Orders a start whose placement the ledger now shows, or appends a lost record again.
     pub(crate) fn start_recorded(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
-        let resend = self.options.limits.resend;
+        let resend_after = self.options.limits.resend_after;
         let Some(local) = self.local(task) else { return };
-        let is_lost = local.placed_at.is_some_and(|at| now >= at + resend);
+        let is_lost = local.placement_recorded_at.is_some_and(|at| now >= at + resend_after);
         let incarnation = local.incarnation;
         let checkpoint = local.ledger.checkpoint;
         let shown = (local.ledger.incarnation, local.ledger.vm);
         let Some(worker) = self.roster.get_mut(key) else { return };
         let vm = worker.id;
-        let Some(held) = worker.held.get_mut(&task) else { return };
-        if held.hold != Hold::Reserved {
+        let Some(allocation) = worker.allocations.get_mut(&task) else { return };
+        if allocation.state != AllocationState::AwaitingRecord {
             return;
         }
         if shown != (incarnation, Some(vm)) {
@@ -190,64 +204,67 @@
             }
             return;
         }
-        held.hold = Hold::Queued;
-        let size = held.size;
+        allocation.state = AllocationState::Queued;
+        let size = allocation.size;
         worker.orders.push(Order::Start { task, incarnation, size, checkpoint });
-        self.roster.touch(key);
+        self.roster.mark_for_call(key);
     }
 
     fn record_start(&mut self, now: Instant, task: TaskId, incarnation: Incarnation, vm: VmId) {
         if let Some(local) = self.local_mut(task) {
-            local.placed_at = Some(now);
+            local.placement_recorded_at = Some(now);
         }
         self.outbox.placed.push(Placement { task, incarnation, vm });
     }
 
     pub(crate) fn is_unsent(&self, key: WorkerKey, task: TaskId) -> bool {
-        let held = self.roster.get(key).and_then(|worker| worker.held.get(&task));
-        held.is_some_and(|held| held.hold.is_unsent())
+        let allocation = self.roster.get(key).and_then(|worker| worker.allocations.get(&task));
+        allocation.is_some_and(|allocation| allocation.state.is_unsent())
     }
 
-    /// Says why the first task in line found no room, with the nearest miss.
+    /// Records why the first task in the queue found no capacity, with the smallest shortfall.
     ///
-    /// The search looks at every worker, so it is made at most once a second for a job.
-    fn note_no_room(&mut self, now: Instant, task: TaskId) {
-        const PERIOD_MS: u128 = 1_000;
-        self.no_room_at = Some(now);
+    /// The search visits every worker, so it is made at most once a second per job.
+    fn note_no_capacity(&mut self, now: Instant, task: TaskId) {
+        const MIN_INTERVAL_MS: u128 = 1_000;
+        self.last_no_capacity_at = Some(now);
         let Some(size) = self.start_size(task) else { return };
         let Some(job) = self.jobs.get(&task.job) else { return };
-        let is_fresh = job.wait.as_ref().is_some_and(|wait| {
-            let is_room = matches!(wait.reason, Reason::Waits(Wait::NoRoom { .. }));
-            is_room && now.since(wait.at).as_millis() < PERIOD_MS
+        let is_recent = job.wait_reason.as_ref().is_some_and(|wait| {
+            let is_no_capacity =
+                matches!(wait.reason, Reason::NotRunning(WaitReason::NoCapacity { .. }));
+            is_no_capacity && now.since(wait.at).as_millis() < MIN_INTERVAL_MS
         });
-        if is_fresh {
+        if is_recent {
             return;
         }
-        let wait = Wait::NoRoom { size, miss: self.nearest_miss(size) };
+        let wait = WaitReason::NoCapacity { size, shortfall: self.smallest_shortfall(size) };
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.waits(now, wait);
+            job.set_wait_reason(now, wait);
         }
     }
 
-    /// The open worker that lacks the least for `size`.
-    pub(crate) fn nearest_miss(&self, size: Resources) -> Option<Miss> {
+    /// Returns the worker open for new work that is missing the least for `size`.
+    pub(crate) fn smallest_shortfall(&self, size: Resources) -> Option<Shortfall> {
         let open = self.roster.iter().filter(|(_, worker)| worker.is_open());
-        let misses = open.map(|(_, worker)| {
-            let short = shortage(size, worker.free());
-            (relative(short, worker.capacity), &worker.label, short)
+        let shortfalls = open.map(|(_, worker)| {
+            let missing = missing_resources(size, worker.free());
+            (relative_size(missing, worker.capacity), &worker.label, missing)
         });
-        let (_, vm, short) = misses.min_by_key(|(lack, ..)| *lack)?;
-        Some(Miss { vm: vm.clone(), short })
+        let (_, vm, missing) =
+            shortfalls.min_by_key(|(relative_shortfall, ..)| *relative_shortfall)?;
+        Some(Shortfall { vm: vm.clone(), missing })
     }
 
-    /// The worker that would lack the least for `size` if it were empty.
-    pub(crate) fn nearest_whole_miss(&self, size: Resources) -> Option<Miss> {
-        let misses = self.roster.iter().map(|(_, worker)| {
-            let short = shortage(size, worker.capacity);
-            (relative(short, worker.capacity), &worker.label, short)
+    /// Returns the worker that would be missing the least for `size` if it were empty.
+    pub(crate) fn smallest_shortfall_when_empty(&self, size: Resources) -> Option<Shortfall> {
+        let shortfalls = self.roster.iter().map(|(_, worker)| {
+            let missing = missing_resources(size, worker.capacity);
+            (relative_size(missing, worker.capacity), &worker.label, missing)
         });
-        let (_, vm, short) = misses.min_by_key(|(lack, ..)| *lack)?;
-        Some(Miss { vm: vm.clone(), short })
+        let (_, vm, missing) =
+            shortfalls.min_by_key(|(relative_shortfall, ..)| *relative_shortfall)?;
+        Some(Shortfall { vm: vm.clone(), missing })
     }
 
     /// Whether an operator has paused the class of a job.
@@ -259,30 +276,30 @@
     }
 }
 
-/// What `room` lacks for `size`.
-fn shortage(size: Resources, room: Resources) -> Resources {
+/// Returns what `available` is missing for `size`.
+fn missing_resources(size: Resources, available: Resources) -> Resources {
     Resources {
-        cpu_milli: size.cpu_milli.saturating_sub(room.cpu_milli),
-        memory_mib: size.memory_mib.saturating_sub(room.memory_mib),
-        accelerators: size.accelerators.saturating_sub(room.accelerators),
+        cpu_milli: size.cpu_milli.saturating_sub(available.cpu_milli),
+        memory_mib: size.memory_mib.saturating_sub(available.memory_mib),
+        accelerators: size.accelerators.saturating_sub(available.accelerators),
     }
 }
 
-/// A shortage in thousandths of what a worker holds, its parts summed.
-fn relative(short: Resources, whole: Resources) -> u64 {
-    let part = |short: u32, whole: u32| u64::from(short) * 1000 / u64::from(whole.max(1));
-    part(short.cpu_milli, whole.cpu_milli)
-        + part(short.memory_mib, whole.memory_mib)
-        + part(short.accelerators, whole.accelerators)
+/// Returns missing resources in thousandths of a worker's capacity, summed over the resources.
+fn relative_size(missing: Resources, whole: Resources) -> u64 {
+    let part = |missing: u32, whole: u32| u64::from(missing) * 1000 / u64::from(whole.max(1));
+    part(missing.cpu_milli, whole.cpu_milli)
+        + part(missing.memory_mib, whole.memory_mib)
+        + part(missing.accelerators, whole.accelerators)
 }
 
 /// Whether a start has to be in the ledger before it is ordered.
 ///
-/// Restartable work starts at once and is recorded afterwards. Work that must not run again
-/// when its fate is unknown is recorded first: else a new holder could not tell a task that
-/// never started from one that ran on a VM which is gone. So is any incarnation but the one
-/// after the last ended: a new holder takes that one for started, and would give the
-/// number of a later one out a second time.
-fn is_recorded_first(local: &Local, is_restartable: bool) -> bool {
+/// Restartable work starts at once and is recorded afterwards. Work that must not run again when
+/// its outcome is unknown is recorded first: otherwise a new holder could not distinguish a task
+/// that never started from one that ran on a lost VM. An incarnation other than the one after
+/// the last ended incarnation is recorded first as well: a new holder assumes that only that one
+/// was started, and would use a later number a second time.
+fn must_record_first(local: &LocalTask, is_restartable: bool) -> bool {
     !is_restartable || local.next_incarnation() != local.ledger.next_incarnation()
 }
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -1,28 +1,28 @@
-//! Why a task or a VM is where it is, in words.
+//! The reasons for the state of a task or VM, and their text for operators.
 
 use std::{fmt, sync::Arc, time::Duration};
 
 use daisy_model::{Exit, Instant, OrderResult, Resources, TaskId};
 
-/// The name of a VM, shared by all notes about it.
-pub type Label = Arc<str>;
+/// The name of a VM, shared by all reasons that mention it.
+pub type VmLabel = Arc<str>;
 
-/// The worker that came closest to holding a task.
+/// The worker that came closest to fitting a task, and what it was missing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Miss {
+pub struct Shortfall {
     /// The worker.
-    pub vm: Label,
-    /// What it lacked.
-    pub short: Resources,
+    pub vm: VmLabel,
+    /// The resources that it was missing.
+    pub missing: Resources,
 }
 
-impl fmt::Display for Miss {
+impl fmt::Display for Shortfall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "nearest miss: {} short of {}", self.vm, Amount(self.short))
+        write!(f, "nearest miss: {} short of {}", self.vm, Amount(self.missing))
     }
 }
 
-/// Resources with the parts that are zero left out.
+/// Displays resources without those that are zero.
 #[derive(Debug)]
 struct Amount(Resources);
 
@@ -36,7 +36,7 @@
             (accelerators > 0, format!("{accelerators} {plural}")),
         ];
         let parts: Vec<String> =
-            parts.into_iter().filter_map(|(is_there, text)| is_there.then_some(text)).collect();
+            parts.into_iter().filter_map(|(is_present, text)| is_present.then_some(text)).collect();
         f.write_str(if parts.is_empty() { "nothing" } else { "" })?;
         f.write_str(&parts.join(" and "))
     }
@@ -44,222 +44,233 @@
 
 /// Why a task does not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wait {
-    /// No worker has room now.
-    NoRoom {
-        /// What the task takes.
+pub enum WaitReason {
+    /// No worker has enough free capacity now.
+    NoCapacity {
+        /// The size of the task.
         size: Resources,
-        /// The nearest miss, if there is any worker.
-        miss: Option<Miss>,
+        /// The smallest shortfall, if there is any worker.
+        shortfall: Option<Shortfall>,
     },
-    /// No worker could hold it even if it were empty.
+    /// No worker could fit the task even if it were empty.
     NeverFits {
-        /// What the task takes.
+        /// The size of the task.
         size: Resources,
-        /// The nearest miss, if there is any worker.
-        miss: Option<Miss>,
+        /// The smallest shortfall, if there is any worker.
+        shortfall: Option<Shortfall>,
     },
     /// The team's quota is used up.
     Quota,
-    /// An operator paused the class.
+    /// An operator paused the class of work.
     Paused,
-    /// Its start must be recorded first, and the log takes no appends.
-    LogDown,
-    /// An earlier holder may have started it on a worker that has not answered.
+    /// The start must be recorded first, and the log accepts no appends.
+    LogUnavailable,
+    /// An earlier holder may have started the task on a worker that has not answered.
     Blocked {
-        /// The worker, or `None` if it may be any that has not answered.
-        vm: Option<Label>,
+        /// The worker, or `None` if it may be any worker that has not answered.
+        vm: Option<VmLabel>,
     },
-    /// Its starts failed one after another.
+    /// Several starts failed in a row.
     Backoff {
-        /// How long until the next try.
-        wait: Duration,
+        /// The time until the next attempt.
+        retry_in: Duration,
     },
-    /// Data centres that it prefers have their turn first.
-    Turn,
+    /// Data centres that the job prefers may check the task out first.
+    OtherDataCentreFirst,
 }
 
-impl fmt::Display for Wait {
+impl fmt::Display for WaitReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wait::NoRoom { size, miss } => {
+            WaitReason::NoCapacity { size, shortfall } => {
                 write!(f, "no worker with {} free", Amount(*size))?;
-                write_miss(f, miss)
+                write_shortfall(f, shortfall)
             }
-            Wait::NeverFits { size, miss } => {
+            WaitReason::NeverFits { size, shortfall } => {
                 write!(f, "no worker here can ever hold {}", Amount(*size))?;
-                write_miss(f, miss)
+                write_shortfall(f, shortfall)
             }
-            Wait::Quota => f.write_str("its team's quota is used up"),
-            Wait::Paused => f.write_str("operators paused its class of work"),
-            Wait::LogDown => {
+            WaitReason::Quota => f.write_str("its team's quota is used up"),
+            WaitReason::Paused => f.write_str("operators paused its class of work"),
+            WaitReason::LogUnavailable => {
                 f.write_str("its start must be recorded first and the log takes no appends")
             }
-            Wait::Blocked { vm: Some(vm) } => {
+            WaitReason::Blocked { vm: Some(vm) } => {
                 write!(f, "it may run on {vm}, which has not answered this holder")
             }
-            Wait::Blocked { vm: None } => f.write_str(
+            WaitReason::Blocked { vm: None } => f.write_str(
                 "an earlier holder may have started it on a worker that is not accounted for",
             ),
-            Wait::Backoff { wait } => {
-                write!(f, "its starts failed; next try in {} ms", wait.as_millis())
+            WaitReason::Backoff { retry_in } => {
+                write!(f, "its starts failed; next try in {} ms", retry_in.as_millis())
+            }
+            WaitReason::OtherDataCentreFirst => {
+                f.write_str("a data centre that it prefers goes first")
             }
-            Wait::Turn => f.write_str("a data centre that it prefers goes first"),
         }
     }
 }
 
-fn write_miss(f: &mut fmt::Formatter<'_>, miss: &Option<Miss>) -> fmt::Result {
-    match miss {
-        Some(miss) => write!(f, "; {miss}"),
+fn write_shortfall(f: &mut fmt::Formatter<'_>, shortfall: &Option<Shortfall>) -> fmt::Result {
+    match shortfall {
+        Some(shortfall) => write!(f, "; {shortfall}"),
         None => f.write_str("; there is no open worker"),
     }
 }
 
-/// One decision or finding about a task or VM.
+/// A decision or observation about a task or VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reason {
     /// The task does not run yet.
-    Waits(Wait),
-    /// This data centre has the task.
+    NotRunning(WaitReason),
+    /// The task is checked out by this data centre.
     CheckedOut,
-    /// The task was given back, so that another data centre may have it.
+    /// The task was returned, so that another data centre may check it out.
     Returned,
-    /// The task goes to a worker.
+    /// The task was placed on a worker.
     Placed {
         /// The worker.
-        vm: Label,
-        /// How many workers with room were weighed.
-        weighed: usize,
+        vm: VmLabel,
+        /// The number of workers with free capacity that were considered.
+        considered: usize,
     },
     /// The answer to a start was lost: the task may or may not run.
-    StartLost {
+    StartUnconfirmed {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
     },
     /// A start took no effect.
-    StartRefused {
+    StartRejected {
         /// The worker.
-        vm: Label,
-        /// What it said.
+        vm: VmLabel,
+        /// The result that the worker reported.
         result: OrderResult,
     },
     /// A worker reported that the task runs.
-    Runs {
+    ReportedRunning {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
     },
     /// The task ended.
     Ended {
-        /// How.
+        /// How the task ended.
         exit: Exit,
     },
-    /// The task is stopped because its job no longer wants it, or another copy is recorded.
+    /// The task is stopped because its job no longer needs it, or because another copy is
+    /// recorded.
     Stopped {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
     },
-    /// The task is checkpointed to make room.
+    /// The task is checkpointed to free capacity for another task.
     Evicted {
         /// The worker.
-        vm: Label,
-        /// The task that gets the room.
-        winner: TaskId,
+        vm: VmLabel,
+        /// The task that gets the capacity.
+        evicted_for: TaskId,
     },
     /// The task is checkpointed because it slows services down.
-    Disturbs {
+    EvictedForInterference {
         /// The worker.
-        vm: Label,
-        /// The slowdown of the worst service there, in thousandths.
+        vm: VmLabel,
+        /// The slowdown of the worst service on the worker, in thousandths.
         slowdown: u32,
     },
-    /// The task leaves a VM that is leaving or drained.
-    Moves {
+    /// The task is checkpointed because its VM is leaving or drained.
+    Evacuated {
         /// The worker.
-        vm: Label,
+        vm: VmLabel,
     },
     /// The share of batch work on a worker changed.
     Throttled {
         /// The share in thousandths.
         share: u32,
-        /// The slowdown of the worst service there, in thousandths.
+        /// The slowdown of the worst service on the worker, in thousandths.
         slowdown: u32,
     },
     /// The worker answered under this epoch.
     Answered {
-        /// How many tasks it runs.
+        /// The number of tasks that run on it.
         running: usize,
     },
     /// The worker did not answer.
-    Silent,
-    /// Nothing new goes to the worker.
-    Closed,
+    CallFailed,
+    /// The worker gets no new work.
+    Draining,
     /// The worker takes work again.
     Opened,
-    /// The VM list does not have the VM any more.
-    Gone,
-    /// The worker failed what it started and gets nothing for a while.
-    PutAside {
-        /// Failures in a row.
+    /// The VM is missing from the VM list.
+    Unlisted,
+    /// The worker failed what it started and gets no work for a while.
+    Quarantined {
+        /// The number of consecutive failures.
         failures: u32,
-        /// For how long.
-        wait: Duration,
+        /// The duration of the quarantine.
+        duration: Duration,
     },
-    /// The worker gets one task to see whether it works again.
-    Probed,
+    /// The worker gets one task to test whether it works again.
+    Probing,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Waits(wait) => write!(f, "waits: {wait}"),
+            Reason::NotRunning(wait) => write!(f, "waits: {wait}"),
             Reason::CheckedOut => f.write_str("checked out by this data centre"),
             Reason::Returned => f.write_str("given back: no room here for a while"),
-            Reason::Placed { vm, weighed } => {
-                write!(f, "placed on {vm}, the best of {weighed} workers with room")
+            Reason::Placed { vm, considered } => {
+                write!(f, "placed on {vm}, the best of {considered} workers with room")
             }
-            Reason::StartLost { vm } => {
+            Reason::StartUnconfirmed { vm } => {
                 write!(f, "start sent to {vm}, answer lost: kept there until it answers")
             }
-            Reason::StartRefused { vm, result } => {
+            Reason::StartRejected { vm, result } => {
                 let what = match result {
                     OrderResult::NoRoom => "had no room",
                     _ => "could not start it",
                 };
                 write!(f, "{vm} {what}")
             }
-            Reason::Runs { vm } => write!(f, "runs on {vm}"),
-            Reason::Ended { exit } => write!(f, "ended: {}", ExitWords(*exit)),
+            Reason::ReportedRunning { vm } => write!(f, "runs on {vm}"),
+            Reason::Ended { exit } => write!(f, "ended: {}", ExitText(*exit)),
             Reason::Stopped { vm } => write!(f, "ordered to stop on {vm}"),
-            Reason::Evicted { vm, winner } => {
-                write!(f, "checkpointed on {vm} to make room for task {winner}")
+            Reason::Evicted { vm, evicted_for } => {
+                write!(f, "checkpointed on {vm} to make room for task {evicted_for}")
             }
-            Reason::Disturbs { vm, slowdown } => {
-                write!(f, "checkpointed on {vm}: services there are slowed to {}", Times(*slowdown))
+            Reason::EvictedForInterference { vm, slowdown } => {
+                write!(
+                    f,
+                    "checkpointed on {vm}: services there are slowed to {}",
+                    SlowdownFactor(*slowdown)
+                )
             }
-            Reason::Moves { vm } => write!(f, "leaves {vm}, which takes no more work"),
+            Reason::Evacuated { vm } => write!(f, "leaves {vm}, which takes no more work"),
             Reason::Throttled { share, slowdown } => {
-                let slow = Times(*slowdown);
+                let slow = SlowdownFactor(*slowdown);
                 write!(f, "batch work limited to {share}/1000 of its processors, services {slow}")
             }
             Reason::Answered { running } => write!(f, "answered, runs {running} tasks"),
-            Reason::Silent => f.write_str("did not answer"),
-            Reason::Closed => f.write_str("leaving or drained: gets nothing new"),
+            Reason::CallFailed => f.write_str("did not answer"),
+            Reason::Draining => f.write_str("leaving or drained: gets nothing new"),
             Reason::Opened => f.write_str("takes work"),
-            Reason::Gone => f.write_str("missing from the VM list"),
-            Reason::PutAside { failures, wait } => {
-                write!(f, "put aside for {} s after {failures} failures in a row", wait.as_secs())
+            Reason::Unlisted => f.write_str("missing from the VM list"),
+            Reason::Quarantined { failures, duration } => {
+                write!(
+                    f,
+                    "put aside for {} s after {failures} failures in a row",
+                    duration.as_secs()
+                )
             }
-            Reason::Probed => f.write_str("gets one task to see whether it works again"),
+            Reason::Probing => f.write_str("gets one task to see whether it works again"),
         }
     }
 }
 
-/// An exit in words.
+/// Displays an exit for operators.
 #[derive(Debug)]
-struct ExitWords(Exit);
+struct ExitText(Exit);
 
-impl fmt::Display for ExitWords {
+impl fmt::Display for ExitText {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self.0 {
             Exit::Done => "done",
@@ -273,45 +284,45 @@
     }
 }
 
-/// A slowdown in thousandths, as `1.25 times`.
+/// Displays a slowdown in thousandths as `1.25 times`.
 #[derive(Debug)]
-struct Times(u32);
+struct SlowdownFactor(u32);
 
-impl fmt::Display for Times {
+impl fmt::Display for SlowdownFactor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{:02} times", self.0 / 1000, self.0 % 1000 / 10)
     }
 }
 
-/// A reason and when it came up, by the holder's clock.
+/// A reason and its time by the holder's clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Noted {
-    /// When, or when last if it came up again and again.
+pub struct TimedReason {
+    /// The time of the reason, or of its last repetition.
     pub at: Instant,
-    /// What.
+    /// The reason.
     pub reason: Reason,
 }
 
-/// The last few reasons of one subject, oldest first.
+/// The last few reasons of one task or worker, oldest first.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Notes(Vec<Noted>);
+pub(crate) struct Notes(Vec<TimedReason>);
 
 impl Notes {
-    /// Reasons kept for each subject; what is older says little about the present.
-    const KEPT: usize = 6;
+    /// The maximum number of reasons for each subject; older ones say little about the present.
+    const MAX_REASONS: usize = 6;
 
     pub(crate) fn add(&mut self, at: Instant, reason: Reason) {
         if let Some(last) = self.0.last_mut().filter(|last| last.reason == reason) {
             last.at = at;
             return;
         }
-        if self.0.len() == Notes::KEPT {
+        if self.0.len() == Notes::MAX_REASONS {
             self.0.remove(0);
         }
-        self.0.push(Noted { at, reason });
+        self.0.push(TimedReason { at, reason });
     }
 
-    pub(crate) fn to_vec(&self) -> Vec<Noted> {
+    pub(crate) fn to_vec(&self) -> Vec<TimedReason> {
         self.0.clone()
     }
 }
--- a/daisy-placement/src/roster.rs
+++ b/daisy-placement/src/roster.rs
@@ -6,61 +6,61 @@
     holder::Holder,
     index::FreeIndex,
     reason::Reason,
-    worker::{Standing, Worker, WorkerKey},
+    worker::{Availability, Worker, WorkerKey},
 };
 
-/// Workers by slot and by VM, with an index of their free room.
+/// The workers by slot and by VM, with an index of their free capacity.
 ///
-/// The slot of a VM that is gone is used again, so that replacements take no memory.
+/// The slot of a removed VM is reused, so that replacements need no further memory.
 #[derive(Debug)]
 pub(crate) struct Roster {
     slots: Vec<Option<Worker>>,
-    vacant: Vec<WorkerKey>,
+    free_slots: Vec<WorkerKey>,
     by_vm: SortedMap<VmId, WorkerKey>,
-    index: FreeIndex,
-    /// What each worker holds in all.
-    whole: FreeIndex,
+    by_free: FreeIndex,
+    /// An index of each worker's total capacity.
+    by_capacity: FreeIndex,
     rng: fastrand::Rng,
-    list_at: Option<Instant>,
-    /// Workers that may have to be called.
-    touched: Vec<WorkerKey>,
+    vm_list_at: Option<Instant>,
+    /// The workers that may have to be called.
+    marked_for_call: Vec<WorkerKey>,
 }
 
 impl Roster {
     pub(crate) fn new(seed: u64) -> Roster {
         Roster {
             slots: Vec::new(),
-            vacant: Vec::new(),
+            free_slots: Vec::new(),
             by_vm: SortedMap::new(),
-            index: FreeIndex::default(),
-            whole: FreeIndex::default(),
+            by_free: FreeIndex::default(),
+            by_capacity: FreeIndex::default(),
             rng: fastrand::Rng::with_seed(seed),
-            list_at: None,
-            touched: Vec::new(),
+            vm_list_at: None,
+            marked_for_call: Vec::new(),
         }
     }
 
-    pub(crate) fn list_seen(&self) -> bool {
-        self.list_at.is_some()
+    pub(crate) fn has_vm_list(&self) -> bool {
+        self.vm_list_at.is_some()
     }
 
-    /// When the VM list was last taken in.
-    pub(crate) fn list_at(&self) -> Option<Instant> {
-        self.list_at
+    /// Returns when the VM list was last received.
+    pub(crate) fn vm_list_at(&self) -> Option<Instant> {
+        self.vm_list_at
     }
 
-    /// Has a worker looked at when calls are made.
-    pub(crate) fn touch(&mut self, key: WorkerKey) {
-        self.touched.push(key);
+    /// Has a worker checked when the next calls are made.
+    pub(crate) fn mark_for_call(&mut self, key: WorkerKey) {
+        self.marked_for_call.push(key);
     }
 
-    /// Has all workers looked at when calls are made.
-    pub(crate) fn touch_all(&mut self) {
-        self.touched = self.keys();
+    /// Has all workers checked when the next calls are made.
+    pub(crate) fn mark_all_for_call(&mut self) {
+        self.marked_for_call = self.keys();
     }
 
-    pub(crate) fn take_touched(&mut self) -> Vec<WorkerKey> {
-        std::mem::take(&mut self.touched)
+    pub(crate) fn take_marked_for_call(&mut self) -> Vec<WorkerKey> {
+        std::mem::take(&mut self.marked_for_call)
     }
 
     pub(crate) fn get(&self, key: WorkerKey) -> Option<&Worker> {
@@ -83,53 +83,54 @@
         self.by_vm.iter().map(|(_, key)| *key).collect()
     }
 
-    /// Brings the index up to date with a worker.
+    /// Updates the indexes for a worker.
     pub(crate) fn reindex(&mut self, key: WorkerKey) {
         let free = match self.get(key) {
             Some(worker) if worker.is_open() => worker.free(),
             _ => Resources::ZERO,
         };
-        self.index.set(key.index(), free);
-        let whole = self.get(key).map_or(Resources::ZERO, |worker| worker.capacity);
-        self.whole.set(key.index(), whole);
+        self.by_free.set(key.index(), free);
+        let capacity = self.get(key).map_or(Resources::ZERO, |worker| worker.capacity);
+        self.by_capacity.set(key.index(), capacity);
     }
 
-    /// Whether some worker could hold `size` if nothing else ran there.
-    pub(crate) fn can_ever_hold(&self, size: Resources) -> bool {
-        self.whole.has(size)
+    /// Whether some worker could fit `size` if nothing else ran there.
+    pub(crate) fn can_ever_fit(&self, size: Resources) -> bool {
+        self.by_capacity.has(size)
     }
 
-    /// Whether some worker that takes new work has room for `size`.
-    pub(crate) fn has_room(&self, size: Resources) -> bool {
-        self.index.has(size)
+    /// Whether some worker that takes new work has free capacity for `size`.
+    pub(crate) fn has_free_capacity(&self, size: Resources) -> bool {
+        self.by_free.has(size)
     }
 
-    /// The most of each part that any worker holds.
-    pub(crate) fn largest(&self) -> Resources {
-        self.whole.largest()
+    /// Returns the maximum of each resource over all workers' capacities.
+    pub(crate) fn largest_capacity(&self) -> Resources {
+        self.by_capacity.largest()
     }
 
-    /// Has the next report looked at for each task of a job that was changed.
-    pub(crate) fn unsettle(&mut self, job: JobId) {
+    /// Clears the confirmation of all tasks of a changed job, so that the next report of each is
+    /// checked.
+    pub(crate) fn invalidate_confirmations(&mut self, job: JobId) {
         for worker in self.slots.iter_mut().flatten() {
-            for (task, held) in worker.held.iter_mut() {
-                held.settled &= task.job != job;
+            for (task, allocation) in worker.allocations.iter_mut() {
+                allocation.confirmed &= task.job != job;
             }
         }
     }
 
-    /// A number below `bound`.
+    /// Returns a random number below `bound`.
     pub(crate) fn random(&mut self, bound: u32) -> u32 {
         self.rng.u32(..bound)
     }
 
-    /// Up to `limit` workers with room for `size`, from a random place on.
+    /// Finds up to `limit` workers with free capacity for `size`, starting at a random slot.
     ///
     /// The random start spreads equal choices; the same seed gives the same choices.
     pub(crate) fn find(&mut self, size: Resources, limit: usize, found: &mut Vec<WorkerKey>) {
         let mut slots = Vec::with_capacity(limit);
         let start = self.rng.usize(..self.slots.len().max(1));
-        self.index.find(size, start, limit, &mut slots);
+        self.by_free.find(size, start, limit, &mut slots);
         found.extend(slots.into_iter().map(WorkerKey::from_index));
         found.retain(|key| self.get(*key).is_some_and(Worker::is_open));
     }
@@ -137,14 +138,14 @@
     pub(crate) fn remove(&mut self, key: WorkerKey) {
         let Some(worker) = self.slots.get_mut(key.index()).and_then(Option::take) else { return };
         self.by_vm.remove(&worker.id);
-        self.index.set(key.index(), Resources::ZERO);
-        self.whole.set(key.index(), Resources::ZERO);
-        self.vacant.push(key);
+        self.by_free.set(key.index(), Resources::ZERO);
+        self.by_capacity.set(key.index(), Resources::ZERO);
+        self.free_slots.push(key);
     }
 
     fn insert(&mut self, worker: Worker) {
         let vm = worker.id;
-        let key = match self.vacant.pop() {
+        let key = match self.free_slots.pop() {
             Some(key) => {
                 self.slots[key.index()] = Some(worker);
                 key
@@ -155,15 +156,15 @@
             }
         };
         self.by_vm.insert(vm, key);
-        self.index.set(key.index(), Resources::ZERO);
-        self.touched.push(key);
+        self.by_free.set(key.index(), Resources::ZERO);
+        self.marked_for_call.push(key);
     }
 }
 
 impl Holder {
-    /// Takes the platform's VM list in.
-    pub(crate) fn take_vms(&mut self, now: Instant, vms: &[Vm]) {
-        self.roster.list_at = Some(now);
+    /// Handles the platform's VM list.
+    pub(crate) fn handle_vm_list(&mut self, now: Instant, vms: &[Vm]) {
+        self.roster.vm_list_at = Some(now);
         let mut listed: Vec<VmId> = Vec::new();
         let dc = self.options.dc;
         for vm in vms.iter().filter(|vm| vm.role == VmRole::Worker && vm.dc == dc) {
@@ -171,41 +172,42 @@
             if self.roster.try_key(vm.id).is_none() {
                 self.roster.insert(Worker::new(vm, now));
             }
-            self.set_standing(now, vm);
+            self.update_availability(now, vm);
         }
         listed.sort_unstable();
-        self.note_missing(now, &listed);
+        self.mark_unlisted(now, &listed);
     }
 
-    fn set_standing(&mut self, now: Instant, vm: &Vm) {
-        let closed = vm.status == VmStatus::Leaving || self.drained.contains(&vm.name);
+    fn update_availability(&mut self, now: Instant, vm: &Vm) {
+        let is_draining = vm.status == VmStatus::Leaving || self.drained.contains(&vm.name);
         let Some(key) = self.roster.try_key(vm.id) else { return };
         let Some(worker) = self.roster.get_mut(key) else { return };
-        let standing = if closed { Standing::Closed } else { Standing::Live };
-        if worker.standing == standing && worker.leaving == (vm.status == VmStatus::Leaving) {
+        let availability = if is_draining { Availability::Draining } else { Availability::Live };
+        if worker.availability == availability && worker.leaving == (vm.status == VmStatus::Leaving)
+        {
             return;
         }
-        worker.stand(now, standing);
+        worker.set_availability(now, availability);
         worker.leaving = vm.status == VmStatus::Leaving;
         self.roster.reindex(key);
-        self.place_due = true;
+        self.placement_due = true;
     }
 
-    fn note_missing(&mut self, now: Instant, listed: &[VmId]) {
+    fn mark_unlisted(&mut self, now: Instant, listed: &[VmId]) {
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get_mut(key) else { continue };
             let is_listed = listed.binary_search(&worker.id).is_ok();
-            let is_gone = matches!(worker.standing, Standing::Gone { .. });
-            if is_listed || is_gone {
+            let is_unlisted = matches!(worker.availability, Availability::Unlisted { .. });
+            if is_listed || is_unlisted {
                 continue;
             }
-            worker.standing = Standing::Gone { since: now };
-            worker.notes.add(now, Reason::Gone);
+            worker.availability = Availability::Unlisted { since: now };
+            worker.notes.add(now, Reason::Unlisted);
             self.roster.reindex(key);
         }
     }
 
-    /// Applies operators' drains to the workers known.
+    /// Applies operators' drains to the known workers.
     pub(crate) fn apply_drains(&mut self, now: Instant, drained: &[Name]) {
         if self.drained == drained {
             return;
@@ -214,12 +216,15 @@
         for key in self.roster.keys() {
             let Some(worker) = self.roster.get_mut(key) else { continue };
             let is_drained = drained.contains(&worker.name);
-            if let Standing::Live | Standing::Closed = worker.standing {
-                let closed = worker.leaving || is_drained;
-                worker.stand(now, if closed { Standing::Closed } else { Standing::Live });
+            if let Availability::Live | Availability::Draining = worker.availability {
+                let is_draining = worker.leaving || is_drained;
+                worker.set_availability(
+                    now,
+                    if is_draining { Availability::Draining } else { Availability::Live },
+                );
             }
             self.roster.reindex(key);
         }
-        self.place_due = true;
+        self.placement_due = true;
     }
 }
--- a/daisy-placement/src/view.rs
+++ b/daisy-placement/src/view.rs
@@ -1,4 +1,4 @@
-//! What a holder knows, as plain data for `show` and `why`.
+//! The holder's state as plain data for `show` and `why`.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 use crate::{
     holder::Holder,
     place::FULL_SHARE,
-    reason::{Noted, Reason},
-    task::{Local, Phase},
-    worker::{Ending, Standing, Worker},
+    reason::{Reason, TimedReason},
+    task::{LocalTask, Phase},
+    worker::{Availability, Removal, Worker},
 };
 
-/// How a worker stands with its holder.
+/// The state of a worker, as its holder sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// Takes new work.
+    /// It takes new work.
     Open,
-    /// Has not answered under this epoch.
-    Unheard,
-    /// Did not answer the last call.
+    /// It has not answered under this epoch.
+    NeverAnswered,
+    /// It did not answer the last call.
     Silent,
-    /// Leaving or drained.
-    Closed,
-    /// Missing from the VM list.
-    Gone,
-    /// Put aside after failures.
-    Aside,
+    /// It is leaving or drained.
+    Draining,
+    /// It is missing from the VM list.
+    Unlisted,
+    /// It is quarantined after failures.
+    Quarantined,
 }
 
 /// A worker of the data centre.
@@ -34,53 +34,53 @@
 pub struct WorkerView {
     /// The VM.
     pub vm: VmId,
-    /// Its name.
+    /// The VM's name.
     pub name: Name,
-    /// Its rack.
+    /// The VM's rack.
     pub rack: u16,
-    /// How it stands.
+    /// The worker's state.
     pub status: WorkerStatus,
-    /// What it holds in all.
+    /// Its total capacity.
     pub capacity: Resources,
-    /// What is taken, tasks included whose start is not answered yet.
-    pub taken: Resources,
-    /// How many tasks take it.
+    /// Its allocated capacity, including tasks whose start is not answered yet.
+    pub allocated: Resources,
+    /// The number of tasks with an allocation.
     pub tasks: usize,
     /// The lowest share of processors among its tasks, in thousandths.
     pub share: u32,
 }
 
-/// How a task stands with its holder.
+/// The state of a task, as its holder sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskStatus {
-    /// Checked out, runs nowhere yet.
+    /// It is checked out and runs nowhere yet.
     Waiting,
     /// Its start is on the way.
     Starting,
-    /// Runs.
+    /// It runs.
     Running,
-    /// An earlier holder may have started it; blocked until that is known.
+    /// An earlier holder may have started it; it is blocked until that is known.
     Blocked,
-    /// Ended; the ledger does not show it yet.
+    /// It ended; the ledger does not show it yet.
     Ending,
 }
 
-/// A task that the data centre has.
+/// A task that is checked out by the data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskView {
     /// The task.
     pub task: TaskId,
-    /// How it stands.
+    /// The task's state.
     pub status: TaskStatus,
     /// Its worker.
     pub vm: Option<VmId>,
-    /// Its incarnation, that of the last start if it does not run.
+    /// Its incarnation, or that of the last start if it does not run.
     pub incarnation: Incarnation,
     /// Since when it waits or is blocked.
     pub since: Option<Instant>,
     /// Its share of its processors, in thousandths.
     pub share: u32,
-    /// The run time to expect: seen in the job's tasks, or else as declared.
+    /// The expected run time: measured on the job's tasks, or else as declared.
     pub run_time: Option<Duration>,
 }
 
@@ -89,7 +89,7 @@
 pub struct Replica {
     /// The service.
     pub job: JobId,
-    /// The replica.
+    /// The replica's task.
     pub task: TaskId,
     /// Its worker.
     pub vm: VmId,
@@ -98,13 +98,13 @@
 }
 
 impl Holder {
-    /// The workers of the data centre by VM.
+    /// Returns the workers of the data centre, ordered by VM.
     pub fn workers(&self) -> Vec<WorkerView> {
         self.roster.iter().map(|(_, worker)| worker_view(worker)).collect()
     }
 
-    /// The tasks that the data centre has, in the order of their ids.
-    pub fn running(&self) -> Vec<TaskView> {
+    /// Returns the tasks that are checked out by the data centre, ordered by id, in any state.
+    pub fn checked_out_tasks(&self) -> Vec<TaskView> {
         let tasks = self.jobs.iter().flat_map(|(id, job)| {
             let tasks = job.tasks.iter().enumerate();
             tasks.map(move |(index, local)| (TaskId { job: *id, index: index as u32 }, local))
@@ -112,7 +112,7 @@
         tasks.filter_map(|(task, local)| self.try_task_view(task, local)).collect()
     }
 
-    /// The running replicas of all services, to route requests to.
+    /// Returns the running replicas of all services, as targets for requests.
     pub fn replicas(&self) -> Vec<Replica> {
         let mut replicas = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.is_service()) {
@@ -120,8 +120,10 @@
                 let Phase::Running { worker } = local.phase else { continue };
                 let Some(worker) = self.roster.get(worker) else { continue };
                 let task = TaskId { job: *id, index: index as u32 };
-                let is_ending =
-                    worker.held.get(&task).is_some_and(|held| held.ending != Ending::No);
+                let is_ending = worker
+                    .allocations
+                    .get(&task)
+                    .is_some_and(|allocation| allocation.removal != Removal::NotPlanned);
                 let leaving = is_ending || worker.leaving;
                 replicas.push(Replica { job: *id, task, vm: worker.id, leaving });
             }
@@ -129,35 +131,35 @@
         replicas
     }
 
-    /// The last decisions about a task, oldest first; empty if this holder has made none.
-    pub fn reasons(&self, task: TaskId) -> Vec<Noted> {
-        let Some(job) = self.jobs.get(&task.job) else { return self.past_reasons(task) };
+    /// Returns the last reasons of a task, oldest first; empty if this holder has recorded none.
+    pub fn reasons(&self, task: TaskId) -> Vec<TimedReason> {
+        let Some(job) = self.jobs.get(&task.job) else { return self.retired_reasons(task) };
         let Some(local) = job.tasks.get(task.index as usize) else { return Vec::new() };
         let mut notes = local.notes.to_vec();
         let is_waiting = matches!(
             local.phase,
-            Phase::Pending { .. } | Phase::Asked { .. } | Phase::Waiting { .. }
+            Phase::Pending { .. } | Phase::CheckoutRequested { .. } | Phase::Waiting { .. }
         );
         if is_waiting {
-            notes.extend(job.wait.clone());
+            notes.extend(job.wait_reason.clone());
         }
         notes
     }
 
-    fn past_reasons(&self, task: TaskId) -> Vec<Noted> {
-        let past = self.past.iter().rev().find(|(it, _)| *it == task);
-        past.map(|(_, notes)| notes.to_vec()).unwrap_or_default()
+    fn retired_reasons(&self, task: TaskId) -> Vec<TimedReason> {
+        let retired = self.retired.iter().rev().find(|(it, _)| *it == task);
+        retired.map(|(_, notes)| notes.to_vec()).unwrap_or_default()
     }
 
-    /// Why jobs have tasks that nobody has checked out: paused, over their quota, not this
-    /// data centre's turn, or fitting nowhere, with the nearest miss.
-    pub fn waiting_jobs(&self) -> Vec<(JobId, Noted)> {
+    /// Returns why jobs have tasks that no data centre has checked out: paused, over their
+    /// quota, another data centre first, or fitting on no worker, with the smallest shortfall.
+    pub fn waiting_jobs(&self) -> Vec<(JobId, TimedReason)> {
         let jobs = self.jobs.iter().filter(|(_, job)| !job.pending.is_empty());
-        jobs.filter_map(|(id, job)| Some((*id, job.wait.clone()?))).collect()
+        jobs.filter_map(|(id, job)| Some((*id, job.wait_reason.clone()?))).collect()
     }
 
-    /// The last decisions about a VM, oldest first; empty if it is none of our workers.
-    pub fn vm_reasons(&self, vm: VmId) -> Vec<Noted> {
+    /// Returns the last reasons of a VM, oldest first; empty if it is not a worker here.
+    pub fn vm_reasons(&self, vm: VmId) -> Vec<TimedReason> {
         let worker = self.roster.try_key(vm).and_then(|key| self.roster.get(key));
         worker.map(|worker| worker.notes.to_vec()).unwrap_or_default()
     }
@@ -168,11 +170,11 @@
         }
     }
 
-    fn try_task_view(&self, task: TaskId, local: &Local) -> Option<TaskView> {
+    fn try_task_view(&self, task: TaskId, local: &LocalTask) -> Option<TaskView> {
         let (status, since) = match local.phase {
-            Phase::Elsewhere
+            Phase::NotOurs
             | Phase::Pending { .. }
-            | Phase::Asked { .. }
+            | Phase::CheckoutRequested { .. }
             | Phase::Returned { .. } => return None,
             Phase::Waiting { since } => (TaskStatus::Waiting, Some(since)),
             Phase::Inherited { since } => (TaskStatus::Blocked, Some(since)),
@@ -181,34 +183,34 @@
             Phase::Ended { .. } => (TaskStatus::Ending, None),
         };
         let worker = local.try_worker().and_then(|key| self.roster.get(key));
-        let held = worker.and_then(|worker| worker.held.get(&task));
-        let share = held.map_or(FULL_SHARE, |held| held.share);
+        let allocation = worker.and_then(|worker| worker.allocations.get(&task));
+        let share = allocation.map_or(FULL_SHARE, |allocation| allocation.share);
         let vm = worker.map(|worker| worker.id).or(local.try_recorded_vm());
         let job = self.jobs.get(&task.job)?;
-        let run_time = job.seen.try_run_time(job.spec.run_time);
+        let run_time = job.measured.try_run_time(job.spec.run_time);
         let incarnation = local.incarnation;
         Some(TaskView { task, status, vm, incarnation, since, share, run_time })
     }
 }
 
 fn worker_view(worker: &Worker) -> WorkerView {
-    let status = match worker.standing {
-        Standing::Gone { .. } => WorkerStatus::Gone,
-        _ if !worker.heard => WorkerStatus::Unheard,
-        _ if !worker.answers => WorkerStatus::Silent,
-        Standing::Closed => WorkerStatus::Closed,
-        _ if worker.faults.is_aside() => WorkerStatus::Aside,
-        Standing::Live => WorkerStatus::Open,
+    let status = match worker.availability {
+        Availability::Unlisted { .. } => WorkerStatus::Unlisted,
+        _ if !worker.has_answered => WorkerStatus::NeverAnswered,
+        _ if !worker.is_responsive => WorkerStatus::Silent,
+        Availability::Draining => WorkerStatus::Draining,
+        _ if worker.faults.is_quarantined() => WorkerStatus::Quarantined,
+        Availability::Live => WorkerStatus::Open,
     };
-    let shares = worker.held.iter().map(|(_, held)| held.share);
+    let shares = worker.allocations.iter().map(|(_, allocation)| allocation.share);
     WorkerView {
         vm: worker.id,
         name: worker.name.clone(),
         rack: worker.rack,
         status,
         capacity: worker.capacity,
-        taken: worker.taken,
-        tasks: worker.held.len(),
+        allocated: worker.allocated,
+        tasks: worker.allocations.len(),
         share: shares.min().unwrap_or(FULL_SHARE),
     }
 }
