--- a/daisy-measure/src/overload/drive.rs
+++ b/daisy-measure/src/overload/drive.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Action, Batch, Claimed, Event, JobId, JobKind, JobState, Layout, Ledger, Owner, Queue, Queues,
-    Record, Rules, Service, Settings, ShardId, Start, TaskId, WorkerKey,
+    Action, Batch, Claimed, Event, JobId, JobKind, JobState, Layout, Ledger, Owner, Queue,
+    QueueConfig, Record, Rules, Service, Settings, ShardId, Start, TaskId, WorkerKey,
 };
 
 use super::{
@@ -253,7 +253,7 @@
             let state = self.shards.iter().find_map(|shard| {
                 shard.ledger.job(id).filter(|it| !it.is_part()).map(|it| it.state())
             });
-            if it.spec.kind() != JobKind::Lasting && it.at >= Instant::from_millis(LEAD_MS) {
+            if it.spec.kind() != JobKind::LongRunning && it.at >= Instant::from_millis(LEAD_MS) {
                 self.report.add_job(it, state == Some(JobState::Completed));
             }
         }
@@ -300,7 +300,7 @@
     Resources { cpu_milli, memory_mib, accelerators: 0 }
 }
 
-fn queues() -> Arc<Queues> {
+fn queues() -> Arc<QueueConfig> {
     let services = vec![Service { name: "shop".into(), workers_guard: false, connections: 64 }];
-    Arc::new(Queues { version: 1, queues: Vec::<Queue>::new(), services, body_bytes: 1 << 18 })
+    Arc::new(QueueConfig { version: 1, queues: Vec::<Queue>::new(), services, body_bytes: 1 << 18 })
 }
--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -10,7 +10,7 @@
 
 use daisy_model::{Instant, SortedMap};
 use daisy_platform::{Guard, Store, StoreError, Topic};
-use daisy_workflow::{ShardId, Silence, Turn};
+use daisy_workflow::{LogHealth, SendDecision, ShardId};
 use tokio::{
     sync::{Notify, mpsc, oneshot},
     time::{Instant as Deadline, sleep, timeout_at},
@@ -100,19 +100,19 @@
 struct Log {
     store: Store,
     shared: Shared,
-    silences: Arc<Mutex<SortedMap<ShardId, Silence>>>,
+    silences: Arc<Mutex<SortedMap<ShardId, LogHealth>>>,
     freed: Arc<Notify>,
 }
 
 impl Log {
     /// What `f` gives for the partition of `shard`, of which all is known that was read by `now`.
-    fn silence<T>(&self, now: Instant, shard: ShardId, f: impl FnOnce(&mut Silence) -> T) -> T {
+    fn silence<T>(&self, now: Instant, shard: ShardId, f: impl FnOnce(&mut LogHealth) -> T) -> T {
         let (read, back_at) = {
             let known = self.shared.lock();
             (known.states_read.map(|(at, _)| at), known.reach.back_at())
         };
         let mut silences = self.silences.lock().unwrap_or_else(PoisonError::into_inner);
-        let silence = silences.get_or_insert_with(shard, Silence::default);
+        let silence = silences.get_or_insert_with(shard, LogHealth::default);
         silence.read_elsewhere(read.unwrap_or_default().min(now), back_at.min(now));
         f(silence)
     }
@@ -212,9 +212,9 @@
     waiting: &mut Vec<Waiter>,
 ) -> Option<(Vec<Waiter>, Duration)> {
     let (timeout, all) = match log.silence(now, shard, |it| it.turn(now)) {
-        Turn::All(timeout) => (timeout, true),
-        Turn::Again(timeout) => (timeout, false),
-        Turn::Ask(_) | Turn::Wait => return None,
+        SendDecision::All(timeout) => (timeout, true),
+        SendDecision::RetriesOnly(timeout) => (timeout, false),
+        SendDecision::Probe(_) | SendDecision::Wait => return None,
     };
     let mut left = BATCH_MAX;
     let goes = |it: &mut Waiter| {
--- a/daisy-node/src/callers.rs
+++ b/daisy-node/src/callers.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use daisy_platform::DEADLINE_HEADER;
-use daisy_workflow::Queues;
+use daisy_workflow::QueueConfig;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, header, request::Parts};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
@@ -132,7 +132,7 @@
     submissions.answer(&parts.method, queue, rest, &body, deadline).await
 }
 
-async fn collect(body: &mut Incoming, queues: &Arc<Queues>) -> Result<Bytes, Answer> {
+async fn collect(body: &mut Incoming, queues: &Arc<QueueConfig>) -> Result<Bytes, Answer> {
     match Limited::new(body, queues.body_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => {
--- a/daisy-node/src/elect.rs
+++ b/daisy-node/src/elect.rs
@@ -5,7 +5,8 @@
 use daisy_model::Instant;
 use daisy_platform::{Guard, NodeSettings, Store, StoreError, Topic};
 use daisy_workflow::{
-    Candidate, Claim, Election, Fold, Ledger, Record, RecordError, ShardId, Verdict, encode,
+    Candidate, Claim, Election, ElectionDecision, FoldEffect, Ledger, Record, RecordError, ShardId,
+    encode,
 };
 use futures::{
     future::{join_all, select_ok},
@@ -129,7 +130,7 @@
         let (mut seen, mut wrote) = (false, false);
         for it in read.records.iter().filter(|it| !it.value.is_empty()) {
             match jobs::read("progress", it).map(|record| self.ledger.fold(record)) {
-                Ok(Fold::Claim) => seen = true,
+                Ok(FoldEffect::Claim) => seen = true,
                 Ok(_) => wrote = true,
                 Err(e) => self.is_newer |= matches!(e, RecordError::Version(_)),
             }
@@ -169,7 +170,7 @@
         while !*self.elect.stop.borrow() {
             self.unfinished.take_if(|(at, _)| clock::now().since(*at) > READ_KEPT);
             match self.verdict() {
-                Verdict::Claim => {
+                ElectionDecision::Claim => {
                     self.elect.shared.lock().begin_claim();
                     let won = self.claim().await;
                     self.elect.shared.lock().end_claim();
@@ -178,19 +179,19 @@
                         None => sleep(PAUSE).await,
                     }
                 }
-                Verdict::Own(_) => sleep(PAUSE).await,
-                Verdict::Wait(left) => sleep(PAUSE.min(left)).await,
+                ElectionDecision::Own(_) => sleep(PAUSE).await,
+                ElectionDecision::Wait(left) => sleep(PAUSE.min(left)).await,
             }
         }
     }
 
-    fn verdict(&mut self) -> Verdict {
+    fn verdict(&mut self) -> ElectionDecision {
         let now = clock::now();
         let known = self.elect.shared.lock();
         // Without a configuration and the newest signs of life, a claim would go by nothing.
         let sure = known.is_fresh() && known.reach.shows_silence(now, self.lost_at);
         if known.queues.is_none() || !sure {
-            return Verdict::Wait(PAUSE);
+            return ElectionDecision::Wait(PAUSE);
         }
         let heard = known.directory.owner(self.shard);
         if let Some(heard) = heard {
--- a/daisy-node/src/follow.rs
+++ b/daisy-node/src/follow.rs
@@ -3,7 +3,7 @@
 use std::{pin::pin, time::Duration};
 
 use daisy_platform::{NewestPage, Store, StoreError, StoredRecord, Topic};
-use daisy_workflow::Patience;
+use daisy_workflow::LargeReadTimeout;
 use tokio::time::{sleep, timeout};
 
 use crate::clock;
@@ -32,7 +32,7 @@
     failures: u32,
     /// Pages of the first read that have come.
     pages: Option<NewestPage>,
-    patience: Patience,
+    patience: LargeReadTimeout,
 }
 
 /// What a read gave.
@@ -54,7 +54,7 @@
             has_gap: false,
             failures: 0,
             pages: None,
-            patience: Patience::default(),
+            patience: LargeReadTimeout::default(),
         }
     }
 
@@ -140,7 +140,7 @@
     async fn newest_page(&mut self, silent_after: Duration) -> Result<NewestPage, StoreError> {
         let silent_after = if self.patience.is_tried() { CALL_TIMEOUT } else { silent_after };
         let after = self.pages.as_ref().and_then(|it| it.records.last()).map(|it| it.key.as_str());
-        let mut call = pin!(self.store.newest(self.topic, after, Patience::BOUND_MAX));
+        let mut call = pin!(self.store.newest(self.topic, after, LargeReadTimeout::BOUND_MAX));
         let began = clock::now();
         self.patience.begin(began, silent_after, self.store.answered());
         while let Some(wait) = self.patience.try_wait(clock::now(), self.store.answered()) {
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -11,8 +11,8 @@
 use daisy_model::{Instant, SortedMap};
 use daisy_platform::{Guard, Topic, WorkerCalls};
 use daisy_workflow::{
-    Action, Claim, Claimed, Event, JobId, Lateness, Layout, Ledger, Owner, Record, Rules, Settings,
-    ShardId, Sign, Telling, Told, Uncertain, WorkerKey, encode,
+    Action, Claim, Claimed, Event, JobId, Layout, Ledger, Owner, OwnerHeartbeat, PublishedState,
+    Record, Rules, Settings, ShardId, StatePublisher, TickDelay, Uncertain, WorkerKey, encode,
 };
 use tokio::{
     sync::{mpsc, watch},
@@ -49,7 +49,7 @@
     pub claimed_at: Instant,
     pub after: u64,
     /// States that all VMs know already.
-    pub told: SortedMap<JobId, Told>,
+    pub told: SortedMap<JobId, PublishedState>,
 }
 
 /// Why an ownership ended.
@@ -125,12 +125,12 @@
             appending: false,
             appended_at: now,
             seq: 1,
-            telling: Telling::new(now, self.shard, self.told.clone()),
+            telling: StatePublisher::new(now, self.shard, self.told.clone()),
             telling_now: false,
             told_seq: 0,
             jobs_read,
             observed_at: now,
-            lateness: Lateness::new(now, TICK),
+            lateness: TickDelay::new(now, TICK),
             reported_at: now,
             uncertain: Vec::new(),
             ownership: self,
@@ -179,7 +179,7 @@
     appended_at: Instant,
     /// The number of the next append of progress in this epoch.
     seq: u64,
-    telling: Telling,
+    telling: StatePublisher,
     /// Whether an append of states is under way.
     telling_now: bool,
     /// The number of the next append of states in this epoch.
@@ -188,7 +188,7 @@
     jobs_read: watch::Receiver<Instant>,
     /// When what was learnt was last given to other owners.
     observed_at: Instant,
-    lateness: Lateness,
+    lateness: TickDelay,
     reported_at: Instant,
     /// Runs whose fate was not known at the last report.
     uncertain: Vec<Uncertain>,
@@ -410,7 +410,7 @@
     }
 
     /// A sign of life.
-    fn sign(&self, now: Instant, released: bool) -> Sign {
+    fn sign(&self, now: Instant, released: bool) -> OwnerHeartbeat {
         /// Twice the longest wait for a new record.
         const CURRENT: Duration = Duration::from_millis(800);
         let claim = Claim {
@@ -422,7 +422,7 @@
         let current = now.since(*self.jobs_read.borrow()) < CURRENT && self.all_told();
         let pending = self.owner.pending();
         let load = self.owner.load(now);
-        Sign { shard, claim, current, pending, load }
+        OwnerHeartbeat { shard, claim, current, pending, load }
     }
 
     /// Whether callers can know of all jobs that are handed on.
@@ -498,7 +498,7 @@
         }
         let sign = self.sign(clock::now(), true);
         let mut records = self.telling.records();
-        records.push(Record::Sign(Box::new(sign)));
+        records.push(Record::OwnerHeartbeat(Box::new(sign)));
         self.send_states(records);
         appended.recv().await;
         why
--- a/daisy-node/src/shared.rs
+++ b/daisy-node/src/shared.rs
@@ -6,7 +6,9 @@
 };
 
 use daisy_model::{Instant, SortedMap};
-use daisy_workflow::{Directory, Event, JobId, JobState, Queues, Reach, Record, ShardId};
+use daisy_workflow::{
+    Directory, Event, JobId, JobState, LogReachability, QueueConfig, Record, ShardId,
+};
 use tokio::sync::mpsc;
 
 use crate::clock;
@@ -21,11 +23,11 @@
     /// The fold of the records that every VM follows.
     pub directory: Directory,
     /// The newest configuration, once one was read.
-    pub queues: Option<Arc<Queues>>,
+    pub queues: Option<Arc<QueueConfig>>,
     /// When the topic of states was last read to its end, and where that was.
     pub states_read: Option<(Instant, u64)>,
     /// How the log answered reads of that topic.
-    pub reach: Reach,
+    pub reach: LogReachability,
     /// Shards that this process is about to claim.
     claiming: u32,
     /// Jobs that this process stored, and when.
@@ -79,13 +81,13 @@
     }
 
     /// Takes a configuration in unless a newer one is in force.
-    pub fn configure(&mut self, queues: Queues) {
+    pub fn configure(&mut self, queues: QueueConfig) {
         if self.queues.as_ref().is_some_and(|it| it.version >= queues.version) {
             return;
         }
         log::info!("event=configured version={} queues={}", queues.version, queues.queues.len());
         let queues = Arc::new(queues);
-        self.owners.retain(|_, tx| tx.send(Event::Queues(queues.clone())).is_ok());
+        self.owners.retain(|_, tx| tx.send(Event::QueueConfig(queues.clone())).is_ok());
         self.queues = Some(queues);
     }
 
--- a/daisy-node/src/states.rs
+++ b/daisy-node/src/states.rs
@@ -57,7 +57,7 @@
             Ok(Record::State(id, state)) => {
                 known.directory.set_state(id, state);
             }
-            Ok(Record::Sign(sign)) => known.directory.hear(now, *sign),
+            Ok(Record::OwnerHeartbeat(sign)) => known.directory.hear(now, *sign),
             Ok(Record::Layout(layout)) => known.directory.set_layout(layout),
             Ok(_) => log::warn!(
                 "event=record_unreadable topic=states offset={} cause=\"it belongs elsewhere\"",
--- a/daisy-workflow/src/balance.rs
+++ b/daisy-workflow/src/balance.rs
@@ -12,7 +12,7 @@
 
 /// Free pieces of workers that a shard tells of: more tasks than find no room in the time in
 /// which loads are told anew.
-pub const PIECES: usize = 16;
+pub const FREE_BLOCKS: usize = 16;
 
 /// What a shard has and what is asked of it, in thousandths of a core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -27,7 +27,7 @@
     pub best_effort: u64,
     /// What is left of a worker for tasks that last once all others have ended, of the workers with
     /// most, the largest first: for such a task, a worker is kept until they have.
-    pub pieces: [Resources; PIECES],
+    pub pieces: [Resources; FREE_BLOCKS],
 }
 
 /// What a job adds to the load of its shard while its widest step runs.
@@ -40,7 +40,7 @@
 impl Demand {
     /// The demand of one task of a step that lasts.
     pub fn of_lasting(step: &StepSpec) -> Demand {
-        Demand { kind: JobKind::Lasting, cpu: u64::from(step.need.cpu_milli) }
+        Demand { kind: JobKind::LongRunning, cpu: u64::from(step.need.cpu_milli) }
     }
 
     /// The demand of a job.
@@ -55,7 +55,7 @@
 impl Load {
     /// Keeps the first of these pieces.
     pub fn set_pieces(&mut self, mut pieces: Vec<Resources>) {
-        pieces.resize(PIECES, Resources::ZERO);
+        pieces.resize(FREE_BLOCKS, Resources::ZERO);
         self.pieces.copy_from_slice(&pieces);
     }
 
@@ -69,8 +69,8 @@
     fn with(self, demand: Demand) -> Load {
         let mut load = self;
         match demand.kind {
-            JobKind::Lasting => load.lasting += demand.cpu,
-            JobKind::Once => load.once += demand.cpu,
+            JobKind::LongRunning => load.lasting += demand.cpu,
+            JobKind::Finite => load.once += demand.cpu,
             JobKind::BestEffort => load.best_effort += demand.cpu,
         }
         load
@@ -83,8 +83,8 @@
         let (lasting, once, best_effort) =
             (self.lasting as f64, self.once as f64, self.best_effort as f64);
         let asked = match kind {
-            JobKind::Lasting => lasting,
-            JobKind::Once => lasting + once,
+            JobKind::LongRunning => lasting,
+            JobKind::Finite => lasting + once,
             JobKind::BestEffort => lasting * SERVING_USE + once + best_effort,
         };
         asked / (self.capacity.max(1) as f64)
@@ -96,13 +96,13 @@
 
 /// What is known of the other shards.
 #[derive(Debug, Clone, Default)]
-pub struct Others {
+pub struct OtherShards {
     loads: SortedMap<ShardId, Load>,
     /// Jobs that were handed to others so lately that their loads do not show them.
     sent: Vec<(Instant, ShardId, Demand)>,
 }
 
-impl Others {
+impl OtherShards {
     /// Takes in what the owners of other shards last said.
     pub fn update(&mut self, loads: SortedMap<ShardId, Load>) {
         self.loads = loads;
@@ -152,8 +152,9 @@
         self.sent.retain(|(at, ..)| now.since(*at) < SHOWN_AFTER);
         let senders = self.loads.len().max(1) as u64;
         let left = |(shard, load): (&ShardId, &Load)| {
-            let lasting =
-                |it: &&(Instant, ShardId, Demand)| it.1 == *shard && it.2.kind == JobKind::Lasting;
+            let lasting = |it: &&(Instant, ShardId, Demand)| {
+                it.1 == *shard && it.2.kind == JobKind::LongRunning
+            };
             let sent: u64 = self.sent.iter().filter(lasting).map(|(.., it)| it.cpu).sum();
             let sent = sent.div_ceil(u64::from(need.cpu_milli.max(1))) * senders;
             (*shard, load.rooms(need).saturating_sub(sent))
--- a/daisy-workflow/src/directory.rs
+++ b/daisy-workflow/src/directory.rs
@@ -11,7 +11,7 @@
 
 /// An owner's sign of life.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sign {
+pub struct OwnerHeartbeat {
     /// The shard that it owns.
     pub shard: ShardId,
     /// Who it is.
@@ -27,7 +27,7 @@
 
 /// What was last told of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct PublishedState {
     /// Its state.
     pub state: JobState,
     /// The shard whose owner told it: the one that runs it.
@@ -36,9 +36,9 @@
 
 /// The newest sign of a shard's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedHeartbeat {
     /// What it said.
-    pub sign: Sign,
+    pub sign: OwnerHeartbeat,
     /// When it was read here.
     pub at: Instant,
     /// A time before it was written; `None` if it may be of any age.
@@ -49,8 +49,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     layout: Option<Layout>,
-    states: SortedMap<JobId, Told>,
-    owners: SortedMap<ShardId, Heard>,
+    states: SortedMap<JobId, PublishedState>,
+    owners: SortedMap<ShardId, ReceivedHeartbeat>,
     /// When all that had been written was last read.
     read_at: Option<Instant>,
 }
@@ -67,7 +67,7 @@
     }
 
     /// Takes in what was told of a job. States only ever go forward, whatever comes late.
-    pub fn set_state(&mut self, id: JobId, told: Told) {
+    pub fn set_state(&mut self, id: JobId, told: PublishedState) {
         if self.states.get(&id).is_none_or(|known| known.state <= told.state) {
             self.states.insert(id, told);
         }
@@ -79,16 +79,16 @@
     }
 
     /// What was last told of a job.
-    pub fn state(&self, id: JobId) -> Option<Told> {
+    pub fn state(&self, id: JobId) -> Option<PublishedState> {
         self.states.get(&id).copied()
     }
 
     /// Takes an owner's sign of life in, read at `now`.
-    pub fn hear(&mut self, now: Instant, sign: Sign) {
-        let newer = |it: &Heard| it.sign.claim.epoch <= sign.claim.epoch;
+    pub fn hear(&mut self, now: Instant, sign: OwnerHeartbeat) {
+        let newer = |it: &ReceivedHeartbeat| it.sign.claim.epoch <= sign.claim.epoch;
         if self.owners.get(&sign.shard).is_none_or(newer) {
             let written_after = self.read_at;
-            self.owners.insert(sign.shard, Heard { sign, at: now, written_after });
+            self.owners.insert(sign.shard, ReceivedHeartbeat { sign, at: now, written_after });
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// What the owner of a shard last said.
-    pub fn owner(&self, shard: ShardId) -> Option<&Heard> {
+    pub fn owner(&self, shard: ShardId) -> Option<&ReceivedHeartbeat> {
         self.owners.get(&shard)
     }
 
@@ -138,7 +138,7 @@
 
     /// Jobs of a queue without a time of which no task was started, as owners last said.
     pub fn pending(&self, queue: &str) -> usize {
-        let of_queue = |it: &Heard| -> usize {
+        let of_queue = |it: &ReceivedHeartbeat| -> usize {
             let pending = it.sign.pending.iter().filter(|(name, _)| name == queue);
             pending.map(|(_, count)| *count as usize).sum()
         };
--- a/daisy-workflow/src/election.rs
+++ b/daisy-workflow/src/election.rs
@@ -19,7 +19,7 @@
 
 /// What an entry VM is to do about the workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ElectionDecision {
     /// This process is the owner under this epoch.
     Own(u64),
     /// Claim now.
@@ -113,14 +113,14 @@
         now: Instant,
         newest: Option<&Claim>,
         platform_rtt: Duration,
-    ) -> Verdict {
+    ) -> ElectionDecision {
         let rank = (platform_rtt * 8).min(Duration::from_millis(300)) + self.rank;
         // A claim that was read in the shard's log and has no sign of life yet.
         self.signed = newest.map_or(0, |it| it.epoch);
         let unsigned = self.claim_seen > self.signed;
         let wait = match newest {
             Some(it) if !it.released && it.vm == self.vm && it.process == self.process => {
-                return Verdict::Own(it.epoch);
+                return ElectionDecision::Own(it.epoch);
             }
             _ if unsigned => SILENCE + rank,
             // The owner was an earlier process of this VM: it is gone for sure.
@@ -130,8 +130,8 @@
             Some(_) => SILENCE + rank,
         };
         match wait.saturating_sub(now.since(self.heard_at)) {
-            Duration::ZERO => Verdict::Claim,
-            left => Verdict::Wait(left),
+            Duration::ZERO => ElectionDecision::Claim,
+            left => ElectionDecision::Wait(left),
         }
     }
 }
--- a/daisy-workflow/src/handover.rs
+++ b/daisy-workflow/src/handover.rs
@@ -10,7 +10,7 @@
 
 /// A hand-over as the shard records it that gives the task away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hop {
+pub struct OutgoingTransfer {
     /// Counts the hand-overs of the task, from 1.
     pub number: u32,
     /// The shard that runs the task from then on.
@@ -19,7 +19,7 @@
 
 /// A hand-over as the shard reads it that is given the task.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Handover {
+pub struct IncomingTransfer {
     /// The number of the hop.
     pub hop: u32,
     /// The task's job.
@@ -43,15 +43,15 @@
     pub(crate) came: TaskState,
 }
 
-impl From<Hop> for Moved {
-    fn from(hop: Hop) -> Moved {
+impl From<OutgoingTransfer> for Moved {
+    fn from(hop: OutgoingTransfer) -> Moved {
         Moved { hop: hop.number, to: Some(hop.to), came: TaskState::default() }
     }
 }
 
-impl From<Handover> for Moved {
-    fn from(it: Handover) -> Moved {
-        let Handover { hop, runs, failures, checkpoint, .. } = it;
+impl From<IncomingTransfer> for Moved {
+    fn from(it: IncomingTransfer) -> Moved {
+        let IncomingTransfer { hop, runs, failures, checkpoint, .. } = it;
         let came = TaskState { runs, failures, checkpoint, ..TaskState::default() };
         Moved { hop, to: None, came }
     }
--- a/daisy-workflow/src/lateness.rs
+++ b/daisy-workflow/src/lateness.rs
@@ -16,17 +16,17 @@
 /// An owner without processor time sees its workers as silent and their answers as old: it gives up
 /// runs that go on. On a VM slowed to a fifth the mean is 0.5 s and more.
 #[derive(Debug, Clone, Copy)]
-pub struct Lateness {
+pub struct TickDelay {
     every: Duration,
     ticked_at: Instant,
     /// Running mean.
     mean: Duration,
 }
 
-impl Lateness {
+impl TickDelay {
     /// A process that is to tick `every` so often, from now on.
-    pub fn new(now: Instant, every: Duration) -> Lateness {
-        Lateness { every, ticked_at: now, mean: Duration::ZERO }
+    pub fn new(now: Instant, every: Duration) -> TickDelay {
+        TickDelay { every, ticked_at: now, mean: Duration::ZERO }
     }
 
     /// Takes a tick in; whether the process is too late for what it owns.
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -5,8 +5,8 @@
 use daisy_model::SortedMap;
 
 use crate::{
-    Claim, Disturbance, Handover, Hop, JobId, JobSpec, Moved, Phase, Progress, Record, ShardId,
-    TaskId, Witnesses,
+    Claim, ImageInterference, IncomingTransfer, JobId, JobSpec, Moved, OutgoingTransfer, Phase,
+    Progress, Record, ShardId, TaskId, Witnesses,
 };
 
 /// A job as the records tell it.
@@ -133,7 +133,7 @@
 
 /// What a record changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fold {
+pub enum FoldEffect {
     /// A job that was not known.
     Submitted(JobId),
     /// A job was cancelled that was not.
@@ -157,51 +157,52 @@
     early_cancels: Vec<JobId>,
     early_progress: SortedMap<JobId, Progress>,
     early_delegated: SortedMap<JobId, ShardId>,
-    early_hops: SortedMap<TaskId, Hop>,
+    early_hops: SortedMap<TaskId, OutgoingTransfer>,
     owner: Option<Claim>,
-    learnt: Vec<Disturbance>,
+    learnt: Vec<ImageInterference>,
     witnesses: Witnesses,
 }
 
 impl Ledger {
     /// Takes one record in. Taking a record twice changes nothing.
-    pub fn fold(&mut self, record: Record) -> Fold {
+    pub fn fold(&mut self, record: Record) -> FoldEffect {
         match record {
             Record::Submitted(id, spec) => self.submitted(id, spec),
             Record::Cancelled(id) => self.cancelled(id),
             Record::Progress(id, progress) => self.progress(id, progress),
             Record::Claim(claim) => self.claim(claim),
-            Record::Learnt(pairs) => {
+            Record::LearnedInterference(pairs) => {
                 self.learnt = pairs;
-                Fold::Nothing
+                FoldEffect::Nothing
             }
             Record::Witnesses(witnesses) => {
                 self.witnesses = witnesses;
-                Fold::Nothing
+                FoldEffect::Nothing
             }
             Record::Delegated(id, shard) => {
                 match self.jobs.get_mut(&id) {
                     Some(job) => job.delegate(shard),
                     None => drop(self.early_delegated.insert(id, shard)),
                 }
-                Fold::Nothing
+                FoldEffect::Nothing
             }
-            Record::TaskHandedOn(id, hop) => {
+            Record::TaskTransferredOut(id, hop) => {
                 match self.jobs.get_mut(&id.job) {
                     Some(job) => drop(job.move_task(id, hop.into())),
                     None => self.early_hop(id, hop),
                 }
-                Fold::Nothing
+                FoldEffect::Nothing
             }
-            Record::TaskSubmitted(id, handover) => self.task_submitted(id, *handover),
+            Record::TaskTransferredIn(id, handover) => self.task_submitted(id, *handover),
             // For a [`Directory`](crate::Directory).
-            Record::State(..) | Record::Sign(_) | Record::Layout(_) | Record::Observed(..) => {
-                Fold::Nothing
-            }
+            Record::State(..)
+            | Record::OwnerHeartbeat(_)
+            | Record::Layout(_)
+            | Record::Observed(..) => FoldEffect::Nothing,
         }
     }
 
-    fn submitted(&mut self, id: JobId, spec: JobSpec) -> Fold {
+    fn submitted(&mut self, id: JobId, spec: JobSpec) -> FoldEffect {
         match self.jobs.get_mut(&id) {
             None => self.add_job(id, spec, false),
             // A task of it that returned was read first.
@@ -209,19 +210,19 @@
                 job.partial = false;
                 job.settle_tasks();
             }
-            Some(_) => return Fold::Nothing,
+            Some(_) => return FoldEffect::Nothing,
         }
-        Fold::Submitted(id)
+        FoldEffect::Submitted(id)
     }
 
-    fn task_submitted(&mut self, id: TaskId, handover: Handover) -> Fold {
+    fn task_submitted(&mut self, id: TaskId, handover: IncomingTransfer) -> FoldEffect {
         if !self.jobs.contains_key(&id.job) {
             self.add_job(id.job, handover.spec.clone(), true);
         }
         let job = self.jobs.get_mut(&id.job);
         match job.is_some_and(|it| it.move_task(id, handover.into())) {
-            true => Fold::Task(id),
-            false => Fold::Nothing,
+            true => FoldEffect::Task(id),
+            false => FoldEffect::Nothing,
         }
     }
 
@@ -236,7 +237,7 @@
         let spec = Arc::new(spec);
         let moved = SortedMap::new();
         let mut job = Job { spec, progress, cancelled, delegated, partial, moved };
-        let hops: Vec<(TaskId, Hop)> = self
+        let hops: Vec<(TaskId, OutgoingTransfer)> = self
             .early_hops
             .iter()
             .filter(|(task, _)| task.job == id)
@@ -250,41 +251,41 @@
         self.jobs.insert(id, job);
     }
 
-    fn early_hop(&mut self, id: TaskId, hop: Hop) {
+    fn early_hop(&mut self, id: TaskId, hop: OutgoingTransfer) {
         if self.early_hops.get(&id).is_none_or(|it| it.number < hop.number) {
             self.early_hops.insert(id, hop);
         }
     }
 
-    fn cancelled(&mut self, id: JobId) -> Fold {
+    fn cancelled(&mut self, id: JobId) -> FoldEffect {
         let Some(job) = self.jobs.get_mut(&id) else {
             if !self.early_cancels.contains(&id) {
                 self.early_cancels.push(id);
             }
-            return Fold::Nothing;
+            return FoldEffect::Nothing;
         };
         if std::mem::replace(&mut job.cancelled, true) {
-            return Fold::Nothing;
+            return FoldEffect::Nothing;
         }
-        Fold::Cancelled(id)
+        FoldEffect::Cancelled(id)
     }
 
-    fn progress(&mut self, id: JobId, progress: Progress) -> Fold {
+    fn progress(&mut self, id: JobId, progress: Progress) -> FoldEffect {
         let Some(job) = self.jobs.get_mut(&id) else {
             self.early_progress.insert(id, progress);
-            return Fold::Nothing;
+            return FoldEffect::Nothing;
         };
         if !progress.fits(&job.spec) {
-            return Fold::Nothing;
+            return FoldEffect::Nothing;
         }
         job.progress = progress;
         job.settle_tasks();
-        Fold::Progress(id)
+        FoldEffect::Progress(id)
     }
 
-    fn claim(&mut self, claim: Claim) -> Fold {
+    fn claim(&mut self, claim: Claim) -> FoldEffect {
         self.owner = Some(claim);
-        Fold::Claim
+        FoldEffect::Claim
     }
 
     /// Forgets a job.
@@ -312,7 +313,7 @@
     }
 
     /// What the owners have learnt of images that disturb each other.
-    pub fn learnt(&self) -> &[Disturbance] {
+    pub fn learnt(&self) -> &[ImageInterference] {
         &self.learnt
     }
 
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -48,8 +48,8 @@
     worker::{Worker, WorkerKey},
 };
 use crate::{
-    Job, JobId, JobState, Layout, Ledger, Observations, Others, Phase, Queues, Record, ShardId,
-    TaskId, WorkerId,
+    InterferenceSums, Job, JobId, JobState, Layout, Ledger, OtherShards, Phase, QueueConfig,
+    Record, ShardId, TaskId, WorkerId,
 };
 
 /// Figures of the platform that an owner goes by.
@@ -111,7 +111,7 @@
 pub struct Owner {
     settings: Settings,
     ledger: Ledger,
-    queues: Arc<Queues>,
+    queues: Arc<QueueConfig>,
     workers: Arena<WorkerKey, Worker>,
     by_id: SortedMap<WorkerId, WorkerKey>,
     /// When the platform's list of workers was last read.
@@ -139,7 +139,7 @@
     actions: Vec<Action>,
     /// States of jobs that stand in the log and that callers are to be told.
     states: Vec<(JobId, JobState)>,
-    others: Others,
+    others: OtherShards,
     /// Tasks that are handed on and of which nothing is recorded yet.
     handed: Vec<TaskId>,
     /// Since when tasks that last have found no room here.
@@ -189,7 +189,7 @@
         wall_ms: u64,
         settings: Settings,
         ledger: Ledger,
-        queues: Arc<Queues>,
+        queues: Arc<QueueConfig>,
         claimed: Claimed,
     ) -> Owner {
         let succession = Succession::new(now, claimed, ledger.witnesses());
@@ -215,7 +215,7 @@
             plan_due: true,
             actions: Vec::new(),
             states: Vec::new(),
-            others: Others::default(),
+            others: OtherShards::default(),
             handed: Vec::new(),
             waits_since: SortedMap::new(),
             delegated_at: now,
@@ -267,7 +267,7 @@
                 self.listed(now, &listed);
             }
             Event::ListRead => self.list_read_at = now,
-            Event::Queues(queues) => {
+            Event::QueueConfig(queues) => {
                 if queues.version >= self.queues.version {
                     self.queues = queues;
                     self.plan_due = true;
@@ -337,7 +337,7 @@
         records.extend(self.handed_records(&handed));
         if now.since(self.learnt_at) >= LEARNT_EVERY {
             self.learnt_at = now;
-            records.push(Record::Learnt(self.interference.pairs()));
+            records.push(Record::LearnedInterference(self.interference.pairs()));
         }
         records.extend(self.succession.try_record());
         let seen = self.workers.iter().filter(|(_, it)| it.cursor_seen > it.cursor_durable);
@@ -353,7 +353,7 @@
     }
 
     /// What was learnt of images since the last call, for the owners of other shards.
-    pub fn take_observations(&mut self) -> Vec<Observations> {
+    pub fn take_observations(&mut self) -> Vec<InterferenceSums> {
         self.interference.take_observations()
     }
 
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -15,7 +15,7 @@
     place::is_crowded,
     worker::Worker,
 };
-use crate::{Demand, Job, JobId, JobState, Load, PIECES, Record, StepSpec, TaskId, TaskState};
+use crate::{Demand, FREE_BLOCKS, Job, JobId, JobState, Load, Record, StepSpec, TaskId, TaskState};
 
 /// How long a new owner may take to learn of its workers: a read of the list on a slow platform.
 pub(super) const KNOWS_WORKERS_AFTER: Duration = Duration::from_secs(3);
@@ -197,7 +197,7 @@
 /// have, and among the first some of those with accelerators.
 fn largest_first(mut pieces: Vec<Resources>) -> Vec<Resources> {
     /// Pieces with accelerators that come before all others.
-    const WITH_ACCELERATORS: usize = PIECES / 4;
+    const WITH_ACCELERATORS: usize = FREE_BLOCKS / 4;
     let most = pieces.iter().fold(Resources::ZERO, |most, it| Resources {
         cpu_milli: most.cpu_milli.max(it.cpu_milli),
         memory_mib: most.memory_mib.max(it.memory_mib),
--- a/daisy-workflow/src/owner/hand_over.rs
+++ b/daisy-workflow/src/owner/hand_over.rs
@@ -13,7 +13,9 @@
     delegate::KNOWS_WORKERS_AFTER,
     message::{Action, Note},
 };
-use crate::{Demand, Handover, Hop, Job, JobId, JobState, Record, StepSpec, TaskId};
+use crate::{
+    Demand, IncomingTransfer, Job, JobId, JobState, OutgoingTransfer, Record, StepSpec, TaskId,
+};
 
 /// How long a task waits for room in its shard before it is handed on.
 const PATIENCE: Duration = Duration::from_millis(1_000);
@@ -93,7 +95,7 @@
         let Some(to) = self.others.try_room(now, own, step.counted()) else { return };
         self.others.sent(now, to, Demand::of_lasting(step));
         let number = job.moved.get(&task).map_or(0, |it| it.hop) + 1;
-        job.move_task(task, Hop { number, to }.into());
+        job.move_task(task, OutgoingTransfer { number, to }.into());
         job.progress.begun = true;
         self.dirty.push(task.job);
         self.handed.push(task);
@@ -104,7 +106,10 @@
     pub(super) fn handed_records(&self, handed: &[TaskId]) -> Vec<Record> {
         let hop = |task: &TaskId| {
             let moved = self.ledger.job(task.job)?.moved.get(task)?;
-            Some(Record::TaskHandedOn(*task, Hop { number: moved.hop, to: moved.to? }))
+            Some(Record::TaskTransferredOut(
+                *task,
+                OutgoingTransfer { number: moved.hop, to: moved.to? },
+            ))
         };
         handed.iter().filter_map(hop).collect()
     }
@@ -114,14 +119,14 @@
         let Some(job) = self.ledger.job(task.job) else { return };
         let Some(moved) = job.moved.get(&task) else { return };
         let (Some(to), Some(state)) = (moved.to, job.progress.task(task)) else { return };
-        let handover = Handover {
+        let handover = IncomingTransfer {
             hop: moved.hop,
             spec: (*job.spec).clone(),
             runs: state.runs,
             failures: state.failures,
             checkpoint: state.checkpoint.clone(),
         };
-        self.actions.push(Action::Forward(to, Record::TaskSubmitted(task, Box::new(handover))));
+        self.actions.push(Action::Forward(to, Record::TaskTransferredIn(task, Box::new(handover))));
         if job.cancelled {
             self.actions.push(Action::Forward(to, Record::Cancelled(task.job)));
         }
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -9,21 +9,21 @@
     message::StopCause,
     worker::{Sent, Stop, WorkerKey},
 };
-use crate::{Fold, Job, JobId, JobSpec, JobState, Phase, Record};
+use crate::{FoldEffect, Job, JobId, JobSpec, JobState, Phase, Record};
 
 impl Owner {
     pub(super) fn record(&mut self, now: Instant, record: Record) {
         match self.ledger.fold(record) {
-            Fold::Submitted(id) => {
+            FoldEffect::Submitted(id) => {
                 self.submitted(now, id);
             }
-            Fold::Cancelled(id) => {
+            FoldEffect::Cancelled(id) => {
                 self.tell_state(id);
                 self.forward_cancel(id);
                 self.cancel(now, id);
             }
-            Fold::Task(task) => self.task_submitted(now, task),
-            Fold::Progress(_) | Fold::Claim | Fold::Nothing => {}
+            FoldEffect::Task(task) => self.task_submitted(now, task),
+            FoldEffect::Progress(_) | FoldEffect::Claim | FoldEffect::Nothing => {}
         }
         self.plan_due = true;
     }
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -11,7 +11,7 @@
 
 use daisy_model::{Instant, SortedMap};
 
-use crate::{Disturbance, Observations};
+use crate::{ImageInterference, InterferenceSums};
 
 /// Reports older than this count for half: the amounts change within seconds, and a worker
 /// reports about twice a second.
@@ -204,7 +204,7 @@
     }
 
     /// What an earlier owner had learnt, to go on from.
-    pub fn inherit(now: Instant, pairs: &[Disturbance]) -> Interference {
+    pub fn inherit(now: Instant, pairs: &[ImageInterference]) -> Interference {
         let mut learnt = Interference::default();
         for pair in pairs {
             let at = learnt.best_effort.key(&pair.best_effort).index();
@@ -220,13 +220,13 @@
     }
 
     /// All that was learnt.
-    pub fn pairs(&self) -> Vec<Disturbance> {
+    pub fn pairs(&self) -> Vec<ImageInterference> {
         let mut pairs = Vec::new();
         for (serving, key) in self.serving.0.iter() {
             let fit = &self.fits[key.index()];
             for (best_effort, at) in self.best_effort.0.iter() {
                 if let Some(weight) = fit.weights.get(at.index()) {
-                    pairs.push(Disturbance {
+                    pairs.push(ImageInterference {
                         serving: serving.clone(),
                         best_effort: best_effort.clone(),
                         permille: (weight * 1_000.0) as u32,
@@ -252,7 +252,7 @@
     }
 
     /// What this owner has learnt since the last call, for the owners of other shards.
-    pub fn take_observations(&mut self) -> Vec<Observations> {
+    pub fn take_observations(&mut self) -> Vec<InterferenceSums> {
         let names = self.best_effort.names();
         let name = |at: usize| names[at].clone();
         let mut taken = Vec::new();
@@ -262,7 +262,7 @@
                 continue;
             }
             let products = fresh.products.iter();
-            taken.push(Observations {
+            taken.push(InterferenceSums {
                 serving: serving.clone(),
                 answers: fresh.answers.iter().map(|(at, it)| (name(*at), *it as f32)).collect(),
                 products: products.map(|((i, j), it)| (name(*i), name(*j), *it as f32)).collect(),
@@ -275,7 +275,7 @@
     ///
     /// A pair of images meets on few workers of one shard: from its own reports alone, an owner of a
     /// fifth of the workers knows a pair a fifth as well, and the amounts change within seconds.
-    pub fn add_observations(&mut self, now: Instant, seen: &Observations) {
+    pub fn add_observations(&mut self, now: Instant, seen: &InterferenceSums) {
         let mut sums = Sums::default();
         for (image, it) in &seen.answers {
             sums.answers.insert(self.best_effort.key(image).index(), f64::from(*it));
--- a/daisy-workflow/src/owner/message.rs
+++ b/daisy-workflow/src/owner/message.rs
@@ -5,7 +5,8 @@
 use daisy_model::{Instant, Resources, SortedMap};
 
 use crate::{
-    JobId, JobKind, Load, Observations, Queues, Record, ShardId, TaskId, WorkerId, owner::WorkerKey,
+    InterferenceSums, JobId, JobKind, Load, QueueConfig, Record, ShardId, TaskId, WorkerId,
+    owner::WorkerKey,
 };
 
 /// A worker in the platform's list.
@@ -153,7 +154,7 @@
     /// The platform's list of workers was read and has not changed.
     ListRead,
     /// A version of the configuration.
-    Queues(Arc<Queues>),
+    QueueConfig(Arc<QueueConfig>),
     /// The answer to [`Action::Hold`]; `None` if none came.
     Held(WorkerKey, Option<HoldAnswer>),
     /// A worker refused a renewal because of a higher epoch.
@@ -174,7 +175,7 @@
     /// What the owners of other shards last said.
     Loads(SortedMap<ShardId, Load>),
     /// What the owner of another shard has learnt.
-    Observed(Vec<Observations>),
+    Observed(Vec<InterferenceSums>),
     /// Time went by.
     Tick,
 }
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -168,10 +168,10 @@
                 let chain = self.chain_left(*id, view);
                 let latest = view.objective.0.saturating_sub(chain * 1_000);
                 let standing = match (job.spec.kind(), standing(now, view, chain)) {
-                    (JobKind::Lasting, _) if yields(now, view, job) => Standing::LastsSoon,
-                    (JobKind::Lasting, _) => Standing::Lasts,
+                    (JobKind::LongRunning, _) if yields(now, view, job) => Standing::LastsSoon,
+                    (JobKind::LongRunning, _) => Standing::Lasts,
                     // A wide job cannot be in time where rooms are few, but of use.
-                    (JobKind::Once, Standing::Late) if job.progress.begun => Standing::InTime,
+                    (JobKind::Finite, Standing::Late) if job.progress.begun => Standing::InTime,
                     (_, it) => it,
                 };
                 Some(((standing, job.spec.terms.priority, job.left_permille(), latest), *id))
--- a/daisy-workflow/src/patience.rs
+++ b/daisy-workflow/src/patience.rs
@@ -15,7 +15,7 @@
 /// From a slow log such an answer takes longer than any other, and each try begins it anew. So it is
 /// waited for while the log answers other calls, in each try for longer than in the last.
 #[derive(Debug, Clone, Default)]
-pub struct Patience {
+pub struct LargeReadTimeout {
     /// Tries that were given up though the log answered other calls.
     given_up: u32,
     began: Instant,
@@ -24,7 +24,7 @@
     answered: u64,
 }
 
-impl Patience {
+impl LargeReadTimeout {
     /// The longest that a try may last.
     pub const BOUND_MAX: Duration = Duration::from_millis(8_100);
 
--- a/daisy-workflow/src/queue.rs
+++ b/daisy-workflow/src/queue.rs
@@ -32,7 +32,7 @@
 
 /// One version of the configuration; a higher version replaces it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Queues {
+pub struct QueueConfig {
     /// Rises with each change.
     pub version: u64,
     /// All queues.
@@ -43,7 +43,7 @@
     pub body_bytes: usize,
 }
 
-impl Queues {
+impl QueueConfig {
     /// The queue of a request: the longest prefix of `path` under `host` wins.
     pub fn route<'a>(&'a self, host: &str, path: &str) -> Option<&'a Queue> {
         let of_host = self.queues.iter().filter(|it| it.host.eq_ignore_ascii_case(host));
--- a/daisy-workflow/src/reach.rs
+++ b/daisy-workflow/src/reach.rs
@@ -14,13 +14,13 @@
 
 /// Reads of a topic that owners write to all the time.
 #[derive(Debug, Clone, Default)]
-pub struct Reach {
+pub struct LogReachability {
     read_at: Instant,
     failed: bool,
     back_at: Instant,
 }
 
-impl Reach {
+impl LogReachability {
     /// A read failed.
     pub fn fail(&mut self) {
         self.failed = true;
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -15,7 +15,8 @@
     WitnessesWire, state_number, state_of,
 };
 use crate::{
-    Handover, Hop, JobId, JobSpec, Layout, PIECES, Progress, ShardId, Sign, TaskId, Told, Witnesses,
+    FREE_BLOCKS, IncomingTransfer, JobId, JobSpec, Layout, OutgoingTransfer, OwnerHeartbeat,
+    Progress, PublishedState, ShardId, TaskId, Witnesses,
 };
 
 /// The version that this build writes, and the newest that it reads.
@@ -65,28 +66,28 @@
     /// An owner's claim or sign of life.
     Claim(Claim),
     /// What the owner has learnt of images that disturb each other.
-    Learnt(Vec<Disturbance>),
+    LearnedInterference(Vec<ImageInterference>),
     /// The workers that a shard's owners have to be answered by while they go without the log.
     Witnesses(Witnesses),
     /// The owner of a job's own shard has handed it to another one.
     Delegated(JobId, ShardId),
     /// A shard has handed a task to another one.
-    TaskHandedOn(TaskId, Hop),
+    TaskTransferredOut(TaskId, OutgoingTransfer),
     /// A task is handed to this shard by another one.
-    TaskSubmitted(TaskId, Box<Handover>),
+    TaskTransferredIn(TaskId, Box<IncomingTransfer>),
     /// The state of a job that callers are told.
-    State(JobId, Told),
+    State(JobId, PublishedState),
     /// A sign of life of a shard's owner.
-    Sign(Box<Sign>),
+    OwnerHeartbeat(Box<OwnerHeartbeat>),
     /// How jobs and workers are divided among shards.
     Layout(Layout),
     /// What a shard's owner has learnt since its last such record.
-    Observed(ShardId, Vec<Observations>),
+    Observed(ShardId, Vec<InterferenceSums>),
 }
 
 /// How much best-effort tasks of one image take from serving tasks of another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Disturbance {
+pub struct ImageInterference {
     /// The image of the serving tasks.
     pub serving: Arc<str>,
     /// The image of the best-effort tasks.
@@ -99,7 +100,7 @@
 /// What an owner has learnt of a serving image's neighbours within a second or so: weighted sums
 /// that those of other owners can be added to.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Observations {
+pub struct InterferenceSums {
     /// The image of the serving tasks.
     pub serving: Arc<str>,
     /// By image of best-effort tasks, share of a worker's processors times headroom lost.
@@ -131,21 +132,25 @@
             (format!("progress-{id}"), framed(ProgressWire::from(progress)))
         }
         Record::Claim(claim) => (OWNER_KEY.to_owned(), framed(ClaimWire::from(claim))),
-        Record::Learnt(pairs) => (LEARNT_KEY.to_owned(), framed(LearntWire::from(&pairs[..]))),
+        Record::LearnedInterference(pairs) => {
+            (LEARNT_KEY.to_owned(), framed(LearntWire::from(&pairs[..])))
+        }
         Record::Witnesses(witnesses) => {
             (WITNESSES_KEY.to_owned(), framed(WitnessesWire::from(witnesses)))
         }
         Record::Delegated(id, shard) => (format!("delegated-{id}"), framed(shard.0)),
-        Record::TaskHandedOn(id, hop) => (format!("handed-{id}"), framed((hop.number, hop.to.0))),
+        Record::TaskTransferredOut(id, hop) => {
+            (format!("handed-{id}"), framed((hop.number, hop.to.0)))
+        }
         // The log keeps the newest record of a key alone, and a hop may be written again after a
         // later one to the same shard: each has a key of its own.
-        Record::TaskSubmitted(id, it) => {
+        Record::TaskTransferredIn(id, it) => {
             (format!("task-{id}.{}", it.hop), framed(HandoverWire::from(&**it)))
         }
         Record::State(id, told) => {
             (format!("state-{id}"), framed((state_number(told.state), told.shard.0)))
         }
-        Record::Sign(sign) => (
+        Record::OwnerHeartbeat(sign) => (
             format!("sign-{}", sign.shard.0),
             framed((SignWire::from(&**sign), PiecesWire::from(&**sign))),
         ),
@@ -170,7 +175,7 @@
         return unframed::<ClaimWire>(value).map(|it| Record::Claim(it.into()));
     }
     if key == LEARNT_KEY {
-        return unframed::<LearntWire>(value).map(|it| Record::Learnt(it.into()));
+        return unframed::<LearntWire>(value).map(|it| Record::LearnedInterference(it.into()));
     }
     if key == WITNESSES_KEY {
         return unframed::<WitnessesWire>(value).map(|it| Record::Witnesses(it.into()));
@@ -186,7 +191,7 @@
     if kind == "sign" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
         let (wire, rest): (SignWire, _) = parted(value)?;
-        return Ok(Record::Sign(Box::new(wire.of(shard, pieces(rest)?))));
+        return Ok(Record::OwnerHeartbeat(Box::new(wire.of(shard, pieces(rest)?))));
     }
     if kind == "observed" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
@@ -195,15 +200,16 @@
     }
     if kind == "handed" {
         let id: TaskId = id.parse().map_err(|_| unknown())?;
-        return unframed(value)
-            .map(|(number, to)| Record::TaskHandedOn(id, Hop { number, to: ShardId(to) }));
+        return unframed(value).map(|(number, to)| {
+            Record::TaskTransferredOut(id, OutgoingTransfer { number, to: ShardId(to) })
+        });
     }
     if kind == "task" {
         let (id, hop) = id.rsplit_once('.').ok_or_else(unknown)?;
         let id: TaskId = id.parse().map_err(|_| unknown())?;
         let hop: u32 = hop.parse().map_err(|_| unknown())?;
         let handover = unframed::<HandoverWire>(value)?.of(id, hop)?;
-        return Ok(Record::TaskSubmitted(id, Box::new(handover)));
+        return Ok(Record::TaskTransferredIn(id, Box::new(handover)));
     }
     let id: JobId = id.parse().map_err(|_| unknown())?;
     match kind {
@@ -215,7 +221,7 @@
         "delegated" => unframed(value).map(|it| Record::Delegated(id, ShardId(it))),
         "state" => {
             let (state, shard) = unframed(value)?;
-            let told = Told { state: state_of(state)?, shard: ShardId(shard) };
+            let told = PublishedState { state: state_of(state)?, shard: ShardId(shard) };
             Ok(Record::State(id, told))
         }
         "progress" => {
@@ -254,7 +260,7 @@
 
 /// The end of a sign of life. Older builds wrote nothing there, or a number for each piece.
 fn pieces(bytes: &[u8]) -> Result<PiecesWire, RecordError> {
-    let older = bytes.is_empty() || matches!(unpacked::<[u32; PIECES]>(bytes), Ok((_, [])));
+    let older = bytes.is_empty() || matches!(unpacked::<[u32; FREE_BLOCKS]>(bytes), Ok((_, [])));
     match older {
         true => Ok(PiecesWire::default()),
         false => unpacked(bytes).map(|(pieces, _)| pieces),
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -5,10 +5,10 @@
 use bincode::{Decode, Encode};
 use daisy_model::Resources;
 
-use super::{Claim, Disturbance, Observations, RecordError};
+use super::{Claim, ImageInterference, InterferenceSums, RecordError};
 use crate::{
-    Copy, Handover, JobSpec, JobState, Load, PIECES, Phase, Progress, ShardId, Sign, StepSpec,
-    TaskId, TaskState, Terms, Witness, Witnesses,
+    Copy, FREE_BLOCKS, IncomingTransfer, JobSpec, JobState, Load, OwnerHeartbeat, Phase, Progress,
+    ShardId, StepSpec, TaskId, TaskState, Terms, Witness, Witnesses,
 };
 
 /// Images by their position in `images`, so that each pair needs numbers only.
@@ -25,8 +25,8 @@
     products: Vec<(u16, u16, f32)>,
 }
 
-impl From<&[Observations]> for ObservedWire {
-    fn from(seen: &[Observations]) -> ObservedWire {
+impl From<&[InterferenceSums]> for ObservedWire {
+    fn from(seen: &[InterferenceSums]) -> ObservedWire {
         let mut images: Vec<String> = Vec::new();
         let mut number = |name: &Arc<str>| match images.iter().position(|it| **it == **name) {
             Some(at) => at as u16,
@@ -51,10 +51,10 @@
     }
 }
 
-impl TryFrom<ObservedWire> for Vec<Observations> {
+impl TryFrom<ObservedWire> for Vec<InterferenceSums> {
     type Error = RecordError;
 
-    fn try_from(wire: ObservedWire) -> Result<Vec<Observations>, RecordError> {
+    fn try_from(wire: ObservedWire) -> Result<Vec<InterferenceSums>, RecordError> {
         let images: Vec<Arc<str>> = wire.images.into_iter().map(Into::into).collect();
         let name = |at: u16| {
             let image = images.get(usize::from(at)).cloned();
@@ -69,7 +69,7 @@
             }
             let answer = |(a, sum)| Ok((name(a)?, sum));
             let product = |(a, b, sum)| Ok((name(a)?, name(b)?, sum));
-            seen.push(Observations {
+            seen.push(InterferenceSums {
                 serving: name(fit.serving)?,
                 answers: fit.answers.into_iter().map(answer).collect::<Result<_, _>>()?,
                 products: fit.products.into_iter().map(product).collect::<Result<_, _>>()?,
@@ -136,16 +136,16 @@
 
 /// The largest free pieces of workers: thousandths of a core, MiB, accelerators.
 #[derive(Debug, Default, Encode, Decode)]
-pub(super) struct PiecesWire([[u32; 3]; PIECES]);
+pub(super) struct PiecesWire([[u32; 3]; FREE_BLOCKS]);
 
-impl From<&Sign> for PiecesWire {
-    fn from(sign: &Sign) -> PiecesWire {
+impl From<&OwnerHeartbeat> for PiecesWire {
+    fn from(sign: &OwnerHeartbeat) -> PiecesWire {
         PiecesWire(sign.load.pieces.map(|it| [it.cpu_milli, it.memory_mib, it.accelerators]))
     }
 }
 
-impl From<&Sign> for SignWire {
-    fn from(sign: &Sign) -> SignWire {
+impl From<&OwnerHeartbeat> for SignWire {
+    fn from(sign: &OwnerHeartbeat) -> SignWire {
         let Load { capacity, lasting, once, best_effort, .. } = sign.load;
         SignWire {
             claim: ClaimWire::from(&sign.claim),
@@ -158,7 +158,7 @@
 
 impl SignWire {
     /// The sign of the shard that stands in the record's key.
-    pub(super) fn of(self, shard: ShardId, pieces: PiecesWire) -> Sign {
+    pub(super) fn of(self, shard: ShardId, pieces: PiecesWire) -> OwnerHeartbeat {
         let SignWire { claim, current, pending, load } = self;
         let [capacity, lasting, once, best_effort] = load;
         let pieces = pieces.0.map(|[cpu_milli, memory_mib, accelerators]| Resources {
@@ -167,7 +167,7 @@
             accelerators,
         });
         let load = Load { capacity, lasting, once, best_effort, pieces };
-        Sign { shard, claim: claim.into(), current, pending, load }
+        OwnerHeartbeat { shard, claim: claim.into(), current, pending, load }
     }
 }
 
@@ -177,17 +177,18 @@
     pairs: Vec<(String, String, u32)>,
 }
 
-impl From<&[Disturbance]> for LearntWire {
-    fn from(pairs: &[Disturbance]) -> LearntWire {
-        let wire =
-            |it: &Disturbance| (it.serving.to_string(), it.best_effort.to_string(), it.permille);
+impl From<&[ImageInterference]> for LearntWire {
+    fn from(pairs: &[ImageInterference]) -> LearntWire {
+        let wire = |it: &ImageInterference| {
+            (it.serving.to_string(), it.best_effort.to_string(), it.permille)
+        };
         LearntWire { pairs: pairs.iter().map(wire).collect() }
     }
 }
 
-impl From<LearntWire> for Vec<Disturbance> {
-    fn from(wire: LearntWire) -> Vec<Disturbance> {
-        let pair = |(serving, best_effort, permille): (String, String, u32)| Disturbance {
+impl From<LearntWire> for Vec<ImageInterference> {
+    fn from(wire: LearntWire) -> Vec<ImageInterference> {
+        let pair = |(serving, best_effort, permille): (String, String, u32)| ImageInterference {
             serving: serving.into(),
             best_effort: best_effort.into(),
             permille,
@@ -313,8 +314,8 @@
     checkpoint: String,
 }
 
-impl From<&Handover> for HandoverWire {
-    fn from(it: &Handover) -> HandoverWire {
+impl From<&IncomingTransfer> for HandoverWire {
+    fn from(it: &IncomingTransfer) -> HandoverWire {
         HandoverWire {
             spec: JobWire::from(&it.spec),
             runs: it.runs,
@@ -326,13 +327,13 @@
 
 impl HandoverWire {
     /// The handover of the task and with the number that stand in the record's key.
-    pub(super) fn of(self, id: TaskId, hop: u32) -> Result<Handover, RecordError> {
+    pub(super) fn of(self, id: TaskId, hop: u32) -> Result<IncomingTransfer, RecordError> {
         let HandoverWire { spec, runs, failures, checkpoint } = self;
         let spec = JobSpec::try_from(spec)?;
         if !spec.has_task(id) {
             return Err(RecordError::Malformed(format!("no task {id}")));
         }
-        Ok(Handover { hop, spec, runs, failures, checkpoint })
+        Ok(IncomingTransfer { hop, spec, runs, failures, checkpoint })
     }
 }
 
--- a/daisy-workflow/src/silence.rs
+++ b/daisy-workflow/src/silence.rs
@@ -45,20 +45,20 @@
 
 /// What may be sent next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum SendDecision {
     /// All that waits, as one append with this timeout.
     All(Duration),
     /// Only records that were sent before and may be stored already, with this timeout.
-    Again(Duration),
+    RetriesOnly(Duration),
     /// Nothing yet.
     Wait,
     /// A question, which any answer of the partition to is enough, within this time.
-    Ask(Duration),
+    Probe(Duration),
 }
 
 /// How a partition of the log answers a VM's appends.
 #[derive(Debug, Clone, Default)]
-pub struct Silence {
+pub struct LogHealth {
     /// What appends took of late that were answered.
     took: Duration,
     /// When each append under way began.
@@ -88,7 +88,7 @@
     overtaken: u32,
 }
 
-impl Silence {
+impl LogHealth {
     /// A read of another partition was answered at `now`; such reads were last answered again after
     /// a while without any at `back_at`.
     ///
@@ -137,7 +137,7 @@
     }
 
     /// What may be sent now.
-    pub fn turn(&self, now: Instant) -> Turn {
+    pub fn turn(&self, now: Instant) -> SendDecision {
         let hangs_after = SLOW.max(self.took * HANGS_FACTOR);
         let hangs = |it: &&Instant| now.since(**it) > hangs_after;
         // A log that has answered reads since is not silent.
@@ -149,19 +149,19 @@
             || others().count() >= most
             || self.under_way.len() >= OVERTAKEN_MAX
         {
-            return Turn::Wait;
+            return SendDecision::Wait;
         }
         let timeout = (self.took * TIMEOUT_FACTOR).clamp(TIMEOUT_MIN, TIMEOUT_MAX);
         let Some(it) = self.unanswered else {
             return match (self.is_quiet(now), self.try_question(now)) {
-                (true, Some(timeout)) => Turn::Ask(timeout),
-                (true, None) => Turn::Wait,
-                (false, _) => Turn::All(timeout),
+                (true, Some(timeout)) => SendDecision::Probe(timeout),
+                (true, None) => SendDecision::Wait,
+                (false, _) => SendDecision::All(timeout),
             };
         };
         match it.is_silent(now, self.read_at) || self.read_at <= it.last {
-            true => Turn::Again(TIMEOUT_MAX),
-            false => Turn::All(TIMEOUT_MAX),
+            true => SendDecision::RetriesOnly(TIMEOUT_MAX),
+            false => SendDecision::All(TIMEOUT_MAX),
         }
     }
 
--- a/daisy-workflow/src/spec.rs
+++ b/daisy-workflow/src/spec.rs
@@ -58,9 +58,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobKind {
     /// Some of its tasks run until it is cancelled.
-    Lasting,
+    LongRunning,
     /// Its tasks reserve what they need.
-    Once,
+    Finite,
     /// All its tasks use what others leave.
     BestEffort,
 }
@@ -69,8 +69,8 @@
     /// The kind in one word.
     pub fn word(self) -> &'static str {
         match self {
-            JobKind::Lasting => "lasting",
-            JobKind::Once => "once",
+            JobKind::LongRunning => "lasting",
+            JobKind::Finite => "once",
             JobKind::BestEffort => "best_effort",
         }
     }
@@ -195,9 +195,9 @@
     /// What kind of job it is.
     pub fn kind(&self) -> JobKind {
         match &self.steps[..] {
-            steps if steps.iter().any(|it| it.long_running) => JobKind::Lasting,
+            steps if steps.iter().any(|it| it.long_running) => JobKind::LongRunning,
             steps if steps.iter().all(|it| it.best_effort) => JobKind::BestEffort,
-            _ => JobKind::Once,
+            _ => JobKind::Finite,
         }
     }
 
--- a/daisy-workflow/src/telling.rs
+++ b/daisy-workflow/src/telling.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{Directory, JobId, JobState, Record, ShardId, Sign, Told};
+use crate::{Directory, JobId, JobState, OwnerHeartbeat, PublishedState, Record, ShardId};
 use daisy_model::{Instant, SortedMap};
 
 /// The shortest time between two appends of states, so that they gather: each call is paid for,
@@ -15,19 +15,23 @@
 
 /// What an owner has told all VMs, and what it is to tell next.
 #[derive(Debug)]
-pub struct Telling {
+pub struct StatePublisher {
     shard: ShardId,
-    told: SortedMap<JobId, Told>,
+    told: SortedMap<JobId, PublishedState>,
     waiting: SortedMap<JobId, JobState>,
     /// When the last append began.
     at: Instant,
     signed_at: Option<Instant>,
 }
 
-impl Telling {
+impl StatePublisher {
     /// `told` is what the log says already.
-    pub fn new(now: Instant, shard: ShardId, told: SortedMap<JobId, Told>) -> Telling {
-        Telling { shard, told, waiting: SortedMap::new(), at: now, signed_at: None }
+    pub fn new(
+        now: Instant,
+        shard: ShardId,
+        told: SortedMap<JobId, PublishedState>,
+    ) -> StatePublisher {
+        StatePublisher { shard, told, waiting: SortedMap::new(), at: now, signed_at: None }
     }
 
     /// A state that now stands in the log of the shard.
@@ -46,7 +50,11 @@
     }
 
     /// What to append now, if anything is due; `sign` is the sign of life, where that is due.
-    pub fn try_records(&mut self, now: Instant, sign: Option<Sign>) -> Option<Vec<Record>> {
+    pub fn try_records(
+        &mut self,
+        now: Instant,
+        sign: Option<OwnerHeartbeat>,
+    ) -> Option<Vec<Record>> {
         let states_due = !self.waiting.is_empty() && now.since(self.at) >= GAP;
         if sign.is_none() && !states_due {
             return None;
@@ -55,7 +63,7 @@
         let mut records = Vec::new();
         if let Some(sign) = sign {
             self.signed_at = Some(now);
-            records.push(Record::Sign(Box::new(sign)));
+            records.push(Record::OwnerHeartbeat(Box::new(sign)));
         }
         records.extend(self.records());
         Some(records)
@@ -68,7 +76,7 @@
         let mut records = Vec::with_capacity(next.len());
         for (id, state) in next {
             self.waiting.remove(&id);
-            let told = Told { state, shard: self.shard };
+            let told = PublishedState { state, shard: self.shard };
             self.told.insert(id, told);
             records.push(Record::State(id, told));
         }
--- a/daisy-workflow/tests/both_ways.rs
+++ b/daisy-workflow/tests/both_ways.rs
@@ -3,7 +3,7 @@
 mod util;
 
 use daisy_model::Resources;
-use daisy_workflow::{Handover, JobId, JobSpec, Record, ShardId, StepSpec, TaskId};
+use daisy_workflow::{IncomingTransfer, JobId, JobSpec, Record, ShardId, StepSpec, TaskId};
 use util::{CORE, FakeWorker, Fleet, LASTS_MS, World, job, lasting, step, task};
 
 const FIRST: ShardId = ShardId(0);
@@ -182,9 +182,14 @@
     world.work = |_| LASTS_MS;
     let id = JobId(1);
     let spec = tasks(1, 1);
-    let it =
-        Handover { hop: 2, spec: spec.clone(), runs: 3, failures: 0, checkpoint: String::new() };
-    world.write(Record::TaskSubmitted(first_task(id), Box::new(it)));
+    let it = IncomingTransfer {
+        hop: 2,
+        spec: spec.clone(),
+        runs: 3,
+        failures: 0,
+        checkpoint: String::new(),
+    };
+    world.write(Record::TaskTransferredIn(first_task(id), Box::new(it)));
     world.run_ms(500);
 
     world.submit(id.0, spec);
--- a/daisy-workflow/tests/cancel.rs
+++ b/daisy-workflow/tests/cancel.rs
@@ -6,7 +6,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Event, Handover, Hop, JobId, JobSpec, Layout, Record, ShardId, StepSpec, TaskId,
+    Event, IncomingTransfer, JobId, JobSpec, Layout, OutgoingTransfer, Record, ShardId, StepSpec,
+    TaskId,
 };
 use util::{CORE, FakeWorker, Fault, LASTS_MS, World, job, lasting, task};
 
@@ -60,7 +61,7 @@
         for (shard, record) in way.records() {
             let world = &mut self.worlds[shard];
             match record {
-                Record::Submitted(..) | Record::TaskSubmitted(..) => world.write(record),
+                Record::Submitted(..) | Record::TaskTransferredIn(..) => world.write(record),
                 it => drop(world.ledger.fold(it)),
             }
         }
@@ -207,12 +208,13 @@
 }
 
 fn handed_on(from: usize, number: u32, to: u16) -> (usize, Record) {
-    (from, Record::TaskHandedOn(moves(), Hop { number, to: ShardId(to) }))
+    (from, Record::TaskTransferredOut(moves(), OutgoingTransfer { number, to: ShardId(to) }))
 }
 
 fn handed(to: usize, hop: u32) -> (usize, Record) {
-    let it = Handover { hop, spec: spec(), runs: 0, failures: 0, checkpoint: String::new() };
-    (to, Record::TaskSubmitted(moves(), Box::new(it)))
+    let it =
+        IncomingTransfer { hop, spec: spec(), runs: 0, failures: 0, checkpoint: String::new() };
+    (to, Record::TaskTransferredIn(moves(), Box::new(it)))
 }
 
 /// Killed around a cancellation that is stored, owners would leave tasks of the job running.
--- a/daisy-workflow/tests/delegate.rs
+++ b/daisy-workflow/tests/delegate.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, SortedMap};
 use daisy_workflow::{
-    Action, Claimed, Copy, Demand, Event, JobId, JobSpec, JobState, Layout, Ledger, Load, Others,
-    Owner, Progress, Record, Rules, Settings, ShardId,
+    Action, Claimed, Copy, Demand, Event, JobId, JobSpec, JobState, Layout, Ledger, Load,
+    OtherShards, Owner, Progress, Record, Rules, Settings, ShardId,
 };
 use std::time::Duration;
 use util::{CORE, FakeWorker, best_effort, job, lasting, step};
@@ -248,7 +248,7 @@
 
 #[test]
 fn an_easy_shard_keeps_its_jobs() {
-    let mut others = Others::default();
+    let mut others = OtherShards::default();
     others.update(SortedMap::from_iter([(OTHER, load(0, 0, 0))]));
 
     for (own, spec) in [
@@ -265,7 +265,7 @@
 /// emptiest then.
 #[test]
 fn what_was_just_sent_counts_before_it_shows() {
-    let mut others = Others::default();
+    let mut others = OtherShards::default();
     let shards = [(OTHER, load(0, 0, 0)), (ShardId(2), load(100, 0, 0))];
     others.update(SortedMap::from_iter(shards));
     let demand = Demand::of(&job(vec![lasting(1)]));
@@ -297,7 +297,7 @@
 
     for owner in 0..4 {
         let full = (0..4).filter(|it| *it != owner).map(|it| (ShardId(it), load(950)));
-        let mut view = Others::default();
+        let mut view = OtherShards::default();
         view.update(full.chain([(emptiest, load(100)), (empty, load(200))]).collect());
         for _ in 0..25 {
             let to = view.try_better(at(0), load(900), demand).expect("two shards have room");
--- a/daisy-workflow/tests/directory.rs
+++ b/daisy-workflow/tests/directory.rs
@@ -3,18 +3,26 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_workflow::{Claim, Directory, JobId, JobState, Layout, Load, ShardId, Sign, Told};
+use daisy_workflow::{
+    Claim, Directory, JobId, JobState, Layout, Load, OwnerHeartbeat, PublishedState, ShardId,
+};
 
 const ID: JobId = JobId(7);
 
-fn told(state: JobState) -> Told {
-    Told { state, shard: ShardId(0) }
+fn told(state: JobState) -> PublishedState {
+    PublishedState { state, shard: ShardId(0) }
 }
 
-fn sign(epoch: u64, released: bool) -> Sign {
+fn sign(epoch: u64, released: bool) -> OwnerHeartbeat {
     let claim = Claim { vm: "a".to_owned(), process: 1, epoch, released, settled: true };
     let load = Load { capacity: epoch, ..Load::default() };
-    Sign { shard: ShardId(1), claim, current: true, pending: vec![("q".to_owned(), 3)], load }
+    OwnerHeartbeat {
+        shard: ShardId(1),
+        claim,
+        current: true,
+        pending: vec![("q".to_owned(), 3)],
+        load,
+    }
 }
 
 /// A record of a job's earlier state is read after one of its end, as an owner's append came late. A
@@ -33,7 +41,7 @@
 fn the_shard_that_runs_a_job_replaces_its_own() {
     let mut directory = Directory::default();
     directory.set_state(ID, told(JobState::Queued));
-    let elsewhere = Told { state: JobState::Queued, shard: ShardId(2) };
+    let elsewhere = PublishedState { state: JobState::Queued, shard: ShardId(2) };
 
     directory.set_state(ID, elsewhere);
 
@@ -63,7 +71,7 @@
 fn a_silent_owner_proves_nothing() {
     let mut directory = Directory::default();
     directory.set_layout(Layout { shards: 1 });
-    let signs = Sign { shard: ShardId(0), ..sign(5, false) };
+    let signs = OwnerHeartbeat { shard: ShardId(0), ..sign(5, false) };
     for read_at in [1_000, 1_400] {
         directory.hear(Instant::from_millis(read_at), signs.clone());
         directory.read_to_end(Instant::from_millis(read_at));
--- a/daisy-workflow/tests/election.rs
+++ b/daisy-workflow/tests/election.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_workflow::{Claim, Election, Verdict};
+use daisy_workflow::{Claim, Election, ElectionDecision};
 
 const RTT: Duration = Duration::from_millis(5);
 
@@ -21,7 +21,7 @@
 
     let verdict = election.verdict(at(5_000), Some(&claim("a", 1, false)), RTT);
 
-    assert_eq!(verdict, Verdict::Own(4));
+    assert_eq!(verdict, ElectionDecision::Own(4));
 }
 
 /// The owner's VM loses power and is back: its new process need not wait for silence.
@@ -31,7 +31,7 @@
 
     let verdict = election.verdict(at(0), Some(&claim("a", 1, false)), RTT);
 
-    assert_eq!(verdict, Verdict::Claim);
+    assert_eq!(verdict, ElectionDecision::Claim);
 }
 
 #[test]
@@ -43,8 +43,8 @@
     let early = election.verdict(at(2_300), Some(&other), RTT);
     let late = election.verdict(at(2_500), Some(&other), RTT);
 
-    assert!(matches!(early, Verdict::Wait(_)));
-    assert_eq!(late, Verdict::Claim);
+    assert!(matches!(early, ElectionDecision::Wait(_)));
+    assert_eq!(late, ElectionDecision::Claim);
 }
 
 /// All see the owner release its workers at the same moment. Those near the platform go first, so
@@ -58,8 +58,8 @@
     let near = election.verdict(at(1_050), Some(&released), RTT);
     let far = election.verdict(at(1_050), Some(&released), Duration::from_millis(30));
 
-    assert_eq!(near, Verdict::Claim);
-    assert!(matches!(far, Verdict::Wait(_)));
+    assert_eq!(near, ElectionDecision::Claim);
+    assert!(matches!(far, ElectionDecision::Wait(_)));
 }
 
 /// Forty VMs start together, and signs of life are read 0.2 s after they are written. A VM whose turn
@@ -74,7 +74,7 @@
     let first = election.is_just_claimed(Some(&fresh));
     let again = election.is_just_claimed(Some(&fresh));
 
-    assert_eq!(verdict, Verdict::Claim);
+    assert_eq!(verdict, ElectionDecision::Claim);
     assert!(first, "it may be about to show that it lives");
     assert!(!again, "it has died before it could");
 }
@@ -90,8 +90,8 @@
     let soon = election.verdict(at(1_300), None, RTT);
     let late = election.verdict(at(2_500), None, RTT);
 
-    assert!(matches!(soon, Verdict::Wait(_)));
-    assert_eq!(late, Verdict::Claim);
+    assert!(matches!(soon, ElectionDecision::Wait(_)));
+    assert_eq!(late, ElectionDecision::Claim);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let old = claim("a", 1, false);
     let verdict = election.verdict(at(2_000), Some(&old), RTT);
 
-    assert_eq!(verdict, Verdict::Claim);
+    assert_eq!(verdict, ElectionDecision::Claim);
     assert!(!election.is_just_claimed(Some(&old)));
     assert!(!election.is_just_claimed(None));
 }
@@ -122,9 +122,9 @@
     let counts = election.wrote(at(1_500));
     let after = election.verdict(at(1_600), Some(&owner), RTT);
 
-    assert_eq!(before, Verdict::Claim);
+    assert_eq!(before, ElectionDecision::Claim);
     assert!(counts);
-    assert!(matches!(after, Verdict::Wait(_)), "{after:?}");
+    assert!(matches!(after, ElectionDecision::Wait(_)), "{after:?}");
 }
 
 /// Guards against an owner that is never replaced though nothing is heard of its jobs.
@@ -137,5 +137,5 @@
     let verdict = election.verdict(at(6_000), Some(&owner), RTT);
 
     assert_eq!(last, Some(4_500));
-    assert_eq!(verdict, Verdict::Claim);
+    assert_eq!(verdict, ElectionDecision::Claim);
 }
--- a/daisy-workflow/tests/hand_over.rs
+++ b/daisy-workflow/tests/hand_over.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Copy, Event, Fold, Handover, Hop, JobId, JobSpec, Layout, Ledger, Load, Others, Progress,
-    Record, ShardId, StepSpec, TaskId,
+    Copy, Event, FoldEffect, IncomingTransfer, JobId, JobSpec, Layout, Ledger, Load, OtherShards,
+    OutgoingTransfer, Progress, Record, ShardId, StepSpec, TaskId,
 };
 use util::{CORE, FakeWorker, Fleet, job, lasting, task};
 
@@ -43,12 +43,13 @@
 }
 
 fn handover(hop: u32, runs: u32) -> Record {
-    let it = Handover { hop, spec: large_job(), runs, failures: 0, checkpoint: String::new() };
-    Record::TaskSubmitted(of_job(0), Box::new(it))
+    let it =
+        IncomingTransfer { hop, spec: large_job(), runs, failures: 0, checkpoint: String::new() };
+    Record::TaskTransferredIn(of_job(0), Box::new(it))
 }
 
 fn handed_on(number: u32) -> Record {
-    Record::TaskHandedOn(of_job(0), Hop { number, to: ShardId(2) })
+    Record::TaskTransferredOut(of_job(0), OutgoingTransfer { number, to: ShardId(2) })
 }
 
 /// Whether the job's first task waits for a start in the shard of this ledger.
@@ -170,7 +171,7 @@
     let fold = ledger.fold(handover(2, 6));
     let again = ledger.fold(handover(2, 6));
 
-    assert_eq!((fold, again), (Fold::Task(of_job(0)), Fold::Nothing));
+    assert_eq!((fold, again), (FoldEffect::Task(of_job(0)), FoldEffect::Nothing));
     assert!(waits_here(&ledger));
 }
 
@@ -199,7 +200,7 @@
     room.set_pieces(vec![Resources { cpu_milli: 6_000, memory_mib: 64_000, ..need }; 6]);
     let full = Load { capacity: 64_000, ..Load::default() };
     let loads = [(ShardId(1), room), (ShardId(2), full), (ShardId(3), full)];
-    let mut others = Others::default();
+    let mut others = OtherShards::default();
     others.update(SortedMap::from_iter(loads));
     let mut sent = 0;
 
--- a/daisy-workflow/tests/lateness.rs
+++ b/daisy-workflow/tests/lateness.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_workflow::Lateness;
+use daisy_workflow::TickDelay;
 
 const EVERY: Duration = Duration::from_millis(50);
 
 /// Whether a process whose ticks come `gaps` milliseconds apart is too late at the last of them.
 fn too_late(gaps: &[u64]) -> bool {
     let mut now = Instant::from_millis(1_000);
-    let mut lateness = Lateness::new(now, EVERY);
+    let mut lateness = TickDelay::new(now, EVERY);
     let mut last = false;
     for gap in gaps {
         now = now + Duration::from_millis(*gap);
--- a/daisy-workflow/tests/partition.rs
+++ b/daisy-workflow/tests/partition.rs
@@ -272,9 +272,9 @@
 
 /// Tells what was played if that fails.
 #[derive(Debug)]
-struct Told<T: std::fmt::Debug>(T);
+struct PublishedState<T: std::fmt::Debug>(T);
 
-impl<T: std::fmt::Debug> Drop for Told<T> {
+impl<T: std::fmt::Debug> Drop for PublishedState<T> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             println!("{self:?}");
@@ -283,7 +283,7 @@
 }
 
 fn check(seed: u64) {
-    let _told = Told(seed);
+    let _told = PublishedState(seed);
     let mut play = begin(seed);
     for _ in 0..30 {
         play.event();
@@ -392,7 +392,7 @@
 
 /// Plays a hand-over to its end; whether each op of it changed anything.
 fn play(search: &Search) -> bool {
-    let _told = Told(search.clone());
+    let _told = PublishedState(search.clone());
     let mut cluster = Cluster::busy(VMS, search.workers);
     cluster.run_ms(search.before_ms);
     cluster.step = Duration::from_millis(20);
--- a/daisy-workflow/tests/patience.rs
+++ b/daisy-workflow/tests/patience.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_workflow::Patience;
+use daisy_workflow::LargeReadTimeout;
 
 /// How long a log answers nothing before it counts as silent.
 const SILENT_AFTER: Duration = Duration::from_millis(900);
@@ -14,7 +14,12 @@
 
 /// A try from `began` on at a log that answers other calls at the times `answers`: when it is given
 /// up, or has its answer after `takes`.
-fn ends(patience: &mut Patience, began: u64, answers: &[u64], takes: u64) -> Result<u64, u64> {
+fn ends(
+    patience: &mut LargeReadTimeout,
+    began: u64,
+    answers: &[u64],
+    takes: u64,
+) -> Result<u64, u64> {
     let answered = |now: u64| answers.iter().filter(|it| **it <= now).count() as u64;
     let mut now = began;
     patience.begin(at(now), SILENT_AFTER, answered(now));
@@ -36,7 +41,7 @@
 /// Given up after the usual time, the answer never came.
 #[test]
 fn a_late_answer_is_waited_for_while_the_log_answers_others() {
-    let mut patience = Patience::default();
+    let mut patience = LargeReadTimeout::default();
 
     let came = ends(&mut patience, 1_000, &answers(), 2_200);
 
@@ -45,7 +50,7 @@
 
 #[test]
 fn each_try_lasts_longer_until_the_answer_comes() {
-    let mut patience = Patience::default();
+    let mut patience = LargeReadTimeout::default();
     let (mut now, mut lasted) = (1_000, Vec::new());
 
     let came = loop {
@@ -65,7 +70,7 @@
 /// Nothing is answered from the start of the read on.
 #[test]
 fn a_silent_log_is_found_silent_as_soon_as_by_any_call() {
-    let mut patience = Patience::default();
+    let mut patience = LargeReadTimeout::default();
 
     let first = ends(&mut patience, 1_000, &[900, 990], u64::MAX / 2);
     let second = ends(&mut patience, 2_050, &[900, 990], u64::MAX / 2);
@@ -77,7 +82,7 @@
 /// Tries that a slow log did not answer do not make a silence last longer.
 #[test]
 fn a_log_that_falls_silent_later_is_found_silent_as_soon() {
-    let mut patience = Patience::default();
+    let mut patience = LargeReadTimeout::default();
     let slow = ends(&mut patience, 1_000, &answers(), u64::MAX / 2);
 
     let silent = ends(&mut patience, 60_000, &answers(), u64::MAX / 2);
@@ -89,7 +94,7 @@
 /// The log answers other calls and never this one.
 #[test]
 fn no_try_lasts_for_ever() {
-    let mut patience = Patience::default();
+    let mut patience = LargeReadTimeout::default();
     let answers: Vec<u64> = (0..1_000).map(|it| it * 250).collect();
     let mut now = 0;
 
@@ -97,7 +102,7 @@
         let Err(gave_up) = ends(&mut patience, now, &answers, u64::MAX / 2) else {
             panic!("no answer came");
         };
-        assert!(Duration::from_millis(gave_up - now) <= Patience::BOUND_MAX);
+        assert!(Duration::from_millis(gave_up - now) <= LargeReadTimeout::BOUND_MAX);
         now = gave_up + 150;
     }
 }
--- a/daisy-workflow/tests/pieces.rs
+++ b/daisy-workflow/tests/pieces.rs
@@ -3,7 +3,7 @@
 mod util;
 
 use daisy_model::Resources;
-use daisy_workflow::{Handover, JobState, Layout, Record, ShardId, StepSpec, TaskId};
+use daisy_workflow::{IncomingTransfer, JobState, Layout, Record, ShardId, StepSpec, TaskId};
 
 use util::{CORE, FakeWorker, Fault, LASTS_MS, World, job, lasting, step, task};
 
@@ -186,9 +186,10 @@
     world.submit(FIRST_QUICK, short());
     world.run_ms(100);
     let spec = job(vec![wide(lasting(1), 4)]);
-    let handover = Handover { hop: 1, spec, runs: 0, failures: 0, checkpoint: String::new() };
+    let handover =
+        IncomingTransfer { hop: 1, spec, runs: 0, failures: 0, checkpoint: String::new() };
 
-    world.write(Record::TaskSubmitted(task(0, 0, 0), Box::new(handover)));
+    world.write(Record::TaskTransferredIn(task(0, 0, 0), Box::new(handover)));
     world.submit(FIRST_QUICK + 1, short());
     let lasts = world.run_until(700, |it| it.places(task(0, 0, 0)).len() == 1);
 
--- a/daisy-workflow/tests/reach.rs
+++ b/daisy-workflow/tests/reach.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_workflow::{Claim, Election, Reach, Verdict};
+use daisy_workflow::{Claim, Election, ElectionDecision, LogReachability};
 
 const RTT: Duration = Duration::from_millis(5);
 
@@ -21,7 +21,7 @@
 /// the owners live, and show it with their next sign.
 #[test]
 fn an_owner_may_sign_once_the_log_is_back() {
-    let (mut reach, mut election) = (Reach::default(), Election::new(at(0), "b", 2));
+    let (mut reach, mut election) = (LogReachability::default(), Election::new(at(0), "b", 2));
     reach.read(at(1_000));
     election.heard(at(1_000));
     reach.fail();
@@ -31,15 +31,15 @@
     let back = election.verdict(at(5_010), Some(&owner()), RTT);
     let later = election.verdict(at(6_500), Some(&owner()), RTT);
 
-    assert!(matches!(back, Verdict::Wait(_)), "{back:?}");
-    assert_eq!(later, Verdict::Claim);
+    assert!(matches!(back, ElectionDecision::Wait(_)), "{back:?}");
+    assert_eq!(later, ElectionDecision::Claim);
 }
 
 /// A read that was lost alone, and one that waited long for a record, say nothing of the log: an owner
 /// that has died is replaced as soon as before.
 #[test]
 fn a_lost_read_is_no_absence() {
-    let mut reach = Reach::default();
+    let mut reach = LogReachability::default();
     reach.read(at(1_000));
     reach.fail();
     reach.read(at(1_600));
@@ -51,7 +51,7 @@
 /// A VM that had read nothing during a silence of the log took it for one of the owner.
 #[test]
 fn an_owner_is_silent_only_if_the_log_is_not() {
-    let mut reach = Reach::default();
+    let mut reach = LogReachability::default();
     reach.read(at(1_000));
 
     let right_after = reach.shows_silence(at(1_100), at(0));
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -5,9 +5,10 @@
 use bincode::{Encode, config};
 use daisy_model::Resources;
 use daisy_workflow::{
-    Claim, Copy, Disturbance, Fold, Handover, Hop, JobId, JobState, Layout, Ledger, Load,
-    Observations, PIECES, Phase, Progress, Record, RecordError, ShardId, Sign, SpecError,
-    TaskState, Told, Witness, Witnesses, decode, encode,
+    Claim, Copy, FREE_BLOCKS, FoldEffect, ImageInterference, IncomingTransfer, InterferenceSums,
+    JobId, JobState, Layout, Ledger, Load, OutgoingTransfer, OwnerHeartbeat, Phase, Progress,
+    PublishedState, Record, RecordError, ShardId, SpecError, TaskState, Witness, Witnesses, decode,
+    encode,
 };
 use util::{after, best_effort, job, lasting, step, task};
 
@@ -31,15 +32,16 @@
     Claim { vm: "vm".to_owned(), process: 3, epoch: 9, released: true, settled: true }
 }
 
-fn sign() -> Sign {
-    let load = Load { capacity: 9, lasting: 5, once: 3, best_effort: 7, pieces: [PIECE; PIECES] };
+fn sign() -> OwnerHeartbeat {
+    let load =
+        Load { capacity: 9, lasting: 5, once: 3, best_effort: 7, pieces: [PIECE; FREE_BLOCKS] };
     let pending = vec![("q".to_owned(), 4)];
-    Sign { shard: ShardId(3), claim: claim(), current: true, pending, load }
+    OwnerHeartbeat { shard: ShardId(3), claim: claim(), current: true, pending, load }
 }
 
 /// A sign of life as a build writes it whose form ends with `pieces`.
 fn sign_with(pieces: impl Encode) -> Vec<u8> {
-    let Sign { claim, current, pending, load, .. } = sign();
+    let OwnerHeartbeat { claim, current, pending, load, .. } = sign();
     let claim = (claim.vm, claim.process, claim.epoch, claim.released, claim.settled);
     let load = [load.capacity, load.lasting, load.once, load.best_effort];
     let form = (claim, current, pending, load, pieces);
@@ -55,13 +57,13 @@
         Record::Progress(JobId(7), progress()),
         Record::Claim(claim()),
         Record::Delegated(JobId(7), ShardId(2)),
-        Record::State(JobId(7), Told { state: JobState::Completed, shard: ShardId(2) }),
-        Record::Sign(Box::new(sign())),
+        Record::State(JobId(7), PublishedState { state: JobState::Completed, shard: ShardId(2) }),
+        Record::OwnerHeartbeat(Box::new(sign())),
         Record::Layout(Layout { shards: 6 }),
-        Record::TaskHandedOn(task(7, 0, 1), Hop { number: 3, to: ShardId(2) }),
-        Record::TaskSubmitted(
+        Record::TaskTransferredOut(task(7, 0, 1), OutgoingTransfer { number: 3, to: ShardId(2) }),
+        Record::TaskTransferredIn(
             task(7, 0, 1),
-            Box::new(Handover {
+            Box::new(IncomingTransfer {
                 hop: 3,
                 spec: job(vec![lasting(2)]),
                 runs: 5,
@@ -71,7 +73,7 @@
         ),
         Record::Observed(
             ShardId(3),
-            vec![Observations {
+            vec![InterferenceSums {
                 serving: "s".into(),
                 answers: vec![("a".into(), 0.25), ("b".into(), -0.5)],
                 products: vec![("a".into(), "a".into(), 0.125), ("a".into(), "b".into(), 0.5)],
@@ -81,7 +83,7 @@
             heeded_by: 9,
             workers: vec![Witness { worker: "w1".into(), born_ms: 1_700_000_000_000 }],
         }),
-        Record::Learnt(vec![Disturbance {
+        Record::LearnedInterference(vec![ImageInterference {
             serving: "s".into(),
             best_effort: "b".into(),
             permille: 6_500,
@@ -106,8 +108,8 @@
             let read = decode(&key, &value[..len]);
 
             // Builds before wrote signs that end earlier.
-            let ends = [sign_with(()).len(), sign_with([0_u8; PIECES]).len()];
-            let before = matches!(record, Record::Sign(_)) && ends.contains(&len);
+            let ends = [sign_with(()).len(), sign_with([0_u8; FREE_BLOCKS]).len()];
+            let before = matches!(record, Record::OwnerHeartbeat(_)) && ends.contains(&len);
             assert_eq!(read.is_ok(), before, "{key}, {len} bytes");
         }
     }
@@ -115,20 +117,22 @@
 
 #[test]
 fn a_sign_of_this_build_is_that_of_the_build_before() {
-    let pieces = [[PIECE.cpu_milli, PIECE.memory_mib, PIECE.accelerators]; PIECES];
+    let pieces = [[PIECE.cpu_milli, PIECE.memory_mib, PIECE.accelerators]; FREE_BLOCKS];
 
-    assert_eq!(encode(&Record::Sign(Box::new(sign()))).1, sign_with(pieces));
+    assert_eq!(encode(&Record::OwnerHeartbeat(Box::new(sign()))).1, sign_with(pieces));
 }
 
 /// Builds side by side each took the other's owners for dead, as neither read the other's signs of life.
 #[test]
 fn signs_of_older_builds_are_read_without_pieces() {
     let mut wanted = sign();
-    wanted.load.pieces = [Resources::ZERO; PIECES];
-    let wanted = Record::Sign(Box::new(wanted));
+    wanted.load.pieces = [Resources::ZERO; FREE_BLOCKS];
+    let wanted = Record::OwnerHeartbeat(Box::new(wanted));
 
     // Large enough that the numbers take as many bytes as those of today's form.
-    for value in [sign_with(()), sign_with([6_u32; PIECES]), sign_with([70_000_u32; PIECES])] {
+    for value in
+        [sign_with(()), sign_with([6_u32; FREE_BLOCKS]), sign_with([70_000_u32; FREE_BLOCKS])]
+    {
         assert_eq!(decode("sign-3", &value), Ok(wanted.clone()));
     }
 }
@@ -179,7 +183,7 @@
     let again = ledger.fold(Record::Submitted(JobId(1), spec.clone()));
     ledger.fold(Record::Submitted(JobId(2), spec));
 
-    assert_eq!((first, again), (Fold::Submitted(JobId(1)), Fold::Nothing));
+    assert_eq!((first, again), (FoldEffect::Submitted(JobId(1)), FoldEffect::Nothing));
     assert_eq!(ledger.job(JobId(1)).map(|it| it.state()), Some(JobState::Cancelled));
     assert_eq!(ledger.job(JobId(2)).map(|it| it.state()), Some(JobState::Running));
 }
@@ -191,7 +195,7 @@
 
     let fold = ledger.fold(Record::Progress(JobId(1), progress()));
 
-    assert_eq!(fold, Fold::Nothing);
+    assert_eq!(fold, FoldEffect::Nothing);
 }
 
 #[test]
--- a/daisy-workflow/tests/rooms.rs
+++ b/daisy-workflow/tests/rooms.rs
@@ -3,7 +3,9 @@
 mod util;
 
 use daisy_model::{Instant, Resources};
-use daisy_workflow::{Fold, Handover, JobId, JobSpec, Ledger, Record, ShardId, StepSpec, TaskId};
+use daisy_workflow::{
+    FoldEffect, IncomingTransfer, JobId, JobSpec, Ledger, Record, ShardId, StepSpec, TaskId,
+};
 use util::{CORE, FakeWorker, Fleet, LASTS_MS, World, best_effort, job, lasting, step, task};
 
 const FIRST: ShardId = ShardId(0);
@@ -85,10 +87,15 @@
 fn a_job_that_is_read_after_its_returned_task_is_whole() {
     let id = JobId(1);
     let spec = tasks(2, 1, 100);
-    let it =
-        Handover { hop: 2, spec: spec.clone(), runs: 3, failures: 0, checkpoint: String::new() };
+    let it = IncomingTransfer {
+        hop: 2,
+        spec: spec.clone(),
+        runs: 3,
+        failures: 0,
+        checkpoint: String::new(),
+    };
     let mut ledger = Ledger::default();
-    ledger.fold(Record::TaskSubmitted(first_task(id), Box::new(it)));
+    ledger.fold(Record::TaskTransferredIn(first_task(id), Box::new(it)));
 
     let fold = ledger.fold(Record::Submitted(id, spec));
 
@@ -96,7 +103,7 @@
         let job = ledger.job(id).expect("a job that was read");
         job.progress.task(task(id.0, 0, index)).expect("its task").is_waiting()
     };
-    assert_eq!((fold, waits(0), waits(1)), (Fold::Submitted(id), true, true));
+    assert_eq!((fold, waits(0), waits(1)), (FoldEffect::Submitted(id), true, true));
 }
 
 /// A task that went where only processors are free would wait there once more.
@@ -146,8 +153,8 @@
     fleet.run_ms(500);
     let id = JobId(1_000_003);
     let spec = tasks(1, 2, 100);
-    let it = Handover { hop: 4, spec, runs: 2, failures: 0, checkpoint: String::new() };
-    fleet.worlds[0].write(Record::TaskSubmitted(first_task(id), Box::new(it)));
+    let it = IncomingTransfer { hop: 4, spec, runs: 2, failures: 0, checkpoint: String::new() };
+    fleet.worlds[0].write(Record::TaskTransferredIn(first_task(id), Box::new(it)));
     fleet.run_told(4_000);
     assert_eq!(fleet.places(first_task(id)), [""; 0], "no shard has room yet");
 
--- a/daisy-workflow/tests/silence.rs
+++ b/daisy-workflow/tests/silence.rs
@@ -1,15 +1,15 @@
 //! What is sent to a log that has fallen silent.
 
 use daisy_model::Instant;
-use daisy_workflow::{Silence, Turn};
+use daisy_workflow::{LogHealth, SendDecision};
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
 /// A log that has answered appends within 10 ms, and reads, up to 1,000 ms.
-fn answering() -> Silence {
-    let mut log = Silence::default();
+fn answering() -> LogHealth {
+    let mut log = LogHealth::default();
     for began in [900, 940, 980] {
         log.begin(at(began));
         log.end(at(began + 10), at(began), true);
@@ -27,7 +27,7 @@
     let mut sent = 0;
 
     for now in (1_000..2_400).step_by(20) {
-        if let Turn::All(_) = log.turn(at(now)) {
+        if let SendDecision::All(_) = log.turn(at(now)) {
             sent += 1;
             log.begin(at(now));
         }
@@ -54,9 +54,9 @@
     let after = (log.is_silent(at(5_000)), log.turn(at(5_000)));
 
     assert!(!before && silent);
-    assert!(matches!(again, Turn::Again(_)));
+    assert!(matches!(again, SendDecision::RetriesOnly(_)));
     assert!(!after.0);
-    assert!(matches!(after.1, Turn::All(_)));
+    assert!(matches!(after.1, SendDecision::All(_)));
 }
 
 /// A record that came into a silence was sent, its outcome was unknown, and its caller could not retry.
@@ -68,12 +68,12 @@
 
     for now in (1_700..4_000).step_by(50) {
         match log.turn(at(now)) {
-            Turn::All(_) | Turn::Again(_) => sent += 1,
-            Turn::Ask(_) => {
+            SendDecision::All(_) | SendDecision::RetriesOnly(_) => sent += 1,
+            SendDecision::Probe(_) => {
                 log.ask(at(now));
                 asked.push(now);
             }
-            Turn::Wait => {}
+            SendDecision::Wait => {}
         }
     }
     let silent = log.is_silent(at(2_200));
@@ -82,7 +82,7 @@
     assert_eq!((sent, silent), (0, true));
     assert_eq!(asked, [1_700, 2_700, 3_700]);
     assert!(!log.is_silent(at(4_000)));
-    assert!(matches!(log.turn(at(4_000)), Turn::All(_)));
+    assert!(matches!(log.turn(at(4_000)), SendDecision::All(_)));
 }
 
 /// A read was lost and the log is there: one question shows it, and the record is sent.
@@ -95,9 +95,9 @@
     let waits = (log.turn(at(1_720)), log.is_hopeless(at(1_720), at(1_690)));
     log.read(at(1_730));
 
-    assert!(matches!(first, Turn::Ask(_)));
-    assert_eq!(waits, (Turn::Wait, false));
-    assert!(matches!(log.turn(at(1_730)), Turn::All(_)));
+    assert!(matches!(first, SendDecision::Probe(_)));
+    assert_eq!(waits, (SendDecision::Wait, false));
+    assert!(matches!(log.turn(at(1_730)), SendDecision::All(_)));
 }
 
 /// The log answers reads and no appends. One append in a second shows when that ends; the callers who
@@ -116,7 +116,7 @@
             log.end(at(now), at(began), false);
             under_way = None;
         }
-        if under_way.is_none() && matches!(log.turn(at(now)), Turn::All(_)) {
+        if under_way.is_none() && matches!(log.turn(at(now)), SendDecision::All(_)) {
             probes += 1;
             log.begin(at(now));
             under_way = Some(now);
@@ -146,7 +146,7 @@
         for began in sent.iter().filter(|it| now == **it + 500) {
             log.end(at(now), at(*began), false);
         }
-        if let Turn::All(_) = log.turn(at(now)) {
+        if let SendDecision::All(_) = log.turn(at(now)) {
             sent.push(now);
             log.begin(at(now));
         }
@@ -174,7 +174,7 @@
 
     assert!(question.is_some() && again.is_none());
     assert!(!log.is_silent(at(9_000)));
-    assert!(matches!(log.turn(at(9_000)), Turn::All(_)));
+    assert!(matches!(log.turn(at(9_000)), SendDecision::All(_)));
 }
 
 /// All of the log was silent: each partition would have to be asked before the next caller is served.
@@ -188,5 +188,5 @@
     log.read_elsewhere(at(5_000), at(5_000));
 
     assert!(silent && !log.is_silent(at(5_000)));
-    assert!(matches!(log.turn(at(5_000)), Turn::All(_)));
+    assert!(matches!(log.turn(at(5_000)), SendDecision::All(_)));
 }
--- a/daisy-workflow/tests/telling.rs
+++ b/daisy-workflow/tests/telling.rs
@@ -2,7 +2,8 @@
 
 use daisy_model::{Instant, SortedMap};
 use daisy_workflow::{
-    Claim, Directory, JobId, JobState, Load, Record, ShardId, Sign, Telling, Told,
+    Claim, Directory, JobId, JobState, Load, OwnerHeartbeat, PublishedState, Record, ShardId,
+    StatePublisher,
 };
 
 const OWN: ShardId = ShardId(1);
@@ -12,34 +13,34 @@
     Instant::from_millis(millis)
 }
 
-fn sign() -> Sign {
+fn sign() -> OwnerHeartbeat {
     let claim = Claim { vm: "a".to_owned(), process: 1, epoch: 3, released: false, settled: true };
-    Sign { shard: OWN, claim, current: true, pending: Vec::new(), load: Load::default() }
+    OwnerHeartbeat { shard: OWN, claim, current: true, pending: Vec::new(), load: Load::default() }
 }
 
-fn told(state: JobState, shard: ShardId) -> SortedMap<JobId, Told> {
-    SortedMap::from_iter([(ID, Told { state, shard })])
+fn told(state: JobState, shard: ShardId) -> SortedMap<JobId, PublishedState> {
+    SortedMap::from_iter([(ID, PublishedState { state, shard })])
 }
 
 fn state(state: JobState) -> Record {
-    Record::State(ID, Told { state, shard: OWN })
+    Record::State(ID, PublishedState { state, shard: OWN })
 }
 
 #[test]
 fn a_new_owner_shows_at_once_that_it_lives() {
-    let mut telling = Telling::new(at(0), OWN, SortedMap::new());
+    let mut telling = StatePublisher::new(at(0), OWN, SortedMap::new());
 
     let due = telling.is_sign_due(at(0));
     let records = telling.try_records(at(0), Some(sign()));
 
     assert!(due);
-    assert_eq!(records, Some(vec![Record::Sign(Box::new(sign()))]));
+    assert_eq!(records, Some(vec![Record::OwnerHeartbeat(Box::new(sign()))]));
     assert!(!telling.is_sign_due(at(399)) && telling.is_sign_due(at(400)));
 }
 
 #[test]
 fn states_gather_for_a_while() {
-    let mut telling = Telling::new(at(0), OWN, SortedMap::new());
+    let mut telling = StatePublisher::new(at(0), OWN, SortedMap::new());
     telling.add(ID, JobState::Queued);
     telling.add(ID, JobState::Running);
 
@@ -52,7 +53,7 @@
 
 #[test]
 fn what_all_know_is_not_told_again() {
-    let mut telling = Telling::new(at(0), OWN, told(JobState::Running, OWN));
+    let mut telling = StatePublisher::new(at(0), OWN, told(JobState::Running, OWN));
 
     telling.add(ID, JobState::Queued);
     telling.add(ID, JobState::Running);
@@ -64,7 +65,7 @@
 /// the other one's next owner hands it on once more.
 #[test]
 fn a_job_that_came_from_another_shard_is_told_of() {
-    let mut telling = Telling::new(at(0), OWN, told(JobState::Queued, ShardId(0)));
+    let mut telling = StatePublisher::new(at(0), OWN, told(JobState::Queued, ShardId(0)));
 
     telling.add(ID, JobState::Queued);
 
@@ -73,7 +74,7 @@
 
 #[test]
 fn a_late_state_does_not_follow_a_newer_one() {
-    let mut telling = Telling::new(at(0), OWN, told(JobState::Completed, ShardId(0)));
+    let mut telling = StatePublisher::new(at(0), OWN, told(JobState::Completed, ShardId(0)));
 
     telling.add(ID, JobState::Running);
 
@@ -83,11 +84,11 @@
 /// An owner that dies before it tells of a job it has handed on leaves one that nobody knows.
 #[test]
 fn a_job_that_was_handed_on_and_not_told_of_is_missing() {
-    let telling = Telling::new(at(0), OWN, SortedMap::new());
+    let telling = StatePublisher::new(at(0), OWN, SortedMap::new());
     let mut directory = Directory::default();
 
     let before = telling.all_told(&directory, [ID].into_iter());
-    directory.set_state(ID, Told { state: JobState::Queued, shard: ShardId(0) });
+    directory.set_state(ID, PublishedState { state: JobState::Queued, shard: ShardId(0) });
     let after = telling.all_told(&directory, [ID].into_iter());
 
     assert_eq!((before, after), (false, true));
@@ -95,7 +96,7 @@
 
 #[test]
 fn a_job_that_this_owner_tells_of_is_not_missing() {
-    let mut telling = Telling::new(at(0), OWN, SortedMap::new());
+    let mut telling = StatePublisher::new(at(0), OWN, SortedMap::new());
     telling.add(ID, JobState::Queued);
 
     let waits = telling.all_told(&Directory::default(), [ID].into_iter());
--- a/daisy-workflow/tests/util/mod.rs
+++ b/daisy-workflow/tests/util/mod.rs
@@ -11,7 +11,7 @@
 use std::{sync::Arc, time::Duration};
 
 use daisy_model::Resources;
-use daisy_workflow::{JobId, JobSpec, Queue, Queues, Service, StepSpec, TaskId, Terms};
+use daisy_workflow::{JobId, JobSpec, Queue, QueueConfig, Service, StepSpec, TaskId, Terms};
 
 pub use self::{
     fleet::Fleet,
@@ -40,8 +40,8 @@
     }
 }
 
-pub fn queues() -> Arc<Queues> {
-    Arc::new(Queues {
+pub fn queues() -> Arc<QueueConfig> {
+    Arc::new(QueueConfig {
         version: 1,
         queues: vec![Queue {
             host: "shop.example".into(),
