--- a/daisy-measure/src/overload/drive.rs
+++ b/daisy-measure/src/overload/drive.rs
@@ -251,7 +251,7 @@
         for it in &self.arrivals {
             let id = JobId(it.id);
             let state = self.shards.iter().find_map(|shard| {
-                shard.ledger.job(id).filter(|it| !it.is_part()).map(|it| it.state())
+                shard.ledger.job(id).filter(|it| !it.belongs_to_other_shard()).map(|it| it.state())
             });
             if it.spec.kind() != JobKind::LongRunning && it.at >= Instant::from_millis(LEAD_MS) {
                 self.report.add_job(it, state == Some(JobState::Completed));
@@ -301,6 +301,6 @@
 }
 
 fn queues() -> Arc<QueueConfig> {
-    let services = vec![Service { name: "shop".into(), workers_guard: false, connections: 64 }];
+    let services = vec![Service { name: "shop".into(), admission_control: false, connections: 64 }];
     Arc::new(QueueConfig { version: 1, queues: Vec::<Queue>::new(), services, body_bytes: 1 << 18 })
 }
--- a/daisy-measure/src/overload/worker.rs
+++ b/daisy-measure/src/overload/worker.rs
@@ -137,7 +137,7 @@
         work_ms: f64,
     ) -> OrderReply {
         let clock_ms = now.0 / 1_000;
-        let used = self.used().try_add(step.counted());
+        let used = self.used().try_add(step.allocation());
         if used.is_none_or(|it| !it.fits(self.capacity)) {
             return OrderReply::Refused(Refusal::Room);
         }
@@ -205,7 +205,7 @@
 
     fn used(&self) -> Resources {
         let add =
-            |sum: Resources, it: &Run| sum.try_add(it.step.counted()).unwrap_or(self.capacity);
+            |sum: Resources, it: &Run| sum.try_add(it.step.allocation()).unwrap_or(self.capacity);
         self.runs.iter().fold(Resources::ZERO, add)
     }
 
--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -59,7 +59,7 @@
     /// waiting for.
     pub fn is_cut_off(&self, shard: ShardId) -> bool {
         let now = clock::now();
-        let silent = self.log.silence(now, shard, |it| it.is_silent(now));
+        let silent = self.log.silence(now, shard, |it| it.is_unresponsive(now));
         if silent {
             self.log.ask_if_due(now, shard);
         }
@@ -107,13 +107,13 @@
 impl Log {
     /// What `f` gives for the partition of `shard`, of which all is known that was read by `now`.
     fn silence<T>(&self, now: Instant, shard: ShardId, f: impl FnOnce(&mut LogHealth) -> T) -> T {
-        let (read, back_at) = {
+        let (read, recovered_at) = {
             let known = self.shared.lock();
-            (known.states_read.map(|(at, _)| at), known.reach.back_at())
+            (known.states_read.map(|(at, _)| at), known.reach.recovered_at())
         };
         let mut silences = self.silences.lock().unwrap_or_else(PoisonError::into_inner);
         let silence = silences.get_or_insert_with(shard, LogHealth::default);
-        silence.read_elsewhere(read.unwrap_or_default().min(now), back_at.min(now));
+        silence.other_partition_read(read.unwrap_or_default().min(now), recovered_at.min(now));
         f(silence)
     }
 
@@ -124,17 +124,17 @@
     }
 
     /// Whether some partition has left an append unanswered.
-    fn is_unsure(&self) -> bool {
+    fn has_unconfirmed_append(&self) -> bool {
         let silences = self.silences.lock().unwrap_or_else(PoisonError::into_inner);
-        silences.iter().any(|(_, it)| it.is_unsure())
+        silences.iter().any(|(_, it)| it.has_unconfirmed_append())
     }
 
     /// Asks whether the partition of `shard` answers, if that is not known and was not asked just
     /// before. Two at one time, as one answer may be lost.
     fn ask_if_due(&self, now: Instant, shard: ShardId) {
         let due = self.silence(now, shard, |it| {
-            let due = it.try_question(now);
-            due.inspect(|_| it.ask(now))
+            let due = it.try_probe(now);
+            due.inspect(|_| it.begin_probe(now))
         });
         let Some(timeout) = due else { return };
         for _ in 0..2 {
@@ -168,7 +168,7 @@
                 None => return,
             },
             () = log.freed.notified() => {}
-            () = sleep(LOOK_EVERY), if !waiting.is_empty() || log.is_unsure() => {}
+            () = sleep(LOOK_EVERY), if !waiting.is_empty() || log.has_unconfirmed_append() => {}
         }
         while let Ok(it) = rx.try_recv() {
             waiting.push(it);
@@ -177,7 +177,7 @@
         reject_hopeless(now, &log, &mut waiting);
         for shard in log.shards() {
             let Some((batch, timeout)) = try_batch(now, &log, shard, &mut waiting) else {
-                let unsure = log.silence(now, shard, |it| it.is_unsure());
+                let unsure = log.silence(now, shard, |it| it.has_unconfirmed_append());
                 if unsure || waiting.iter().any(|it| it.shard == shard) {
                     log.ask_if_due(now, shard);
                 }
@@ -195,7 +195,7 @@
 /// Answers those whose records were never sent and had better not be.
 fn reject_hopeless(now: Instant, log: &Log, waiting: &mut Vec<Waiter>) {
     let hopeless = |it: &mut Waiter| {
-        !it.again && log.silence(now, it.shard, |silence| silence.is_hopeless(now, it.since))
+        !it.again && log.silence(now, it.shard, |silence| silence.should_reject(now, it.since))
     };
     for it in waiting.extract_if(.., hopeless) {
         let why = "the log does not answer, and nothing was sent to it";
@@ -211,7 +211,7 @@
     shard: ShardId,
     waiting: &mut Vec<Waiter>,
 ) -> Option<(Vec<Waiter>, Duration)> {
-    let (timeout, all) = match log.silence(now, shard, |it| it.turn(now)) {
+    let (timeout, all) = match log.silence(now, shard, |it| it.next_send(now)) {
         SendDecision::All(timeout) => (timeout, true),
         SendDecision::RetriesOnly(timeout) => (timeout, false),
         SendDecision::Probe(_) | SendDecision::Wait => return None,
--- a/daisy-node/src/elect.rs
+++ b/daisy-node/src/elect.rs
@@ -89,7 +89,7 @@
 struct Progressed {
     /// Whether there was a claim in it, and whether there was anything else.
     seen: bool,
-    wrote: bool,
+    owner_wrote: bool,
     at_end: bool,
 }
 
@@ -127,15 +127,15 @@
     }
 
     fn fold_progress(&mut self, read: &Read) -> Progressed {
-        let (mut seen, mut wrote) = (false, false);
+        let (mut seen, mut owner_wrote) = (false, false);
         for it in read.records.iter().filter(|it| !it.value.is_empty()) {
             match jobs::read("progress", it).map(|record| self.ledger.fold(record)) {
                 Ok(FoldEffect::Claim) => seen = true,
-                Ok(_) => wrote = true,
+                Ok(_) => owner_wrote = true,
                 Err(e) => self.is_newer |= matches!(e, RecordError::Version(_)),
             }
         }
-        Progressed { seen, wrote, at_end: read.at_end }
+        Progressed { seen, owner_wrote, at_end: read.at_end }
     }
 }
 
@@ -147,7 +147,7 @@
     after: u64,
     ledger: Ledger,
     jobs: Tail,
-    settled: bool,
+    predecessors_expired: bool,
 }
 
 impl Watch {
@@ -169,7 +169,7 @@
     async fn run(mut self) {
         while !*self.elect.stop.borrow() {
             self.unfinished.take_if(|(at, _)| clock::now().since(*at) > READ_KEPT);
-            match self.verdict() {
+            match self.decision() {
                 ElectionDecision::Claim => {
                     self.elect.shared.lock().begin_claim();
                     let won = self.claim().await;
@@ -185,26 +185,27 @@
         }
     }
 
-    fn verdict(&mut self) -> ElectionDecision {
+    fn decision(&mut self) -> ElectionDecision {
         let now = clock::now();
         let known = self.elect.shared.lock();
         // Without a configuration and the newest signs of life, a claim would go by nothing.
-        let sure = known.is_fresh() && known.reach.shows_silence(now, self.lost_at);
+        let sure = known.is_fresh() && known.reach.can_detect_lost_owner(now, self.lost_at);
         if known.queues.is_none() || !sure {
             return ElectionDecision::Wait(PAUSE);
         }
-        let heard = known.directory.owner(self.shard);
-        if let Some(heard) = heard {
-            self.election.heard(heard.at);
+        let heartbeat_received = known.directory.owner(self.shard);
+        if let Some(heartbeat_received) = heartbeat_received {
+            self.election.heartbeat_received(heartbeat_received.at);
         }
         // While the log is away no owner can show that it lives. Taken for dead as it comes back, all
         // would be replaced, at the same moment and by the same few VMs.
-        self.election.heard(known.reach.back_at());
+        self.election.heartbeat_received(known.reach.recovered_at());
         // An own claim that has ended is nobody's.
-        let newest = heard.map(|it| match it.sign.claim.epoch <= self.ended_epoch {
-            true => Claim { vm: String::new(), process: 0, ..it.sign.claim.clone() },
-            false => it.sign.claim.clone(),
-        });
+        let newest =
+            heartbeat_received.map(|it| match it.heartbeat.claim.epoch <= self.ended_epoch {
+                true => Claim { vm: String::new(), process: 0, ..it.heartbeat.claim.clone() },
+                false => it.heartbeat.claim.clone(),
+            });
         let candidate = Candidate {
             vm: &self.elect.settings.vm,
             shard: self.shard,
@@ -213,8 +214,8 @@
             cpu_share: self.elect.settings.cpu_share,
         };
         let unfit = if now < self.unfit_until { UNFIT_LATER } else { Duration::ZERO };
-        self.election.set_rank(candidate.rank() + unfit);
-        self.election.verdict(now, newest.as_ref(), self.rtt)
+        self.election.set_claim_delay(candidate.claim_delay() + unfit);
+        self.election.decision(now, newest.as_ref(), self.rtt)
     }
 
     /// Claims the shard after all that its log holds was read. What came of the claim shows in the
@@ -224,18 +225,18 @@
         const TRIES: u32 = 4;
         let mut reading = self.begin_reading();
         let began = clock::now();
-        let (jobs, progress, heard) = join!(
+        let (jobs, progress, heartbeat_received) = join!(
             reading.jobs.try_read(Duration::ZERO),
             reading.progress.try_read(Duration::ZERO),
             self.could_hear()
         );
         let jobs = jobs.map(|it| reading.fold_jobs(&it));
         let mut progress = progress.map(|it| reading.fold_progress(&it));
-        if !heard {
+        if !heartbeat_received {
             // As with a log that is away: the owner has to be silent while it could be heard.
-            self.election.heard(clock::now());
+            self.election.heartbeat_received(clock::now());
         }
-        if jobs.is_none() || progress.is_none() || !heard {
+        if jobs.is_none() || progress.is_none() || !heartbeat_received {
             return self.keep(reading);
         }
         self.rtt = clock::now().since(began);
@@ -246,9 +247,12 @@
                 Some(it) => Some(it),
                 None => reading.read_progress().await,
             };
-            let Some(Progressed { seen, wrote, at_end }) = read else { return self.keep(reading) };
+            let Some(Progressed { seen, owner_wrote, at_end }) = read else {
+                return self.keep(reading);
+            };
             // What is read after a claim was refused has just been written.
-            if claimed.is_some() && !seen && wrote && self.election.wrote(clock::now()) {
+            if claimed.is_some() && !seen && owner_wrote && self.election.owner_wrote(clock::now())
+            {
                 let (shard, cause) =
                     (self.shard.0, "the owner writes, though no sign of it is heard");
                 log::info!("event=claim_dropped shard={shard} cause=\"{cause}\"");
@@ -259,14 +263,14 @@
             }
             let last = reading.ledger.owner();
             let mine = last.filter(|it| self.is_mine(it) && Some(it.epoch) == claimed);
-            if let Some(Claim { epoch, settled, .. }) = mine.cloned() {
+            if let Some(Claim { epoch, predecessors_expired, .. }) = mine.cloned() {
                 if !reading.read_all_jobs().await {
                     return self.keep(reading);
                 }
                 let Reading { ledger, jobs, .. } = reading;
-                return Some(Won { epoch, claimed_at, after, ledger, jobs, settled });
+                return Some(Won { epoch, claimed_at, after, ledger, jobs, predecessors_expired });
             }
-            let rival = self.election.is_just_claimed(last);
+            let rival = self.election.is_newly_claimed(last);
             if rival || claimed.is_some() && seen {
                 break;
             }
@@ -274,20 +278,20 @@
             if reading.is_newer {
                 let (shard, cause) = (self.shard.0, "its progress is of a newer build");
                 log::warn!("event=claim_withheld shard={shard} cause=\"{cause}\"");
-                self.election.heard(clock::now());
+                self.election.heartbeat_received(clock::now());
                 return self.keep(reading);
             }
             // A read may have taken long.
             if *self.elect.stop.borrow() {
                 return None;
             }
-            let settled = self.is_settled(last);
+            let predecessors_expired = self.is_settled(last);
             claimed_at = clock::now();
             after = last.map_or(0, |it| it.epoch);
-            claimed = self.append_claim(reading.progress.next()?, settled).await;
+            claimed = self.append_claim(reading.progress.next()?, predecessors_expired).await;
         }
         // Somebody else was faster, or the log does not answer.
-        self.election.wait_anew(clock::now());
+        self.election.restart_timeout(clock::now());
         None
     }
 
@@ -334,10 +338,10 @@
     }
 
     /// Appends a claim at the end that was read, and gives its epoch.
-    async fn append_claim(&self, at: u64, settled: bool) -> Option<u64> {
+    async fn append_claim(&self, at: u64, predecessors_expired: bool) -> Option<u64> {
         let epoch = at + 1;
         let shard = self.shard.0;
-        let record = encode(&Record::Claim(self.election.claim(epoch, settled)));
+        let record = encode(&Record::Claim(self.election.claim(epoch, predecessors_expired)));
         let guard = Guard::Claim { shard, at, epoch };
         let topic = Topic::Progress(shard);
         match self.elect.store.append(topic, &[record], guard, CALL_TIMEOUT).await {
@@ -366,15 +370,15 @@
     fn is_settled(&self, last: Option<&Claim>) -> bool {
         let Some(last) = last else { return true };
         let known = self.elect.shared.lock();
-        let sign = known.directory.owner(self.shard).map(|it| &it.sign.claim);
-        let last = sign.filter(|it| it.epoch == last.epoch).unwrap_or(last);
-        (last.released || last.vm == self.elect.settings.vm) && last.settled
+        let heartbeat = known.directory.owner(self.shard).map(|it| &it.heartbeat.claim);
+        let last = heartbeat.filter(|it| it.epoch == last.epoch).unwrap_or(last);
+        (last.released || last.vm == self.elect.settings.vm) && last.predecessors_expired
     }
 
     async fn own(&mut self, won: Won) {
-        let Won { epoch, claimed_at, after, ledger, jobs, settled } = won;
+        let Won { epoch, claimed_at, after, ledger, jobs, predecessors_expired } = won;
         let (shard, elect) = (self.shard, &self.elect);
-        log::info!("event=owner shard={} epoch={epoch} settled={settled}", shard.0);
+        log::info!("event=owner shard={} epoch={epoch} settled={predecessors_expired}", shard.0);
         elect.metrics.owner("won");
         let told = {
             let known = elect.shared.lock();
@@ -385,7 +389,7 @@
             elect: elect.clone(),
             shard,
             epoch,
-            claim: self.election.claim(epoch, settled),
+            claim: self.election.claim(epoch, predecessors_expired),
             claimed_at,
             after,
             told,
@@ -395,7 +399,7 @@
         self.elect.metrics.owner("ended");
         let now = clock::now();
         self.ended_epoch = epoch;
-        self.election.heard(now);
+        self.election.heartbeat_received(now);
         if why.is_unfit() {
             self.unfit_until = now + UNFIT_FOR;
         }
--- a/daisy-node/src/follow.rs
+++ b/daisy-node/src/follow.rs
@@ -138,9 +138,9 @@
     }
 
     async fn newest_page(&mut self, silent_after: Duration) -> Result<NewestPage, StoreError> {
-        let silent_after = if self.patience.is_tried() { CALL_TIMEOUT } else { silent_after };
+        let silent_after = if self.patience.has_timed_out() { CALL_TIMEOUT } else { silent_after };
         let after = self.pages.as_ref().and_then(|it| it.records.last()).map(|it| it.key.as_str());
-        let mut call = pin!(self.store.newest(self.topic, after, LargeReadTimeout::BOUND_MAX));
+        let mut call = pin!(self.store.newest(self.topic, after, LargeReadTimeout::TIMEOUT_MAX));
         let began = clock::now();
         self.patience.begin(began, silent_after, self.store.answered());
         while let Some(wait) = self.patience.try_wait(clock::now(), self.store.answered()) {
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -158,7 +158,7 @@
         let settings = Settings { lease, lease_max, shard: self.shard, layout, rules };
         let claimed = Claimed {
             at: self.claimed_at,
-            alone: self.claim.settled,
+            alone: self.claim.predecessors_expired,
             epoch: self.epoch,
             after: self.after,
         };
@@ -229,7 +229,7 @@
                         self.ownership.elect.shared.lock().directory.loads(self.ownership.shard);
                     self.owner.step(now, Event::Loads(loads));
                     self.owner.step(now, Event::Tick);
-                    if self.lateness.is_too_late(now) {
+                    if self.lateness.record_tick(now) {
                         return self.release(appended, Ended::Late).await;
                     }
                 }
@@ -373,8 +373,8 @@
             return;
         }
         let now = clock::now();
-        let sign = self.telling.is_sign_due(now).then(|| self.sign(now, false));
-        let Some(records) = self.telling.try_records(now, sign) else { return };
+        let heartbeat = self.telling.is_heartbeat_due(now).then(|| self.heartbeat(now, false));
+        let Some(records) = self.telling.try_records(now, heartbeat) else { return };
         self.send_states(records);
     }
 
@@ -410,25 +410,27 @@
     }
 
     /// A sign of life.
-    fn sign(&self, now: Instant, released: bool) -> OwnerHeartbeat {
+    fn heartbeat(&self, now: Instant, released: bool) -> OwnerHeartbeat {
         /// Twice the longest wait for a new record.
         const CURRENT: Duration = Duration::from_millis(800);
         let claim = Claim {
             released,
-            settled: self.ownership.claim.settled || self.owner.is_settled(now),
+            predecessors_expired: self.ownership.claim.predecessors_expired
+                || self.owner.is_settled(now),
             ..self.ownership.claim.clone()
         };
         let shard = self.ownership.shard;
-        let current = now.since(*self.jobs_read.borrow()) < CURRENT && self.all_told();
+        let is_caught_up =
+            now.since(*self.jobs_read.borrow()) < CURRENT && self.are_all_published();
         let pending = self.owner.pending();
         let load = self.owner.load(now);
-        OwnerHeartbeat { shard, claim, current, pending, load }
+        OwnerHeartbeat { shard, claim, is_caught_up, pending, load }
     }
 
     /// Whether callers can know of all jobs that are handed on.
-    fn all_told(&self) -> bool {
+    fn are_all_published(&self) -> bool {
         let known = self.ownership.elect.shared.lock();
-        self.telling.all_told(&known.directory, self.owner.handed_on())
+        self.telling.are_all_published(&known.directory, self.owner.handed_on())
     }
 
     fn guard(&self, seq: u64) -> Guard {
@@ -496,9 +498,9 @@
         for (id, state) in self.owner.take_states() {
             self.telling.add(id, state);
         }
-        let sign = self.sign(clock::now(), true);
+        let heartbeat = self.heartbeat(clock::now(), true);
         let mut records = self.telling.records();
-        records.push(Record::OwnerHeartbeat(Box::new(sign)));
+        records.push(Record::OwnerHeartbeat(Box::new(heartbeat)));
         self.send_states(records);
         appended.recv().await;
         why
--- a/daisy-node/src/own/notes.rs
+++ b/daisy-node/src/own/notes.rs
@@ -10,7 +10,7 @@
         Note::JobEnded { job, how, kind, age, objective } => {
             log::info!(
                 "event=job_ended id={job} outcome={how} kind={} age_ms={} objective_ms={}",
-                kind.word(),
+                kind.label(),
                 age.as_millis(),
                 objective.as_millis()
             );
--- a/daisy-node/src/states.rs
+++ b/daisy-node/src/states.rs
@@ -26,19 +26,19 @@
     loop {
         let anew = tail.next().is_none();
         let Some(read) = tail.try_read(WAIT).await else {
-            shared.lock().reach.fail();
+            shared.lock().reach.read_failed();
             continue;
         };
         let pause = {
             let mut known = shared.lock();
             known.reach.read(clock::now());
             if anew {
-                known.directory.begin_anew();
+                known.directory.restart_reading();
             }
             fold(&mut known, &read);
             if let Some(end) = tail.next().filter(|_| read.at_end) {
                 known.states_read = Some((clock::now(), end));
-                known.directory.read_to_end(clock::now());
+                known.directory.mark_caught_up(clock::now());
             }
             let shards = known.directory.layout().map_or(1, |it| it.shards);
             (PAUSE + PAUSE_A_SHARD * u32::from(shards)).min(PAUSE_MAX)
@@ -57,7 +57,9 @@
             Ok(Record::State(id, state)) => {
                 known.directory.set_state(id, state);
             }
-            Ok(Record::OwnerHeartbeat(sign)) => known.directory.hear(now, *sign),
+            Ok(Record::OwnerHeartbeat(heartbeat)) => {
+                known.directory.receive_heartbeat(now, *heartbeat)
+            }
             Ok(Record::Layout(layout)) => known.directory.set_layout(layout),
             Ok(_) => log::warn!(
                 "event=record_unreadable topic=states offset={} cause=\"it belongs elsewhere\"",
--- a/daisy-node/src/submit.rs
+++ b/daisy-node/src/submit.rs
@@ -188,7 +188,7 @@
 fn size(record: &Record) -> String {
     match record {
         Record::Submitted(_, spec) => {
-            format!(" kind={} work_ms={}", spec.kind().word(), spec.work_ms())
+            format!(" kind={} work_ms={}", spec.kind().label(), spec.work_ms())
         }
         _ => String::new(),
     }
--- a/daisy-workflow/src/balance.rs
+++ b/daisy-workflow/src/balance.rs
@@ -20,14 +20,14 @@
     /// Processors of usable workers.
     pub capacity: u64,
     /// Reserved by tasks that last, running or waiting.
-    pub lasting: u64,
+    pub long_running: u64,
     /// Reserved by tasks that end by themselves, running or waiting.
-    pub once: u64,
+    pub finite: u64,
     /// What best-effort tasks could use, running or waiting.
     pub best_effort: u64,
     /// What is left of a worker for tasks that last once all others have ended, of the workers with
     /// most, the largest first: for such a task, a worker is kept until they have.
-    pub pieces: [Resources; FREE_BLOCKS],
+    pub free_blocks: [Resources; FREE_BLOCKS],
 }
 
 /// What a job adds to the load of its shard while its widest step runs.
@@ -39,7 +39,7 @@
 
 impl Demand {
     /// The demand of one task of a step that lasts.
-    pub fn of_lasting(step: &StepSpec) -> Demand {
+    pub fn of_long_running_task(step: &StepSpec) -> Demand {
         Demand { kind: JobKind::LongRunning, cpu: u64::from(step.need.cpu_milli) }
     }
 
@@ -54,23 +54,23 @@
 
 impl Load {
     /// Keeps the first of these pieces.
-    pub fn set_pieces(&mut self, mut pieces: Vec<Resources>) {
-        pieces.resize(FREE_BLOCKS, Resources::ZERO);
-        self.pieces.copy_from_slice(&pieces);
+    pub fn set_free_blocks(&mut self, mut free_blocks: Vec<Resources>) {
+        free_blocks.resize(FREE_BLOCKS, Resources::ZERO);
+        self.free_blocks.copy_from_slice(&free_blocks);
     }
 
     /// Tasks that last, need this much of one worker and find room in time, as far as the pieces
     /// tell.
     fn rooms(&self, need: Resources) -> u64 {
-        self.pieces.iter().map(|it| u64::from(it.holds(need))).sum()
+        self.free_blocks.iter().map(|it| u64::from(it.holds(need))).sum()
     }
 
     /// The load with a job more.
     fn with(self, demand: Demand) -> Load {
         let mut load = self;
         match demand.kind {
-            JobKind::LongRunning => load.lasting += demand.cpu,
-            JobKind::Finite => load.once += demand.cpu,
+            JobKind::LongRunning => load.long_running += demand.cpu,
+            JobKind::Finite => load.finite += demand.cpu,
             JobKind::BestEffort => load.best_effort += demand.cpu,
         }
         load
@@ -80,12 +80,12 @@
     fn pressure(self, kind: JobKind) -> f64 {
         /// Serving tasks use about half of what they reserve, and best-effort tasks the rest.
         const SERVING_USE: f64 = 0.55;
-        let (lasting, once, best_effort) =
-            (self.lasting as f64, self.once as f64, self.best_effort as f64);
+        let (long_running, finite, best_effort) =
+            (self.long_running as f64, self.finite as f64, self.best_effort as f64);
         let asked = match kind {
-            JobKind::LongRunning => lasting,
-            JobKind::Finite => lasting + once,
-            JobKind::BestEffort => lasting * SERVING_USE + once + best_effort,
+            JobKind::LongRunning => long_running,
+            JobKind::Finite => long_running + finite,
+            JobKind::BestEffort => long_running * SERVING_USE + finite + best_effort,
         };
         asked / (self.capacity.max(1) as f64)
     }
@@ -109,7 +109,7 @@
     }
 
     /// A job went to `shard`.
-    pub fn sent(&mut self, now: Instant, shard: ShardId, demand: Demand) {
+    pub fn transferred(&mut self, now: Instant, shard: ShardId, demand: Demand) {
         self.sent.push((now, shard, demand));
     }
 
@@ -119,7 +119,12 @@
     /// Loads are known late, and all owners know the same: in a flood, each would hand its jobs to the
     /// shard that was emptiest before, which is overfull from then on, as jobs that have begun stay
     /// where they are. So an owner takes it that all others send as much as it does.
-    pub fn try_better(&mut self, now: Instant, own: Load, demand: Demand) -> Option<ShardId> {
+    pub fn try_find_better_shard(
+        &mut self,
+        now: Instant,
+        own: Load,
+        demand: Demand,
+    ) -> Option<ShardId> {
         /// Pressure below which a job stays: there is room in pieces of any size.
         const EASY: [f64; 3] = [0.3, 0.8, 0.7];
         /// By how much another must be better: a job that lasts is placed once and for long, others
@@ -147,15 +152,20 @@
 
     /// The shard with most room for tasks that last and need this much of one worker each, if one
     /// has any; `own` is left out. What was sent lately counts as in
-    /// [`try_better`](Others::try_better).
-    pub fn try_room(&mut self, now: Instant, own: ShardId, need: Resources) -> Option<ShardId> {
+    /// [`try_find_better_shard`](Others::try_better).
+    pub fn try_find_capacity(
+        &mut self,
+        now: Instant,
+        own: ShardId,
+        need: Resources,
+    ) -> Option<ShardId> {
         self.sent.retain(|(at, ..)| now.since(*at) < SHOWN_AFTER);
         let senders = self.loads.len().max(1) as u64;
         let left = |(shard, load): (&ShardId, &Load)| {
-            let lasting = |it: &&(Instant, ShardId, Demand)| {
+            let long_running = |it: &&(Instant, ShardId, Demand)| {
                 it.1 == *shard && it.2.kind == JobKind::LongRunning
             };
-            let sent: u64 = self.sent.iter().filter(lasting).map(|(.., it)| it.cpu).sum();
+            let sent: u64 = self.sent.iter().filter(long_running).map(|(.., it)| it.cpu).sum();
             let sent = sent.div_ceil(u64::from(need.cpu_milli.max(1))) * senders;
             (*shard, load.rooms(need).saturating_sub(sent))
         };
--- a/daisy-workflow/src/directory.rs
+++ b/daisy-workflow/src/directory.rs
@@ -18,7 +18,7 @@
     pub claim: Claim,
     /// Whether it has read all submissions up to a short while ago, so that a job of the shard
     /// that is not known does not exist.
-    pub current: bool,
+    pub is_caught_up: bool,
     /// Jobs without a time of which no task was started, by queue.
     pub pending: Vec<(String, u32)>,
     /// What the shard has, and what is asked of it.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedHeartbeat {
     /// What it said.
-    pub sign: OwnerHeartbeat,
+    pub heartbeat: OwnerHeartbeat,
     /// When it was read here.
     pub at: Instant,
     /// A time before it was written; `None` if it may be of any age.
@@ -84,21 +84,22 @@
     }
 
     /// Takes an owner's sign of life in, read at `now`.
-    pub fn hear(&mut self, now: Instant, sign: OwnerHeartbeat) {
-        let newer = |it: &ReceivedHeartbeat| it.sign.claim.epoch <= sign.claim.epoch;
-        if self.owners.get(&sign.shard).is_none_or(newer) {
+    pub fn receive_heartbeat(&mut self, now: Instant, heartbeat: OwnerHeartbeat) {
+        let newer = |it: &ReceivedHeartbeat| it.heartbeat.claim.epoch <= heartbeat.claim.epoch;
+        if self.owners.get(&heartbeat.shard).is_none_or(newer) {
             let written_after = self.read_at;
-            self.owners.insert(sign.shard, ReceivedHeartbeat { sign, at: now, written_after });
+            self.owners
+                .insert(heartbeat.shard, ReceivedHeartbeat { heartbeat, at: now, written_after });
         }
     }
 
     /// All that was written before `now` has been read.
-    pub fn read_to_end(&mut self, now: Instant) {
+    pub fn mark_caught_up(&mut self, now: Instant) {
         self.read_at = Some(now);
     }
 
     /// The newest record of each key is read anew: what comes may have been read before.
-    pub fn begin_anew(&mut self) {
+    pub fn restart_reading(&mut self) {
         self.read_at = None;
     }
 
@@ -117,7 +118,7 @@
         /// While owners live, something is read every 0.4 s.
         const READ: Duration = Duration::from_millis(900);
         let Some(layout) = self.layout else { return false };
-        let owner = self.owners.get(&layout.of_job(id)).filter(|it| it.sign.current);
+        let owner = self.owners.get(&layout.of_job(id)).filter(|it| it.heartbeat.is_caught_up);
         let alive = owner.is_some_and(|it| {
             now.since(it.at) < HEARD && it.written_after.is_some_and(|at| now.since(at) < WRITTEN)
         });
@@ -132,14 +133,14 @@
     /// What the owners of all shards but `but` last said of their loads.
     pub fn loads(&self, but: ShardId) -> SortedMap<ShardId, Load> {
         let others =
-            self.owners.iter().filter(|(shard, it)| **shard != but && !it.sign.claim.released);
-        others.map(|(shard, it)| (*shard, it.sign.load)).collect()
+            self.owners.iter().filter(|(shard, it)| **shard != but && !it.heartbeat.claim.released);
+        others.map(|(shard, it)| (*shard, it.heartbeat.load)).collect()
     }
 
     /// Jobs of a queue without a time of which no task was started, as owners last said.
     pub fn pending(&self, queue: &str) -> usize {
         let of_queue = |it: &ReceivedHeartbeat| -> usize {
-            let pending = it.sign.pending.iter().filter(|(name, _)| name == queue);
+            let pending = it.heartbeat.pending.iter().filter(|(name, _)| name == queue);
             pending.map(|(_, count)| *count as usize).sum()
         };
         self.owners.iter().map(|(_, it)| of_queue(it)).sum()
--- a/daisy-workflow/src/election.rs
+++ b/daisy-workflow/src/election.rs
@@ -34,7 +34,7 @@
     vm: String,
     process: u64,
     /// How much later than the first this process claims.
-    rank: Duration,
+    claim_delay: Duration,
     /// When the last record of an owner was read, or the watch began.
     heard_at: Instant,
     /// The same, of its signs of life alone.
@@ -51,7 +51,7 @@
         Election {
             vm: vm.to_owned(),
             process,
-            rank: Duration::ZERO,
+            claim_delay: Duration::ZERO,
             heard_at: now,
             signed_at: now,
             claim_seen: 0,
@@ -60,33 +60,39 @@
     }
 
     /// Sets how much later than the first this process claims, besides the way to the platform.
-    pub fn set_rank(&mut self, rank: Duration) {
-        self.rank = rank;
+    pub fn set_claim_delay(&mut self, claim_delay: Duration) {
+        self.claim_delay = claim_delay;
     }
 
-    /// The claim of this process under `epoch`; `settled` says that no owner before it can renew
+    /// The claim of this process under `epoch`; `predecessors_expired` says that no owner before it can renew
     /// anything.
-    pub fn claim(&self, epoch: u64, settled: bool) -> Claim {
-        Claim { vm: self.vm.clone(), process: self.process, epoch, released: false, settled }
+    pub fn claim(&self, epoch: u64, predecessors_expired: bool) -> Claim {
+        Claim {
+            vm: self.vm.clone(),
+            process: self.process,
+            epoch,
+            released: false,
+            predecessors_expired,
+        }
     }
 
     /// A sign of the owner's life came in, or anything else that is as good as one.
-    pub fn heard(&mut self, now: Instant) {
+    pub fn heartbeat_received(&mut self, now: Instant) {
         self.signed_at = self.signed_at.max(now);
-        self.wait_anew(now);
+        self.restart_timeout(now);
     }
 
     /// The silence of an owner counts anew from now on, as nothing came of a claim.
-    pub fn wait_anew(&mut self, now: Instant) {
+    pub fn restart_timeout(&mut self, now: Instant) {
         self.heard_at = self.heard_at.max(now);
     }
 
     /// The owner has written to the shard's log of late; whether that counts as a sign of life. Signs
     /// of all owners go through one partition, and may be late while its other writes are not.
-    pub fn wrote(&mut self, now: Instant) -> bool {
+    pub fn owner_wrote(&mut self, now: Instant) -> bool {
         let counts = now.since(self.signed_at) < UNHEARD_MAX;
         if counts {
-            self.wait_anew(now);
+            self.restart_timeout(now);
         }
         counts
     }
@@ -98,7 +104,7 @@
     /// Signs are read some time after they are written. Without this, each of forty VMs that start
     /// together claims in turn; each claim costs a pass over the workers, none counts as settled,
     /// and the VMs farthest from the platform, which are the last, own the shards in the end.
-    pub fn is_just_claimed(&mut self, newest: Option<&Claim>) -> bool {
+    pub fn is_newly_claimed(&mut self, newest: Option<&Claim>) -> bool {
         let Some(newest) = newest else { return false };
         let mine = newest.vm == self.vm && newest.process == self.process;
         let known = self.signed.max(self.claim_seen);
@@ -108,13 +114,13 @@
 
     /// What to do, given the newest claim and how long one's own calls to the platform take:
     /// those who are near it claim first, so that an owner's writes are short.
-    pub fn verdict(
+    pub fn decision(
         &mut self,
         now: Instant,
         newest: Option<&Claim>,
         platform_rtt: Duration,
     ) -> ElectionDecision {
-        let rank = (platform_rtt * 8).min(Duration::from_millis(300)) + self.rank;
+        let claim_delay = (platform_rtt * 8).min(Duration::from_millis(300)) + self.claim_delay;
         // A claim that was read in the shard's log and has no sign of life yet.
         self.signed = newest.map_or(0, |it| it.epoch);
         let unsigned = self.claim_seen > self.signed;
@@ -122,12 +128,12 @@
             Some(it) if !it.released && it.vm == self.vm && it.process == self.process => {
                 return ElectionDecision::Own(it.epoch);
             }
-            _ if unsigned => SILENCE + rank,
+            _ if unsigned => SILENCE + claim_delay,
             // The owner was an earlier process of this VM: it is gone for sure.
             Some(it) if it.vm == self.vm => Duration::ZERO,
-            Some(it) if it.released => rank,
-            None => rank,
-            Some(_) => SILENCE + rank,
+            Some(it) if it.released => claim_delay,
+            None => claim_delay,
+            Some(_) => SILENCE + claim_delay,
         };
         match wait.saturating_sub(now.since(self.heard_at)) {
             Duration::ZERO => ElectionDecision::Claim,
@@ -155,7 +161,7 @@
     /// How much later than the first it claims. Large VMs come before small ones and those that own
     /// nothing before those that own something; the rest is drawn by name, so that different
     /// shards go to different VMs and an owner's death is followed by few claims.
-    pub fn rank(&self) -> Duration {
+    pub fn claim_delay(&self) -> Duration {
         /// Twice what an owner of a full shard takes, in cores: less leaves no room for bursts.
         const SMALL_VM: f64 = 0.2;
         /// Longer than the draw below and a claim on a slow platform, whose calls take 0.25 s each, so
--- a/daisy-workflow/src/lateness.rs
+++ b/daisy-workflow/src/lateness.rs
@@ -30,7 +30,7 @@
     }
 
     /// Takes a tick in; whether the process is too late for what it owns.
-    pub fn is_too_late(&mut self, now: Instant) -> bool {
+    pub fn record_tick(&mut self, now: Instant) -> bool {
         let late = now.since(self.ticked_at).saturating_sub(self.every).min(ONE_MAX);
         self.ticked_at = now;
         self.mean = (self.mean * (WEIGHT - 1) + late) / WEIGHT;
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -21,9 +21,9 @@
     /// The shard that it was handed to, which runs it.
     pub delegated: Option<ShardId>,
     /// Whether this shard runs nothing of it but the tasks that were handed to it.
-    pub partial: bool,
+    pub has_only_received_tasks: bool,
     /// Its tasks that have changed their shard.
-    pub moved: SortedMap<TaskId, Moved>,
+    pub transfers: SortedMap<TaskId, Moved>,
 }
 
 /// The state of a job that callers are told. A later one in this order replaces an earlier one,
@@ -57,20 +57,20 @@
             Phase::Completed => JobState::Completed,
             Phase::Failed => JobState::Failed,
             Phase::Active if self.cancelled => JobState::Cancelled,
-            Phase::Active if self.progress.begun => JobState::Running,
+            Phase::Active if self.progress.has_started => JobState::Running,
             Phase::Active => JobState::Queued,
         }
     }
 
     /// Whether this shard runs nothing of it but the tasks that were handed to it, as another shard
     /// has the job.
-    pub fn is_part(&self) -> bool {
-        self.partial || self.delegated.is_some()
+    pub fn belongs_to_other_shard(&self) -> bool {
+        self.has_only_received_tasks || self.delegated.is_some()
     }
 
     /// Whether tasks of it were handed to this shard.
-    pub fn has_tasks_that_came(&self) -> bool {
-        self.moved.iter().any(|(_, it)| it.to.is_none())
+    pub fn has_received_tasks(&self) -> bool {
+        self.transfers.iter().any(|(_, it)| it.to.is_none())
     }
 
     /// Gives the whole job, of which nothing has begun, to another shard.
@@ -80,10 +80,10 @@
     }
 
     /// Takes a change of a task's shard in; whether it is newer than all that was known.
-    pub(crate) fn move_task(&mut self, id: TaskId, moved: Moved) -> bool {
-        let newer = self.moved.get(&id).is_none_or(|it| it.hop < moved.hop);
+    pub(crate) fn move_task(&mut self, id: TaskId, transfers: Moved) -> bool {
+        let newer = self.transfers.get(&id).is_none_or(|it| it.hop < transfers.hop);
         if newer {
-            self.moved.insert(id, moved);
+            self.transfers.insert(id, transfers);
             self.settle_tasks();
         }
         newer
@@ -94,31 +94,31 @@
     /// Progress that was recorded before a task came says nothing of its earlier runs: started by it,
     /// the task would get the number of a run that another shard has started.
     fn settle_tasks(&mut self) {
-        let is_part = self.is_part();
-        if !is_part && self.moved.is_empty() {
+        let belongs_to_other_shard = self.belongs_to_other_shard();
+        if !belongs_to_other_shard && self.transfers.is_empty() {
             return;
         }
         let tasks = self.progress.occurrences.iter_mut().flatten().flatten();
-        tasks.for_each(|it| it.elsewhere = is_part);
-        for (id, moved) in self.moved.iter() {
+        tasks.for_each(|it| it.on_other_shard = belongs_to_other_shard);
+        for (id, transfers) in self.transfers.iter() {
             let Some(state) = self.progress.task_mut(*id) else { continue };
-            state.elsewhere = moved.to.is_some();
-            if moved.to.is_none() && state.runs < moved.came.runs {
-                *state = moved.came.clone();
+            state.on_other_shard = transfers.to.is_some();
+            if transfers.to.is_none() && state.runs < transfers.came.runs {
+                *state = transfers.came.clone();
             }
         }
     }
 
     /// Shards that tasks of this job were handed to by this one.
-    pub fn handed_to(&self) -> Vec<ShardId> {
-        let mut shards: Vec<ShardId> = self.moved.iter().filter_map(|(_, it)| it.to).collect();
+    pub fn transferred_to(&self) -> Vec<ShardId> {
+        let mut shards: Vec<ShardId> = self.transfers.iter().filter_map(|(_, it)| it.to).collect();
         shards.sort_unstable();
         shards.dedup();
         shards
     }
 
     /// The part of the job's estimated work whose tasks have not ended as done, in thousandths.
-    pub fn left_permille(&self) -> u64 {
+    pub fn remaining_work_permille(&self) -> u64 {
         let (mut left, mut all) = (0, 0);
         for steps in &self.progress.occurrences {
             for (tasks, step) in steps.iter().zip(&self.spec.steps) {
@@ -159,7 +159,7 @@
     early_delegated: SortedMap<JobId, ShardId>,
     early_hops: SortedMap<TaskId, OutgoingTransfer>,
     owner: Option<Claim>,
-    learnt: Vec<ImageInterference>,
+    learned_interference: Vec<ImageInterference>,
     witnesses: Witnesses,
 }
 
@@ -172,7 +172,7 @@
             Record::Progress(id, progress) => self.progress(id, progress),
             Record::Claim(claim) => self.claim(claim),
             Record::LearnedInterference(pairs) => {
-                self.learnt = pairs;
+                self.learned_interference = pairs;
                 FoldEffect::Nothing
             }
             Record::Witnesses(witnesses) => {
@@ -206,8 +206,8 @@
         match self.jobs.get_mut(&id) {
             None => self.add_job(id, spec, false),
             // A task of it that returned was read first.
-            Some(job) if job.partial => {
-                job.partial = false;
+            Some(job) if job.has_only_received_tasks => {
+                job.has_only_received_tasks = false;
                 job.settle_tasks();
             }
             Some(_) => return FoldEffect::Nothing,
@@ -227,16 +227,17 @@
     }
 
     /// Adds a job, with all that was read of it before.
-    fn add_job(&mut self, id: JobId, spec: JobSpec, partial: bool) {
+    fn add_job(&mut self, id: JobId, spec: JobSpec, has_only_received_tasks: bool) {
         let early = self.early_progress.remove(&id).filter(|it| it.fits(&spec));
         let mut progress = early.unwrap_or_else(|| Progress::new(&spec));
-        progress.begun |= partial;
+        progress.has_started |= has_only_received_tasks;
         let cancelled = self.early_cancels.contains(&id);
         self.early_cancels.retain(|it| *it != id);
         let delegated = self.early_delegated.remove(&id);
         let spec = Arc::new(spec);
-        let moved = SortedMap::new();
-        let mut job = Job { spec, progress, cancelled, delegated, partial, moved };
+        let transfers = SortedMap::new();
+        let mut job =
+            Job { spec, progress, cancelled, delegated, has_only_received_tasks, transfers };
         let hops: Vec<(TaskId, OutgoingTransfer)> = self
             .early_hops
             .iter()
@@ -313,8 +314,8 @@
     }
 
     /// What the owners have learnt of images that disturb each other.
-    pub fn learnt(&self) -> &[ImageInterference] {
-        &self.learnt
+    pub fn learned_interference(&self) -> &[ImageInterference] {
+        &self.learned_interference
     }
 
     /// The workers that owners have to be answered by while they go without the log.
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -193,7 +193,7 @@
         claimed: Claimed,
     ) -> Owner {
         let succession = Succession::new(now, claimed, ledger.witnesses());
-        let interference = Interference::inherit(now, ledger.learnt());
+        let interference = Interference::inherit(now, ledger.learned_interference());
         let mut owner = Owner {
             settings,
             ledger,
@@ -226,7 +226,7 @@
             defragmented_at: now,
             typical_cpu: 0,
         };
-        let own = owner.ledger.jobs().filter(|(_, it)| !it.is_part());
+        let own = owner.ledger.jobs().filter(|(_, it)| !it.belongs_to_other_shard());
         owner.states = own.map(|(id, job)| (id, job.state())).collect();
         owner.forward_all();
         owner.forward_all_tasks();
@@ -329,7 +329,7 @@
             let Some(job) = ledger.job(id) else { continue };
             records.push(Record::Progress(id, job.progress.clone()));
             // What a part of a job comes to is no state of the job.
-            if !job.is_part() {
+            if !job.belongs_to_other_shard() {
                 states.push((id, job.state()));
             }
         }
@@ -405,7 +405,7 @@
 
 /// Whether this shard runs a job, or tasks of it.
 fn runs_here(job: &Job) -> bool {
-    job.delegated.is_none() || job.has_tasks_that_came()
+    job.delegated.is_none() || job.has_received_tasks()
 }
 
 /// Between records of what was learnt, so that a new owner need not begin anew: about 1 KB each.
@@ -421,20 +421,20 @@
 /// An assignment that begins now.
 fn assignment(
     now: Instant,
-    learnt: &mut Interference,
+    learned_interference: &mut Interference,
     task: TaskId,
     run: u32,
     step: &crate::StepSpec,
 ) -> Assignment {
     let image = match (&step.image, step.target_ms) {
         (None, _) => None,
-        (Some(it), 0) => Some(learnt.best_effort_key(it)),
-        (Some(it), _) => Some(learnt.serving_key(now, it)),
+        (Some(it), 0) => Some(learned_interference.best_effort_key(it)),
+        (Some(it), _) => Some(learned_interference.serving_key(now, it)),
     };
     Assignment {
         task,
         run,
-        counted: step.counted(),
+        allocation: step.allocation(),
         best_effort_cpu: if step.best_effort { step.need.cpu_milli } else { 0 },
         image,
         target_ms: step.target_ms,
--- a/daisy-workflow/src/owner/defragment.rs
+++ b/daisy-workflow/src/owner/defragment.rs
@@ -60,7 +60,7 @@
 impl Owner {
     /// Notes that no worker has room for a task of `step`.
     pub(super) fn add_short(&mut self, step: &StepSpec) {
-        let need = step.counted();
+        let need = step.allocation();
         let plain = !step.best_effort && !step.gang && step.required_label.is_none();
         if plain && self.short.len() < SHORT_MAX && !self.short.contains(&need) {
             self.short.push(need);
@@ -82,7 +82,7 @@
         let it = self.moves.iter().find(|it| it.task == task)?;
         let worker = self.workers.get(it.to)?;
         let takes = self.takes_lasting(now, worker)
-            && step.counted().fits(worker.free())
+            && step.allocation().fits(worker.free())
             && !is_crowded(step, worker, task);
         takes.then_some(it.to)
     }
@@ -136,13 +136,13 @@
                 continue;
             }
             for it in worker.tasks.iter().filter(|it| may_leave(now, it)) {
-                let Some(room) = free.try_add(it.counted).filter(|it| need.fits(*it)) else {
+                let Some(room) = free.try_add(it.allocation).filter(|it| need.fits(*it)) else {
                     continue;
                 };
                 let Some((cost, to)) = self.try_place_beside(now, from, it) else { continue };
                 let better = best.is_none_or(|best| cost < best.cost);
                 if better && self.is_spared(it) {
-                    let (task, run, need) = (it.task, it.run, it.counted);
+                    let (task, run, need) = (it.task, it.run, it.allocation);
                     best = Some(Choice { cost, task, run, from, to, need, room });
                 }
             }
@@ -170,7 +170,7 @@
         let candidates = self.workers.iter().filter(|(key, it)| {
             *key != from
                 && it.service == service
-                && run.counted.fits(it.free())
+                && run.allocation.fits(it.free())
                 && self.usable(now, it)
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
                 && !is_crowded(step, it, run.task)
@@ -178,7 +178,7 @@
                 && !self.is_part_of_move(*key)
         });
         let cost = |it: &Worker| {
-            let left = it.free().cpu_milli - run.counted.cpu_milli;
+            let left = it.free().cpu_milli - run.allocation.cpu_milli;
             let others = it.pressed.iter().filter(|it| it.image != run.image).count() as u32;
             left / (it.capacity.cpu_milli / 1_000).max(1) + others * COST_OTHER_IMAGE
         };
@@ -197,7 +197,7 @@
             let here = self.workers.iter().filter(|(_, it)| it.hold_failures == 0 && it.listed);
             here.flat_map(|(_, it)| &it.tasks).any(|it| it.task == task && is_at_work(it))
         };
-        !job.is_part() && (0..tasks.len() as u32).all(at_work)
+        !job.belongs_to_other_shard() && (0..tasks.len() as u32).all(at_work)
     }
 }
 
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -26,16 +26,16 @@
     /// What the shard has, what is asked of it, and what room it has left for others.
     pub fn load(&self, now: Instant) -> Load {
         let mut load = self.demand(now);
-        load.set_pieces(self.pieces(now));
+        load.set_free_blocks(self.free_blocks(now));
         load
     }
 
     /// What is left of each worker for tasks that last once all others have ended and those of
     /// this shard that wait have found their place, the largest first.
-    fn pieces(&self, now: Instant) -> Vec<Resources> {
+    fn free_blocks(&self, now: Instant) -> Vec<Resources> {
         let (rooms, _) = self.rooms_in_time(now);
-        let pieces: Vec<Resources> = rooms.into_iter().map(|(_, room)| room).collect();
-        largest_first(pieces)
+        let free_blocks: Vec<Resources> = rooms.into_iter().map(|(_, room)| room).collect();
+        largest_first(free_blocks)
     }
 
     /// What is left of each worker for tasks that last once all others have ended and those that wait
@@ -52,11 +52,11 @@
             let fitting = rooms.iter_mut().filter(|(worker, room)| {
                 worker.service == service
                     && step.required_label.as_ref().is_none_or(|label| worker.has_label(label))
-                    && step.counted().fits(*room)
+                    && step.allocation().fits(*room)
                     && !is_crowded(step, worker, *task)
             });
             if let Some((_, room)) = fitting.min_by_key(|(_, room)| room.cpu_milli) {
-                *room = room.try_sub(step.counted()).unwrap_or(Resources::ZERO);
+                *room = room.try_sub(step.allocation()).unwrap_or(Resources::ZERO);
                 placed.push(*task);
             }
         }
@@ -97,15 +97,15 @@
                     ready.iter().any(|it| it.occurrence as usize == k && usize::from(it.step) == s);
                 let asks = |it: &&TaskState| {
                     !it.done
-                        && !it.elsewhere
+                        && !it.on_other_shard
                         && (turn || step.long_running || !it.copies.is_empty())
                 };
                 let count = tasks.iter().filter(asks).count() as u64;
                 let cpu = count * u64::from(step.need.cpu_milli);
                 match (step.long_running, step.best_effort) {
-                    (true, _) => load.lasting += cpu,
+                    (true, _) => load.long_running += cpu,
                     (false, true) => load.best_effort += cpu,
-                    (false, false) => load.once += cpu,
+                    (false, false) => load.finite += cpu,
                 }
             }
         }
@@ -131,8 +131,8 @@
         if own.capacity == 0 && now.since(self.began_at) < KNOWS_WORKERS_AFTER {
             return;
         }
-        let Some(to) = self.others.try_better(now, own, demand) else { return };
-        self.others.sent(now, to, demand);
+        let Some(to) = self.others.try_find_better_shard(now, own, demand) else { return };
+        self.others.transferred(now, to, demand);
         if let Some(job) = self.ledger.job_mut(id) {
             job.delegate(to);
         }
@@ -187,7 +187,7 @@
         {
             self.actions.push(Action::Forward(to, Record::Cancelled(id)));
         }
-        let shards = self.ledger.job(id).map(Job::handed_to).unwrap_or_default();
+        let shards = self.ledger.job(id).map(Job::transferred_to).unwrap_or_default();
         let forwards = shards.into_iter().map(|to| Action::Forward(to, Record::Cancelled(id)));
         self.actions.extend(forwards);
     }
@@ -195,10 +195,10 @@
 
 /// Pieces in the order in which they are told: those that hold most, by the scarcest of what they
 /// have, and among the first some of those with accelerators.
-fn largest_first(mut pieces: Vec<Resources>) -> Vec<Resources> {
+fn largest_first(mut free_blocks: Vec<Resources>) -> Vec<Resources> {
     /// Pieces with accelerators that come before all others.
     const WITH_ACCELERATORS: usize = FREE_BLOCKS / 4;
-    let most = pieces.iter().fold(Resources::ZERO, |most, it| Resources {
+    let most = free_blocks.iter().fold(Resources::ZERO, |most, it| Resources {
         cpu_milli: most.cpu_milli.max(it.cpu_milli),
         memory_mib: most.memory_mib.max(it.memory_mib),
         accelerators: 0,
@@ -208,10 +208,10 @@
         let cpu = permille(it.cpu_milli, most.cpu_milli);
         cpu.min(permille(it.memory_mib, most.memory_mib))
     };
-    pieces.sort_by_key(|it| std::cmp::Reverse(scarcest(it)));
+    free_blocks.sort_by_key(|it| std::cmp::Reverse(scarcest(it)));
     let mut first = Vec::new();
-    let mut others = Vec::with_capacity(pieces.len());
-    for it in pieces {
+    let mut others = Vec::with_capacity(free_blocks.len());
+    for it in free_blocks {
         match it.accelerators > 0 && first.len() < WITH_ACCELERATORS {
             true => first.push(it),
             false => others.push(it),
--- a/daisy-workflow/src/owner/hand_over.rs
+++ b/daisy-workflow/src/owner/hand_over.rs
@@ -44,7 +44,7 @@
     fn patience(&self, task: TaskId) -> Duration {
         let Some(job) = self.ledger.job(task.job) else { return PATIENCE };
         let labelled = job.spec.step_of(task).is_some_and(|it| it.required_label.is_some());
-        let hops = job.moved.get(&task).filter(|_| labelled).map_or(0, |it| it.hop);
+        let hops = job.transfers.get(&task).filter(|_| labelled).map_or(0, |it| it.hop);
         PATIENCE * 2u32.pow(hops.min(PATIENT_HOPS))
     }
 
@@ -92,11 +92,11 @@
             return;
         }
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
-        let Some(to) = self.others.try_room(now, own, step.counted()) else { return };
-        self.others.sent(now, to, Demand::of_lasting(step));
-        let number = job.moved.get(&task).map_or(0, |it| it.hop) + 1;
+        let Some(to) = self.others.try_find_capacity(now, own, step.allocation()) else { return };
+        self.others.transferred(now, to, Demand::of_long_running_task(step));
+        let number = job.transfers.get(&task).map_or(0, |it| it.hop) + 1;
         job.move_task(task, OutgoingTransfer { number, to }.into());
-        job.progress.begun = true;
+        job.progress.has_started = true;
         self.dirty.push(task.job);
         self.handed.push(task);
         self.actions.push(Action::Note(Note::HandedOver { task, hop: number, to }));
@@ -105,10 +105,10 @@
     /// Records of tasks that are handed on and of which nothing is recorded yet.
     pub(super) fn handed_records(&self, handed: &[TaskId]) -> Vec<Record> {
         let hop = |task: &TaskId| {
-            let moved = self.ledger.job(task.job)?.moved.get(task)?;
+            let transfers = self.ledger.job(task.job)?.transfers.get(task)?;
             Some(Record::TaskTransferredOut(
                 *task,
-                OutgoingTransfer { number: moved.hop, to: moved.to? },
+                OutgoingTransfer { number: transfers.hop, to: transfers.to? },
             ))
         };
         handed.iter().filter_map(hop).collect()
@@ -117,10 +117,10 @@
     /// Writes a task to the shard that it was handed to; with its job's cancellation, if there is one.
     pub(super) fn forward_task(&mut self, task: TaskId) {
         let Some(job) = self.ledger.job(task.job) else { return };
-        let Some(moved) = job.moved.get(&task) else { return };
-        let (Some(to), Some(state)) = (moved.to, job.progress.task(task)) else { return };
+        let Some(transfers) = job.transfers.get(&task) else { return };
+        let (Some(to), Some(state)) = (transfers.to, job.progress.task(task)) else { return };
         let handover = IncomingTransfer {
-            hop: moved.hop,
+            hop: transfers.hop,
             spec: (*job.spec).clone(),
             runs: state.runs,
             failures: state.failures,
@@ -135,7 +135,7 @@
     /// A new owner does not know what the one before has written.
     pub(super) fn forward_all_tasks(&mut self) {
         let handed = |(_, job): (JobId, &Job)| {
-            let away = job.moved.iter().filter(|(_, it)| it.to.is_some());
+            let away = job.transfers.iter().filter(|(_, it)| it.to.is_some());
             away.map(|(task, _)| *task).collect::<Vec<_>>()
         };
         let tasks: Vec<TaskId> = self.ledger.jobs().flat_map(handed).collect();
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -36,7 +36,7 @@
     fn submitted(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         if job.delegated.is_some() {
-            let returned = job.has_tasks_that_came();
+            let returned = job.has_received_tasks();
             self.forward(id);
             if returned {
                 self.inherit_job(now, id);
@@ -58,7 +58,7 @@
 
     fn tell_state(&mut self, id: JobId) {
         // What is begun but not recorded yet is told with its record.
-        let job = self.ledger.job(id).filter(|it| !it.partial);
+        let job = self.ledger.job(id).filter(|it| !it.has_only_received_tasks);
         let state = job.map(|it| match it.state() {
             JobState::Cancelled => JobState::Cancelled,
             _ => JobState::Queued,
@@ -114,8 +114,8 @@
 fn typical_cpu(mean: u32, spec: &JobSpec) -> u32 {
     /// Steps after which an older one counts for little.
     const STEPS: u32 = 16;
-    let once = spec.steps.iter().filter(|it| !it.best_effort && !it.long_running);
-    once.map(|it| it.need.cpu_milli).fold(mean, |mean, cpu| match mean {
+    let finite = spec.steps.iter().filter(|it| !it.best_effort && !it.long_running);
+    finite.map(|it| it.need.cpu_milli).fold(mean, |mean, cpu| match mean {
         0 => cpu,
         mean => mean / STEPS * (STEPS - 1) + cpu / STEPS,
     })
@@ -123,5 +123,5 @@
 
 /// Whether no owner has recorded anything of a job.
 fn job_is_new(job: &Job) -> bool {
-    job.progress.phase == Phase::Active && !job.progress.begun
+    job.progress.phase == Phase::Active && !job.progress.has_started
 }
--- a/daisy-workflow/src/owner/lacks.rs
+++ b/daisy-workflow/src/owner/lacks.rs
@@ -44,7 +44,7 @@
         let job = self.ledger.job(task.job)?;
         let step = job.spec.steps.get(usize::from(task.step))?;
         let service = self.service(&job.spec);
-        let need = step.counted();
+        let need = step.allocation();
         let mut lacks = Lacks {
             task,
             waited,
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -127,9 +127,9 @@
             OrderReply::Unknown => {
                 it.maybe_late = true;
                 it.sent = Sent::Unanswered(now + RESEND_START * it.tries.min(8));
-                let (counted, until) = (it.counted, now + LATE_MAX);
+                let (allocation, until) = (it.allocation, now + LATE_MAX);
                 worker.late_orders.retain(|it| it.until > now && (it.task, it.run) != (task, run));
-                worker.late_orders.push(LateOrder { task, run, counted, until });
+                worker.late_orders.push(LateOrder { task, run, allocation, until });
                 self.shun(now, key, SHUN_SILENT);
             }
             OrderReply::NotSent if it.maybe_late => {
--- a/daisy-workflow/src/owner/place.rs
+++ b/daisy-workflow/src/owner/place.rs
@@ -162,7 +162,7 @@
     key: WorkerKey,
     taken: &[(WorkerKey, Resources)],
 ) -> bool {
-    let mut need = step.counted();
+    let mut need = step.allocation();
     let late = worker.late(now);
     let others = taken.iter().filter(|(it, _)| *it == key).map(|(_, more)| more);
     for more in others.chain([&late]) {
@@ -177,7 +177,7 @@
 /// Whether a task of `step` leaves a kept worker what it is kept for: best-effort tasks take no
 /// processors from others, but memory.
 fn spares(step: &StepSpec, worker: &Worker, need: Resources) -> bool {
-    let both = Resources { cpu_milli: 0, ..need }.try_add(step.counted());
+    let both = Resources { cpu_milli: 0, ..need }.try_add(step.allocation());
     step.best_effort && both.is_some_and(|it| it.fits(worker.free()))
 }
 
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -54,7 +54,7 @@
 /// Whether a job that lasts still leaves room to others. Tasks of it that came from another shard have
 /// done so there.
 fn yields(now: Instant, view: &JobView, job: &Job) -> bool {
-    now.since(view.since) < YIELDS && !job.is_part()
+    now.since(view.since) < YIELDS && !job.belongs_to_other_shard()
 }
 
 /// What one pass over all jobs has found so far.
@@ -144,11 +144,11 @@
                 && self.usable(now, it)
                 && kept.iter().all(|kept| kept.worker != *key)
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
-                && step.counted().fits(it.room_in_time())
+                && step.allocation().fits(it.room_in_time())
                 && !is_crowded(step, it, task_id(ready, 0))
         });
         let best = candidates.max_by_key(|(key, it)| (it.free().cpu_milli, *key));
-        best.map(|(worker, _)| Kept { worker, need: step.counted() })
+        best.map(|(worker, _)| Kept { worker, need: step.allocation() })
     }
 
     /// Jobs that are not ended: first those whose tasks are to run all the time, as each moment
@@ -171,10 +171,15 @@
                     (JobKind::LongRunning, _) if yields(now, view, job) => Standing::LastsSoon,
                     (JobKind::LongRunning, _) => Standing::Lasts,
                     // A wide job cannot be in time where rooms are few, but of use.
-                    (JobKind::Finite, Standing::Late) if job.progress.begun => Standing::InTime,
+                    (JobKind::Finite, Standing::Late) if job.progress.has_started => {
+                        Standing::InTime
+                    }
                     (_, it) => it,
                 };
-                Some(((standing, job.spec.terms.priority, job.left_permille(), latest), *id))
+                Some((
+                    (standing, job.spec.terms.priority, job.remaining_work_permille(), latest),
+                    *id,
+                ))
             })
             .collect();
         jobs.sort_unstable();
@@ -224,7 +229,7 @@
     /// Whether another copy of a task is to be started: there is none, or the only one is on a
     /// worker that does not answer and the step allows copies.
     fn wants_copy(&self, step: &StepSpec, state: &TaskState) -> bool {
-        if state.done || state.elsewhere {
+        if state.done || state.on_other_shard {
             return false;
         }
         if state.copies.is_empty() {
@@ -337,7 +342,7 @@
             let task = task_id(ready, index);
             let options = Place { rack, taken: &taken, any_pace: true, kept };
             let key = self.try_place(now, service, step, task, options)?;
-            taken.push((key, step.counted()));
+            taken.push((key, step.allocation()));
         }
         Some(taken.into_iter().map(|(key, _)| key).collect())
     }
@@ -374,7 +379,7 @@
         state.runs = run;
         state.copies.push(Copy { run, worker: id });
         if let Some(job) = self.ledger.job_mut(task.job) {
-            job.progress.begun = true;
+            job.progress.has_started = true;
         }
         self.recording.push((key, task, run));
         self.end_move(task);
--- a/daisy-workflow/src/owner/room.rs
+++ b/daisy-workflow/src/owner/room.rs
@@ -88,8 +88,8 @@
     /// Serving tasks use about half of what they reserve.
     const SERVING_USE_PERCENT: u32 = 55;
     let used = |it: &Assignment| match it.target_ms {
-        0 => it.counted.cpu_milli,
-        _ => it.counted.cpu_milli / 100 * SERVING_USE_PERCENT,
+        0 => it.allocation.cpu_milli,
+        _ => it.allocation.cpu_milli / 100 * SERVING_USE_PERCENT,
     };
     worker.capacity.cpu_milli.saturating_sub(worker.tasks.iter().map(used).sum())
 }
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -76,7 +76,7 @@
                 let count = steps[usize::from(ready.step)].iter().filter(|it| it.is_waiting());
                 let count = count.count();
                 if step.long_running && count > 0 {
-                    let need = step.counted().cpu_milli;
+                    let need = step.allocation().cpu_milli;
                     sum.least_lasting = match sum.least_lasting {
                         0 => need,
                         least => least.min(need),
--- a/daisy-workflow/src/owner/uncertain.rs
+++ b/daisy-workflow/src/owner/uncertain.rs
@@ -60,8 +60,9 @@
             let Some(why) = doubt(worker) else { continue };
             let over_at = self.try_over_at(worker).unwrap_or_else(|| self.inherited_until(now));
             let left = over_at.since(now);
-            let lasting = worker.tasks.iter().filter(|it| it.lasts && it.sent != Sent::Recording);
-            found.extend(lasting.map(|it| Uncertain {
+            let long_running =
+                worker.tasks.iter().filter(|it| it.lasts && it.sent != Sent::Recording);
+            found.extend(long_running.map(|it| Uncertain {
                 task: it.task,
                 run: it.run,
                 worker: worker.id.clone(),
@@ -70,8 +71,8 @@
             }));
         }
         let left = self.inherited_until(now).since(now);
-        let lasting = self.orphans.iter().filter(|it| self.lasts(it.task));
-        found.extend(lasting.map(|it| Uncertain {
+        let long_running = self.orphans.iter().filter(|it| self.lasts(it.task));
+        found.extend(long_running.map(|it| Uncertain {
             task: it.task,
             run: it.run,
             worker: it.worker.clone(),
--- a/daisy-workflow/src/owner/worker.rs
+++ b/daisy-workflow/src/owner/worker.rs
@@ -69,7 +69,7 @@
     pub task: TaskId,
     pub run: u32,
     /// What counts against the capacity.
-    pub counted: Resources,
+    pub allocation: Resources,
     /// Processor time that a best-effort task can use, in thousandths of a core.
     pub best_effort_cpu: u32,
     /// The number of its image among those of serving or of best-effort tasks.
@@ -114,7 +114,7 @@
 pub(crate) struct LateOrder {
     pub task: TaskId,
     pub run: u32,
-    pub counted: Resources,
+    pub allocation: Resources,
     /// Until when it may still be carried out.
     pub until: Instant,
 }
@@ -264,14 +264,14 @@
         }
         let here = |it: &LateOrder| self.tasks.iter().any(|t| t.task == it.task && t.run == it.run);
         let late = self.late_orders.iter().filter(|it| it.until > now && !here(it));
-        late.fold(Resources::ZERO, |sum, it| sum.try_add(it.counted).unwrap_or(self.capacity))
+        late.fold(Resources::ZERO, |sum, it| sum.try_add(it.allocation).unwrap_or(self.capacity))
     }
 
     /// What is free once all has ended that ends by itself.
     pub(crate) fn room_in_time(&self) -> Resources {
-        let lasting = self.tasks.iter().filter(|it| it.lasts);
-        let taken = lasting
-            .fold(Resources::ZERO, |sum, it| sum.try_add(it.counted).unwrap_or(self.capacity));
+        let long_running = self.tasks.iter().filter(|it| it.lasts);
+        let taken = long_running
+            .fold(Resources::ZERO, |sum, it| sum.try_add(it.allocation).unwrap_or(self.capacity));
         self.capacity.try_sub(taken).unwrap_or(Resources::ZERO)
     }
 
@@ -280,7 +280,7 @@
     }
 
     pub(crate) fn add(&mut self, it: Assignment) {
-        self.used = self.used.try_add(it.counted).unwrap_or(self.capacity);
+        self.used = self.used.try_add(it.allocation).unwrap_or(self.capacity);
         self.tasks.push(it);
         self.is_weighed = false;
     }
@@ -292,7 +292,7 @@
         // Summed anew: with a capacity that shrank, a difference could go below zero.
         self.used = Resources::ZERO;
         for it in &self.tasks {
-            self.used = self.used.try_add(it.counted).unwrap_or(self.capacity);
+            self.used = self.used.try_add(it.allocation).unwrap_or(self.capacity);
         }
         Some(it)
     }
--- a/daisy-workflow/src/patience.rs
+++ b/daisy-workflow/src/patience.rs
@@ -26,7 +26,7 @@
 
 impl LargeReadTimeout {
     /// The longest that a try may last.
-    pub const BOUND_MAX: Duration = Duration::from_millis(8_100);
+    pub const TIMEOUT_MAX: Duration = Duration::from_millis(8_100);
 
     /// A try begins at `now`, when the log has answered `answered` calls. If it answers none for
     /// `silent_after`, it is silent, and the try in vain.
@@ -45,7 +45,7 @@
             self.look_at = now + LOOK_EVERY;
             self.answered = answered;
         }
-        let bound = (BOUND_MIN * 2u32.saturating_pow(self.given_up)).min(Self::BOUND_MAX);
+        let bound = (BOUND_MIN * 2u32.saturating_pow(self.given_up)).min(Self::TIMEOUT_MAX);
         let left = bound.saturating_sub(now.since(self.began));
         if left.is_zero() {
             self.given_up += 1;
@@ -55,7 +55,7 @@
     }
 
     /// Whether a try was given up as the answer took too long, not as the log was silent.
-    pub fn is_tried(&self) -> bool {
+    pub fn has_timed_out(&self) -> bool {
         self.given_up > 0
     }
 }
--- a/daisy-workflow/src/progress.rs
+++ b/daisy-workflow/src/progress.rs
@@ -37,13 +37,13 @@
     /// Runs that may be on a worker.
     pub copies: Vec<Copy>,
     /// Whether another shard runs it. Not part of the record: it follows from the hops.
-    pub elsewhere: bool,
+    pub on_other_shard: bool,
 }
 
 impl TaskState {
     /// Whether the task is neither done nor anywhere.
     pub fn is_waiting(&self) -> bool {
-        !self.done && !self.elsewhere && self.copies.is_empty()
+        !self.done && !self.on_other_shard && self.copies.is_empty()
     }
 }
 
@@ -53,7 +53,7 @@
     /// Of the whole job.
     pub phase: Phase,
     /// Whether any task was started.
-    pub begun: bool,
+    pub has_started: bool,
     /// Tasks by occurrence, step and index.
     pub occurrences: Vec<Vec<Vec<TaskState>>>,
 }
@@ -65,7 +65,7 @@
         let steps: Vec<_> = spec.steps.iter().map(|it| step(it.count)).collect();
         Progress {
             phase: Phase::Active,
-            begun: false,
+            has_started: false,
             occurrences: vec![steps; spec.occurrences as usize],
         }
     }
--- a/daisy-workflow/src/queue.rs
+++ b/daisy-workflow/src/queue.rs
@@ -14,7 +14,7 @@
     /// How long a request may take, in milliseconds.
     pub timeout_ms: u64,
     /// Whether a policy service must allow each worker.
-    pub advised: bool,
+    pub needs_policy_approval: bool,
     /// The terms of its jobs.
     pub terms: Terms,
 }
@@ -25,7 +25,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Whether its workers refuse what does not fit.
-    pub workers_guard: bool,
+    pub admission_control: bool,
     /// Connections that a worker takes.
     pub connections: u32,
 }
--- a/daisy-workflow/src/reach.rs
+++ b/daisy-workflow/src/reach.rs
@@ -17,31 +17,31 @@
 pub struct LogReachability {
     read_at: Instant,
     failed: bool,
-    back_at: Instant,
+    recovered_at: Instant,
 }
 
 impl LogReachability {
     /// A read failed.
-    pub fn fail(&mut self) {
+    pub fn read_failed(&mut self) {
         self.failed = true;
     }
 
     /// A read was answered at `now`.
     pub fn read(&mut self, now: Instant) {
         if std::mem::take(&mut self.failed) && now.since(self.read_at) > AWAY {
-            self.back_at = now;
+            self.recovered_at = now;
         }
         self.read_at = now;
     }
 
     /// Whether the silence of an owner can be told from that of the log: a read was answered a short
     /// while ago, and one since `lost_at`, when the log gave another call no answer.
-    pub fn shows_silence(&self, now: Instant, lost_at: Instant) -> bool {
+    pub fn can_detect_lost_owner(&self, now: Instant, lost_at: Instant) -> bool {
         self.read_at > lost_at && now.since(self.read_at) < UNSURE
     }
 
     /// When the log was last back after it had been away. Before, no owner could show that it lives.
-    pub fn back_at(&self) -> Instant {
-        self.back_at
+    pub fn recovered_at(&self) -> Instant {
+        self.recovered_at
     }
 }
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -42,7 +42,7 @@
     /// The owner gives its workers up: anybody may claim at once.
     pub released: bool,
     /// No owner before this one can renew anything any more.
-    pub settled: bool,
+    pub predecessors_expired: bool,
 }
 
 impl Claim {
@@ -50,7 +50,7 @@
     /// and of which nothing else may be assumed.
     pub fn unreadable(offset: u64) -> Claim {
         let epoch = offset + 1;
-        Claim { vm: String::new(), process: 0, epoch, released: false, settled: false }
+        Claim { vm: String::new(), process: 0, epoch, released: false, predecessors_expired: false }
     }
 }
 
@@ -150,9 +150,9 @@
         Record::State(id, told) => {
             (format!("state-{id}"), framed((state_number(told.state), told.shard.0)))
         }
-        Record::OwnerHeartbeat(sign) => (
-            format!("sign-{}", sign.shard.0),
-            framed((SignWire::from(&**sign), PiecesWire::from(&**sign))),
+        Record::OwnerHeartbeat(heartbeat) => (
+            format!("sign-{}", heartbeat.shard.0),
+            framed((SignWire::from(&**heartbeat), PiecesWire::from(&**heartbeat))),
         ),
         Record::Observed(shard, seen) => {
             (format!("observed-{}", shard.0), framed(ObservedWire::from(&seen[..])))
@@ -191,7 +191,7 @@
     if kind == "sign" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
         let (wire, rest): (SignWire, _) = parted(value)?;
-        return Ok(Record::OwnerHeartbeat(Box::new(wire.of(shard, pieces(rest)?))));
+        return Ok(Record::OwnerHeartbeat(Box::new(wire.of(shard, free_blocks(rest)?))));
     }
     if kind == "observed" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
@@ -259,10 +259,10 @@
 }
 
 /// The end of a sign of life. Older builds wrote nothing there, or a number for each piece.
-fn pieces(bytes: &[u8]) -> Result<PiecesWire, RecordError> {
+fn free_blocks(bytes: &[u8]) -> Result<PiecesWire, RecordError> {
     let older = bytes.is_empty() || matches!(unpacked::<[u32; FREE_BLOCKS]>(bytes), Ok((_, [])));
     match older {
         true => Ok(PiecesWire::default()),
-        false => unpacked(bytes).map(|(pieces, _)| pieces),
+        false => unpacked(bytes).map(|(free_blocks, _)| free_blocks),
     }
 }
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -107,20 +107,20 @@
     process: u64,
     epoch: u64,
     released: bool,
-    settled: bool,
+    predecessors_expired: bool,
 }
 
 impl From<&Claim> for ClaimWire {
     fn from(claim: &Claim) -> ClaimWire {
-        let Claim { vm, process, epoch, released, settled } = claim.clone();
-        ClaimWire { vm, process, epoch, released, settled }
+        let Claim { vm, process, epoch, released, predecessors_expired } = claim.clone();
+        ClaimWire { vm, process, epoch, released, predecessors_expired }
     }
 }
 
 impl From<ClaimWire> for Claim {
     fn from(wire: ClaimWire) -> Claim {
-        let ClaimWire { vm, process, epoch, released, settled } = wire;
-        Claim { vm, process, epoch, released, settled }
+        let ClaimWire { vm, process, epoch, released, predecessors_expired } = wire;
+        Claim { vm, process, epoch, released, predecessors_expired }
     }
 }
 
@@ -128,7 +128,7 @@
 #[derive(Debug, Encode, Decode)]
 pub(super) struct SignWire {
     claim: ClaimWire,
-    current: bool,
+    is_caught_up: bool,
     pending: Vec<(String, u32)>,
     /// Capacity, then what lasting, other and best-effort tasks ask for.
     load: [u64; 4],
@@ -139,35 +139,37 @@
 pub(super) struct PiecesWire([[u32; 3]; FREE_BLOCKS]);
 
 impl From<&OwnerHeartbeat> for PiecesWire {
-    fn from(sign: &OwnerHeartbeat) -> PiecesWire {
-        PiecesWire(sign.load.pieces.map(|it| [it.cpu_milli, it.memory_mib, it.accelerators]))
+    fn from(heartbeat: &OwnerHeartbeat) -> PiecesWire {
+        PiecesWire(
+            heartbeat.load.free_blocks.map(|it| [it.cpu_milli, it.memory_mib, it.accelerators]),
+        )
     }
 }
 
 impl From<&OwnerHeartbeat> for SignWire {
-    fn from(sign: &OwnerHeartbeat) -> SignWire {
-        let Load { capacity, lasting, once, best_effort, .. } = sign.load;
+    fn from(heartbeat: &OwnerHeartbeat) -> SignWire {
+        let Load { capacity, long_running, finite, best_effort, .. } = heartbeat.load;
         SignWire {
-            claim: ClaimWire::from(&sign.claim),
-            current: sign.current,
-            pending: sign.pending.clone(),
-            load: [capacity, lasting, once, best_effort],
+            claim: ClaimWire::from(&heartbeat.claim),
+            is_caught_up: heartbeat.is_caught_up,
+            pending: heartbeat.pending.clone(),
+            load: [capacity, long_running, finite, best_effort],
         }
     }
 }
 
 impl SignWire {
     /// The sign of the shard that stands in the record's key.
-    pub(super) fn of(self, shard: ShardId, pieces: PiecesWire) -> OwnerHeartbeat {
-        let SignWire { claim, current, pending, load } = self;
-        let [capacity, lasting, once, best_effort] = load;
-        let pieces = pieces.0.map(|[cpu_milli, memory_mib, accelerators]| Resources {
+    pub(super) fn of(self, shard: ShardId, free_blocks: PiecesWire) -> OwnerHeartbeat {
+        let SignWire { claim, is_caught_up, pending, load } = self;
+        let [capacity, long_running, finite, best_effort] = load;
+        let free_blocks = free_blocks.0.map(|[cpu_milli, memory_mib, accelerators]| Resources {
             cpu_milli,
             memory_mib,
             accelerators,
         });
-        let load = Load { capacity, lasting, once, best_effort, pieces };
-        OwnerHeartbeat { shard, claim: claim.into(), current, pending, load }
+        let load = Load { capacity, long_running, finite, best_effort, free_blocks };
+        OwnerHeartbeat { shard, claim: claim.into(), is_caught_up, pending, load }
     }
 }
 
@@ -302,7 +304,7 @@
             timed: wire.timed,
             steps: wire.steps.into_iter().map(StepSpec::from).collect(),
         };
-        spec.checked().map_err(|e| RecordError::Malformed(e.to_string()))
+        spec.validated().map_err(|e| RecordError::Malformed(e.to_string()))
     }
 }
 
@@ -393,7 +395,7 @@
 #[derive(Debug, Encode, Decode)]
 pub(super) struct ProgressWire {
     phase: u8,
-    begun: bool,
+    has_started: bool,
     /// Names of workers, so that each copy needs a number only.
     workers: Vec<String>,
     occurrences: Vec<Vec<Vec<TaskWire>>>,
@@ -449,7 +451,7 @@
             Phase::Completed => 1,
             Phase::Failed => 2,
         };
-        ProgressWire { phase, begun: progress.begun, workers, occurrences }
+        ProgressWire { phase, has_started: progress.has_started, workers, occurrences }
     }
 }
 
@@ -472,11 +474,11 @@
         let task = |it: TaskWire| {
             let copies = it.copies.into_iter().map(copy).collect::<Result<_, _>>()?;
             let TaskWire { done, runs, failures, checkpoint, .. } = it;
-            Ok(TaskState { done, runs, failures, checkpoint, copies, elsewhere: false })
+            Ok(TaskState { done, runs, failures, checkpoint, copies, on_other_shard: false })
         };
         let step = |it: Vec<TaskWire>| it.into_iter().map(task).collect::<Result<_, _>>();
         let steps = |it: Vec<Vec<TaskWire>>| it.into_iter().map(step).collect::<Result<_, _>>();
         let occurrences = wire.occurrences.into_iter().map(steps).collect::<Result<_, _>>()?;
-        Ok(Progress { phase, begun: wire.begun, occurrences })
+        Ok(Progress { phase, has_started: wire.has_started, occurrences })
     }
 }
--- a/daisy-workflow/src/silence.rs
+++ b/daisy-workflow/src/silence.rs
@@ -90,13 +90,13 @@
 
 impl LogHealth {
     /// A read of another partition was answered at `now`; such reads were last answered again after
-    /// a while without any at `back_at`.
+    /// a while without any at `recovered_at`.
     ///
     /// It says nothing of an append that hangs here: a part of the log may be silent. What falls
     /// silent together comes back together.
-    pub fn read_elsewhere(&mut self, now: Instant, back_at: Instant) {
+    pub fn other_partition_read(&mut self, now: Instant, recovered_at: Instant) {
         let is_idle = self.under_way.is_empty() && self.unanswered.is_none();
-        self.read(if is_idle { now } else { back_at });
+        self.read(if is_idle { now } else { recovered_at });
     }
 
     /// A read of the partition was answered at `now`.
@@ -105,14 +105,14 @@
         self.asked.take_if(|it| it.first < self.read_at);
     }
 
-    /// A question is sent, as [`turn`](Silence::turn) or [`try_question`](Silence::try_question) has
+    /// A question is sent, as [`next_send`](Silence::turn) or [`try_probe`](Silence::try_question) has
     /// said.
-    pub fn ask(&mut self, now: Instant) {
+    pub fn begin_probe(&mut self, now: Instant) {
         let first = self.asked.map_or(now, |it| it.first);
         self.asked = Some(Asked { first, last: now });
     }
 
-    /// An append begins, as [`turn`](Silence::turn) has said.
+    /// An append begins, as [`next_send`](Silence::turn) has said.
     pub fn begin(&mut self, now: Instant) {
         self.under_way.push(now);
     }
@@ -137,7 +137,7 @@
     }
 
     /// What may be sent now.
-    pub fn turn(&self, now: Instant) -> SendDecision {
+    pub fn next_send(&self, now: Instant) -> SendDecision {
         let hangs_after = SLOW.max(self.took * HANGS_FACTOR);
         let hangs = |it: &&Instant| now.since(**it) > hangs_after;
         // A log that has answered reads since is not silent.
@@ -153,36 +153,37 @@
         }
         let timeout = (self.took * TIMEOUT_FACTOR).clamp(TIMEOUT_MIN, TIMEOUT_MAX);
         let Some(it) = self.unanswered else {
-            return match (self.is_quiet(now), self.try_question(now)) {
+            return match (self.is_quiet(now), self.try_probe(now)) {
                 (true, Some(timeout)) => SendDecision::Probe(timeout),
                 (true, None) => SendDecision::Wait,
                 (false, _) => SendDecision::All(timeout),
             };
         };
-        match it.is_silent(now, self.read_at) || self.read_at <= it.last {
+        match it.is_unresponsive(now, self.read_at) || self.read_at <= it.last {
             true => SendDecision::RetriesOnly(TIMEOUT_MAX),
             false => SendDecision::All(TIMEOUT_MAX),
         }
     }
 
     /// How long a question may take that is due now, as it is not known whether the log answers.
-    pub fn try_question(&self, now: Instant) -> Option<Duration> {
+    pub fn try_probe(&self, now: Instant) -> Option<Duration> {
         let after = self.overtaken_after();
         let hangs = |it: &Instant| now.since(*it) >= after && self.read_at <= *it + after;
-        let unsure = self.is_unsure() || self.is_quiet(now) || self.under_way.iter().any(hangs);
+        let unsure =
+            self.has_unconfirmed_append() || self.is_quiet(now) || self.under_way.iter().any(hangs);
         let due = self.asked.is_none_or(|it| now.since(it.last) >= ASK_EVERY);
         (unsure && due).then_some(ASK_TIMEOUT)
     }
 
     /// Whether an append went unanswered and nothing was answered since.
-    pub fn is_unsure(&self) -> bool {
+    pub fn has_unconfirmed_append(&self) -> bool {
         self.unanswered.is_some_and(|it| self.read_at <= it.last)
     }
 
     /// Whether the log has fallen silent, so that waiting for it is of no use.
-    pub fn is_silent(&self, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
         let asked = self.asked.is_some_and(|it| now.since(it.first) >= ASK_TIMEOUT);
-        asked || self.unanswered.is_some_and(|it| it.is_silent(now, self.read_at))
+        asked || self.unanswered.is_some_and(|it| it.is_unresponsive(now, self.read_at))
     }
 
     /// Whether the log may have fallen silent, as reads have not been answered for a while.
@@ -196,13 +197,13 @@
     }
 
     /// Whether a record that has waited unsent since `since` is to be rejected.
-    pub fn is_hopeless(&self, now: Instant, since: Instant) -> bool {
-        self.is_silent(now) || now.since(since) >= UNSENT_MAX
+    pub fn should_reject(&self, now: Instant, since: Instant) -> bool {
+        self.is_unresponsive(now) || now.since(since) >= UNSENT_MAX
     }
 }
 
 impl Unanswered {
-    fn is_silent(&self, now: Instant, read_at: Instant) -> bool {
+    fn is_unresponsive(&self, now: Instant, read_at: Instant) -> bool {
         let deaf = self.overtaken >= DEAF_MIN && now.since(self.last) < PROBE_EVERY * 2;
         deaf || read_at <= self.last && now.since(self.first) >= SILENT
     }
--- a/daisy-workflow/src/spec.rs
+++ b/daisy-workflow/src/spec.rs
@@ -67,7 +67,7 @@
 
 impl JobKind {
     /// The kind in one word.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             JobKind::LongRunning => "lasting",
             JobKind::Finite => "once",
@@ -136,7 +136,7 @@
 
 impl StepSpec {
     /// What a task counts against its worker's capacity.
-    pub fn counted(&self) -> Resources {
+    pub fn allocation(&self) -> Resources {
         match self.best_effort {
             true => Resources { cpu_milli: 0, ..self.need },
             false => self.need,
@@ -150,7 +150,7 @@
     /// # Errors
     ///
     /// If steps are missing, empty or depend on later ones, or the job is too large.
-    pub fn checked(self) -> Result<JobSpec, SpecError> {
+    pub fn validated(self) -> Result<JobSpec, SpecError> {
         if self.steps.is_empty() {
             return Err(SpecError::NoSteps);
         }
--- a/daisy-workflow/src/telling.rs
+++ b/daisy-workflow/src/telling.rs
@@ -45,25 +45,25 @@
     }
 
     /// Whether a sign of life is due.
-    pub fn is_sign_due(&self, now: Instant) -> bool {
+    pub fn is_heartbeat_due(&self, now: Instant) -> bool {
         self.signed_at.is_none_or(|at| now.since(at) >= HEARTBEAT)
     }
 
-    /// What to append now, if anything is due; `sign` is the sign of life, where that is due.
+    /// What to append now, if anything is due; `heartbeat` is the sign of life, where that is due.
     pub fn try_records(
         &mut self,
         now: Instant,
-        sign: Option<OwnerHeartbeat>,
+        heartbeat: Option<OwnerHeartbeat>,
     ) -> Option<Vec<Record>> {
         let states_due = !self.waiting.is_empty() && now.since(self.at) >= GAP;
-        if sign.is_none() && !states_due {
+        if heartbeat.is_none() && !states_due {
             return None;
         }
         self.at = now;
         let mut records = Vec::new();
-        if let Some(sign) = sign {
+        if let Some(heartbeat) = heartbeat {
             self.signed_at = Some(now);
-            records.push(Record::OwnerHeartbeat(Box::new(sign)));
+            records.push(Record::OwnerHeartbeat(Box::new(heartbeat)));
         }
         records.extend(self.records());
         Some(records)
@@ -85,7 +85,11 @@
 
     /// Whether somebody tells of each of these jobs, which other shards run. Those may be without an
     /// owner, and the last owner of this one may have died before it told of them.
-    pub fn all_told(&self, others: &Directory, mut jobs: impl Iterator<Item = JobId>) -> bool {
+    pub fn are_all_published(
+        &self,
+        others: &Directory,
+        mut jobs: impl Iterator<Item = JobId>,
+    ) -> bool {
         jobs.all(|id| {
             let own = self.told.contains_key(&id) || self.waiting.contains_key(&id);
             own || others.state(id).is_some()
--- a/daisy-workflow/tests/both_ways.rs
+++ b/daisy-workflow/tests/both_ways.rs
@@ -4,14 +4,14 @@
 
 use daisy_model::Resources;
 use daisy_workflow::{IncomingTransfer, JobId, JobSpec, Record, ShardId, StepSpec, TaskId};
-use util::{CORE, FakeWorker, Fleet, LASTS_MS, World, job, lasting, step, task};
+use util::{CORE, FakeWorker, Fleet, LASTS_MS, World, job, long_running, step, task};
 
 const FIRST: ShardId = ShardId(0);
 
 /// Tasks that last, each of this many cores.
 fn tasks(count: u32, cores: u32) -> JobSpec {
     let need = Resources { cpu_milli: cores * CORE, memory_mib: 100, accelerators: 0 };
-    job(vec![StepSpec { need, ..lasting(count) }])
+    job(vec![StepSpec { need, ..long_running(count) }])
 }
 
 /// Shards with workers of these cores, on which all tasks last.
@@ -97,7 +97,7 @@
         job(vec![StepSpec { need, ..spec.steps[0].clone() }])
     };
     let need = Resources { accelerators: 0, ..accelerated(1, 1).steps[0].need };
-    let small = StepSpec { need, data_rack: Some("near".into()), ..lasting(1) };
+    let small = StepSpec { need, data_rack: Some("near".into()), ..long_running(1) };
     fleet.worlds[1].workers[3].labels.push("near".to_owned());
     fleet.run_ms(100);
     fleet.worlds[1].submit(beside.0, job(vec![small]));
@@ -162,7 +162,7 @@
     fleet.run_told(30_000);
 
     let jobs = fleet.worlds.iter().filter_map(|it| it.ledger.job(id));
-    let hops = jobs.flat_map(|it| it.moved.iter().map(|(_, it)| it.hop)).max().unwrap_or(0);
+    let hops = jobs.flat_map(|it| it.transfers.iter().map(|(_, it)| it.hop)).max().unwrap_or(0);
     assert!(hops <= 6, "{hops} hops in 30 s");
 }
 
--- a/daisy-workflow/tests/cancel.rs
+++ b/daisy-workflow/tests/cancel.rs
@@ -9,7 +9,7 @@
     Event, IncomingTransfer, JobId, JobSpec, Layout, OutgoingTransfer, Record, ShardId, StepSpec,
     TaskId,
 };
-use util::{CORE, FakeWorker, Fault, LASTS_MS, World, job, lasting, task};
+use util::{CORE, FakeWorker, Fault, LASTS_MS, World, job, long_running, task};
 
 const LAYOUT: Layout = Layout { shards: 3 };
 const SHARDS: usize = 3;
@@ -198,8 +198,8 @@
 
 /// Two tasks that last, each of which fills a worker.
 fn spec() -> JobSpec {
-    let need = Resources { cpu_milli: 3 * CORE, ..lasting(1).need };
-    job(vec![StepSpec { need, ..lasting(2) }])
+    let need = Resources { cpu_milli: 3 * CORE, ..long_running(1).need };
+    job(vec![StepSpec { need, ..long_running(2) }])
 }
 
 /// The second of them.
@@ -324,7 +324,7 @@
 
     fn is_handed_on(&self, giver: usize) -> bool {
         let job = self.worlds[giver].ledger.job(job_id());
-        job.is_some_and(|it| it.handed_to().contains(&ShardId(2)))
+        job.is_some_and(|it| it.transferred_to().contains(&ShardId(2)))
     }
 }
 
--- a/daisy-workflow/tests/chaos.rs
+++ b/daisy-workflow/tests/chaos.rs
@@ -4,7 +4,7 @@
 mod util;
 
 use daisy_workflow::JobState;
-use util::{FakeWorker, Fault, World, after, job, lasting, step};
+use util::{FakeWorker, Fault, World, after, job, long_running, step};
 
 const JOBS: u64 = 12;
 
@@ -15,7 +15,7 @@
     for round in 0..JOBS {
         let spec = match rng.u8(..4) {
             0 => vec![step(rng.u32(1..8)), after(&[0], step(rng.u32(1..6)))],
-            1 => vec![lasting(rng.u32(1..3))],
+            1 => vec![long_running(rng.u32(1..3))],
             _ => vec![step(rng.u32(1..10))],
         };
         world.submit(round, job(spec));
--- a/daisy-workflow/tests/delegate.rs
+++ b/daisy-workflow/tests/delegate.rs
@@ -8,7 +8,7 @@
     OtherShards, Owner, Progress, Record, Rules, Settings, ShardId,
 };
 use std::time::Duration;
-use util::{CORE, FakeWorker, best_effort, job, lasting, step};
+use util::{CORE, FakeWorker, best_effort, job, long_running, step};
 
 const LAYOUT: Layout = Layout { shards: 2 };
 const OWN: ShardId = ShardId(0);
@@ -27,8 +27,8 @@
     ids(shard).next().expect("one of many")
 }
 
-fn load(lasting: u64, once: u64, best_effort: u64) -> Load {
-    Load { capacity: 1_000, lasting, once, best_effort, ..Load::default() }
+fn load(long_running: u64, finite: u64, best_effort: u64) -> Load {
+    Load { capacity: 1_000, long_running, finite, best_effort, ..Load::default() }
 }
 
 fn owner(ledger: Ledger) -> Owner {
@@ -82,8 +82,8 @@
     let mut owner = owner_of_one_worker(at(1_000));
     let mut own = ids(OWN);
     let (first, second) = (own.next().expect("one"), own.next().expect("another"));
-    submit(&mut owner, first, job(vec![lasting(1)]));
-    submit(&mut owner, second, job(vec![lasting(4)]));
+    submit(&mut owner, first, job(vec![long_running(1)]));
+    submit(&mut owner, second, job(vec![long_running(4)]));
 
     let batch = owner.try_batch(at(1_020)).expect("the decision is to be recorded");
     let before = forwarded(owner.act(at(1_020)));
@@ -92,7 +92,7 @@
 
     assert!(batch.records.contains(&Record::Delegated(second, OTHER)), "{:?}", batch.records);
     assert_eq!(before, Vec::new());
-    assert_eq!(after, [(OTHER, Record::Submitted(second, job(vec![lasting(4)])))]);
+    assert_eq!(after, [(OTHER, Record::Submitted(second, job(vec![long_running(4)])))]);
 }
 
 /// A job is handed on, and the other shard is without an owner for seconds. Callers who ask for the job
@@ -102,9 +102,9 @@
     let mut owner = owner_of_one_worker(at(1_000));
     let mut own = ids(OWN);
     let (stays, goes) = (own.next().expect("one"), own.next().expect("another"));
-    submit(&mut owner, stays, job(vec![lasting(1)]));
+    submit(&mut owner, stays, job(vec![long_running(1)]));
 
-    submit(&mut owner, goes, job(vec![lasting(4)]));
+    submit(&mut owner, goes, job(vec![long_running(4)]));
 
     let batch = owner.try_batch(at(1_020)).expect("the decision is to be recorded");
     assert!(batch.records.contains(&Record::Delegated(goes, OTHER)), "{:?}", batch.records);
@@ -184,7 +184,7 @@
     let id = id_of(OWN);
     let spec = job(vec![step(1)]);
     let mut progress = Progress::new(&spec);
-    progress.begun = true;
+    progress.has_started = true;
     progress.occurrences[0][0][0].runs = 1;
     progress.occurrences[0][0][0].copies = vec![Copy { run: 1, worker: "w1".into() }];
     let mut ledger = Ledger::default();
@@ -221,7 +221,7 @@
 fn a_job_of_another_shard_stays() {
     let mut owner = owner_of_one_worker(at(1_000));
     let id = id_of(OTHER);
-    submit(&mut owner, id, job(vec![lasting(8)]));
+    submit(&mut owner, id, job(vec![long_running(8)]));
 
     let batch = owner.try_batch(at(1_020));
 
@@ -252,12 +252,12 @@
     others.update(SortedMap::from_iter([(OTHER, load(0, 0, 0))]));
 
     for (own, spec) in [
-        (load(250, 0, 0), lasting(1)),
+        (load(250, 0, 0), long_running(1)),
         (load(500, 250, 0), step(1)),
         (load(500, 200, 200), best_effort(1, "a")),
     ] {
         let demand = Demand::of(&job(vec![spec]));
-        assert_eq!(others.try_better(at(0), own, demand), None);
+        assert_eq!(others.try_find_better_shard(at(0), own, demand), None);
     }
 }
 
@@ -268,16 +268,19 @@
     let mut others = OtherShards::default();
     let shards = [(OTHER, load(0, 0, 0)), (ShardId(2), load(100, 0, 0))];
     others.update(SortedMap::from_iter(shards));
-    let demand = Demand::of(&job(vec![lasting(1)]));
-    let own =
-        Load { capacity: 20 * u64::from(CORE), lasting: 15 * u64::from(CORE), ..load(0, 0, 0) };
+    let demand = Demand::of(&job(vec![long_running(1)]));
+    let own = Load {
+        capacity: 20 * u64::from(CORE),
+        long_running: 15 * u64::from(CORE),
+        ..load(0, 0, 0)
+    };
     let empty = Load { capacity: 20 * u64::from(CORE), ..load(0, 0, 0) };
     others.update(SortedMap::from_iter([(OTHER, empty), (ShardId(2), empty)]));
     let mut taken = [0; 3];
 
     for _ in 0..10 {
-        let to = others.try_better(at(0), own, demand).expect("others are empty");
-        others.sent(at(0), to, demand);
+        let to = others.try_find_better_shard(at(0), own, demand).expect("others are empty");
+        others.transferred(at(0), to, demand);
         taken[usize::from(to.0)] += 1;
     }
 
@@ -290,9 +293,13 @@
 #[test]
 fn many_owners_do_not_flood_the_emptiest_shard() {
     let cores = |it: u64| it * u64::from(CORE);
-    let load = |lasting| Load { capacity: cores(1_000), lasting: cores(lasting), ..load(0, 0, 0) };
+    let load = |long_running| Load {
+        capacity: cores(1_000),
+        long_running: cores(long_running),
+        ..load(0, 0, 0)
+    };
     let (emptiest, empty) = (ShardId(8), ShardId(9));
-    let demand = Demand::of(&job(vec![lasting(10)]));
+    let demand = Demand::of(&job(vec![long_running(10)]));
     let mut taken = [cores(100), cores(200)];
 
     for owner in 0..4 {
@@ -300,8 +307,9 @@
         let mut view = OtherShards::default();
         view.update(full.chain([(emptiest, load(100)), (empty, load(200))]).collect());
         for _ in 0..25 {
-            let to = view.try_better(at(0), load(900), demand).expect("two shards have room");
-            view.sent(at(0), to, demand);
+            let to =
+                view.try_find_better_shard(at(0), load(900), demand).expect("two shards have room");
+            view.transferred(at(0), to, demand);
             taken[usize::from(to == empty)] += cores(10);
         }
     }
--- a/daisy-workflow/tests/directory.rs
+++ b/daisy-workflow/tests/directory.rs
@@ -13,13 +13,14 @@
     PublishedState { state, shard: ShardId(0) }
 }
 
-fn sign(epoch: u64, released: bool) -> OwnerHeartbeat {
-    let claim = Claim { vm: "a".to_owned(), process: 1, epoch, released, settled: true };
+fn heartbeat(epoch: u64, released: bool) -> OwnerHeartbeat {
+    let claim =
+        Claim { vm: "a".to_owned(), process: 1, epoch, released, predecessors_expired: true };
     let load = Load { capacity: epoch, ..Load::default() };
     OwnerHeartbeat {
         shard: ShardId(1),
         claim,
-        current: true,
+        is_caught_up: true,
         pending: vec![("q".to_owned(), 3)],
         load,
     }
@@ -58,8 +59,8 @@
     let mut complete = Vec::new();
     for read_at in [1_000, 1_400, 9_000, 9_400] {
         let now = Instant::from_millis(read_at);
-        directory.hear(now, sign(5, false));
-        directory.read_to_end(now);
+        directory.receive_heartbeat(now, heartbeat(5, false));
+        directory.mark_caught_up(now);
         complete.push(directory.is_complete(now + Duration::from_millis(100), id));
     }
 
@@ -71,13 +72,13 @@
 fn a_silent_owner_proves_nothing() {
     let mut directory = Directory::default();
     directory.set_layout(Layout { shards: 1 });
-    let signs = OwnerHeartbeat { shard: ShardId(0), ..sign(5, false) };
+    let signs = OwnerHeartbeat { shard: ShardId(0), ..heartbeat(5, false) };
     for read_at in [1_000, 1_400] {
-        directory.hear(Instant::from_millis(read_at), signs.clone());
-        directory.read_to_end(Instant::from_millis(read_at));
+        directory.receive_heartbeat(Instant::from_millis(read_at), signs.clone());
+        directory.mark_caught_up(Instant::from_millis(read_at));
     }
 
-    directory.read_to_end(Instant::from_millis(2_400));
+    directory.mark_caught_up(Instant::from_millis(2_400));
 
     assert!(directory.is_complete(Instant::from_millis(1_500), ID));
     assert!(!directory.is_complete(Instant::from_millis(2_400), ID));
@@ -98,22 +99,22 @@
 #[test]
 fn a_sign_of_an_earlier_owner_says_nothing() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sign(5, false));
+    directory.receive_heartbeat(Instant::from_millis(10), heartbeat(5, false));
 
-    directory.hear(Instant::from_millis(20), sign(4, false));
+    directory.receive_heartbeat(Instant::from_millis(20), heartbeat(4, false));
 
     let heard = directory.owner(ShardId(1)).expect("a sign was heard");
-    assert_eq!((heard.sign.claim.epoch, heard.at), (5, Instant::from_millis(10)));
+    assert_eq!((heard.heartbeat.claim.epoch, heard.at), (5, Instant::from_millis(10)));
 }
 
 #[test]
 fn loads_are_those_of_other_owners_that_live() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sign(5, false));
+    directory.receive_heartbeat(Instant::from_millis(10), heartbeat(5, false));
 
     let seen_by_another = directory.loads(ShardId(0)).len();
     let seen_by_itself = directory.loads(ShardId(1)).len();
-    directory.hear(Instant::from_millis(20), sign(5, true));
+    directory.receive_heartbeat(Instant::from_millis(20), heartbeat(5, true));
     let released = directory.loads(ShardId(0)).len();
 
     assert_eq!((seen_by_another, seen_by_itself, released), (1, 0, 0));
@@ -122,7 +123,7 @@
 #[test]
 fn jobs_without_a_start_are_counted_by_queue() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sign(5, false));
+    directory.receive_heartbeat(Instant::from_millis(10), heartbeat(5, false));
 
     assert_eq!((directory.pending("q"), directory.pending("other")), (3, 0));
 }
--- a/daisy-workflow/tests/election.rs
+++ b/daisy-workflow/tests/election.rs
@@ -8,7 +8,7 @@
 const RTT: Duration = Duration::from_millis(5);
 
 fn claim(vm: &str, process: u64, released: bool) -> Claim {
-    Claim { vm: vm.to_owned(), process, epoch: 4, released, settled: true }
+    Claim { vm: vm.to_owned(), process, epoch: 4, released, predecessors_expired: true }
 }
 
 fn at(millis: u64) -> Instant {
@@ -19,9 +19,9 @@
 fn ones_own_claim_makes_the_owner() {
     let mut election = Election::new(at(0), "a", 1);
 
-    let verdict = election.verdict(at(5_000), Some(&claim("a", 1, false)), RTT);
+    let decision = election.decision(at(5_000), Some(&claim("a", 1, false)), RTT);
 
-    assert_eq!(verdict, ElectionDecision::Own(4));
+    assert_eq!(decision, ElectionDecision::Own(4));
 }
 
 /// The owner's VM loses power and is back: its new process need not wait for silence.
@@ -29,19 +29,19 @@
 fn an_earlier_process_of_the_vm_is_replaced_at_once() {
     let mut election = Election::new(at(0), "a", 2);
 
-    let verdict = election.verdict(at(0), Some(&claim("a", 1, false)), RTT);
+    let decision = election.decision(at(0), Some(&claim("a", 1, false)), RTT);
 
-    assert_eq!(verdict, ElectionDecision::Claim);
+    assert_eq!(decision, ElectionDecision::Claim);
 }
 
 #[test]
 fn a_silent_owner_is_replaced_after_a_while() {
     let mut election = Election::new(at(0), "b", 2);
-    election.heard(at(1_000));
+    election.heartbeat_received(at(1_000));
     let other = claim("a", 1, false);
 
-    let early = election.verdict(at(2_300), Some(&other), RTT);
-    let late = election.verdict(at(2_500), Some(&other), RTT);
+    let early = election.decision(at(2_300), Some(&other), RTT);
+    let late = election.decision(at(2_500), Some(&other), RTT);
 
     assert!(matches!(early, ElectionDecision::Wait(_)));
     assert_eq!(late, ElectionDecision::Claim);
@@ -52,11 +52,11 @@
 #[test]
 fn the_nearest_claims_first() {
     let mut election = Election::new(at(0), "b", 2);
-    election.heard(at(1_000));
+    election.heartbeat_received(at(1_000));
     let released = claim("a", 1, true);
 
-    let near = election.verdict(at(1_050), Some(&released), RTT);
-    let far = election.verdict(at(1_050), Some(&released), Duration::from_millis(30));
+    let near = election.decision(at(1_050), Some(&released), RTT);
+    let far = election.decision(at(1_050), Some(&released), Duration::from_millis(30));
 
     assert_eq!(near, ElectionDecision::Claim);
     assert!(matches!(far, ElectionDecision::Wait(_)));
@@ -70,11 +70,11 @@
     let mut election = Election::new(at(0), "b", 2);
     let fresh = claim("a", 1, false);
 
-    let verdict = election.verdict(at(500), None, RTT);
-    let first = election.is_just_claimed(Some(&fresh));
-    let again = election.is_just_claimed(Some(&fresh));
+    let decision = election.decision(at(500), None, RTT);
+    let first = election.is_newly_claimed(Some(&fresh));
+    let again = election.is_newly_claimed(Some(&fresh));
 
-    assert_eq!(verdict, ElectionDecision::Claim);
+    assert_eq!(decision, ElectionDecision::Claim);
     assert!(first, "it may be about to show that it lives");
     assert!(!again, "it has died before it could");
 }
@@ -84,11 +84,11 @@
 #[test]
 fn a_rival_without_a_sign_yet_is_given_time() {
     let mut election = Election::new(at(0), "b", 2);
-    election.is_just_claimed(Some(&claim("a", 1, false)));
-    election.heard(at(1_000));
+    election.is_newly_claimed(Some(&claim("a", 1, false)));
+    election.heartbeat_received(at(1_000));
 
-    let soon = election.verdict(at(1_300), None, RTT);
-    let late = election.verdict(at(2_500), None, RTT);
+    let soon = election.decision(at(1_300), None, RTT);
+    let late = election.decision(at(2_500), None, RTT);
 
     assert!(matches!(soon, ElectionDecision::Wait(_)));
     assert_eq!(late, ElectionDecision::Claim);
@@ -98,18 +98,18 @@
 fn a_claim_that_was_known_at_the_verdict_is_no_news() {
     let mut election = Election::new(at(0), "b", 2);
     let old = claim("a", 1, false);
-    let verdict = election.verdict(at(2_000), Some(&old), RTT);
+    let decision = election.decision(at(2_000), Some(&old), RTT);
 
-    assert_eq!(verdict, ElectionDecision::Claim);
-    assert!(!election.is_just_claimed(Some(&old)));
-    assert!(!election.is_just_claimed(None));
+    assert_eq!(decision, ElectionDecision::Claim);
+    assert!(!election.is_newly_claimed(Some(&old)));
+    assert!(!election.is_newly_claimed(None));
 }
 
 #[test]
 fn an_own_claim_is_no_rival() {
     let mut election = Election::new(at(0), "b", 2);
 
-    assert!(!election.is_just_claimed(Some(&claim("b", 2, false))));
+    assert!(!election.is_newly_claimed(Some(&claim("b", 2, false))));
 }
 
 /// An owner whose signs of life were late was replaced in the midst of its writes.
@@ -118,9 +118,9 @@
     let mut election = Election::new(at(0), "a", 1);
     let owner = claim("b", 2, false);
 
-    let before = election.verdict(at(1_500), Some(&owner), RTT);
-    let counts = election.wrote(at(1_500));
-    let after = election.verdict(at(1_600), Some(&owner), RTT);
+    let before = election.decision(at(1_500), Some(&owner), RTT);
+    let counts = election.owner_wrote(at(1_500));
+    let after = election.decision(at(1_600), Some(&owner), RTT);
 
     assert_eq!(before, ElectionDecision::Claim);
     assert!(counts);
@@ -133,9 +133,9 @@
     let mut election = Election::new(at(0), "a", 1);
     let owner = claim("b", 2, false);
 
-    let last = (1..20).map(|it| it * 500).find(|it| !election.wrote(at(*it)));
-    let verdict = election.verdict(at(6_000), Some(&owner), RTT);
+    let last = (1..20).map(|it| it * 500).find(|it| !election.owner_wrote(at(*it)));
+    let decision = election.decision(at(6_000), Some(&owner), RTT);
 
     assert_eq!(last, Some(4_500));
-    assert_eq!(verdict, ElectionDecision::Claim);
+    assert_eq!(decision, ElectionDecision::Claim);
 }
--- a/daisy-workflow/tests/hand_over.rs
+++ b/daisy-workflow/tests/hand_over.rs
@@ -7,7 +7,7 @@
     Copy, Event, FoldEffect, IncomingTransfer, JobId, JobSpec, Layout, Ledger, Load, OtherShards,
     OutgoingTransfer, Progress, Record, ShardId, StepSpec, TaskId,
 };
-use util::{CORE, FakeWorker, Fleet, job, lasting, task};
+use util::{CORE, FakeWorker, Fleet, job, long_running, task};
 
 const LAYOUT: Layout = Layout { shards: 2 };
 const FULL: ShardId = ShardId(0);
@@ -38,8 +38,8 @@
 
 /// Two tasks that last, of three cores each.
 fn large_job() -> JobSpec {
-    let need = Resources { cpu_milli: 3 * CORE, ..lasting(1).need };
-    job(vec![StepSpec { need, ..lasting(2) }])
+    let need = Resources { cpu_milli: 3 * CORE, ..long_running(1).need };
+    job(vec![StepSpec { need, ..long_running(2) }])
 }
 
 fn handover(hop: u32, runs: u32) -> Record {
@@ -136,13 +136,13 @@
 #[test]
 fn a_task_stays_where_no_other_shard_has_room() {
     let mut fleet = with_a_waiting_task();
-    let full = Load { capacity: 8_000, lasting: 8_000, ..Load::default() };
+    let full = Load { capacity: 8_000, long_running: 8_000, ..Load::default() };
     let now = fleet.worlds[0].now;
     fleet.worlds[0].owner.step(now, Event::Loads(SortedMap::from_iter([(ROOMY, full)])));
 
     fleet.run_ms(4_500);
 
-    let handed = fleet.worlds[0].ledger.job(job_id()).map(|it| it.handed_to());
+    let handed = fleet.worlds[0].ledger.job(job_id()).map(|it| it.transferred_to());
     assert_eq!(handed, Some(vec![]));
 }
 
@@ -197,21 +197,21 @@
 fn owners_share_the_rooms_that_all_of_them_see() {
     let mut room = Load { capacity: 64_000, ..Load::default() };
     let need = large_job().steps[0].need;
-    room.set_pieces(vec![Resources { cpu_milli: 6_000, memory_mib: 64_000, ..need }; 6]);
+    room.set_free_blocks(vec![Resources { cpu_milli: 6_000, memory_mib: 64_000, ..need }; 6]);
     let full = Load { capacity: 64_000, ..Load::default() };
     let loads = [(ShardId(1), room), (ShardId(2), full), (ShardId(3), full)];
     let mut others = OtherShards::default();
     others.update(SortedMap::from_iter(loads));
-    let mut sent = 0;
+    let mut transferred = 0;
 
-    while let Some(to) = others.try_room(Instant::default(), FULL, need) {
-        others.sent(
+    while let Some(to) = others.try_find_capacity(Instant::default(), FULL, need) {
+        others.transferred(
             Instant::default(),
             to,
-            daisy_workflow::Demand::of_lasting(&large_job().steps[0]),
+            daisy_workflow::Demand::of_long_running_task(&large_job().steps[0]),
         );
-        sent += 1;
+        transferred += 1;
     }
 
-    assert_eq!(sent, 4);
+    assert_eq!(transferred, 4);
 }
--- a/daisy-workflow/tests/kept_here.rs
+++ b/daisy-workflow/tests/kept_here.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::Resources;
 use daisy_workflow::{JobId, JobSpec, Layout, ShardId, StepSpec, TaskId};
-use util::{CORE, FakeWorker, Fleet, LASTS_MS, job, lasting, step, task};
+use util::{CORE, FakeWorker, Fleet, LASTS_MS, job, long_running, step, task};
 
 const SHARDS: u16 = 3;
 const LAYOUT: Layout = Layout { shards: SHARDS };
@@ -13,7 +13,7 @@
 
 fn tasks(count: u32, cores: u32) -> JobSpec {
     let need = Resources { cpu_milli: cores * CORE, memory_mib: 100, accelerators: 0 };
-    job(vec![StepSpec { need, ..lasting(count) }])
+    job(vec![StepSpec { need, ..long_running(count) }])
 }
 
 /// Four to eight seconds, so that quick tasks end one after the other.
--- a/daisy-workflow/tests/lateness.rs
+++ b/daisy-workflow/tests/lateness.rs
@@ -14,7 +14,7 @@
     let mut last = false;
     for gap in gaps {
         now = now + Duration::from_millis(*gap);
-        last = lateness.is_too_late(now);
+        last = lateness.record_tick(now);
     }
     last
 }
--- a/daisy-workflow/tests/moves.rs
+++ b/daisy-workflow/tests/moves.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::Resources;
 use daisy_workflow::{JobId, JobSpec, Layout, Record, ShardId, StepSpec, TaskId};
-use util::{CORE, FakeWorker, Fleet, job, lasting, task};
+use util::{CORE, FakeWorker, Fleet, job, long_running, task};
 
 const SHARDS: u16 = 3;
 const LAYOUT: Layout = Layout { shards: SHARDS };
@@ -27,7 +27,7 @@
 
 fn tasks(count: u32, cores: u32, memory_mib: u32) -> JobSpec {
     let need = Resources { cpu_milli: cores * CORE, memory_mib, accelerators: 0 };
-    job(vec![StepSpec { need, ..lasting(count) }])
+    job(vec![StepSpec { need, ..long_running(count) }])
 }
 
 fn begin(seed: u64) -> Play {
--- a/daisy-workflow/tests/old_owner.rs
+++ b/daisy-workflow/tests/old_owner.rs
@@ -6,11 +6,11 @@
 
 use std::time::Duration;
 
-use util::{Cluster, Fault, Node, job, lasting, task};
+use util::{Cluster, Fault, Node, job, long_running, task};
 
 /// Has a start recorded of which the owner on the first VM has not heard; the worker that it is for.
 fn record_start(cluster: &mut Cluster) -> usize {
-    cluster.submit(2, job(vec![lasting(1)]));
+    cluster.submit(2, job(vec![long_running(1)]));
     assert!(cluster.run_until(200, |it| it.recorded(2).is_some()));
     cluster.recorded(2).expect("just recorded")
 }
--- a/daisy-workflow/tests/outlasting.rs
+++ b/daisy-workflow/tests/outlasting.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use util::{Cluster, Fault, Node, job, lasting, task};
+use util::{Cluster, Fault, Node, job, long_running, task};
 
 /// Milliseconds until an order carried out as late as any has run for the longest lease, and some.
 const LATE_OVER_MS: u64 = 26_000;
@@ -18,7 +18,7 @@
     assert!(cluster.run_until(2_000, |it| !it.is_down(own)));
     cluster.run_ms(200);
     for id in 2..=9 {
-        cluster.submit(id, job(vec![lasting(1)]));
+        cluster.submit(id, job(vec![long_running(1)]));
         cluster.run_ms(100);
     }
     assert!(!cluster.workers[own].runs.is_empty(), "it has got tasks again");
@@ -39,7 +39,7 @@
 
 /// Has a start sent that gets no answer and is carried out some seconds later; its worker.
 fn send_a_late_start(cluster: &mut Cluster) -> usize {
-    cluster.submit(2, job(vec![lasting(1)]));
+    cluster.submit(2, job(vec![long_running(1)]));
     assert!(cluster.run_until(200, |it| it.recorded(2).is_some()));
     let worker = cluster.recorded(2).expect("just recorded");
     cluster.workers[worker].fault = Fault::Late(6_000);
--- a/daisy-workflow/tests/overload.rs
+++ b/daisy-workflow/tests/overload.rs
@@ -4,7 +4,7 @@
 
 use daisy_workflow::{JobState, StepSpec};
 
-use util::{FakeWorker, LASTS_MS, World, best_effort, job, lasting, step};
+use util::{FakeWorker, LASTS_MS, World, best_effort, job, long_running, step};
 
 /// Workers of four cores that share them equally among more runs.
 fn sharing_workers(count: usize) -> World {
@@ -85,7 +85,7 @@
     let mut world = sharing_workers(2);
     world.work = |task| if task.job.0 == 1 { LASTS_MS } else { 500 };
     world.run_ms(200);
-    world.submit(1, job(vec![lasting(8)]));
+    world.submit(1, job(vec![long_running(8)]));
     world.run_ms(300);
     let large = best_effort(2, "render");
     let need = daisy_model::Resources { cpu_milli: 3_500, ..large.need };
--- a/daisy-workflow/tests/owner.rs
+++ b/daisy-workflow/tests/owner.rs
@@ -5,7 +5,7 @@
 mod util;
 
 use daisy_workflow::{JobState, Outcome, StepSpec};
-use util::{FakeWorker, Fault, LASTS_MS, World, after, best_effort, job, lasting, step, task};
+use util::{FakeWorker, Fault, LASTS_MS, World, after, best_effort, job, long_running, step, task};
 
 fn two_workers() -> World {
     World::new(vec![FakeWorker::new("w1", 4), FakeWorker::new("w2", 4)])
@@ -272,7 +272,7 @@
     world.run_ms(300);
     let large = StepSpec {
         need: daisy_model::Resources { cpu_milli: 3_000, ..step(1).need },
-        ..lasting(1)
+        ..long_running(1)
     };
     world.submit(1, job(vec![large]));
     for id in 20..60 {
@@ -348,7 +348,7 @@
 fn best_effort_tasks_need_no_unreserved_processors() {
     let mut world = World::new(vec![FakeWorker::new("w1", 16)]);
     world.work = |_| LASTS_MS;
-    world.submit(1, job(vec![lasting(16)]));
+    world.submit(1, job(vec![long_running(16)]));
     world.run_ms(1_000);
     world.submit(2, job(vec![best_effort(4, "render")]));
 
@@ -381,7 +381,7 @@
     let large = |cores: u32| StepSpec {
         need: daisy_model::Resources { cpu_milli: cores * 1_000, ..step(1).need },
         max_per_worker: 1,
-        ..lasting(2)
+        ..long_running(2)
     };
     world.submit(1, job(vec![large(2)]));
     world.run_ms(300);
@@ -445,7 +445,7 @@
     let mut world = World::new(vec![FakeWorker::new("w", 4)]);
     world.work = |task| if task.job.0 == 1 { LASTS_MS } else { 20_000 };
     world.run_ms(200);
-    world.submit(1, job(vec![lasting(1)]));
+    world.submit(1, job(vec![long_running(1)]));
     world.submit(2, job(vec![best_effort(1, "render")]));
     world.run_ms(1_500);
     world.worker("w").tail_ms = 200;
@@ -455,7 +455,7 @@
     world.cancel(1);
     let goes_on = world.run_until(2_000, |it| it.workers[0].runs.iter().all(|run| run.pace > 0.5));
     world.run_ms(500);
-    world.submit(3, job(vec![lasting(1)]));
+    world.submit(3, job(vec![long_running(1)]));
     world.run_ms(200);
 
     assert!(held && goes_on, "held {held}, goes on {goes_on}");
@@ -475,7 +475,7 @@
     world.submit(2, job(vec![step(1)]));
     let suspected = world.run_until(1_000, |it| it.owner.summary(it.now).usable == 0);
 
-    world.submit(3, job(vec![lasting(1)]));
+    world.submit(3, job(vec![long_running(1)]));
     let runs = world.run_until(2_000, |it| !it.places(task(3, 0, 0)).is_empty());
 
     assert!(suspected && runs, "suspected {suspected}, runs {runs}");
@@ -489,7 +489,7 @@
     world.worker("w").fault = Fault::Fails;
     world.run_ms(200);
 
-    world.submit(1, job(vec![lasting(1)]));
+    world.submit(1, job(vec![long_running(1)]));
     world.run_ms(6_000);
 
     assert!((2..=6).contains(&world.starts.len()), "{} starts", world.starts.len());
@@ -501,7 +501,7 @@
     let mut world = World::new(vec![FakeWorker::new("w", 4)]);
     world.work = |_| LASTS_MS;
     world.run_ms(200);
-    world.submit(1, job(vec![lasting(1)]));
+    world.submit(1, job(vec![long_running(1)]));
     world.run_ms(300);
 
     for _ in 0..3 {
--- a/daisy-workflow/tests/partition.rs
+++ b/daisy-workflow/tests/partition.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use util::{Cluster, Fault, Node, job, lasting, step, task};
+use util::{Cluster, Fault, Node, job, long_running, step, task};
 
 /// How soon a task that lasts is at work again after an owner was replaced, in milliseconds: as long as
 /// the platform's contract allows after the last disturbance.
@@ -105,7 +105,7 @@
 #[test]
 fn an_old_owner_that_wakes_runs_nothing_twice() {
     let mut cluster = Cluster::busy(2, 4);
-    cluster.submit(2, job(vec![lasting(2)]));
+    cluster.submit(2, job(vec![long_running(2)]));
     cluster.run_ms(30);
     cluster.freeze(0);
     cluster.run_ms(1_500);
@@ -221,7 +221,7 @@
     fn submit(&mut self) {
         self.jobs += 1;
         let count = self.rng.u32(1..4);
-        let spec = if self.jobs < 5 { lasting(count) } else { step(count) };
+        let spec = if self.jobs < 5 { long_running(count) } else { step(count) };
         self.cluster.submit(self.jobs, job(vec![spec]));
     }
 
@@ -398,7 +398,7 @@
     cluster.step = Duration::from_millis(20);
     let mut worker = cluster.host();
     if search.starting {
-        cluster.submit(2, job(vec![lasting(1)]));
+        cluster.submit(2, job(vec![long_running(1)]));
         assert!(cluster.run_until(200, |it| it.recorded(2).is_some()));
         worker = cluster.recorded(2).expect("just recorded");
     }
--- a/daisy-workflow/tests/patience.rs
+++ b/daisy-workflow/tests/patience.rs
@@ -64,7 +64,7 @@
     };
 
     assert!(lasted.is_sorted_by(|a, b| a < b), "{lasted:?}");
-    assert_eq!((came, patience.is_tried()), (5_000, true));
+    assert_eq!((came, patience.has_timed_out()), (5_000, true));
 }
 
 /// Nothing is answered from the start of the read on.
@@ -76,7 +76,7 @@
     let second = ends(&mut patience, 2_050, &[900, 990], u64::MAX / 2);
 
     assert_eq!((first, second), (Err(1_900), Err(2_950)));
-    assert!(!patience.is_tried());
+    assert!(!patience.has_timed_out());
 }
 
 /// Tries that a slow log did not answer do not make a silence last longer.
@@ -102,7 +102,7 @@
         let Err(gave_up) = ends(&mut patience, now, &answers, u64::MAX / 2) else {
             panic!("no answer came");
         };
-        assert!(Duration::from_millis(gave_up - now) <= LargeReadTimeout::BOUND_MAX);
+        assert!(Duration::from_millis(gave_up - now) <= LargeReadTimeout::TIMEOUT_MAX);
         now = gave_up + 150;
     }
 }
--- a/daisy-workflow/tests/pieces.rs
+++ b/daisy-workflow/tests/pieces.rs
@@ -5,7 +5,7 @@
 use daisy_model::Resources;
 use daisy_workflow::{IncomingTransfer, JobState, Layout, Record, ShardId, StepSpec, TaskId};
 
-use util::{CORE, FakeWorker, Fault, LASTS_MS, World, job, lasting, step, task};
+use util::{CORE, FakeWorker, Fault, LASTS_MS, World, job, long_running, step, task};
 
 /// Jobs with smaller ids last.
 const FIRST_QUICK: u64 = 100;
@@ -30,7 +30,7 @@
 
 /// Two workers of six cores, each with two tasks that last and two cores that are free.
 fn two_pieces() -> World {
-    two_pieces_of(&lasting(1))
+    two_pieces_of(&long_running(1))
 }
 
 fn two_pieces_of(step: &StepSpec) -> World {
@@ -103,8 +103,8 @@
 /// A member of a gang would take all others with it, and a step that allows none away would break its word.
 #[test]
 fn what_may_not_be_away_does_not_move() {
-    let gang = StepSpec { gang: true, ..lasting(1) };
-    let bound = StepSpec { max_unavailable: Some(0), ..lasting(1) };
+    let gang = StepSpec { gang: true, ..long_running(1) };
+    let bound = StepSpec { max_unavailable: Some(0), ..long_running(1) };
 
     for step in [gang, bound] {
         let mut world = two_pieces_of(&step);
@@ -120,7 +120,7 @@
 #[test]
 fn nothing_moves_while_another_task_of_its_step_is_away() {
     let mut world = world(&[6, 6, 8]);
-    let one_each = |_| StepSpec { max_per_worker: 1, ..wide(lasting(2), 2) };
+    let one_each = |_| StepSpec { max_per_worker: 1, ..wide(long_running(2), 2) };
     for (at, elsewhere) in [(0, "w1"), (1, "w1"), (2, "w0"), (3, "w0")] {
         world.worker(elsewhere).listed = false;
         world.submit(at, job(vec![one_each(at)]));
@@ -143,13 +143,13 @@
 #[test]
 fn what_lasts_leaves_room_for_a_second_to_what_can_be_in_time() {
     let mut world = world(&[4, 4]);
-    world.submit(0, job(vec![wide(lasting(1), 4)]));
+    world.submit(0, job(vec![wide(long_running(1), 4)]));
     world.run_ms(300);
     let short = || job(vec![StepSpec { estimate_ms: 500, ..wide(step(1), 4) }]);
     world.submit(FIRST_QUICK, short());
     world.run_ms(200);
 
-    world.submit(1, job(vec![wide(lasting(1), 4)]));
+    world.submit(1, job(vec![wide(long_running(1), 4)]));
     world.submit(FIRST_QUICK + 1, short());
     let served = world.run_until(1_200, |it| it.state(FIRST_QUICK + 1) == JobState::Completed);
     let lasts = world.run_until(1_800, |it| it.places(task(1, 0, 0)).len() == 1);
@@ -166,7 +166,7 @@
     world.submit(FIRST_QUICK, short());
     world.run_ms(100);
 
-    world.submit(0, job(vec![wide(lasting(1), 4)]));
+    world.submit(0, job(vec![wide(long_running(1), 4)]));
     for id in FIRST_QUICK + 1..FIRST_QUICK + 9 {
         world.submit(id, short());
         world.run_ms(300);
@@ -185,7 +185,7 @@
     let short = || job(vec![StepSpec { estimate_ms: 500, ..wide(step(1), 4) }]);
     world.submit(FIRST_QUICK, short());
     world.run_ms(100);
-    let spec = job(vec![wide(lasting(1), 4)]);
+    let spec = job(vec![wide(long_running(1), 4)]);
     let handover =
         IncomingTransfer { hop: 1, spec, runs: 0, failures: 0, checkpoint: String::new() };
 
--- a/daisy-workflow/tests/reach.rs
+++ b/daisy-workflow/tests/reach.rs
@@ -12,7 +12,7 @@
 }
 
 fn owner() -> Claim {
-    Claim { vm: "a".to_owned(), process: 1, epoch: 4, released: false, settled: true }
+    Claim { vm: "a".to_owned(), process: 1, epoch: 4, released: false, predecessors_expired: true }
 }
 
 /// The log is away for four seconds. As it comes back, every VM finds that it has heard nothing of any
@@ -23,13 +23,13 @@
 fn an_owner_may_sign_once_the_log_is_back() {
     let (mut reach, mut election) = (LogReachability::default(), Election::new(at(0), "b", 2));
     reach.read(at(1_000));
-    election.heard(at(1_000));
-    reach.fail();
+    election.heartbeat_received(at(1_000));
+    reach.read_failed();
     reach.read(at(5_000));
 
-    election.heard(reach.back_at());
-    let back = election.verdict(at(5_010), Some(&owner()), RTT);
-    let later = election.verdict(at(6_500), Some(&owner()), RTT);
+    election.heartbeat_received(reach.recovered_at());
+    let back = election.decision(at(5_010), Some(&owner()), RTT);
+    let later = election.decision(at(6_500), Some(&owner()), RTT);
 
     assert!(matches!(back, ElectionDecision::Wait(_)), "{back:?}");
     assert_eq!(later, ElectionDecision::Claim);
@@ -41,11 +41,11 @@
 fn a_lost_read_is_no_absence() {
     let mut reach = LogReachability::default();
     reach.read(at(1_000));
-    reach.fail();
+    reach.read_failed();
     reach.read(at(1_600));
     reach.read(at(2_900));
 
-    assert_eq!(reach.back_at(), Instant::default());
+    assert_eq!(reach.recovered_at(), Instant::default());
 }
 
 /// A VM that had read nothing during a silence of the log took it for one of the owner.
@@ -54,11 +54,11 @@
     let mut reach = LogReachability::default();
     reach.read(at(1_000));
 
-    let right_after = reach.shows_silence(at(1_100), at(0));
-    let long_after = reach.shows_silence(at(2_900), at(0));
-    let after_a_lost_call = reach.shows_silence(at(1_200), at(1_150));
+    let right_after = reach.can_detect_lost_owner(at(1_100), at(0));
+    let long_after = reach.can_detect_lost_owner(at(2_900), at(0));
+    let after_a_lost_call = reach.can_detect_lost_owner(at(1_200), at(1_150));
     reach.read(at(1_300));
-    let answered_again = reach.shows_silence(at(1_310), at(1_150));
+    let answered_again = reach.can_detect_lost_owner(at(1_310), at(1_150));
 
     assert!(right_after && !long_after && !after_a_lost_call && answered_again);
 }
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -10,13 +10,13 @@
     PublishedState, Record, RecordError, ShardId, SpecError, TaskState, Witness, Witnesses, decode,
     encode,
 };
-use util::{after, best_effort, job, lasting, step, task};
+use util::{after, best_effort, job, long_running, step, task};
 
 const PIECE: Resources = Resources { cpu_milli: 6, memory_mib: 8, accelerators: 1 };
 
 fn progress() -> Progress {
     let mut progress = Progress::new(&job(vec![step(3)]));
-    progress.begun = true;
+    progress.has_started = true;
     let copies = vec![Copy { run: 4, worker: "w1".into() }, Copy { run: 5, worker: "w2".into() }];
     progress.occurrences[0][0][1] = TaskState {
         runs: 5,
@@ -29,22 +29,27 @@
 }
 
 fn claim() -> Claim {
-    Claim { vm: "vm".to_owned(), process: 3, epoch: 9, released: true, settled: true }
+    Claim { vm: "vm".to_owned(), process: 3, epoch: 9, released: true, predecessors_expired: true }
 }
 
-fn sign() -> OwnerHeartbeat {
-    let load =
-        Load { capacity: 9, lasting: 5, once: 3, best_effort: 7, pieces: [PIECE; FREE_BLOCKS] };
+fn heartbeat() -> OwnerHeartbeat {
+    let load = Load {
+        capacity: 9,
+        long_running: 5,
+        finite: 3,
+        best_effort: 7,
+        free_blocks: [PIECE; FREE_BLOCKS],
+    };
     let pending = vec![("q".to_owned(), 4)];
-    OwnerHeartbeat { shard: ShardId(3), claim: claim(), current: true, pending, load }
+    OwnerHeartbeat { shard: ShardId(3), claim: claim(), is_caught_up: true, pending, load }
 }
 
-/// A sign of life as a build writes it whose form ends with `pieces`.
-fn sign_with(pieces: impl Encode) -> Vec<u8> {
-    let OwnerHeartbeat { claim, current, pending, load, .. } = sign();
-    let claim = (claim.vm, claim.process, claim.epoch, claim.released, claim.settled);
-    let load = [load.capacity, load.lasting, load.once, load.best_effort];
-    let form = (claim, current, pending, load, pieces);
+/// A sign of life as a build writes it whose form ends with `free_blocks`.
+fn sign_with(free_blocks: impl Encode) -> Vec<u8> {
+    let OwnerHeartbeat { claim, is_caught_up, pending, load, .. } = heartbeat();
+    let claim = (claim.vm, claim.process, claim.epoch, claim.released, claim.predecessors_expired);
+    let load = [load.capacity, load.long_running, load.finite, load.best_effort];
+    let form = (claim, is_caught_up, pending, load, free_blocks);
     let mut buf = vec![1];
     buf.extend(bincode::encode_to_vec(form, config::standard()).expect("memory"));
     buf
@@ -52,20 +57,20 @@
 
 fn records() -> Vec<Record> {
     vec![
-        Record::Submitted(JobId(7), job(vec![best_effort(2, "a"), after(&[0], lasting(1))])),
+        Record::Submitted(JobId(7), job(vec![best_effort(2, "a"), after(&[0], long_running(1))])),
         Record::Cancelled(JobId(7)),
         Record::Progress(JobId(7), progress()),
         Record::Claim(claim()),
         Record::Delegated(JobId(7), ShardId(2)),
         Record::State(JobId(7), PublishedState { state: JobState::Completed, shard: ShardId(2) }),
-        Record::OwnerHeartbeat(Box::new(sign())),
+        Record::OwnerHeartbeat(Box::new(heartbeat())),
         Record::Layout(Layout { shards: 6 }),
         Record::TaskTransferredOut(task(7, 0, 1), OutgoingTransfer { number: 3, to: ShardId(2) }),
         Record::TaskTransferredIn(
             task(7, 0, 1),
             Box::new(IncomingTransfer {
                 hop: 3,
-                spec: job(vec![lasting(2)]),
+                spec: job(vec![long_running(2)]),
                 runs: 5,
                 failures: 1,
                 checkpoint: "c".to_owned(),
@@ -117,16 +122,16 @@
 
 #[test]
 fn a_sign_of_this_build_is_that_of_the_build_before() {
-    let pieces = [[PIECE.cpu_milli, PIECE.memory_mib, PIECE.accelerators]; FREE_BLOCKS];
+    let free_blocks = [[PIECE.cpu_milli, PIECE.memory_mib, PIECE.accelerators]; FREE_BLOCKS];
 
-    assert_eq!(encode(&Record::OwnerHeartbeat(Box::new(sign()))).1, sign_with(pieces));
+    assert_eq!(encode(&Record::OwnerHeartbeat(Box::new(heartbeat()))).1, sign_with(free_blocks));
 }
 
 /// Builds side by side each took the other's owners for dead, as neither read the other's signs of life.
 #[test]
 fn signs_of_older_builds_are_read_without_pieces() {
-    let mut wanted = sign();
-    wanted.load.pieces = [Resources::ZERO; FREE_BLOCKS];
+    let mut wanted = heartbeat();
+    wanted.load.free_blocks = [Resources::ZERO; FREE_BLOCKS];
     let wanted = Record::OwnerHeartbeat(Box::new(wanted));
 
     // Large enough that the numbers take as many bytes as those of today's form.
@@ -202,7 +207,7 @@
 fn an_end_outlasts_a_late_cancellation() {
     let mut ledger = Ledger::default();
     ledger.fold(Record::Submitted(JobId(1), job(vec![step(2)])));
-    let done = Progress { phase: Phase::Completed, begun: true, occurrences: Vec::new() };
+    let done = Progress { phase: Phase::Completed, has_started: true, occurrences: Vec::new() };
     ledger.fold(Record::Progress(JobId(1), done));
     ledger.fold(Record::Cancelled(JobId(1)));
 
@@ -219,7 +224,7 @@
         (job(vec![step(20_001)]), SpecError::TooManyTasks(20_001)),
     ];
     for (spec, error) in cases {
-        assert_eq!(spec.checked(), Err(error));
+        assert_eq!(spec.validated(), Err(error));
     }
 }
 
--- a/daisy-workflow/tests/rooms.rs
+++ b/daisy-workflow/tests/rooms.rs
@@ -6,14 +6,14 @@
 use daisy_workflow::{
     FoldEffect, IncomingTransfer, JobId, JobSpec, Ledger, Record, ShardId, StepSpec, TaskId,
 };
-use util::{CORE, FakeWorker, Fleet, LASTS_MS, World, best_effort, job, lasting, step, task};
+use util::{CORE, FakeWorker, Fleet, LASTS_MS, World, best_effort, job, long_running, step, task};
 
 const FIRST: ShardId = ShardId(0);
 
 /// Tasks that last, each of this many cores and MiB.
 fn tasks(count: u32, cores: u32, memory_mib: u32) -> JobSpec {
     let need = Resources { cpu_milli: cores * CORE, memory_mib, accelerators: 0 };
-    job(vec![StepSpec { need, ..lasting(count) }])
+    job(vec![StepSpec { need, ..long_running(count) }])
 }
 
 fn first_task(id: JobId) -> TaskId {
@@ -119,8 +119,8 @@
 
     fleet.run_told(3_000);
 
-    let handed_to = fleet.worlds[0].ledger.job(id).map(|it| it.handed_to());
-    assert_eq!(handed_to, Some(vec![ShardId(2)]));
+    let transferred_to = fleet.worlds[0].ledger.job(id).map(|it| it.transferred_to());
+    assert_eq!(transferred_to, Some(vec![ShardId(2)]));
     assert_eq!(fleet.places(task(id.0, 0, 1)), ["w2"]);
 }
 
@@ -138,7 +138,7 @@
     world.run_ms(100);
     let after = world.owner.load(world.now);
 
-    let cores = [before, after].map(|it| it.pieces[0].cpu_milli / CORE);
+    let cores = [before, after].map(|it| it.free_blocks[0].cpu_milli / CORE);
     assert_eq!(cores, [4, 1]);
 }
 
@@ -194,10 +194,10 @@
     let mut world = World::new((0..60).map(worker).collect());
     world.run_ms(300);
 
-    let pieces = world.owner.load(world.now).pieces;
+    let free_blocks = world.owner.load(world.now).free_blocks;
 
-    let special = pieces.iter().take_while(|it| it.accelerators > 0).count();
+    let special = free_blocks.iter().take_while(|it| it.accelerators > 0).count();
     assert!(special >= 4, "{special} pieces with accelerators come first");
-    let sizes: Vec<u32> = pieces[4..].iter().map(|it| it.cpu_milli).collect();
+    let sizes: Vec<u32> = free_blocks[4..].iter().map(|it| it.cpu_milli).collect();
     assert!(sizes.is_sorted_by(|a, b| a >= b), "{sizes:?}");
 }
--- a/daisy-workflow/tests/shard.rs
+++ b/daisy-workflow/tests/shard.rs
@@ -50,10 +50,11 @@
 #[test]
 fn large_vms_claim_before_small_ones() {
     for shard in 0..5 {
-        let slowest_large = (0..20).map(|it| candidate(&format!("large-{it}"), shard).rank()).max();
+        let slowest_large =
+            (0..20).map(|it| candidate(&format!("large-{it}"), shard).claim_delay()).max();
         let small = Candidate { cpu_share: 0.12, ..candidate("small", shard) };
 
-        assert!(small.rank() > slowest_large.unwrap_or_default());
+        assert!(small.claim_delay() > slowest_large.unwrap_or_default());
     }
 }
 
@@ -62,5 +63,5 @@
     let free = candidate("a", 1);
     let owner = Candidate { owned: 1, ..free };
 
-    assert!(owner.rank() >= free.rank() + Duration::from_millis(300));
+    assert!(owner.claim_delay() >= free.claim_delay() + Duration::from_millis(300));
 }
--- a/daisy-workflow/tests/silence.rs
+++ b/daisy-workflow/tests/silence.rs
@@ -27,7 +27,7 @@
     let mut sent = 0;
 
     for now in (1_000..2_400).step_by(20) {
-        if let SendDecision::All(_) = log.turn(at(now)) {
+        if let SendDecision::All(_) = log.next_send(at(now)) {
             sent += 1;
             log.begin(at(now));
         }
@@ -47,11 +47,11 @@
     log.begin(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
-    let before = log.is_silent(at(1_600));
-    let silent = log.is_silent(at(1_800));
-    let again = log.turn(at(1_800));
+    let before = log.is_unresponsive(at(1_600));
+    let silent = log.is_unresponsive(at(1_800));
+    let again = log.next_send(at(1_800));
     log.read(at(5_000));
-    let after = (log.is_silent(at(5_000)), log.turn(at(5_000)));
+    let after = (log.is_unresponsive(at(5_000)), log.next_send(at(5_000)));
 
     assert!(!before && silent);
     assert!(matches!(again, SendDecision::RetriesOnly(_)));
@@ -67,22 +67,22 @@
     let mut asked = Vec::new();
 
     for now in (1_700..4_000).step_by(50) {
-        match log.turn(at(now)) {
+        match log.next_send(at(now)) {
             SendDecision::All(_) | SendDecision::RetriesOnly(_) => sent += 1,
             SendDecision::Probe(_) => {
-                log.ask(at(now));
+                log.begin_probe(at(now));
                 asked.push(now);
             }
             SendDecision::Wait => {}
         }
     }
-    let silent = log.is_silent(at(2_200));
+    let silent = log.is_unresponsive(at(2_200));
     log.read(at(4_000));
 
     assert_eq!((sent, silent), (0, true));
     assert_eq!(asked, [1_700, 2_700, 3_700]);
-    assert!(!log.is_silent(at(4_000)));
-    assert!(matches!(log.turn(at(4_000)), SendDecision::All(_)));
+    assert!(!log.is_unresponsive(at(4_000)));
+    assert!(matches!(log.next_send(at(4_000)), SendDecision::All(_)));
 }
 
 /// A read was lost and the log is there: one question shows it, and the record is sent.
@@ -90,14 +90,14 @@
 fn a_lost_read_rejects_nobody() {
     let mut log = answering();
 
-    let first = log.turn(at(1_700));
-    log.ask(at(1_700));
-    let waits = (log.turn(at(1_720)), log.is_hopeless(at(1_720), at(1_690)));
+    let first = log.next_send(at(1_700));
+    log.begin_probe(at(1_700));
+    let waits = (log.next_send(at(1_720)), log.should_reject(at(1_720), at(1_690)));
     log.read(at(1_730));
 
     assert!(matches!(first, SendDecision::Probe(_)));
     assert_eq!(waits, (SendDecision::Wait, false));
-    assert!(matches!(log.turn(at(1_730)), SendDecision::All(_)));
+    assert!(matches!(log.next_send(at(1_730)), SendDecision::All(_)));
 }
 
 /// The log answers reads and no appends. One append in a second shows when that ends; the callers who
@@ -116,7 +116,7 @@
             log.end(at(now), at(began), false);
             under_way = None;
         }
-        if under_way.is_none() && matches!(log.turn(at(now)), SendDecision::All(_)) {
+        if under_way.is_none() && matches!(log.next_send(at(now)), SendDecision::All(_)) {
             probes += 1;
             log.begin(at(now));
             under_way = Some(now);
@@ -131,8 +131,8 @@
 fn what_waits_unsent_is_rejected_in_time() {
     let log = answering();
 
-    assert!(!log.is_hopeless(at(2_400), at(1_000)));
-    assert!(log.is_hopeless(at(2_500), at(1_000)));
+    assert!(!log.should_reject(at(2_400), at(1_000)));
+    assert!(log.should_reject(at(2_500), at(1_000)));
 }
 
 /// Two fifths of the log's partitions were silent, and records went on into them as the others answered.
@@ -142,20 +142,20 @@
     let mut sent: Vec<u64> = Vec::new();
 
     for now in (1_000..4_000).step_by(20) {
-        log.read_elsewhere(at(now), at(0));
+        log.other_partition_read(at(now), at(0));
         for began in sent.iter().filter(|it| now == **it + 500) {
             log.end(at(now), at(*began), false);
         }
-        if let SendDecision::All(_) = log.turn(at(now)) {
+        if let SendDecision::All(_) = log.next_send(at(now)) {
             sent.push(now);
             log.begin(at(now));
         }
     }
-    let silent = log.is_silent(at(4_000));
+    let silent = log.is_unresponsive(at(4_000));
     log.read(at(4_010));
 
     assert!(sent.len() <= 2 && silent, "{sent:?}");
-    assert!(!log.is_silent(at(4_010)));
+    assert!(!log.is_unresponsive(at(4_010)));
 }
 
 /// An append's answer was lost, and so was all trust in a partition that few write to.
@@ -164,17 +164,17 @@
     let mut log = answering();
     log.begin(at(1_010));
     log.end(at(1_510), at(1_010), false);
-    log.read_elsewhere(at(1_500), at(0));
+    log.other_partition_read(at(1_500), at(0));
 
-    let question = log.try_question(at(1_510));
-    log.ask(at(1_510));
-    let again = log.try_question(at(1_520));
+    let question = log.try_probe(at(1_510));
+    log.begin_probe(at(1_510));
+    let again = log.try_probe(at(1_520));
     log.read(at(1_520));
-    log.read_elsewhere(at(8_980), at(0));
+    log.other_partition_read(at(8_980), at(0));
 
     assert!(question.is_some() && again.is_none());
-    assert!(!log.is_silent(at(9_000)));
-    assert!(matches!(log.turn(at(9_000)), SendDecision::All(_)));
+    assert!(!log.is_unresponsive(at(9_000)));
+    assert!(matches!(log.next_send(at(9_000)), SendDecision::All(_)));
 }
 
 /// All of the log was silent: each partition would have to be asked before the next caller is served.
@@ -184,9 +184,9 @@
     log.begin(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
-    let silent = log.is_silent(at(4_990));
-    log.read_elsewhere(at(5_000), at(5_000));
+    let silent = log.is_unresponsive(at(4_990));
+    log.other_partition_read(at(5_000), at(5_000));
 
-    assert!(silent && !log.is_silent(at(5_000)));
-    assert!(matches!(log.turn(at(5_000)), SendDecision::All(_)));
+    assert!(silent && !log.is_unresponsive(at(5_000)));
+    assert!(matches!(log.next_send(at(5_000)), SendDecision::All(_)));
 }
--- a/daisy-workflow/tests/takeover.rs
+++ b/daisy-workflow/tests/takeover.rs
@@ -3,7 +3,7 @@
 mod util;
 
 use daisy_workflow::ShardId;
-use util::{FakeWorker, Fault, Fleet, LASTS_MS, World, job, lasting, task};
+use util::{FakeWorker, Fault, Fleet, LASTS_MS, World, job, long_running, task};
 
 const TASKS: u32 = 10;
 
@@ -16,7 +16,7 @@
     let names = ["w1", "w2", "w3", "w4", "w5"];
     let mut world = World::new(names.map(|it| FakeWorker::new(it, 4)).into());
     world.work = |_| LASTS_MS;
-    world.submit(1, job(vec![lasting(TASKS)]));
+    world.submit(1, job(vec![long_running(TASKS)]));
     assert!(world.run_until(1_000, all_run), "no room in an empty fleet");
     world.run_ms(3_000);
     world
@@ -99,7 +99,7 @@
         |names: &[&str], cores| names.iter().map(|it| FakeWorker::new(it, cores)).collect();
     let mut fleet = Fleet::new(vec![workers(&["a", "b", "c"], 4), workers(&["d", "e"], 8)]);
     let id = fleet.job_of(ShardId(0));
-    fleet.worlds[0].submit(id.0, job(vec![lasting(12)]));
+    fleet.worlds[0].submit(id.0, job(vec![long_running(12)]));
     fleet.run_ms(8_000);
     assert!(fleet.worlds[0].workers.iter().all(|it| it.runs.len() == 4), "its shard is full");
     let lost = &mut fleet.worlds[0].workers[0];
--- a/daisy-workflow/tests/telling.rs
+++ b/daisy-workflow/tests/telling.rs
@@ -13,9 +13,21 @@
     Instant::from_millis(millis)
 }
 
-fn sign() -> OwnerHeartbeat {
-    let claim = Claim { vm: "a".to_owned(), process: 1, epoch: 3, released: false, settled: true };
-    OwnerHeartbeat { shard: OWN, claim, current: true, pending: Vec::new(), load: Load::default() }
+fn heartbeat() -> OwnerHeartbeat {
+    let claim = Claim {
+        vm: "a".to_owned(),
+        process: 1,
+        epoch: 3,
+        released: false,
+        predecessors_expired: true,
+    };
+    OwnerHeartbeat {
+        shard: OWN,
+        claim,
+        is_caught_up: true,
+        pending: Vec::new(),
+        load: Load::default(),
+    }
 }
 
 fn told(state: JobState, shard: ShardId) -> SortedMap<JobId, PublishedState> {
@@ -30,12 +42,12 @@
 fn a_new_owner_shows_at_once_that_it_lives() {
     let mut telling = StatePublisher::new(at(0), OWN, SortedMap::new());
 
-    let due = telling.is_sign_due(at(0));
-    let records = telling.try_records(at(0), Some(sign()));
+    let due = telling.is_heartbeat_due(at(0));
+    let records = telling.try_records(at(0), Some(heartbeat()));
 
     assert!(due);
-    assert_eq!(records, Some(vec![Record::OwnerHeartbeat(Box::new(sign()))]));
-    assert!(!telling.is_sign_due(at(399)) && telling.is_sign_due(at(400)));
+    assert_eq!(records, Some(vec![Record::OwnerHeartbeat(Box::new(heartbeat()))]));
+    assert!(!telling.is_heartbeat_due(at(399)) && telling.is_heartbeat_due(at(400)));
 }
 
 #[test]
@@ -87,9 +99,9 @@
     let telling = StatePublisher::new(at(0), OWN, SortedMap::new());
     let mut directory = Directory::default();
 
-    let before = telling.all_told(&directory, [ID].into_iter());
+    let before = telling.are_all_published(&directory, [ID].into_iter());
     directory.set_state(ID, PublishedState { state: JobState::Queued, shard: ShardId(0) });
-    let after = telling.all_told(&directory, [ID].into_iter());
+    let after = telling.are_all_published(&directory, [ID].into_iter());
 
     assert_eq!((before, after), (false, true));
 }
@@ -99,9 +111,9 @@
     let mut telling = StatePublisher::new(at(0), OWN, SortedMap::new());
     telling.add(ID, JobState::Queued);
 
-    let waits = telling.all_told(&Directory::default(), [ID].into_iter());
+    let waits = telling.are_all_published(&Directory::default(), [ID].into_iter());
     telling.try_records(at(30), None);
-    let told = telling.all_told(&Directory::default(), [ID].into_iter());
+    let told = telling.are_all_published(&Directory::default(), [ID].into_iter());
 
     assert_eq!((waits, told), (true, true));
 }
--- a/daisy-workflow/tests/util/mod.rs
+++ b/daisy-workflow/tests/util/mod.rs
@@ -47,10 +47,10 @@
             host: "shop.example".into(),
             path_prefix: "/renders/".into(),
             timeout_ms: 3_000,
-            advised: false,
+            needs_policy_approval: false,
             terms: terms(),
         }],
-        services: vec![Service { name: "shop".into(), workers_guard: false, connections: 64 }],
+        services: vec![Service { name: "shop".into(), admission_control: false, connections: 64 }],
         body_bytes: 1 << 18,
     })
 }
@@ -71,7 +71,7 @@
 }
 
 /// Tasks that run until the job is cancelled.
-pub fn lasting(count: u32) -> StepSpec {
+pub fn long_running(count: u32) -> StepSpec {
     StepSpec { long_running: true, target_ms: 50, image: Some("serve".into()), ..step(count) }
 }
 
--- a/daisy-workflow/tests/util/partition.rs
+++ b/daisy-workflow/tests/util/partition.rs
@@ -9,8 +9,9 @@
 };
 
 use super::{
-    LASTS_MS, STEP, job, lasting,
+    LASTS_MS, STEP, job,
     log::Log,
+    long_running,
     worker::{FakeWorker, HOLD_WAIT_MAX, target, unanswered, with_wait},
     world::{check_runs, check_start, owner},
 };
@@ -59,7 +60,7 @@
 struct Process {
     epoch: u64,
     owner: Owner,
-    settled: bool,
+    predecessors_expired: bool,
     signed_at: Option<Instant>,
     listed_at: Option<Instant>,
     writes: Vec<Write>,
@@ -94,7 +95,7 @@
 struct Claimed {
     epoch: u64,
     vm: usize,
-    settled: bool,
+    predecessors_expired: bool,
     released: bool,
 }
 
@@ -178,7 +179,7 @@
     /// The same, with as many tasks that last as there are workers, whose clocks are as slow as any.
     pub fn busy(vms: usize, workers: u32) -> Cluster {
         let mut cluster = Cluster::new(vms, (0..workers).map(slow_worker).collect());
-        cluster.submit(1, job(vec![lasting(workers)]));
+        cluster.submit(1, job(vec![long_running(workers)]));
         assert!(cluster.run_until(2_000, Cluster::all_last), "they start");
         cluster
     }
@@ -191,8 +192,8 @@
     }
 
     pub fn submit(&mut self, id: u64, spec: JobSpec) {
-        let lasting = (0u16..).zip(&spec.steps).filter(|(_, it)| it.long_running);
-        let tasks = lasting.flat_map(|(step, it)| {
+        let long_running = (0u16..).zip(&spec.steps).filter(|(_, it)| it.long_running);
+        let tasks = long_running.flat_map(|(step, it)| {
             let task = move |index| TaskId { job: JobId(id), occurrence: 0, step, index };
             (0..it.count).map(task)
         });
@@ -318,17 +319,25 @@
             return false;
         }
         let last = self.claimed.as_ref();
-        let settled = last.is_none_or(|it| (it.released || it.vm == vm) && it.settled);
+        let predecessors_expired =
+            last.is_none_or(|it| (it.released || it.vm == vm) && it.predecessors_expired);
         let epoch = last.map_or(0, |it| it.epoch) + 1;
-        self.claimed = Some(Claimed { epoch, vm, settled, released: false });
+        self.claimed = Some(Claimed { epoch, vm, predecessors_expired, released: false });
         let mut ledger = self.log.read(false, false);
         if self.ignores_witnesses {
             ledger.fold(Record::Witnesses(Witnesses::default()));
         }
         self.vms[vm].process = Some(Process {
             epoch,
-            owner: owner(self.now, epoch, ledger, settled, ShardId(0), Layout { shards: 1 }),
-            settled,
+            owner: owner(
+                self.now,
+                epoch,
+                ledger,
+                predecessors_expired,
+                ShardId(0),
+                Layout { shards: 1 },
+            ),
+            predecessors_expired,
             signed_at: None,
             listed_at: None,
             writes: Vec::new(),
@@ -557,7 +566,8 @@
             None => {
                 self.signed = (process.epoch, self.now);
                 if process.epoch == claimed.epoch {
-                    claimed.settled = process.settled || process.owner.is_settled(self.now);
+                    claimed.predecessors_expired =
+                        process.predecessors_expired || process.owner.is_settled(self.now);
                 }
                 Event::Reached { sent_at: *sent_at }
             }
--- a/daisy-workflow/tests/util/world.rs
+++ b/daisy-workflow/tests/util/world.rs
@@ -270,7 +270,7 @@
         for run in &worker.runs {
             let job = ledger.job(run.task.job).expect("only submitted jobs run");
             let step = &job.spec.steps[usize::from(run.task.step)];
-            cpu += step.counted().cpu_milli;
+            cpu += step.allocation().cpu_milli;
             assert!(
                 step.speculative || !seen.contains(&run.task),
                 "{} runs in two places",
