--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -228,7 +228,7 @@
     if batch.is_empty() {
         return None;
     }
-    log.silence(now, shard, |it| it.begin(now));
+    log.silence(now, shard, |it| it.begin_append(now));
     Some((batch, timeout))
 }
 
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -72,8 +72,8 @@
 /// images of best-effort tasks.
 #[derive(Debug, Clone)]
 struct Fit {
-    products: Vec<Vec<f64>>,
-    answers: Vec<f64>,
+    share_products: Vec<Vec<f64>>,
+    loss_sums: Vec<f64>,
     weights: Vec<f64>,
     /// What each weight is drawn to, and how firmly.
     priors: Vec<(f64, f64)>,
@@ -86,16 +86,16 @@
 /// with the headroom lost.
 #[derive(Debug, Clone, Default)]
 struct Sums {
-    products: SortedMap<(usize, usize), f64>,
-    answers: SortedMap<usize, f64>,
+    share_products: SortedMap<(usize, usize), f64>,
+    loss_sums: SortedMap<usize, f64>,
 }
 
 impl Sums {
     fn add(&mut self, x: &[(usize, f64)], y: f64) {
         for (at, (i, a)) in x.iter().enumerate() {
-            *self.answers.get_or_insert_with(*i, || 0.0) += a * y;
+            *self.loss_sums.get_or_insert_with(*i, || 0.0) += a * y;
             for (j, b) in &x[at..] {
-                *self.products.get_or_insert_with((*i.min(j), *i.max(j)), || 0.0) += a * b;
+                *self.share_products.get_or_insert_with((*i.min(j), *i.max(j)), || 0.0) += a * b;
             }
         }
     }
@@ -104,8 +104,8 @@
 impl Fit {
     fn new(now: Instant) -> Fit {
         Fit {
-            products: Vec::new(),
-            answers: Vec::new(),
+            share_products: Vec::new(),
+            loss_sums: Vec::new(),
             weights: Vec::new(),
             priors: Vec::new(),
             fresh: Sums::default(),
@@ -117,11 +117,11 @@
         if self.weights.len() >= len {
             return;
         }
-        for row in &mut self.products {
+        for row in &mut self.share_products {
             row.resize(len, 0.0);
         }
-        self.products.resize(len, vec![0.0; len]);
-        self.answers.resize(len, 0.0);
+        self.share_products.resize(len, vec![0.0; len]);
+        self.loss_sums.resize(len, 0.0);
         self.weights.resize(len, PRIOR_WEIGHT);
         self.priors.resize(len, (PRIOR_WEIGHT, PRIOR_STRENGTH));
     }
@@ -129,28 +129,28 @@
     fn forget(&mut self, now: Instant) {
         let keep = 0.5f64.powf(now.since(self.at).as_secs_f64() / HALF_LIFE_S);
         self.at = now;
-        self.answers.iter_mut().for_each(|it| *it *= keep);
-        self.products.iter_mut().flatten().for_each(|it| *it *= keep);
+        self.loss_sums.iter_mut().for_each(|it| *it *= keep);
+        self.share_products.iter_mut().flatten().for_each(|it| *it *= keep);
     }
 
     fn add(&mut self, x: &[(usize, f64)], y: f64) {
         for (i, a) in x {
-            self.answers[*i] += a * y;
+            self.loss_sums[*i] += a * y;
             for (j, b) in x {
-                self.products[*i][*j] += a * b;
+                self.share_products[*i][*j] += a * b;
             }
         }
     }
 
     /// Adds another owner's sums; images by their numbers here.
     fn add_sums(&mut self, sums: &Sums) {
-        for (i, it) in sums.answers.iter() {
-            self.answers[*i] += it;
+        for (i, it) in sums.loss_sums.iter() {
+            self.loss_sums[*i] += it;
         }
-        for ((i, j), it) in sums.products.iter() {
-            self.products[*i][*j] += it;
+        for ((i, j), it) in sums.share_products.iter() {
+            self.share_products[*i][*j] += it;
             if i != j {
-                self.products[*j][*i] += it;
+                self.share_products[*j][*i] += it;
             }
         }
     }
@@ -159,9 +159,9 @@
     fn solve(&mut self) {
         for _ in 0..PASSES {
             for i in 0..self.weights.len() {
-                let row = &self.products[i];
+                let row = &self.share_products[i];
                 let others: f64 = row.iter().zip(&self.weights).map(|(a, w)| a * w).sum();
-                let rest = self.answers[i] - others + row[i] * self.weights[i];
+                let rest = self.loss_sums[i] - others + row[i] * self.weights[i];
                 let (prior, strength) = self.priors[i];
                 self.weights[i] = ((rest + strength * prior) / (row[i] + strength)).max(0.0);
             }
@@ -258,14 +258,16 @@
         let mut taken = Vec::new();
         for (serving, key) in self.serving.0.iter() {
             let fresh = std::mem::take(&mut self.fits[key.index()].fresh);
-            if fresh.answers.is_empty() {
+            if fresh.loss_sums.is_empty() {
                 continue;
             }
-            let products = fresh.products.iter();
+            let share_products = fresh.share_products.iter();
             taken.push(InterferenceSums {
                 serving: serving.clone(),
-                answers: fresh.answers.iter().map(|(at, it)| (name(*at), *it as f32)).collect(),
-                products: products.map(|((i, j), it)| (name(*i), name(*j), *it as f32)).collect(),
+                loss_sums: fresh.loss_sums.iter().map(|(at, it)| (name(*at), *it as f32)).collect(),
+                share_products: share_products
+                    .map(|((i, j), it)| (name(*i), name(*j), *it as f32))
+                    .collect(),
             });
         }
         taken
@@ -277,12 +279,12 @@
     /// fifth of the workers knows a pair a fifth as well, and the amounts change within seconds.
     pub fn add_observations(&mut self, now: Instant, seen: &InterferenceSums) {
         let mut sums = Sums::default();
-        for (image, it) in &seen.answers {
-            sums.answers.insert(self.best_effort.key(image).index(), f64::from(*it));
+        for (image, it) in &seen.loss_sums {
+            sums.loss_sums.insert(self.best_effort.key(image).index(), f64::from(*it));
         }
-        for (a, b, it) in &seen.products {
+        for (a, b, it) in &seen.share_products {
             let (a, b) = (self.best_effort.key(a).index(), self.best_effort.key(b).index());
-            sums.products.insert((a.min(b), a.max(b)), f64::from(*it));
+            sums.share_products.insert((a.min(b), a.max(b)), f64::from(*it));
         }
         let key = self.serving_key(now, &seen.serving);
         let len = self.best_effort.len();
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -104,9 +104,9 @@
     /// The image of the serving tasks.
     pub serving: Arc<str>,
     /// By image of best-effort tasks, share of a worker's processors times headroom lost.
-    pub answers: Vec<(Arc<str>, f32)>,
+    pub loss_sums: Vec<(Arc<str>, f32)>,
     /// By two of them, share times share.
-    pub products: Vec<(Arc<str>, Arc<str>, f32)>,
+    pub share_products: Vec<(Arc<str>, Arc<str>, f32)>,
 }
 
 /// Why a record says nothing that can be used.
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -21,8 +21,8 @@
 #[derive(Debug, Encode, Decode)]
 struct FitWire {
     serving: u16,
-    answers: Vec<(u16, f32)>,
-    products: Vec<(u16, u16, f32)>,
+    loss_sums: Vec<(u16, f32)>,
+    share_products: Vec<(u16, u16, f32)>,
 }
 
 impl From<&[InterferenceSums]> for ObservedWire {
@@ -39,9 +39,9 @@
         for it in seen {
             fits.push(FitWire {
                 serving: number(&it.serving),
-                answers: it.answers.iter().map(|(a, sum)| (number(a), *sum)).collect(),
-                products: it
-                    .products
+                loss_sums: it.loss_sums.iter().map(|(a, sum)| (number(a), *sum)).collect(),
+                share_products: it
+                    .share_products
                     .iter()
                     .map(|(a, b, sum)| (number(a), number(b), *sum))
                     .collect(),
@@ -62,8 +62,8 @@
         };
         let mut seen = Vec::with_capacity(wire.fits.len());
         for fit in wire.fits {
-            let finite = fit.answers.iter().all(|(_, it)| it.is_finite())
-                && fit.products.iter().all(|(.., it)| it.is_finite());
+            let finite = fit.loss_sums.iter().all(|(_, it)| it.is_finite())
+                && fit.share_products.iter().all(|(.., it)| it.is_finite());
             if !finite {
                 return Err(RecordError::Malformed("a sum that is no number".to_owned()));
             }
@@ -71,8 +71,12 @@
             let product = |(a, b, sum)| Ok((name(a)?, name(b)?, sum));
             seen.push(InterferenceSums {
                 serving: name(fit.serving)?,
-                answers: fit.answers.into_iter().map(answer).collect::<Result<_, _>>()?,
-                products: fit.products.into_iter().map(product).collect::<Result<_, _>>()?,
+                loss_sums: fit.loss_sums.into_iter().map(answer).collect::<Result<_, _>>()?,
+                share_products: fit
+                    .share_products
+                    .into_iter()
+                    .map(product)
+                    .collect::<Result<_, _>>()?,
             });
         }
         Ok(seen)
--- a/daisy-workflow/src/silence.rs
+++ b/daisy-workflow/src/silence.rs
@@ -113,7 +113,7 @@
     }
 
     /// An append begins, as [`next_send`](Silence::turn) has said.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn begin_append(&mut self, now: Instant) {
         self.under_way.push(now);
     }
 
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -80,8 +80,11 @@
             ShardId(3),
             vec![InterferenceSums {
                 serving: "s".into(),
-                answers: vec![("a".into(), 0.25), ("b".into(), -0.5)],
-                products: vec![("a".into(), "a".into(), 0.125), ("a".into(), "b".into(), 0.5)],
+                loss_sums: vec![("a".into(), 0.25), ("b".into(), -0.5)],
+                share_products: vec![
+                    ("a".into(), "a".into(), 0.125),
+                    ("a".into(), "b".into(), 0.5),
+                ],
             }],
         ),
         Record::Witnesses(Witnesses {
--- a/daisy-workflow/tests/silence.rs
+++ b/daisy-workflow/tests/silence.rs
@@ -11,7 +11,7 @@
 fn answering() -> LogHealth {
     let mut log = LogHealth::default();
     for began in [900, 940, 980] {
-        log.begin(at(began));
+        log.begin_append(at(began));
         log.end(at(began + 10), at(began), true);
     }
     log.read(at(1_000));
@@ -29,7 +29,7 @@
     for now in (1_000..2_400).step_by(20) {
         if let SendDecision::All(_) = log.next_send(at(now)) {
             sent += 1;
-            log.begin(at(now));
+            log.begin_append(at(now));
         }
         if now == 1_500 {
             log.end(at(now), at(1_000), false);
@@ -44,7 +44,7 @@
 #[test]
 fn a_silent_log_is_known_until_it_answers() {
     let mut log = answering();
-    log.begin(at(1_010));
+    log.begin_append(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
     let before = log.is_unresponsive(at(1_600));
@@ -105,7 +105,7 @@
 #[test]
 fn a_log_that_only_answers_reads_is_probed() {
     let mut log = answering();
-    log.begin(at(1_010));
+    log.begin_append(at(1_010));
     log.end(at(1_510), at(1_010), false);
     let mut probes = 0;
 
@@ -118,7 +118,7 @@
         }
         if under_way.is_none() && matches!(log.next_send(at(now)), SendDecision::All(_)) {
             probes += 1;
-            log.begin(at(now));
+            log.begin_append(at(now));
             under_way = Some(now);
         }
     }
@@ -148,7 +148,7 @@
         }
         if let SendDecision::All(_) = log.next_send(at(now)) {
             sent.push(now);
-            log.begin(at(now));
+            log.begin_append(at(now));
         }
     }
     let silent = log.is_unresponsive(at(4_000));
@@ -162,7 +162,7 @@
 #[test]
 fn a_lost_answer_of_an_append_rejects_nobody() {
     let mut log = answering();
-    log.begin(at(1_010));
+    log.begin_append(at(1_010));
     log.end(at(1_510), at(1_010), false);
     log.other_partition_read(at(1_500), at(0));
 
@@ -181,7 +181,7 @@
 #[test]
 fn partitions_that_fell_silent_together_come_back_together() {
     let mut log = answering();
-    log.begin(at(1_010));
+    log.begin_append(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
     let silent = log.is_unresponsive(at(4_990));
