--- a/daisy-workflow/src/balance.rs
+++ b/daisy-workflow/src/balance.rs
@@ -61,12 +61,12 @@
 
     /// Tasks that last, need this much of one worker and find room in time, as far as the pieces
     /// tell.
-    fn rooms(&self, need: Resources) -> u64 {
+    fn task_slots(&self, need: Resources) -> u64 {
         self.free_blocks.iter().map(|it| u64::from(it.holds(need))).sum()
     }
 
     /// The load with a job more.
-    fn with(self, demand: Demand) -> Load {
+    fn with_demand(self, demand: Demand) -> Load {
         let mut load = self;
         match demand.kind {
             JobKind::LongRunning => load.long_running += demand.cpu,
@@ -77,29 +77,29 @@
     }
 
     /// How full the shard is for jobs of a kind, 1 for full.
-    fn pressure(self, kind: JobKind) -> f64 {
+    fn utilization(self, kind: JobKind) -> f64 {
         /// Serving tasks use about half of what they reserve, and best-effort tasks the rest.
-        const SERVING_USE: f64 = 0.55;
+        const SERVING_CPU_USE: f64 = 0.55;
         let (long_running, finite, best_effort) =
             (self.long_running as f64, self.finite as f64, self.best_effort as f64);
-        let asked = match kind {
+        let demand_cpu = match kind {
             JobKind::LongRunning => long_running,
             JobKind::Finite => long_running + finite,
-            JobKind::BestEffort => long_running * SERVING_USE + finite + best_effort,
+            JobKind::BestEffort => long_running * SERVING_CPU_USE + finite + best_effort,
         };
-        asked / (self.capacity.max(1) as f64)
+        demand_cpu / (self.capacity.max(1) as f64)
     }
 }
 
 /// Loads are told every 0.4 s and read 0.2 s later.
-const SHOWN_AFTER: Duration = Duration::from_millis(800);
+const LOAD_REPORT_DELAY: Duration = Duration::from_millis(800);
 
 /// What is known of the other shards.
 #[derive(Debug, Clone, Default)]
 pub struct OtherShards {
     loads: SortedMap<ShardId, Load>,
     /// Jobs that were handed to others so lately that their loads do not show them.
-    sent: Vec<(Instant, ShardId, Demand)>,
+    recent_transfers: Vec<(Instant, ShardId, Demand)>,
 }
 
 impl OtherShards {
@@ -110,15 +110,15 @@
 
     /// A job went to `shard`.
     pub fn transferred(&mut self, now: Instant, shard: ShardId, demand: Demand) {
-        self.sent.push((now, shard, demand));
+        self.recent_transfers.push((now, shard, demand));
     }
 
     /// The shard that a job had better go to than the one with the load `own`, which already counts
     /// it, if there is one.
     ///
-    /// Loads are known late, and all owners know the same: in a flood, each would hand its jobs to the
-    /// shard that was emptiest before, which is overfull from then on, as jobs that have begun stay
-    /// where they are. So an owner takes it that all others send as much as it does.
+    /// Loads are known late, and all owners know the same: in a flood, each would hand its jobs to
+    /// the shard that was emptiest before, which is overfull from then on, as jobs that have begun
+    /// stay where they are. So an owner takes it that all others send as much as it does.
     pub fn try_find_better_shard(
         &mut self,
         now: Instant,
@@ -126,28 +126,28 @@
         demand: Demand,
     ) -> Option<ShardId> {
         /// Pressure below which a job stays: there is room in pieces of any size.
-        const EASY: [f64; 3] = [0.3, 0.8, 0.7];
+        const LOW_UTILIZATION: [f64; 3] = [0.3, 0.8, 0.7];
         /// By how much another must be better: a job that lasts is placed once and for long, others
         /// come and go while loads are on their way.
-        const MARGIN: [f64; 3] = [0.03, 0.06, 0.15];
-        self.sent.retain(|(at, ..)| now.since(*at) < SHOWN_AFTER);
+        const IMPROVEMENT_MIN: [f64; 3] = [0.03, 0.06, 0.15];
+        self.recent_transfers.retain(|(at, ..)| now.since(*at) < LOAD_REPORT_DELAY);
         let kind = demand.kind;
-        let pressure = own.pressure(kind);
-        if pressure < EASY[kind as usize] {
+        let utilization = own.utilization(kind);
+        if utilization < LOW_UTILIZATION[kind as usize] {
             return None;
         }
         let senders = self.loads.len().max(1) as u64;
         let with_sent = |(shard, load): (&ShardId, &Load)| {
-            let sent = self.sent.iter().filter(|(_, to, _)| to == shard);
+            let recent_transfers = self.recent_transfers.iter().filter(|(_, to, _)| to == shard);
             let add = |load: Load, (.., demand): &(Instant, ShardId, Demand)| {
-                load.with(Demand { cpu: demand.cpu * senders, ..*demand })
+                load.with_demand(Demand { cpu: demand.cpu * senders, ..*demand })
             };
-            let load = sent.fold(*load, add).with(demand);
-            (*shard, load.pressure(kind))
+            let load = recent_transfers.fold(*load, add).with_demand(demand);
+            (*shard, load.utilization(kind))
         };
         let others = self.loads.iter().filter(|(_, load)| load.capacity > 0).map(with_sent);
         let (shard, best) = others.min_by(|(_, a), (_, b)| a.total_cmp(b))?;
-        (best + MARGIN[kind as usize] < pressure).then_some(shard)
+        (best + IMPROVEMENT_MIN[kind as usize] < utilization).then_some(shard)
     }
 
     /// The shard with most room for tasks that last and need this much of one worker each, if one
@@ -159,15 +159,17 @@
         own: ShardId,
         need: Resources,
     ) -> Option<ShardId> {
-        self.sent.retain(|(at, ..)| now.since(*at) < SHOWN_AFTER);
+        self.recent_transfers.retain(|(at, ..)| now.since(*at) < LOAD_REPORT_DELAY);
         let senders = self.loads.len().max(1) as u64;
         let left = |(shard, load): (&ShardId, &Load)| {
             let long_running = |it: &&(Instant, ShardId, Demand)| {
                 it.1 == *shard && it.2.kind == JobKind::LongRunning
             };
-            let sent: u64 = self.sent.iter().filter(long_running).map(|(.., it)| it.cpu).sum();
-            let sent = sent.div_ceil(u64::from(need.cpu_milli.max(1))) * senders;
-            (*shard, load.rooms(need).saturating_sub(sent))
+            let recent_transfers: u64 =
+                self.recent_transfers.iter().filter(long_running).map(|(.., it)| it.cpu).sum();
+            let recent_transfers =
+                recent_transfers.div_ceil(u64::from(need.cpu_milli.max(1))) * senders;
+            (*shard, load.task_slots(need).saturating_sub(recent_transfers))
         };
         let others = self.loads.iter().filter(|(shard, _)| **shard != own).map(left);
         let (shard, most) = others.max_by_key(|(_, left)| *left)?;
--- a/daisy-workflow/src/directory.rs
+++ b/daisy-workflow/src/directory.rs
@@ -50,9 +50,9 @@
 pub struct Directory {
     layout: Option<Layout>,
     states: SortedMap<JobId, PublishedState>,
-    owners: SortedMap<ShardId, ReceivedHeartbeat>,
+    heartbeats: SortedMap<ShardId, ReceivedHeartbeat>,
     /// When all that had been written was last read.
-    read_at: Option<Instant>,
+    caught_up_at: Option<Instant>,
 }
 
 impl Directory {
@@ -67,9 +67,9 @@
     }
 
     /// Takes in what was told of a job. States only ever go forward, whatever comes late.
-    pub fn set_state(&mut self, id: JobId, told: PublishedState) {
-        if self.states.get(&id).is_none_or(|known| known.state <= told.state) {
-            self.states.insert(id, told);
+    pub fn set_state(&mut self, id: JobId, published: PublishedState) {
+        if self.states.get(&id).is_none_or(|known| known.state <= published.state) {
+            self.states.insert(id, published);
         }
     }
 
@@ -86,54 +86,57 @@
     /// Takes an owner's sign of life in, read at `now`.
     pub fn receive_heartbeat(&mut self, now: Instant, heartbeat: OwnerHeartbeat) {
         let newer = |it: &ReceivedHeartbeat| it.heartbeat.claim.epoch <= heartbeat.claim.epoch;
-        if self.owners.get(&heartbeat.shard).is_none_or(newer) {
-            let written_after = self.read_at;
-            self.owners
+        if self.heartbeats.get(&heartbeat.shard).is_none_or(newer) {
+            let written_after = self.caught_up_at;
+            self.heartbeats
                 .insert(heartbeat.shard, ReceivedHeartbeat { heartbeat, at: now, written_after });
         }
     }
 
     /// All that was written before `now` has been read.
     pub fn mark_caught_up(&mut self, now: Instant) {
-        self.read_at = Some(now);
+        self.caught_up_at = Some(now);
     }
 
     /// The newest record of each key is read anew: what comes may have been read before.
     pub fn restart_reading(&mut self) {
-        self.read_at = None;
+        self.caught_up_at = None;
     }
 
     /// Whether a job that is not known does not exist: its owner lives, and has told of all
     /// submissions up to a short while ago.
     ///
-    /// How far the owner is behind in reading and the age of its last sign add up; together they stay
-    /// below the 3 s after which a job must be known everywhere. A VM that has just started, or was cut
-    /// off, reads the signs of owners that have long died: only one that was written since the
-    /// last read proves a life.
+    /// How far the owner is behind in reading and the age of its last sign add up; together they
+    /// stay below the 3 s after which a job must be known everywhere. A VM that has just started,
+    /// or was cut off, reads the signs of owners that have long died: only one that was written
+    /// since the last read proves a life.
     pub fn is_complete(&self, now: Instant, id: JobId) -> bool {
         /// Two signs of life.
-        const HEARD: Duration = Duration::from_millis(900);
+        const HEARTBEAT_AGE_MAX: Duration = Duration::from_millis(900);
         /// The same, and the read before.
-        const WRITTEN: Duration = Duration::from_millis(1_800);
+        const WRITE_AGE_MAX: Duration = Duration::from_millis(1_800);
         /// While owners live, something is read every 0.4 s.
-        const READ: Duration = Duration::from_millis(900);
+        const READ_AGE_MAX: Duration = Duration::from_millis(900);
         let Some(layout) = self.layout else { return false };
-        let owner = self.owners.get(&layout.of_job(id)).filter(|it| it.heartbeat.is_caught_up);
+        let owner = self.heartbeats.get(&layout.of_job(id)).filter(|it| it.heartbeat.is_caught_up);
         let alive = owner.is_some_and(|it| {
-            now.since(it.at) < HEARD && it.written_after.is_some_and(|at| now.since(at) < WRITTEN)
+            now.since(it.at) < HEARTBEAT_AGE_MAX
+                && it.written_after.is_some_and(|at| now.since(at) < WRITE_AGE_MAX)
         });
-        alive && self.read_at.is_some_and(|at| now.since(at) < READ)
+        alive && self.caught_up_at.is_some_and(|at| now.since(at) < READ_AGE_MAX)
     }
 
     /// What the owner of a shard last said.
     pub fn owner(&self, shard: ShardId) -> Option<&ReceivedHeartbeat> {
-        self.owners.get(&shard)
+        self.heartbeats.get(&shard)
     }
 
-    /// What the owners of all shards but `but` last said of their loads.
-    pub fn loads(&self, but: ShardId) -> SortedMap<ShardId, Load> {
-        let others =
-            self.owners.iter().filter(|(shard, it)| **shard != but && !it.heartbeat.claim.released);
+    /// What the owners of all shards but `excluded` last said of their loads.
+    pub fn loads(&self, excluded: ShardId) -> SortedMap<ShardId, Load> {
+        let others = self
+            .heartbeats
+            .iter()
+            .filter(|(shard, it)| **shard != excluded && !it.heartbeat.claim.released);
         others.map(|(shard, it)| (*shard, it.heartbeat.load)).collect()
     }
 
@@ -143,6 +146,6 @@
             let pending = it.heartbeat.pending.iter().filter(|(name, _)| name == queue);
             pending.map(|(_, count)| *count as usize).sum()
         };
-        self.owners.iter().map(|(_, it)| of_queue(it)).sum()
+        self.heartbeats.iter().map(|(_, it)| of_queue(it)).sum()
     }
 }
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -5,8 +5,8 @@
 use daisy_model::SortedMap;
 
 use crate::{
-    Claim, ImageInterference, IncomingTransfer, JobId, JobSpec, Moved, OutgoingTransfer, Phase,
-    Progress, Record, ShardId, TaskId, Witnesses,
+    Claim, ImageInterference, IncomingTransfer, JobId, JobSpec, OutgoingTransfer, Phase, Progress,
+    Record, ShardId, TaskId, TransferState, Witnesses,
 };
 
 /// A job as the records tell it.
@@ -23,7 +23,7 @@
     /// Whether this shard runs nothing of it but the tasks that were handed to it.
     pub has_only_received_tasks: bool,
     /// Its tasks that have changed their shard.
-    pub transfers: SortedMap<TaskId, Moved>,
+    pub transfers: SortedMap<TaskId, TransferState>,
 }
 
 /// The state of a job that callers are told. A later one in this order replaces an earlier one,
@@ -76,24 +76,24 @@
     /// Gives the whole job, of which nothing has begun, to another shard.
     pub(crate) fn delegate(&mut self, to: ShardId) {
         self.delegated = Some(to);
-        self.settle_tasks();
+        self.update_task_locations();
     }
 
     /// Takes a change of a task's shard in; whether it is newer than all that was known.
-    pub(crate) fn move_task(&mut self, id: TaskId, transfers: Moved) -> bool {
+    pub(crate) fn move_task(&mut self, id: TaskId, transfers: TransferState) -> bool {
         let newer = self.transfers.get(&id).is_none_or(|it| it.hop < transfers.hop);
         if newer {
             self.transfers.insert(id, transfers);
-            self.settle_tasks();
+            self.update_task_locations();
         }
         newer
     }
 
     /// Makes the states of tasks follow from where they were handed to.
     ///
-    /// Progress that was recorded before a task came says nothing of its earlier runs: started by it,
-    /// the task would get the number of a run that another shard has started.
-    fn settle_tasks(&mut self) {
+    /// Progress that was recorded before a task came says nothing of its earlier runs: started by
+    /// it, the task would get the number of a run that another shard has started.
+    fn update_task_locations(&mut self) {
         let belongs_to_other_shard = self.belongs_to_other_shard();
         if !belongs_to_other_shard && self.transfers.is_empty() {
             return;
@@ -103,8 +103,8 @@
         for (id, transfers) in self.transfers.iter() {
             let Some(state) = self.progress.task_mut(*id) else { continue };
             state.on_other_shard = transfers.to.is_some();
-            if transfers.to.is_none() && state.runs < transfers.came.runs {
-                *state = transfers.came.clone();
+            if transfers.to.is_none() && state.runs < transfers.received.runs {
+                *state = transfers.received.clone();
             }
         }
     }
@@ -119,15 +119,15 @@
 
     /// The part of the job's estimated work whose tasks have not ended as done, in thousandths.
     pub fn remaining_work_permille(&self) -> u64 {
-        let (mut left, mut all) = (0, 0);
+        let (mut remaining, mut all) = (0, 0);
         for steps in &self.progress.occurrences {
             for (tasks, step) in steps.iter().zip(&self.spec.steps) {
-                let each = u64::from(step.estimate_ms) * u64::from(step.need.cpu_milli);
-                all += each * tasks.len() as u64;
-                left += each * tasks.iter().filter(|it| !it.done).count() as u64;
+                let task_work = u64::from(step.estimate_ms) * u64::from(step.need.cpu_milli);
+                all += task_work * tasks.len() as u64;
+                remaining += task_work * tasks.iter().filter(|it| !it.done).count() as u64;
             }
         }
-        left * 1_000 / all.max(1)
+        remaining * 1_000 / all.max(1)
     }
 }
 
@@ -154,10 +154,10 @@
     jobs: SortedMap<JobId, Job>,
     /// Cancellations and progress of jobs whose submission was not read yet: the topics are read
     /// independently of each other.
-    early_cancels: Vec<JobId>,
+    early_cancellations: Vec<JobId>,
     early_progress: SortedMap<JobId, Progress>,
-    early_delegated: SortedMap<JobId, ShardId>,
-    early_hops: SortedMap<TaskId, OutgoingTransfer>,
+    early_delegations: SortedMap<JobId, ShardId>,
+    early_transfers: SortedMap<TaskId, OutgoingTransfer>,
     owner: Option<Claim>,
     learned_interference: Vec<ImageInterference>,
     witnesses: Witnesses,
@@ -182,14 +182,14 @@
             Record::Delegated(id, shard) => {
                 match self.jobs.get_mut(&id) {
                     Some(job) => job.delegate(shard),
-                    None => drop(self.early_delegated.insert(id, shard)),
+                    None => drop(self.early_delegations.insert(id, shard)),
                 }
                 FoldEffect::Nothing
             }
             Record::TaskTransferredOut(id, hop) => {
                 match self.jobs.get_mut(&id.job) {
                     Some(job) => drop(job.move_task(id, hop.into())),
-                    None => self.early_hop(id, hop),
+                    None => self.add_early_transfer(id, hop),
                 }
                 FoldEffect::Nothing
             }
@@ -208,7 +208,7 @@
             // A task of it that returned was read first.
             Some(job) if job.has_only_received_tasks => {
                 job.has_only_received_tasks = false;
-                job.settle_tasks();
+                job.update_task_locations();
             }
             Some(_) => return FoldEffect::Nothing,
         }
@@ -231,37 +231,37 @@
         let early = self.early_progress.remove(&id).filter(|it| it.fits(&spec));
         let mut progress = early.unwrap_or_else(|| Progress::new(&spec));
         progress.has_started |= has_only_received_tasks;
-        let cancelled = self.early_cancels.contains(&id);
-        self.early_cancels.retain(|it| *it != id);
-        let delegated = self.early_delegated.remove(&id);
+        let cancelled = self.early_cancellations.contains(&id);
+        self.early_cancellations.retain(|it| *it != id);
+        let delegated = self.early_delegations.remove(&id);
         let spec = Arc::new(spec);
         let transfers = SortedMap::new();
         let mut job =
             Job { spec, progress, cancelled, delegated, has_only_received_tasks, transfers };
-        let hops: Vec<(TaskId, OutgoingTransfer)> = self
-            .early_hops
+        let early_transfers: Vec<(TaskId, OutgoingTransfer)> = self
+            .early_transfers
             .iter()
             .filter(|(task, _)| task.job == id)
             .map(|(task, hop)| (*task, *hop))
             .collect();
-        for (task, hop) in hops {
-            self.early_hops.remove(&task);
+        for (task, hop) in early_transfers {
+            self.early_transfers.remove(&task);
             job.move_task(task, hop.into());
         }
-        job.settle_tasks();
+        job.update_task_locations();
         self.jobs.insert(id, job);
     }
 
-    fn early_hop(&mut self, id: TaskId, hop: OutgoingTransfer) {
-        if self.early_hops.get(&id).is_none_or(|it| it.number < hop.number) {
-            self.early_hops.insert(id, hop);
+    fn add_early_transfer(&mut self, id: TaskId, hop: OutgoingTransfer) {
+        if self.early_transfers.get(&id).is_none_or(|it| it.number < hop.number) {
+            self.early_transfers.insert(id, hop);
         }
     }
 
     fn cancelled(&mut self, id: JobId) -> FoldEffect {
         let Some(job) = self.jobs.get_mut(&id) else {
-            if !self.early_cancels.contains(&id) {
-                self.early_cancels.push(id);
+            if !self.early_cancellations.contains(&id) {
+                self.early_cancellations.push(id);
             }
             return FoldEffect::Nothing;
         };
@@ -280,7 +280,7 @@
             return FoldEffect::Nothing;
         }
         job.progress = progress;
-        job.settle_tasks();
+        job.update_task_locations();
         FoldEffect::Progress(id)
     }
 
--- a/daisy-workflow/src/lib.rs
+++ b/daisy-workflow/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A caller submits a job: steps of tasks, some of which wait for others. Submissions and
 //! cancellations are immutable records that any entry VM may write; progress is written by one
-//! entry VM at a time, the [`Owner`], under an epoch. Every entry VM folds what all need to know into
-//! a [`Directory`], which answers callers; the records of one [shard](Layout) fold into a
+//! entry VM at a time, the [`Owner`], under an epoch. Every entry VM folds what all need to know
+//! into a [`Directory`], which answers callers; the records of one [shard](Layout) fold into a
 //! [`Ledger`], from which its next owner starts.
 //!
 //! Nothing here reads a clock, a socket or a file: the present time is an argument, and what is
@@ -14,43 +14,43 @@
 mod balance;
 mod directory;
 mod election;
-mod handover;
 mod id;
-mod lateness;
 mod ledger;
+mod log_health;
 mod owner;
-mod patience;
 mod progress;
+mod publisher;
 mod queue;
-mod reach;
+mod reachability;
+mod read_timeout;
 mod record;
 mod shard;
-mod silence;
 mod spec;
-mod telling;
+mod tick_delay;
+mod transfer;
 
 pub use crate::{
     balance::{Demand, FREE_BLOCKS, Load, OtherShards},
     directory::{Directory, OwnerHeartbeat, PublishedState, ReceivedHeartbeat},
     election::{Candidate, Election, ElectionDecision},
-    handover::{IncomingTransfer, Moved, OutgoingTransfer},
     id::{JobId, ParseIdError, TaskId, WorkerId},
-    lateness::TickDelay,
     ledger::{FoldEffect, Job, JobState, Ledger},
+    log_health::{LogHealth, SendDecision},
     owner::{
         Action, Batch, Claimed, Doubt, Ended, Event, HoldAnswer, Lacks, Listed, Note, OrderReply,
         Outcome, Owner, Packing, Refusal, Rules, Running, Settings, Start, StopCause, Summary,
         Uncertain, WaitCause, Witness, Witnesses, Worker, WorkerKey,
     },
-    patience::LargeReadTimeout,
     progress::{Copy, Phase, Progress, TaskState},
+    publisher::StatePublisher,
     queue::{Queue, QueueConfig, Service},
-    reach::LogReachability,
+    reachability::LogReachability,
+    read_timeout::LargeReadTimeout,
     record::{
         Claim, ImageInterference, InterferenceSums, OWNER_KEY, Record, RecordError, decode, encode,
     },
     shard::{Layout, ShardId},
-    silence::{LogHealth, SendDecision},
     spec::{JobKind, JobSpec, SpecError, StepSpec, Terms},
-    telling::StatePublisher,
+    tick_delay::TickDelay,
+    transfer::{IncomingTransfer, OutgoingTransfer, TransferState},
 };
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -11,8 +11,8 @@
 use bincode::{Decode, Encode, config};
 
 use self::wire::{
-    ClaimWire, HandoverWire, JobWire, LearntWire, ObservedWire, PiecesWire, ProgressWire, SignWire,
-    WitnessesWire, state_number, state_of,
+    ClaimWire, FreeBlocksWire, HeartbeatWire, InterferenceSumsWire, JobWire,
+    LearnedInterferenceWire, ProgressWire, TransferWire, WitnessesWire, state_number, state_of,
 };
 use crate::{
     FREE_BLOCKS, IncomingTransfer, JobId, JobSpec, Layout, OutgoingTransfer, OwnerHeartbeat,
@@ -24,7 +24,7 @@
 /// The key of the newest [`Claim`].
 pub const OWNER_KEY: &str = "owner";
 /// The key of what the owner has learnt.
-const LEARNT_KEY: &str = "learnt";
+const INTERFERENCE_KEY: &str = "learnt";
 /// The key of an owner's witnesses.
 const WITNESSES_KEY: &str = "witnesses";
 /// The key of the layout of shards.
@@ -126,38 +126,39 @@
 /// The key and the value of a record.
 pub fn encode(record: &Record) -> (String, Vec<u8>) {
     match record {
-        Record::Submitted(id, spec) => (format!("job-{id}"), framed(JobWire::from(spec))),
-        Record::Cancelled(id) => (format!("cancel-{id}"), framed(())),
+        Record::Submitted(id, spec) => (format!("job-{id}"), encode_framed(JobWire::from(spec))),
+        Record::Cancelled(id) => (format!("cancel-{id}"), encode_framed(())),
         Record::Progress(id, progress) => {
-            (format!("progress-{id}"), framed(ProgressWire::from(progress)))
+            (format!("progress-{id}"), encode_framed(ProgressWire::from(progress)))
         }
-        Record::Claim(claim) => (OWNER_KEY.to_owned(), framed(ClaimWire::from(claim))),
+        Record::Claim(claim) => (OWNER_KEY.to_owned(), encode_framed(ClaimWire::from(claim))),
         Record::LearnedInterference(pairs) => {
-            (LEARNT_KEY.to_owned(), framed(LearntWire::from(&pairs[..])))
+            (INTERFERENCE_KEY.to_owned(), encode_framed(LearnedInterferenceWire::from(&pairs[..])))
         }
         Record::Witnesses(witnesses) => {
-            (WITNESSES_KEY.to_owned(), framed(WitnessesWire::from(witnesses)))
+            (WITNESSES_KEY.to_owned(), encode_framed(WitnessesWire::from(witnesses)))
         }
-        Record::Delegated(id, shard) => (format!("delegated-{id}"), framed(shard.0)),
+        Record::Delegated(id, shard) => (format!("delegated-{id}"), encode_framed(shard.0)),
         Record::TaskTransferredOut(id, hop) => {
-            (format!("handed-{id}"), framed((hop.number, hop.to.0)))
+            (format!("handed-{id}"), encode_framed((hop.number, hop.to.0)))
         }
         // The log keeps the newest record of a key alone, and a hop may be written again after a
         // later one to the same shard: each has a key of its own.
         Record::TaskTransferredIn(id, it) => {
-            (format!("task-{id}.{}", it.hop), framed(HandoverWire::from(&**it)))
-        }
-        Record::State(id, told) => {
-            (format!("state-{id}"), framed((state_number(told.state), told.shard.0)))
+            (format!("task-{id}.{}", it.hop), encode_framed(TransferWire::from(&**it)))
         }
+        Record::State(id, published) => (
+            format!("state-{id}"),
+            encode_framed((state_number(published.state), published.shard.0)),
+        ),
         Record::OwnerHeartbeat(heartbeat) => (
             format!("sign-{}", heartbeat.shard.0),
-            framed((SignWire::from(&**heartbeat), PiecesWire::from(&**heartbeat))),
+            encode_framed((HeartbeatWire::from(&**heartbeat), FreeBlocksWire::from(&**heartbeat))),
         ),
-        Record::Observed(shard, seen) => {
-            (format!("observed-{}", shard.0), framed(ObservedWire::from(&seen[..])))
+        Record::Observed(shard, sums) => {
+            (format!("observed-{}", shard.0), encode_framed(InterferenceSumsWire::from(&sums[..])))
         }
-        Record::Layout(layout) => (LAYOUT_KEY.to_owned(), framed(layout.shards)),
+        Record::Layout(layout) => (LAYOUT_KEY.to_owned(), encode_framed(layout.shards)),
     }
 }
 
@@ -172,16 +173,17 @@
         return Err(RecordError::Version(*newer));
     }
     if key == OWNER_KEY {
-        return unframed::<ClaimWire>(value).map(|it| Record::Claim(it.into()));
+        return decode_framed::<ClaimWire>(value).map(|it| Record::Claim(it.into()));
     }
-    if key == LEARNT_KEY {
-        return unframed::<LearntWire>(value).map(|it| Record::LearnedInterference(it.into()));
+    if key == INTERFERENCE_KEY {
+        return decode_framed::<LearnedInterferenceWire>(value)
+            .map(|it| Record::LearnedInterference(it.into()));
     }
     if key == WITNESSES_KEY {
-        return unframed::<WitnessesWire>(value).map(|it| Record::Witnesses(it.into()));
+        return decode_framed::<WitnessesWire>(value).map(|it| Record::Witnesses(it.into()));
     }
     if key == LAYOUT_KEY {
-        return match unframed(value)? {
+        return match decode_framed(value)? {
             0 => Err(RecordError::Malformed("no shards".to_owned())),
             shards => Ok(Record::Layout(Layout { shards })),
         };
@@ -190,17 +192,17 @@
     let (kind, id) = key.split_once('-').ok_or_else(unknown)?;
     if kind == "sign" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
-        let (wire, rest): (SignWire, _) = parted(value)?;
+        let (wire, rest): (HeartbeatWire, _) = decode_with_rest(value)?;
         return Ok(Record::OwnerHeartbeat(Box::new(wire.of(shard, free_blocks(rest)?))));
     }
     if kind == "observed" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
-        let wire: ObservedWire = unframed(value)?;
+        let wire: InterferenceSumsWire = decode_framed(value)?;
         return Ok(Record::Observed(shard, wire.try_into()?));
     }
     if kind == "handed" {
         let id: TaskId = id.parse().map_err(|_| unknown())?;
-        return unframed(value).map(|(number, to)| {
+        return decode_framed(value).map(|(number, to)| {
             Record::TaskTransferredOut(id, OutgoingTransfer { number, to: ShardId(to) })
         });
     }
@@ -208,49 +210,49 @@
         let (id, hop) = id.rsplit_once('.').ok_or_else(unknown)?;
         let id: TaskId = id.parse().map_err(|_| unknown())?;
         let hop: u32 = hop.parse().map_err(|_| unknown())?;
-        let handover = unframed::<HandoverWire>(value)?.of(id, hop)?;
-        return Ok(Record::TaskTransferredIn(id, Box::new(handover)));
+        let transfer = decode_framed::<TransferWire>(value)?.of(id, hop)?;
+        return Ok(Record::TaskTransferredIn(id, Box::new(transfer)));
     }
     let id: JobId = id.parse().map_err(|_| unknown())?;
     match kind {
         "job" => {
-            let wire: JobWire = unframed(value)?;
+            let wire: JobWire = decode_framed(value)?;
             Ok(Record::Submitted(id, wire.try_into()?))
         }
-        "cancel" => unframed(value).map(|()| Record::Cancelled(id)),
-        "delegated" => unframed(value).map(|it| Record::Delegated(id, ShardId(it))),
+        "cancel" => decode_framed(value).map(|()| Record::Cancelled(id)),
+        "delegated" => decode_framed(value).map(|it| Record::Delegated(id, ShardId(it))),
         "state" => {
-            let (state, shard) = unframed(value)?;
-            let told = PublishedState { state: state_of(state)?, shard: ShardId(shard) };
-            Ok(Record::State(id, told))
+            let (state, shard) = decode_framed(value)?;
+            let published = PublishedState { state: state_of(state)?, shard: ShardId(shard) };
+            Ok(Record::State(id, published))
         }
         "progress" => {
-            let wire: ProgressWire = unframed(value)?;
+            let wire: ProgressWire = decode_framed(value)?;
             Ok(Record::Progress(id, wire.try_into()?))
         }
         _ => Err(unknown()),
     }
 }
 
-fn framed<T: Encode>(value: T) -> Vec<u8> {
+fn encode_framed<T: Encode>(value: T) -> Vec<u8> {
     let mut buf = vec![VERSION];
     // Encoding into memory fails for no type that is used here.
     buf.extend(bincode::encode_to_vec(value, config::standard()).unwrap_or_default());
     buf
 }
 
-fn unframed<T: Decode<()>>(bytes: &[u8]) -> Result<T, RecordError> {
-    parted(bytes).map(|(value, _)| value)
+fn decode_framed<T: Decode<()>>(bytes: &[u8]) -> Result<T, RecordError> {
+    decode_with_rest(bytes).map(|(value, _)| value)
 }
 
 /// The value and the bytes after it.
-fn parted<T: Decode<()>>(bytes: &[u8]) -> Result<(T, &[u8]), RecordError> {
+fn decode_with_rest<T: Decode<()>>(bytes: &[u8]) -> Result<(T, &[u8]), RecordError> {
     let (_, body) =
         bytes.split_first().ok_or_else(|| RecordError::Malformed("empty".to_owned()))?;
-    unpacked(body)
+    decode_unframed(body)
 }
 
-fn unpacked<T: Decode<()>>(body: &[u8]) -> Result<(T, &[u8]), RecordError> {
+fn decode_unframed<T: Decode<()>>(body: &[u8]) -> Result<(T, &[u8]), RecordError> {
     // The limit keeps a corrupt length from allocating memory.
     let cfg = config::standard().with_limit::<{ 4 << 20 }>();
     let (value, len) =
@@ -259,10 +261,11 @@
 }
 
 /// The end of a sign of life. Older builds wrote nothing there, or a number for each piece.
-fn free_blocks(bytes: &[u8]) -> Result<PiecesWire, RecordError> {
-    let older = bytes.is_empty() || matches!(unpacked::<[u32; FREE_BLOCKS]>(bytes), Ok((_, [])));
+fn free_blocks(bytes: &[u8]) -> Result<FreeBlocksWire, RecordError> {
+    let older =
+        bytes.is_empty() || matches!(decode_unframed::<[u32; FREE_BLOCKS]>(bytes), Ok((_, [])));
     match older {
-        true => Ok(PiecesWire::default()),
-        false => unpacked(bytes).map(|(free_blocks, _)| free_blocks),
+        true => Ok(FreeBlocksWire::default()),
+        false => decode_unframed(bytes).map(|(free_blocks, _)| free_blocks),
     }
 }
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -13,20 +13,20 @@
 
 /// Images by their position in `images`, so that each pair needs numbers only.
 #[derive(Debug, Encode, Decode)]
-pub(super) struct ObservedWire {
+pub(super) struct InterferenceSumsWire {
     images: Vec<String>,
-    fits: Vec<FitWire>,
+    sums: Vec<ImageSumsWire>,
 }
 
 #[derive(Debug, Encode, Decode)]
-struct FitWire {
+struct ImageSumsWire {
     serving: u16,
     loss_sums: Vec<(u16, f32)>,
     share_products: Vec<(u16, u16, f32)>,
 }
 
-impl From<&[InterferenceSums]> for ObservedWire {
-    fn from(seen: &[InterferenceSums]) -> ObservedWire {
+impl From<&[InterferenceSums]> for InterferenceSumsWire {
+    fn from(observed: &[InterferenceSums]) -> InterferenceSumsWire {
         let mut images: Vec<String> = Vec::new();
         let mut number = |name: &Arc<str>| match images.iter().position(|it| **it == **name) {
             Some(at) => at as u16,
@@ -35,9 +35,9 @@
                 (images.len() - 1) as u16
             }
         };
-        let mut fits = Vec::with_capacity(seen.len());
-        for it in seen {
-            fits.push(FitWire {
+        let mut sums = Vec::with_capacity(observed.len());
+        for it in observed {
+            sums.push(ImageSumsWire {
                 serving: number(&it.serving),
                 loss_sums: it.loss_sums.iter().map(|(a, sum)| (number(a), *sum)).collect(),
                 share_products: it
@@ -47,39 +47,39 @@
                     .collect(),
             });
         }
-        ObservedWire { images, fits }
+        InterferenceSumsWire { images, sums }
     }
 }
 
-impl TryFrom<ObservedWire> for Vec<InterferenceSums> {
+impl TryFrom<InterferenceSumsWire> for Vec<InterferenceSums> {
     type Error = RecordError;
 
-    fn try_from(wire: ObservedWire) -> Result<Vec<InterferenceSums>, RecordError> {
+    fn try_from(wire: InterferenceSumsWire) -> Result<Vec<InterferenceSums>, RecordError> {
         let images: Vec<Arc<str>> = wire.images.into_iter().map(Into::into).collect();
         let name = |at: u16| {
             let image = images.get(usize::from(at)).cloned();
             image.ok_or_else(|| RecordError::Malformed(format!("image {at}")))
         };
-        let mut seen = Vec::with_capacity(wire.fits.len());
-        for fit in wire.fits {
-            let finite = fit.loss_sums.iter().all(|(_, it)| it.is_finite())
-                && fit.share_products.iter().all(|(.., it)| it.is_finite());
+        let mut sums = Vec::with_capacity(wire.sums.len());
+        for wire_sums in wire.sums {
+            let finite = wire_sums.loss_sums.iter().all(|(_, it)| it.is_finite())
+                && wire_sums.share_products.iter().all(|(.., it)| it.is_finite());
             if !finite {
                 return Err(RecordError::Malformed("a sum that is no number".to_owned()));
             }
             let answer = |(a, sum)| Ok((name(a)?, sum));
             let product = |(a, b, sum)| Ok((name(a)?, name(b)?, sum));
-            seen.push(InterferenceSums {
-                serving: name(fit.serving)?,
-                loss_sums: fit.loss_sums.into_iter().map(answer).collect::<Result<_, _>>()?,
-                share_products: fit
+            sums.push(InterferenceSums {
+                serving: name(wire_sums.serving)?,
+                loss_sums: wire_sums.loss_sums.into_iter().map(answer).collect::<Result<_, _>>()?,
+                share_products: wire_sums
                     .share_products
                     .into_iter()
                     .map(product)
                     .collect::<Result<_, _>>()?,
             });
         }
-        Ok(seen)
+        Ok(sums)
     }
 }
 
@@ -130,7 +130,7 @@
 
 /// What all builds write of a sign of life; what follows it differs.
 #[derive(Debug, Encode, Decode)]
-pub(super) struct SignWire {
+pub(super) struct HeartbeatWire {
     claim: ClaimWire,
     is_caught_up: bool,
     pending: Vec<(String, u32)>,
@@ -140,20 +140,20 @@
 
 /// The largest free pieces of workers: thousandths of a core, MiB, accelerators.
 #[derive(Debug, Default, Encode, Decode)]
-pub(super) struct PiecesWire([[u32; 3]; FREE_BLOCKS]);
+pub(super) struct FreeBlocksWire([[u32; 3]; FREE_BLOCKS]);
 
-impl From<&OwnerHeartbeat> for PiecesWire {
-    fn from(heartbeat: &OwnerHeartbeat) -> PiecesWire {
-        PiecesWire(
+impl From<&OwnerHeartbeat> for FreeBlocksWire {
+    fn from(heartbeat: &OwnerHeartbeat) -> FreeBlocksWire {
+        FreeBlocksWire(
             heartbeat.load.free_blocks.map(|it| [it.cpu_milli, it.memory_mib, it.accelerators]),
         )
     }
 }
 
-impl From<&OwnerHeartbeat> for SignWire {
-    fn from(heartbeat: &OwnerHeartbeat) -> SignWire {
+impl From<&OwnerHeartbeat> for HeartbeatWire {
+    fn from(heartbeat: &OwnerHeartbeat) -> HeartbeatWire {
         let Load { capacity, long_running, finite, best_effort, .. } = heartbeat.load;
-        SignWire {
+        HeartbeatWire {
             claim: ClaimWire::from(&heartbeat.claim),
             is_caught_up: heartbeat.is_caught_up,
             pending: heartbeat.pending.clone(),
@@ -162,10 +162,10 @@
     }
 }
 
-impl SignWire {
+impl HeartbeatWire {
     /// The sign of the shard that stands in the record's key.
-    pub(super) fn of(self, shard: ShardId, free_blocks: PiecesWire) -> OwnerHeartbeat {
-        let SignWire { claim, is_caught_up, pending, load } = self;
+    pub(super) fn of(self, shard: ShardId, free_blocks: FreeBlocksWire) -> OwnerHeartbeat {
+        let HeartbeatWire { claim, is_caught_up, pending, load } = self;
         let [capacity, long_running, finite, best_effort] = load;
         let free_blocks = free_blocks.0.map(|[cpu_milli, memory_mib, accelerators]| Resources {
             cpu_milli,
@@ -178,22 +178,22 @@
 }
 
 #[derive(Debug, Encode, Decode)]
-pub(super) struct LearntWire {
+pub(super) struct LearnedInterferenceWire {
     /// Serving image, best-effort image, thousandths.
     pairs: Vec<(String, String, u32)>,
 }
 
-impl From<&[ImageInterference]> for LearntWire {
-    fn from(pairs: &[ImageInterference]) -> LearntWire {
+impl From<&[ImageInterference]> for LearnedInterferenceWire {
+    fn from(pairs: &[ImageInterference]) -> LearnedInterferenceWire {
         let wire = |it: &ImageInterference| {
             (it.serving.to_string(), it.best_effort.to_string(), it.permille)
         };
-        LearntWire { pairs: pairs.iter().map(wire).collect() }
+        LearnedInterferenceWire { pairs: pairs.iter().map(wire).collect() }
     }
 }
 
-impl From<LearntWire> for Vec<ImageInterference> {
-    fn from(wire: LearntWire) -> Vec<ImageInterference> {
+impl From<LearnedInterferenceWire> for Vec<ImageInterference> {
+    fn from(wire: LearnedInterferenceWire) -> Vec<ImageInterference> {
         let pair = |(serving, best_effort, permille): (String, String, u32)| ImageInterference {
             serving: serving.into(),
             best_effort: best_effort.into(),
@@ -313,16 +313,16 @@
 }
 
 #[derive(Debug, Encode, Decode)]
-pub(super) struct HandoverWire {
+pub(super) struct TransferWire {
     spec: JobWire,
     runs: u32,
     failures: u32,
     checkpoint: String,
 }
 
-impl From<&IncomingTransfer> for HandoverWire {
-    fn from(it: &IncomingTransfer) -> HandoverWire {
-        HandoverWire {
+impl From<&IncomingTransfer> for TransferWire {
+    fn from(it: &IncomingTransfer) -> TransferWire {
+        TransferWire {
             spec: JobWire::from(&it.spec),
             runs: it.runs,
             failures: it.failures,
@@ -331,10 +331,10 @@
     }
 }
 
-impl HandoverWire {
+impl TransferWire {
     /// The handover of the task and with the number that stand in the record's key.
     pub(super) fn of(self, id: TaskId, hop: u32) -> Result<IncomingTransfer, RecordError> {
-        let HandoverWire { spec, runs, failures, checkpoint } = self;
+        let TransferWire { spec, runs, failures, checkpoint } = self;
         let spec = JobSpec::try_from(spec)?;
         if !spec.has_task(id) {
             return Err(RecordError::Malformed(format!("no task {id}")));
--- a/daisy-workflow/src/shard.rs
+++ b/daisy-workflow/src/shard.rs
@@ -3,7 +3,7 @@
 use crate::{JobId, WorkerId};
 
 /// Workers that one owner takes: as many as the smallest entry VM has processors for.
-const WORKERS_MAX: usize = 100;
+const WORKERS_PER_SHARD_MAX: usize = 100;
 
 /// One shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -18,10 +18,10 @@
 }
 
 impl Layout {
-    /// The layout for this many workers, with at most `most` shards.
-    pub fn for_workers(workers: usize, most: u16) -> Layout {
-        let wanted = u16::try_from(workers.div_ceil(WORKERS_MAX)).unwrap_or(u16::MAX);
-        Layout { shards: wanted.clamp(1, most.max(1)) }
+    /// The layout for this many workers, with at most `shards_max` shards.
+    pub fn for_workers(workers: usize, shards_max: u16) -> Layout {
+        let wanted = u16::try_from(workers.div_ceil(WORKERS_PER_SHARD_MAX)).unwrap_or(u16::MAX);
+        Layout { shards: wanted.clamp(1, shards_max.max(1)) }
     }
 
     /// All shards.
@@ -31,16 +31,16 @@
 
     /// The shard that runs a job.
     pub fn of_job(self, id: JobId) -> ShardId {
-        self.pick(&id.0.to_be_bytes())
+        self.shard_of(&id.0.to_be_bytes())
     }
 
     /// The shard that a worker belongs to. Ids are spread over all data centres and racks, so that
     /// the loss of one takes a part of each shard and the whole of none.
     pub fn of_worker(self, id: &WorkerId) -> ShardId {
-        self.pick(id.0.as_bytes())
+        self.shard_of(id.0.as_bytes())
     }
 
-    fn pick(self, bytes: &[u8]) -> ShardId {
+    fn shard_of(self, bytes: &[u8]) -> ShardId {
         ShardId((hash(bytes) % u64::from(self.shards.max(1))) as u16)
     }
 }
--- a/daisy-workflow/src/handover.rs
+++ b/daisy-workflow/src/transfer.rs
@@ -1,7 +1,7 @@
 //! Single tasks that change the shard that runs them.
 //!
-//! A task that is to run until its job is cancelled may find no room in its shard for as long as the
-//! others there last, while another shard has much. It alone is then handed to that shard. Each
+//! A task that is to run until its job is cancelled may find no room in its shard for as long as
+//! the others there last, while another shard has much. It alone is then handed to that shard. Each
 //! hand-over of a task has a number, one higher than the one before, so that a shard can tell from
 //! its own records, read in any order, whether it runs the task: it does if the newest hop that it
 //! knows of brought the task there.
@@ -34,25 +34,25 @@
 
 /// What a shard knows of a task that has changed its shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Moved {
+pub struct TransferState {
     /// The number of the newest hop.
     pub hop: u32,
     /// Where the task was handed to; `None` if it was handed to this shard.
     pub to: Option<ShardId>,
     /// The task as it came, if it came here.
-    pub(crate) came: TaskState,
+    pub(crate) received: TaskState,
 }
 
-impl From<OutgoingTransfer> for Moved {
-    fn from(hop: OutgoingTransfer) -> Moved {
-        Moved { hop: hop.number, to: Some(hop.to), came: TaskState::default() }
+impl From<OutgoingTransfer> for TransferState {
+    fn from(hop: OutgoingTransfer) -> TransferState {
+        TransferState { hop: hop.number, to: Some(hop.to), received: TaskState::default() }
     }
 }
 
-impl From<IncomingTransfer> for Moved {
-    fn from(it: IncomingTransfer) -> Moved {
+impl From<IncomingTransfer> for TransferState {
+    fn from(it: IncomingTransfer) -> TransferState {
         let IncomingTransfer { hop, runs, failures, checkpoint, .. } = it;
-        let came = TaskState { runs, failures, checkpoint, ..TaskState::default() };
-        Moved { hop, to: None, came }
+        let received = TaskState { runs, failures, checkpoint, ..TaskState::default() };
+        TransferState { hop, to: None, received }
     }
 }
