--- a/daisy-workflow/src/balance.rs
+++ b/daisy-workflow/src/balance.rs
@@ -1,8 +1,8 @@
-//! Which shard runs a job: its own, or one that has more room.
+//! Balances load: selects the shard that runs a job, its own or one with more free capacity.
 //!
-//! A job's id names the shard that answers for it. Jobs that last differ much in size and stay for
-//! long, so that shards drawn by id alone fill unevenly: at four fifths of the processors reserved,
-//! some had no room left while others had a third free.
+//! A job's id determines the shard that is responsible for it. Long-running jobs differ much in
+//! size and stay for long, so selecting shards by id alone fills them unevenly: with four fifths of
+//! all processors reserved, some shards had no capacity left while others had a third free.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 
 use crate::{JobKind, JobSpec, ShardId, StepSpec};
 
-/// Free pieces of workers that a shard tells of: more tasks than find no room in the time in
-/// which loads are told anew.
+/// The number of free blocks that a shard publishes: more than the tasks that fail to find capacity
+/// between two publications of loads.
 pub const FREE_BLOCKS: usize = 16;
 
-/// What a shard has and what is asked of it, in thousandths of a core.
+/// A shard's capacity and the demand for it, in thousandths of a core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Load {
-    /// Processors of usable workers.
+    /// The processors of usable workers.
     pub capacity: u64,
-    /// Reserved by tasks that last, running or waiting.
+    /// Reserved by long-running tasks, running or waiting.
     pub long_running: u64,
-    /// Reserved by tasks that end by themselves, running or waiting.
+    /// Reserved by finite tasks, which end by themselves, running or waiting.
     pub finite: u64,
     /// What best-effort tasks could use, running or waiting.
     pub best_effort: u64,
-    /// What is left of a worker for tasks that last once all others have ended, of the workers with
-    /// most, the largest first: for such a task, a worker is kept until they have.
+    /// For the workers with the most, the largest first: what each worker has left for long-running
+    /// tasks once all other tasks have ended. A worker is reserved for such a task until they have.
     pub free_blocks: [Resources; FREE_BLOCKS],
 }
 
@@ -38,12 +38,12 @@
 }
 
 impl Demand {
-    /// The demand of one task of a step that lasts.
+    /// Returns the demand of one task of a long-running step.
     pub fn of_long_running_task(step: &StepSpec) -> Demand {
         Demand { kind: JobKind::LongRunning, cpu: u64::from(step.need.cpu_milli) }
     }
 
-    /// The demand of a job.
+    /// Returns the demand of a job.
     pub fn of(spec: &JobSpec) -> Demand {
         let cpu = |it: &StepSpec| u64::from(it.count) * u64::from(it.need.cpu_milli);
         let widest = spec.steps.iter().map(cpu).max().unwrap_or_default();
@@ -53,19 +53,19 @@
 }
 
 impl Load {
-    /// Keeps the first of these pieces.
+    /// Sets the free blocks to the first [`FREE_BLOCKS`] of these, filled up with empty ones.
     pub fn set_free_blocks(&mut self, mut free_blocks: Vec<Resources>) {
         free_blocks.resize(FREE_BLOCKS, Resources::ZERO);
         self.free_blocks.copy_from_slice(&free_blocks);
     }
 
-    /// Tasks that last, need this much of one worker and find room in time, as far as the pieces
-    /// tell.
+    /// Returns how many long-running tasks that each need this much of one worker fit into the free
+    /// blocks.
     fn task_slots(&self, need: Resources) -> u64 {
         self.free_blocks.iter().map(|it| u64::from(it.holds(need))).sum()
     }
 
-    /// The load with a job more.
+    /// Returns the load with this demand added.
     fn with_demand(self, demand: Demand) -> Load {
         let mut load = self;
         match demand.kind {
@@ -76,9 +76,9 @@
         load
     }
 
-    /// How full the shard is for jobs of a kind, 1 for full.
+    /// Returns how full the shard is for jobs of a kind; 1 is full.
     fn utilization(self, kind: JobKind) -> f64 {
-        /// Serving tasks use about half of what they reserve, and best-effort tasks the rest.
+        /// The share of their reservation that serving tasks use; best-effort tasks use the rest.
         const SERVING_CPU_USE: f64 = 0.55;
         let (long_running, finite, best_effort) =
             (self.long_running as f64, self.finite as f64, self.best_effort as f64);
@@ -91,44 +91,48 @@
     }
 }
 
-/// Loads are told every 0.4 s and read 0.2 s later.
+/// The time after which loads show a transferred job: they are published every 0.4 s and read 0.2 s
+/// later.
 const LOAD_REPORT_DELAY: Duration = Duration::from_millis(800);
 
-/// What is known of the other shards.
+/// What an owner knows of the other shards.
 #[derive(Debug, Clone, Default)]
 pub struct OtherShards {
     loads: SortedMap<ShardId, Load>,
-    /// Jobs that were handed to others so lately that their loads do not show them.
+    /// Jobs and tasks that were transferred to other shards so recently that their loads don't
+    /// include them.
     recent_transfers: Vec<(Instant, ShardId, Demand)>,
 }
 
 impl OtherShards {
-    /// Takes in what the owners of other shards last said.
+    /// Sets the last published loads of the other shards.
     pub fn update(&mut self, loads: SortedMap<ShardId, Load>) {
         self.loads = loads;
     }
 
-    /// A job went to `shard`.
+    /// Records that a job or task with this demand was transferred to `shard`.
     pub fn transferred(&mut self, now: Instant, shard: ShardId, demand: Demand) {
         self.recent_transfers.push((now, shard, demand));
     }
 
-    /// The shard that a job had better go to than the one with the load `own`, which already counts
-    /// it, if there is one.
+    /// Returns the shard that suits a job better than the shard with the load `own`, which already
+    /// includes the job, if there is one.
     ///
-    /// Loads are known late, and all owners know the same: in a flood, each would hand its jobs to
-    /// the shard that was emptiest before, which is overfull from then on, as jobs that have begun
-    /// stay where they are. So an owner takes it that all others send as much as it does.
+    /// Loads are known with a delay, and all owners know the same loads: in a burst of jobs, each
+    /// owner would delegate its jobs to the shard that was emptiest, which would then stay
+    /// overloaded, as started jobs are not moved. So an owner assumes that all others send as much
+    /// as it does.
     pub fn try_find_better_shard(
         &mut self,
         now: Instant,
         own: Load,
         demand: Demand,
     ) -> Option<ShardId> {
-        /// Pressure below which a job stays: there is room in pieces of any size.
+        /// By kind of job, the utilization below which a job stays in its shard: there are free
+        /// blocks of any size.
         const LOW_UTILIZATION: [f64; 3] = [0.3, 0.8, 0.7];
-        /// By how much another must be better: a job that lasts is placed once and for long, others
-        /// come and go while loads are on their way.
+        /// By kind of job, by how much lower the other shard's utilization must be: a long-running
+        /// job is placed once and for long, while others start and end before loads are published.
         const IMPROVEMENT_MIN: [f64; 3] = [0.03, 0.06, 0.15];
         self.recent_transfers.retain(|(at, ..)| now.since(*at) < LOAD_REPORT_DELAY);
         let kind = demand.kind;
@@ -137,22 +141,22 @@
             return None;
         }
         let senders = self.loads.len().max(1) as u64;
-        let with_sent = |(shard, load): (&ShardId, &Load)| {
-            let recent_transfers = self.recent_transfers.iter().filter(|(_, to, _)| to == shard);
+        let projected = |(shard, load): (&ShardId, &Load)| {
+            let transfers = self.recent_transfers.iter().filter(|(_, to, _)| to == shard);
             let add = |load: Load, (.., demand): &(Instant, ShardId, Demand)| {
                 load.with_demand(Demand { cpu: demand.cpu * senders, ..*demand })
             };
-            let load = recent_transfers.fold(*load, add).with_demand(demand);
+            let load = transfers.fold(*load, add).with_demand(demand);
             (*shard, load.utilization(kind))
         };
-        let others = self.loads.iter().filter(|(_, load)| load.capacity > 0).map(with_sent);
+        let others = self.loads.iter().filter(|(_, load)| load.capacity > 0).map(projected);
         let (shard, best) = others.min_by(|(_, a), (_, b)| a.total_cmp(b))?;
         (best + IMPROVEMENT_MIN[kind as usize] < utilization).then_some(shard)
     }
 
-    /// The shard with most room for tasks that last and need this much of one worker each, if one
-    /// has any; `own` is left out. What was sent lately counts as in
-    /// [`try_find_better_shard`](Others::try_better).
+    /// Returns the shard that can hold the most long-running tasks that each need this much of one
+    /// worker, if any shard other than `own` can hold one. Recent transfers are counted as in
+    /// [`try_find_better_shard`](OtherShards::try_find_better_shard).
     pub fn try_find_capacity(
         &mut self,
         now: Instant,
@@ -161,18 +165,17 @@
     ) -> Option<ShardId> {
         self.recent_transfers.retain(|(at, ..)| now.since(*at) < LOAD_REPORT_DELAY);
         let senders = self.loads.len().max(1) as u64;
-        let left = |(shard, load): (&ShardId, &Load)| {
+        let free_slots = |(shard, load): (&ShardId, &Load)| {
             let long_running = |it: &&(Instant, ShardId, Demand)| {
                 it.1 == *shard && it.2.kind == JobKind::LongRunning
             };
-            let recent_transfers: u64 =
+            let sent: u64 =
                 self.recent_transfers.iter().filter(long_running).map(|(.., it)| it.cpu).sum();
-            let recent_transfers =
-                recent_transfers.div_ceil(u64::from(need.cpu_milli.max(1))) * senders;
-            (*shard, load.task_slots(need).saturating_sub(recent_transfers))
+            let sent = sent.div_ceil(u64::from(need.cpu_milli.max(1))) * senders;
+            (*shard, load.task_slots(need).saturating_sub(sent))
         };
-        let others = self.loads.iter().filter(|(shard, _)| **shard != own).map(left);
-        let (shard, most) = others.max_by_key(|(_, left)| *left)?;
+        let others = self.loads.iter().filter(|(shard, _)| **shard != own).map(free_slots);
+        let (shard, most) = others.max_by_key(|(_, slots)| *slots)?;
         (most > 0).then_some(shard)
     }
 }
--- a/daisy-workflow/src/directory.rs
+++ b/daisy-workflow/src/directory.rs
@@ -1,7 +1,7 @@
 //! What every entry VM knows: the state of each job, and who owns which shard.
 //!
-//! The whole progress of jobs is read by the owner of their shard alone. What callers are told
-//! follows from one small record a job, and a sign of life of each owner.
+//! Only the owner of a job's shard reads the job's whole progress. Answers to callers are derived
+//! from one small record for each job and the heartbeats of the owners.
 
 use std::time::Duration;
 
@@ -9,81 +9,81 @@
 
 use crate::{Claim, JobId, JobState, Layout, Load, ShardId};
 
-/// An owner's sign of life.
+/// An owner's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnerHeartbeat {
-    /// The shard that it owns.
+    /// The owner's shard.
     pub shard: ShardId,
-    /// Who it is.
+    /// The owner's claim.
     pub claim: Claim,
-    /// Whether it has read all submissions up to a short while ago, so that a job of the shard
-    /// that is not known does not exist.
+    /// Whether the owner has read and published all submissions up to a short while ago, so that a
+    /// job of the shard that is not known does not exist.
     pub is_caught_up: bool,
-    /// Jobs without a time of which no task was started, by queue.
+    /// By queue, the number of jobs without set times of which no task was started.
     pub pending: Vec<(String, u32)>,
-    /// What the shard has, and what is asked of it.
+    /// The shard's capacity and the demand for it.
     pub load: Load,
 }
 
-/// What was last told of a job.
+/// The last published state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PublishedState {
-    /// Its state.
+    /// The job's state.
     pub state: JobState,
-    /// The shard whose owner told it: the one that runs it.
+    /// The shard whose owner published the state: the one that runs the job.
     pub shard: ShardId,
 }
 
-/// The newest sign of a shard's owner.
+/// The newest heartbeat of a shard's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedHeartbeat {
-    /// What it said.
+    /// The heartbeat.
     pub heartbeat: OwnerHeartbeat,
-    /// When it was read here.
+    /// When this VM read it.
     pub at: Instant,
-    /// A time before it was written; `None` if it may be of any age.
+    /// A time before which it was not written; `None` if it may be of any age.
     pub written_after: Option<Instant>,
 }
 
-/// The fold of the records that every entry VM follows.
+/// The state folded from the records that every entry VM follows.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     layout: Option<Layout>,
     states: SortedMap<JobId, PublishedState>,
     heartbeats: SortedMap<ShardId, ReceivedHeartbeat>,
-    /// When all that had been written was last read.
+    /// When the records were last read to their end.
     caught_up_at: Option<Instant>,
 }
 
 impl Directory {
-    /// Takes the layout in; the first one stands.
+    /// Sets the layout; only the first one is kept.
     pub fn set_layout(&mut self, layout: Layout) {
         self.layout.get_or_insert(layout);
     }
 
-    /// How jobs and workers are divided, once that is known.
+    /// Returns how jobs and workers are divided among shards, once known.
     pub fn layout(&self) -> Option<Layout> {
         self.layout
     }
 
-    /// Takes in what was told of a job. States only ever go forward, whatever comes late.
+    /// Records a published state of a job. A state never goes back, whatever arrives late.
     pub fn set_state(&mut self, id: JobId, published: PublishedState) {
         if self.states.get(&id).is_none_or(|known| known.state <= published.state) {
             self.states.insert(id, published);
         }
     }
 
-    /// Forgets a job.
+    /// Removes a job.
     pub fn remove(&mut self, id: JobId) {
         self.states.remove(&id);
     }
 
-    /// What was last told of a job.
+    /// Returns the last published state of a job.
     pub fn state(&self, id: JobId) -> Option<PublishedState> {
         self.states.get(&id).copied()
     }
 
-    /// Takes an owner's sign of life in, read at `now`.
+    /// Records an owner's heartbeat that was read at `now`.
     pub fn receive_heartbeat(&mut self, now: Instant, heartbeat: OwnerHeartbeat) {
         let newer = |it: &ReceivedHeartbeat| it.heartbeat.claim.epoch <= heartbeat.claim.epoch;
         if self.heartbeats.get(&heartbeat.shard).is_none_or(newer) {
@@ -93,29 +93,30 @@
         }
     }
 
-    /// All that was written before `now` has been read.
+    /// Records that all records written before `now` have been read.
     pub fn mark_caught_up(&mut self, now: Instant) {
         self.caught_up_at = Some(now);
     }
 
-    /// The newest record of each key is read anew: what comes may have been read before.
+    /// Records that the newest record of each key is read again, so that the following records may
+    /// be old.
     pub fn restart_reading(&mut self) {
         self.caught_up_at = None;
     }
 
-    /// Whether a job that is not known does not exist: its owner lives, and has told of all
-    /// submissions up to a short while ago.
+    /// Returns whether the job does not exist if it is not known: the owner of its shard is alive
+    /// and has published all submissions up to a short while ago.
     ///
-    /// How far the owner is behind in reading and the age of its last sign add up; together they
-    /// stay below the 3 s after which a job must be known everywhere. A VM that has just started,
-    /// or was cut off, reads the signs of owners that have long died: only one that was written
-    /// since the last read proves a life.
+    /// The owner's delay in reading and the age of its last heartbeat add up; together they stay
+    /// below the 3 s after which a job must be known everywhere. A VM that has just started, or was
+    /// cut off, reads heartbeats of owners that died long ago: only a heartbeat that was written
+    /// since the last read proves that its owner is alive.
     pub fn is_complete(&self, now: Instant, id: JobId) -> bool {
-        /// Two signs of life.
+        /// The highest age of a heartbeat since it was read: two heartbeat intervals.
         const HEARTBEAT_AGE_MAX: Duration = Duration::from_millis(900);
-        /// The same, and the read before.
+        /// The highest age of a heartbeat since the read before it: the same, and that read.
         const WRITE_AGE_MAX: Duration = Duration::from_millis(1_800);
-        /// While owners live, something is read every 0.4 s.
+        /// The highest age of the last read: while owners are alive, something is read every 0.4 s.
         const READ_AGE_MAX: Duration = Duration::from_millis(900);
         let Some(layout) = self.layout else { return false };
         let owner = self.heartbeats.get(&layout.of_job(id)).filter(|it| it.heartbeat.is_caught_up);
@@ -126,12 +127,12 @@
         alive && self.caught_up_at.is_some_and(|at| now.since(at) < READ_AGE_MAX)
     }
 
-    /// What the owner of a shard last said.
+    /// Returns the last heartbeat of the owner of a shard.
     pub fn owner(&self, shard: ShardId) -> Option<&ReceivedHeartbeat> {
         self.heartbeats.get(&shard)
     }
 
-    /// What the owners of all shards but `excluded` last said of their loads.
+    /// Returns the last published loads of all shards except `excluded`.
     pub fn loads(&self, excluded: ShardId) -> SortedMap<ShardId, Load> {
         let others = self
             .heartbeats
@@ -140,7 +141,8 @@
         others.map(|(shard, it)| (*shard, it.heartbeat.load)).collect()
     }
 
-    /// Jobs of a queue without a time of which no task was started, as owners last said.
+    /// Returns the number of a queue's jobs without set times of which no task was started,
+    /// according to the last heartbeats.
     pub fn pending(&self, queue: &str) -> usize {
         let of_queue = |it: &ReceivedHeartbeat| -> usize {
             let pending = it.heartbeat.pending.iter().filter(|(name, _)| name == queue);
--- a/daisy-workflow/src/id.rs
+++ b/daisy-workflow/src/id.rs
@@ -1,13 +1,13 @@
-//! Names of jobs, tasks and workers.
+//! Ids of jobs, tasks and workers.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
-/// A string that names no job or task.
+/// The error for a string that is not a job or task id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("not a name of a job or task")]
+#[error("not a job or task id")]
 pub struct ParseIdError;
 
-/// A job's id, drawn by the caller: 64 bits, written as 16 lower-case hexadecimal digits.
+/// A job's id, chosen by the caller: 64 bits, written as 16 lower-case hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -29,12 +29,12 @@
     }
 }
 
-/// One task of a job.
+/// The id of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Which occurrence of a repeated job, from 0; 0 for a job that runs once.
+    /// The occurrence of a repeated job, from 0; 0 for a job that runs once.
     pub occurrence: u32,
     /// The step's position in the job.
     pub step: u16,
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The fold of all records: what every entry VM knows.
+//! The state folded from the records of one shard.
 
 use std::sync::Arc;
 
@@ -9,25 +9,25 @@
     Record, ShardId, TaskId, TransferState, Witnesses,
 };
 
-/// A job as the records tell it.
+/// A job as folded from the records.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// As submitted.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// As the owner last recorded it.
+    /// The progress that the owner last recorded.
     pub progress: Progress,
     /// Whether a caller cancelled it.
     pub cancelled: bool,
-    /// The shard that it was handed to, which runs it.
+    /// The shard that the job was delegated to, which runs it.
     pub delegated: Option<ShardId>,
-    /// Whether this shard runs nothing of it but the tasks that were handed to it.
+    /// Whether this shard knows the job only by tasks that were transferred to it.
     pub has_only_received_tasks: bool,
-    /// Its tasks that have changed their shard.
+    /// The job's tasks that were transferred between shards.
     pub transfers: SortedMap<TaskId, TransferState>,
 }
 
-/// The state of a job that callers are told. A later one in this order replaces an earlier one,
-/// never the reverse.
+/// The state of a job as callers see it. A later state in this order replaces an earlier one, never
+/// the reverse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum JobState {
     /// No task was started.
@@ -43,15 +43,15 @@
 }
 
 impl JobState {
-    /// Whether nothing more happens to the job.
+    /// Returns whether the job has ended.
     pub fn is_ended(self) -> bool {
         self >= JobState::Cancelled
     }
 }
 
 impl Job {
-    /// The state that callers are told. An end that was recorded stands, also against a
-    /// cancellation that came later.
+    /// Returns the state that callers see. A recorded end takes precedence over a later
+    /// cancellation.
     pub fn state(&self) -> JobState {
         match self.progress.phase {
             Phase::Completed => JobState::Completed,
@@ -62,54 +62,55 @@
         }
     }
 
-    /// Whether this shard runs nothing of it but the tasks that were handed to it, as another shard
-    /// has the job.
+    /// Returns whether another shard has the job, so that this one runs only those of its tasks
+    /// that were transferred here.
     pub fn belongs_to_other_shard(&self) -> bool {
         self.has_only_received_tasks || self.delegated.is_some()
     }
 
-    /// Whether tasks of it were handed to this shard.
+    /// Returns whether tasks of the job were transferred to this shard.
     pub fn has_received_tasks(&self) -> bool {
         self.transfers.iter().any(|(_, it)| it.to.is_none())
     }
 
-    /// Gives the whole job, of which nothing has begun, to another shard.
+    /// Delegates the whole job, of which nothing has started, to another shard.
     pub(crate) fn delegate(&mut self, to: ShardId) {
         self.delegated = Some(to);
         self.update_task_locations();
     }
 
-    /// Takes a change of a task's shard in; whether it is newer than all that was known.
-    pub(crate) fn move_task(&mut self, id: TaskId, transfers: TransferState) -> bool {
-        let newer = self.transfers.get(&id).is_none_or(|it| it.hop < transfers.hop);
+    /// Records a transfer of a task and returns whether it is newer than all that were known.
+    pub(crate) fn move_task(&mut self, id: TaskId, transfer: TransferState) -> bool {
+        let newer = self.transfers.get(&id).is_none_or(|it| it.hop < transfer.hop);
         if newer {
-            self.transfers.insert(id, transfers);
+            self.transfers.insert(id, transfer);
             self.update_task_locations();
         }
         newer
     }
 
-    /// Makes the states of tasks follow from where they were handed to.
+    /// Updates the states of tasks from their transfers.
     ///
-    /// Progress that was recorded before a task came says nothing of its earlier runs: started by
-    /// it, the task would get the number of a run that another shard has started.
+    /// Progress that was recorded before a task arrived doesn't include its runs on other shards:
+    /// if the task were started from that progress, its run would get a number that another shard
+    /// has already used.
     fn update_task_locations(&mut self) {
-        let belongs_to_other_shard = self.belongs_to_other_shard();
-        if !belongs_to_other_shard && self.transfers.is_empty() {
+        let is_foreign = self.belongs_to_other_shard();
+        if !is_foreign && self.transfers.is_empty() {
             return;
         }
         let tasks = self.progress.occurrences.iter_mut().flatten().flatten();
-        tasks.for_each(|it| it.on_other_shard = belongs_to_other_shard);
-        for (id, transfers) in self.transfers.iter() {
+        tasks.for_each(|it| it.on_other_shard = is_foreign);
+        for (id, transfer) in self.transfers.iter() {
             let Some(state) = self.progress.task_mut(*id) else { continue };
-            state.on_other_shard = transfers.to.is_some();
-            if transfers.to.is_none() && state.runs < transfers.received.runs {
-                *state = transfers.received.clone();
+            state.on_other_shard = transfer.to.is_some();
+            if transfer.to.is_none() && state.runs < transfer.received.runs {
+                *state = transfer.received.clone();
             }
         }
     }
 
-    /// Shards that tasks of this job were handed to by this one.
+    /// Returns the shards that this shard transferred tasks of the job to.
     pub fn transferred_to(&self) -> Vec<ShardId> {
         let mut shards: Vec<ShardId> = self.transfers.iter().filter_map(|(_, it)| it.to).collect();
         shards.sort_unstable();
@@ -117,7 +118,7 @@
         shards
     }
 
-    /// The part of the job's estimated work whose tasks have not ended as done, in thousandths.
+    /// Returns the share of the job's estimated work in tasks that are not done, in thousandths.
     pub fn remaining_work_permille(&self) -> u64 {
         let (mut remaining, mut all) = (0, 0);
         for steps in &self.progress.occurrences {
@@ -131,29 +132,29 @@
     }
 }
 
-/// What a record changed.
+/// The effect of folding a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FoldEffect {
-    /// A job that was not known.
+    /// A job was submitted that was not known.
     Submitted(JobId),
-    /// A job was cancelled that was not.
+    /// A job was cancelled that was not cancelled before.
     Cancelled(JobId),
-    /// A job's progress.
+    /// A job's progress was updated.
     Progress(JobId),
-    /// A task was handed to this shard.
+    /// A task was transferred to this shard.
     Task(TaskId),
-    /// Somebody claimed the workers, or showed that it lives.
+    /// The shard was claimed, or its owner renewed or released its claim.
     Claim,
-    /// Nothing, as for a record that repeats another.
+    /// Nothing that its reader acts on, as for a record that repeats another.
     Nothing,
 }
 
-/// All jobs, and who owns the workers.
+/// All jobs of a shard, and who owns its workers.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     jobs: SortedMap<JobId, Job>,
-    /// Cancellations and progress of jobs whose submission was not read yet: the topics are read
-    /// independently of each other.
+    /// Cancellations, progress, delegations and transfers of jobs whose submission was not read
+    /// yet: the topics are read independently of each other.
     early_cancellations: Vec<JobId>,
     early_progress: SortedMap<JobId, Progress>,
     early_delegations: SortedMap<JobId, ShardId>,
@@ -164,7 +165,7 @@
 }
 
 impl Ledger {
-    /// Takes one record in. Taking a record twice changes nothing.
+    /// Folds one record into the state. Folding a record again changes nothing.
     pub fn fold(&mut self, record: Record) -> FoldEffect {
         match record {
             Record::Submitted(id, spec) => self.submitted(id, spec),
@@ -186,15 +187,15 @@
                 }
                 FoldEffect::Nothing
             }
-            Record::TaskTransferredOut(id, hop) => {
+            Record::TaskTransferredOut(id, transfer) => {
                 match self.jobs.get_mut(&id.job) {
-                    Some(job) => drop(job.move_task(id, hop.into())),
-                    None => self.add_early_transfer(id, hop),
+                    Some(job) => drop(job.move_task(id, transfer.into())),
+                    None => self.add_early_transfer(id, transfer),
                 }
                 FoldEffect::Nothing
             }
-            Record::TaskTransferredIn(id, handover) => self.task_submitted(id, *handover),
-            // For a [`Directory`](crate::Directory).
+            Record::TaskTransferredIn(id, transfer) => self.task_transferred_in(id, *transfer),
+            // These are folded by a [`Directory`](crate::Directory) or by the owner.
             Record::State(..)
             | Record::OwnerHeartbeat(_)
             | Record::Layout(_)
@@ -205,7 +206,7 @@
     fn submitted(&mut self, id: JobId, spec: JobSpec) -> FoldEffect {
         match self.jobs.get_mut(&id) {
             None => self.add_job(id, spec, false),
-            // A task of it that returned was read first.
+            // A transfer that returned one of its tasks was read before the submission.
             Some(job) if job.has_only_received_tasks => {
                 job.has_only_received_tasks = false;
                 job.update_task_locations();
@@ -215,18 +216,18 @@
         FoldEffect::Submitted(id)
     }
 
-    fn task_submitted(&mut self, id: TaskId, handover: IncomingTransfer) -> FoldEffect {
+    fn task_transferred_in(&mut self, id: TaskId, transfer: IncomingTransfer) -> FoldEffect {
         if !self.jobs.contains_key(&id.job) {
-            self.add_job(id.job, handover.spec.clone(), true);
+            self.add_job(id.job, transfer.spec.clone(), true);
         }
         let job = self.jobs.get_mut(&id.job);
-        match job.is_some_and(|it| it.move_task(id, handover.into())) {
+        match job.is_some_and(|it| it.move_task(id, transfer.into())) {
             true => FoldEffect::Task(id),
             false => FoldEffect::Nothing,
         }
     }
 
-    /// Adds a job, with all that was read of it before.
+    /// Adds a job and applies all its records that were read before its submission.
     fn add_job(&mut self, id: JobId, spec: JobSpec, has_only_received_tasks: bool) {
         let early = self.early_progress.remove(&id).filter(|it| it.fits(&spec));
         let mut progress = early.unwrap_or_else(|| Progress::new(&spec));
@@ -242,19 +243,19 @@
             .early_transfers
             .iter()
             .filter(|(task, _)| task.job == id)
-            .map(|(task, hop)| (*task, *hop))
+            .map(|(task, transfer)| (*task, *transfer))
             .collect();
-        for (task, hop) in early_transfers {
+        for (task, transfer) in early_transfers {
             self.early_transfers.remove(&task);
-            job.move_task(task, hop.into());
+            job.move_task(task, transfer.into());
         }
         job.update_task_locations();
         self.jobs.insert(id, job);
     }
 
-    fn add_early_transfer(&mut self, id: TaskId, hop: OutgoingTransfer) {
-        if self.early_transfers.get(&id).is_none_or(|it| it.number < hop.number) {
-            self.early_transfers.insert(id, hop);
+    fn add_early_transfer(&mut self, id: TaskId, transfer: OutgoingTransfer) {
+        if self.early_transfers.get(&id).is_none_or(|it| it.number < transfer.number) {
+            self.early_transfers.insert(id, transfer);
         }
     }
 
@@ -289,12 +290,12 @@
         FoldEffect::Claim
     }
 
-    /// Forgets a job.
+    /// Removes a job.
     pub fn remove(&mut self, id: JobId) {
         self.jobs.remove(&id);
     }
 
-    /// The job of this id.
+    /// Returns the job with this id.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
@@ -303,27 +304,28 @@
         self.jobs.get_mut(&id)
     }
 
-    /// All jobs.
+    /// Iterates over all jobs.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// The newest claim.
+    /// Returns the newest claim.
     pub fn owner(&self) -> Option<&Claim> {
         self.owner.as_ref()
     }
 
-    /// What the owners have learnt of images that disturb each other.
+    /// Returns what the owners have learned about interference between images.
     pub fn learned_interference(&self) -> &[ImageInterference] {
         &self.learned_interference
     }
 
-    /// The workers that owners have to be answered by while they go without the log.
+    /// Returns the workers that must answer an owner while it operates without the log.
     pub fn witnesses(&self) -> &Witnesses {
         &self.witnesses
     }
 
-    /// By queue, the jobs without a time of which no task was started and that were not cancelled.
+    /// Returns by queue the number of jobs without set times of which no task was started and that
+    /// were neither cancelled nor delegated.
     pub fn pending(&self) -> Vec<(String, u32)> {
         let mut counts: SortedMap<&str, u32> = SortedMap::new();
         let queued =
--- a/daisy-workflow/src/lib.rs
+++ b/daisy-workflow/src/lib.rs
@@ -1,13 +1,13 @@
-//! Jobs made of dependent steps: what they are, what is recorded of them, and who runs what.
+//! Jobs made of dependent steps: their specification, their records, and which VM runs their tasks.
 //!
-//! A caller submits a job: steps of tasks, some of which wait for others. Submissions and
+//! A caller submits a job: steps of tasks, some of which depend on others. Submissions and
 //! cancellations are immutable records that any entry VM may write; progress is written by one
-//! entry VM at a time, the [`Owner`], under an epoch. Every entry VM folds what all need to know
-//! into a [`Directory`], which answers callers; the records of one [shard](Layout) fold into a
-//! [`Ledger`], from which its next owner starts.
+//! entry VM at a time, the [`Owner`], under an epoch. Every entry VM folds the records that all
+//! need into a [`Directory`], from which it answers callers; the records of one [shard](Layout)
+//! fold into a [`Ledger`], from which the shard's next owner starts.
 //!
-//! Nothing here reads a clock, a socket or a file: the present time is an argument, and what is
-//! to be done comes back as [`Action`]s.
+//! Nothing here reads a clock, a socket or a file: the current time is an argument, and what is to
+//! be done is returned as [`Action`]s.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-workflow/src/progress.rs
+++ b/daisy-workflow/src/progress.rs
@@ -1,11 +1,11 @@
-//! How far a job is, as the owner records it.
+//! The progress of a job as the owner records it.
 
 use crate::{JobSpec, TaskId, WorkerId};
 
 /// The state of a whole job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Phase {
-    /// Not ended.
+    /// The job has not ended.
     #[default]
     Active,
     /// All tasks are done.
@@ -17,40 +17,40 @@
 /// One run of a task that may be on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Copy {
-    /// The number of the start, rising within the task.
+    /// The number of the run, increasing within the task.
     pub run: u32,
-    /// Where it was started.
+    /// The worker that it was started on.
     pub worker: WorkerId,
 }
 
 /// The state of one task.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct TaskState {
-    /// Whether it has ended as done.
+    /// Whether the task has completed.
     pub done: bool,
-    /// The highest number of a start so far.
+    /// The highest run number so far.
     pub runs: u32,
-    /// Runs that ended as failed.
+    /// The number of failed runs.
     pub failures: u32,
     /// The newest checkpoint; empty for none.
     pub checkpoint: String,
     /// Runs that may be on a worker.
     pub copies: Vec<Copy>,
-    /// Whether another shard runs it. Not part of the record: it follows from the hops.
+    /// Whether another shard runs the task. This is not recorded but derived from the transfers.
     pub on_other_shard: bool,
 }
 
 impl TaskState {
-    /// Whether the task is neither done nor anywhere.
+    /// Returns whether the task is neither done nor running, here or on another shard.
     pub fn is_waiting(&self) -> bool {
         !self.done && !self.on_other_shard && self.copies.is_empty()
     }
 }
 
-/// The state of a job.
+/// The progress of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Progress {
-    /// Of the whole job.
+    /// The state of the whole job.
     pub phase: Phase,
     /// Whether any task was started.
     pub has_started: bool,
@@ -59,7 +59,7 @@
 }
 
 impl Progress {
-    /// A job of which nothing was started.
+    /// Returns the progress of a job of which nothing was started.
     pub fn new(spec: &JobSpec) -> Progress {
         let step = |count: u32| vec![TaskState::default(); count as usize];
         let steps: Vec<_> = spec.steps.iter().map(|it| step(it.count)).collect();
@@ -70,19 +70,20 @@
         }
     }
 
-    /// The state of a task of this job, if it has such a task.
+    /// Returns the state of a task, if the job has such a task.
     pub fn task(&self, id: TaskId) -> Option<&TaskState> {
         let steps = self.occurrences.get(id.occurrence as usize)?;
         steps.get(usize::from(id.step))?.get(id.index as usize)
     }
 
-    /// The same, to change.
+    /// Returns the mutable state of a task, if the job has such a task.
     pub(crate) fn task_mut(&mut self, id: TaskId) -> Option<&mut TaskState> {
         let steps = self.occurrences.get_mut(id.occurrence as usize)?;
         steps.get_mut(usize::from(id.step))?.get_mut(id.index as usize)
     }
 
-    /// Whether the shape is that of `spec`: a record of another job's shape names no state.
+    /// Returns whether this has the steps and tasks of `spec`; otherwise it can't be used for that
+    /// job.
     pub fn fits(&self, spec: &JobSpec) -> bool {
         self.phase != Phase::Active
             || self.occurrences.len() == spec.occurrences as usize
--- a/daisy-workflow/src/queue.rs
+++ b/daisy-workflow/src/queue.rs
@@ -1,19 +1,19 @@
-//! The configuration that operators publish: queues and services.
+//! The queues and services that operators configure.
 
 use std::sync::Arc;
 
 use crate::Terms;
 
-/// A queue: where its requests come from, and on what terms its jobs run.
+/// A queue: which requests belong to it, and the terms of its jobs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Queue {
-    /// The host that callers name.
+    /// The host that requests name.
     pub host: Arc<str>,
-    /// The path that its jobs' paths begin with.
+    /// The prefix of its requests' paths.
     pub path_prefix: Arc<str>,
-    /// How long a request may take, in milliseconds.
+    /// The timeout of a request in milliseconds.
     pub timeout_ms: u64,
-    /// Whether a policy service must allow each worker.
+    /// Whether a policy service must approve each worker.
     pub needs_policy_approval: bool,
     /// The terms of its jobs.
     pub terms: Terms,
@@ -22,36 +22,36 @@
 /// A service: a pool of workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: Arc<str>,
-    /// Whether its workers refuse what does not fit.
+    /// Whether the service's workers reject tasks that don't fit.
     pub admission_control: bool,
-    /// Connections that a worker takes.
+    /// The most connections to a worker.
     pub connections: u32,
 }
 
 /// One version of the configuration; a higher version replaces it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct QueueConfig {
-    /// Rises with each change.
+    /// The version, increased by each change.
     pub version: u64,
     /// All queues.
     pub queues: Vec<Queue>,
     /// All services.
     pub services: Vec<Service>,
-    /// Bytes of a request's body that are taken.
+    /// The most bytes in a request's body.
     pub body_bytes: usize,
 }
 
 impl QueueConfig {
-    /// The queue of a request: the longest prefix of `path` under `host` wins.
+    /// Returns the queue of a request: the one of `host` with the longest prefix of `path`.
     pub fn route<'a>(&'a self, host: &str, path: &str) -> Option<&'a Queue> {
         let of_host = self.queues.iter().filter(|it| it.host.eq_ignore_ascii_case(host));
         let matching = of_host.filter(|it| path.starts_with(&*it.path_prefix));
         matching.max_by_key(|it| it.path_prefix.len())
     }
 
-    /// The queue of this name.
+    /// Returns the queue with this name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|it| &*it.terms.queue == name)
     }
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -1,8 +1,8 @@
-//! Records of the platform's log: bincode behind one byte of version.
+//! Records of the platform's log: a version byte followed by bincode.
 //!
-//! Builds of several ages read each other's records while a fleet is updated. A field that older
-//! builds may pass over is added at the end of its record's form, where they ignore it. A record
-//! that they must not misread gets a higher version, which they refuse.
+//! Different builds read each other's records while a fleet is updated. A field that older builds
+//! may ignore is added at the end of its record's encoding, where they skip it. A record that they
+//! must not misread gets a higher version, which they reject.
 
 mod wire;
 
@@ -19,111 +19,112 @@
     Progress, PublishedState, ShardId, TaskId, Witnesses,
 };
 
-/// The version that this build writes, and the newest that it reads.
+/// The version that this build writes, and the highest that it reads.
 const VERSION: u8 = 1;
 /// The key of the newest [`Claim`].
 pub const OWNER_KEY: &str = "owner";
-/// The key of what the owner has learnt.
+/// The key of what the owner has learned about interference.
 const INTERFERENCE_KEY: &str = "learnt";
 /// The key of an owner's witnesses.
 const WITNESSES_KEY: &str = "witnesses";
 /// The key of the layout of shards.
 const LAYOUT_KEY: &str = "layout";
 
-/// Who owns the workers, from this record's offset on.
+/// A claim to own a shard's workers, in effect from this record's offset on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
     /// The claiming VM's name.
     pub vm: String,
-    /// Drawn at random at each start of a process.
+    /// The process's id, drawn at random at each start.
     pub process: u64,
-    /// The fencing token: higher than all before.
+    /// The fencing token, higher than those of all earlier claims.
     pub epoch: u64,
-    /// The owner gives its workers up: anybody may claim at once.
+    /// Whether the owner releases its workers, so that any VM may claim them at once.
     pub released: bool,
-    /// No owner before this one can renew anything any more.
+    /// Whether no earlier owner can renew anything any more.
     pub predecessors_expired: bool,
 }
 
 impl Claim {
-    /// The claim at `offset` of a shard's log whose record cannot be read: an owner of unknown name
-    /// and of which nothing else may be assumed.
+    /// Returns the claim for an unreadable record at `offset` of a shard's log: its owner's name is
+    /// unknown, and nothing else may be assumed about it.
     pub fn unreadable(offset: u64) -> Claim {
         let epoch = offset + 1;
         Claim { vm: String::new(), process: 0, epoch, released: false, predecessors_expired: false }
     }
 }
 
-/// What a record says.
+/// A record of the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
     /// A caller submitted a job.
     Submitted(JobId, JobSpec),
     /// A caller cancelled a job.
     Cancelled(JobId),
-    /// The owner's newest state of a job.
+    /// The newest progress of a job.
     Progress(JobId, Progress),
-    /// An owner's claim or sign of life.
+    /// An owner's claim, renewal or release.
     Claim(Claim),
-    /// What the owner has learnt of images that disturb each other.
+    /// What the owner has learned about interference between images.
     LearnedInterference(Vec<ImageInterference>),
-    /// The workers that a shard's owners have to be answered by while they go without the log.
+    /// The workers that must answer a shard's owners while these operate without the log.
     Witnesses(Witnesses),
-    /// The owner of a job's own shard has handed it to another one.
+    /// The owner of a job's own shard has delegated the job to another shard.
     Delegated(JobId, ShardId),
-    /// A shard has handed a task to another one.
+    /// A shard has transferred a task to another shard.
     TaskTransferredOut(TaskId, OutgoingTransfer),
-    /// A task is handed to this shard by another one.
+    /// Another shard has transferred a task to this shard.
     TaskTransferredIn(TaskId, Box<IncomingTransfer>),
-    /// The state of a job that callers are told.
+    /// The state of a job as callers see it.
     State(JobId, PublishedState),
-    /// A sign of life of a shard's owner.
+    /// A heartbeat of a shard's owner.
     OwnerHeartbeat(Box<OwnerHeartbeat>),
     /// How jobs and workers are divided among shards.
     Layout(Layout),
-    /// What a shard's owner has learnt since its last such record.
+    /// What a shard's owner has observed of interference since its last such record.
     Observed(ShardId, Vec<InterferenceSums>),
 }
 
-/// How much best-effort tasks of one image take from serving tasks of another.
+/// How much best-effort tasks of one image interfere with serving tasks of another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ImageInterference {
     /// The image of the serving tasks.
     pub serving: Arc<str>,
     /// The image of the best-effort tasks.
     pub best_effort: Arc<str>,
-    /// Thousandths of the headroom (target by tail latency) that are lost if best-effort tasks
-    /// use all of a worker's processors.
+    /// The headroom (target divided by tail latency) that is lost if best-effort tasks use all of a
+    /// worker's processors, in thousandths.
     pub permille: u32,
 }
 
-/// What an owner has learnt of a serving image's neighbours within a second or so: weighted sums
-/// that those of other owners can be added to.
+/// What an owner has observed within about a second of the best-effort tasks beside a serving
+/// image: weighted sums, to which those of other owners can be added.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InterferenceSums {
     /// The image of the serving tasks.
     pub serving: Arc<str>,
-    /// By image of best-effort tasks, share of a worker's processors times headroom lost.
+    /// By image of best-effort tasks, the sum of the share of a worker's processors times the
+    /// headroom lost.
     pub loss_sums: Vec<(Arc<str>, f32)>,
-    /// By two of them, share times share.
+    /// By pair of such images, the sum of share times share.
     pub share_products: Vec<(Arc<str>, Arc<str>, f32)>,
 }
 
-/// Why a record says nothing that can be used.
+/// Why a record can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The key has no known form.
-    #[error("key {0:?} is not known")]
+    /// The key has an unknown format.
+    #[error("unknown record key {0:?}")]
     Key(String),
-    /// The record comes from a newer build.
+    /// The record has a newer version than this build reads.
     #[error("version {0} is newer than {VERSION}")]
     Version(u8),
-    /// The bytes do not decode.
+    /// The value can't be decoded.
     #[error("malformed: {0}")]
     Malformed(String),
 }
 
-/// The key and the value of a record.
+/// Returns the key and the value of a record.
 pub fn encode(record: &Record) -> (String, Vec<u8>) {
     match record {
         Record::Submitted(id, spec) => (format!("job-{id}"), encode_framed(JobWire::from(spec))),
@@ -142,8 +143,8 @@
         Record::TaskTransferredOut(id, hop) => {
             (format!("handed-{id}"), encode_framed((hop.number, hop.to.0)))
         }
-        // The log keeps the newest record of a key alone, and a hop may be written again after a
-        // later one to the same shard: each has a key of its own.
+        // The log keeps only the newest record of each key, and a transfer may be written again
+        // after a later one to the same shard, so each transfer has its own key.
         Record::TaskTransferredIn(id, it) => {
             (format!("task-{id}.{}", it.hop), encode_framed(TransferWire::from(&**it)))
         }
@@ -162,13 +163,14 @@
     }
 }
 
-/// What the record under `key` says.
+/// Decodes the record with this key and value.
 ///
 /// # Errors
 ///
-/// If the key or the bytes are not of this build's making.
+/// Fails if the key is unknown, the version is newer, or the value is malformed.
 pub fn decode(key: &str, value: &[u8]) -> Result<Record, RecordError> {
-    // Comes first, as an unknown kind of record may be one that must not be passed over.
+    // The version is checked first, as an unknown kind of record may be one that must not be
+    // skipped.
     if let Some(newer) = value.first().filter(|it| **it > VERSION) {
         return Err(RecordError::Version(*newer));
     }
@@ -184,7 +186,7 @@
     }
     if key == LAYOUT_KEY {
         return match decode_framed(value)? {
-            0 => Err(RecordError::Malformed("no shards".to_owned())),
+            0 => Err(RecordError::Malformed("layout without shards".to_owned())),
             shards => Ok(Record::Layout(Layout { shards })),
         };
     }
@@ -236,7 +238,7 @@
 
 fn encode_framed<T: Encode>(value: T) -> Vec<u8> {
     let mut buf = vec![VERSION];
-    // Encoding into memory fails for no type that is used here.
+    // Encoding into memory can't fail for the types used here.
     buf.extend(bincode::encode_to_vec(value, config::standard()).unwrap_or_default());
     buf
 }
@@ -245,22 +247,23 @@
     decode_with_rest(bytes).map(|(value, _)| value)
 }
 
-/// The value and the bytes after it.
+/// Decodes the value after the version byte and returns it with the bytes after it.
 fn decode_with_rest<T: Decode<()>>(bytes: &[u8]) -> Result<(T, &[u8]), RecordError> {
     let (_, body) =
-        bytes.split_first().ok_or_else(|| RecordError::Malformed("empty".to_owned()))?;
+        bytes.split_first().ok_or_else(|| RecordError::Malformed("empty value".to_owned()))?;
     decode_unframed(body)
 }
 
 fn decode_unframed<T: Decode<()>>(body: &[u8]) -> Result<(T, &[u8]), RecordError> {
-    // The limit keeps a corrupt length from allocating memory.
+    // The limit prevents a corrupt length from causing a large allocation.
     let cfg = config::standard().with_limit::<{ 4 << 20 }>();
     let (value, len) =
         bincode::decode_from_slice(body, cfg).map_err(|e| RecordError::Malformed(e.to_string()))?;
     Ok((value, &body[len..]))
 }
 
-/// The end of a sign of life. Older builds wrote nothing there, or a number for each piece.
+/// Decodes the free blocks at the end of a heartbeat. Older builds wrote nothing there, or one
+/// number for each block.
 fn free_blocks(bytes: &[u8]) -> Result<FreeBlocksWire, RecordError> {
     let older =
         bytes.is_empty() || matches!(decode_unframed::<[u32; FREE_BLOCKS]>(bytes), Ok((_, [])));
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -1,4 +1,4 @@
-//! The forms of records that go over the wire.
+//! The encodings of records.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     ShardId, StepSpec, TaskId, TaskState, Terms, Witness, Witnesses,
 };
 
-/// Images by their position in `images`, so that each pair needs numbers only.
+/// Names images by their position in `images`, so that each pair needs only numbers.
 #[derive(Debug, Encode, Decode)]
 pub(super) struct InterferenceSumsWire {
     images: Vec<String>,
@@ -58,14 +58,14 @@
         let images: Vec<Arc<str>> = wire.images.into_iter().map(Into::into).collect();
         let name = |at: u16| {
             let image = images.get(usize::from(at)).cloned();
-            image.ok_or_else(|| RecordError::Malformed(format!("image {at}")))
+            image.ok_or_else(|| RecordError::Malformed(format!("unknown image number {at}")))
         };
         let mut sums = Vec::with_capacity(wire.sums.len());
         for wire_sums in wire.sums {
             let finite = wire_sums.loss_sums.iter().all(|(_, it)| it.is_finite())
                 && wire_sums.share_products.iter().all(|(.., it)| it.is_finite());
             if !finite {
-                return Err(RecordError::Malformed("a sum that is no number".to_owned()));
+                return Err(RecordError::Malformed("a sum that is not a finite number".to_owned()));
             }
             let answer = |(a, sum)| Ok((name(a)?, sum));
             let product = |(a, b, sum)| Ok((name(a)?, name(b)?, sum));
@@ -100,11 +100,12 @@
         2 => Ok(JobState::Cancelled),
         3 => Ok(JobState::Completed),
         4 => Ok(JobState::Failed),
-        other => Err(RecordError::Malformed(format!("state {other}"))),
+        other => Err(RecordError::Malformed(format!("unknown job state {other}"))),
     }
 }
 
-/// Stands within signs of life: what is added to claims goes to their ends instead.
+/// A claim. It is also embedded in heartbeats, so a new field of claims must be added at the end of
+/// the records instead.
 #[derive(Debug, Encode, Decode)]
 pub(super) struct ClaimWire {
     vm: String,
@@ -128,17 +129,17 @@
     }
 }
 
-/// What all builds write of a sign of life; what follows it differs.
+/// The part of a heartbeat that all builds write; what follows it differs between builds.
 #[derive(Debug, Encode, Decode)]
 pub(super) struct HeartbeatWire {
     claim: ClaimWire,
     is_caught_up: bool,
     pending: Vec<(String, u32)>,
-    /// Capacity, then what lasting, other and best-effort tasks ask for.
+    /// The capacity, then the demand of long-running, finite and best-effort tasks.
     load: [u64; 4],
 }
 
-/// The largest free pieces of workers: thousandths of a core, MiB, accelerators.
+/// The largest free blocks of workers: thousandths of a core, MiB, accelerators.
 #[derive(Debug, Default, Encode, Decode)]
 pub(super) struct FreeBlocksWire([[u32; 3]; FREE_BLOCKS]);
 
@@ -163,7 +164,7 @@
 }
 
 impl HeartbeatWire {
-    /// The sign of the shard that stands in the record's key.
+    /// Returns the heartbeat for the shard named by the record's key.
     pub(super) fn of(self, shard: ShardId, free_blocks: FreeBlocksWire) -> OwnerHeartbeat {
         let HeartbeatWire { claim, is_caught_up, pending, load } = self;
         let [capacity, long_running, finite, best_effort] = load;
@@ -179,7 +180,7 @@
 
 #[derive(Debug, Encode, Decode)]
 pub(super) struct LearnedInterferenceWire {
-    /// Serving image, best-effort image, thousandths.
+    /// The serving image, the best-effort image, and the lost headroom in thousandths.
     pairs: Vec<(String, String, u32)>,
 }
 
@@ -206,7 +207,7 @@
 #[derive(Debug, Encode, Decode)]
 pub(super) struct WitnessesWire {
     heeded_by: u64,
-    /// Worker, start of its incarnation in milliseconds since 1970.
+    /// The worker, and the start of its incarnation in milliseconds since 1970.
     workers: Vec<(String, u64)>,
 }
 
@@ -332,12 +333,12 @@
 }
 
 impl TransferWire {
-    /// The handover of the task and with the number that stand in the record's key.
+    /// Returns the transfer for the task and the number in the record's key.
     pub(super) fn of(self, id: TaskId, hop: u32) -> Result<IncomingTransfer, RecordError> {
         let TransferWire { spec, runs, failures, checkpoint } = self;
         let spec = JobSpec::try_from(spec)?;
         if !spec.has_task(id) {
-            return Err(RecordError::Malformed(format!("no task {id}")));
+            return Err(RecordError::Malformed(format!("the job has no task {id}")));
         }
         Ok(IncomingTransfer { hop, spec, runs, failures, checkpoint })
     }
@@ -400,7 +401,7 @@
 pub(super) struct ProgressWire {
     phase: u8,
     has_started: bool,
-    /// Names of workers, so that each copy needs a number only.
+    /// The names of workers, so that each copy needs only a number.
     workers: Vec<String>,
     occurrences: Vec<Vec<Vec<TaskWire>>>,
 }
@@ -441,7 +442,7 @@
                 .map(|copy| CopyWire { run: copy.run, worker: number(&copy.worker.0) })
                 .collect(),
         };
-        // An ended job's tasks are never looked at again.
+        // The tasks of an ended job are never read again.
         let occurrences = match progress.phase {
             Phase::Active => progress
                 .occurrences
@@ -467,13 +468,13 @@
             0 => Phase::Active,
             1 => Phase::Completed,
             2 => Phase::Failed,
-            other => return Err(RecordError::Malformed(format!("phase {other}"))),
+            other => return Err(RecordError::Malformed(format!("unknown phase {other}"))),
         };
         let workers: Vec<crate::WorkerId> =
             wire.workers.iter().map(|it| it.as_str().into()).collect();
         let copy = |it: CopyWire| match workers.get(usize::from(it.worker)) {
             Some(worker) => Ok(Copy { run: it.run, worker: worker.clone() }),
-            None => Err(RecordError::Malformed(format!("worker {}", it.worker))),
+            None => Err(RecordError::Malformed(format!("unknown worker number {}", it.worker))),
         };
         let task = |it: TaskWire| {
             let copies = it.copies.into_iter().map(copy).collect::<Result<_, _>>()?;
--- a/daisy-workflow/src/shard.rs
+++ b/daisy-workflow/src/shard.rs
@@ -1,16 +1,16 @@
-//! Shards: parts of the workers, each with the jobs that run on them, each owned by one entry VM.
+//! Shards: disjoint sets of workers with the jobs that run on them, each owned by one entry VM.
 
 use crate::{JobId, WorkerId};
 
-/// Workers that one owner takes: as many as the smallest entry VM has processors for.
+/// The most workers in a shard: as many as the smallest entry VM has processor time to manage.
 const WORKERS_PER_SHARD_MAX: usize = 100;
 
-/// One shard.
+/// A shard's number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ShardId(pub u16);
 
-/// How jobs and workers are divided among shards. It is chosen once and recorded, so that all
-/// entry VMs agree on the one accountant of each worker without talking.
+/// How jobs and workers are divided among shards. The layout is chosen once and recorded, so that
+/// all entry VMs agree without communicating on which owner accounts for each worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Layout {
     /// The number of shards, at least 1.
@@ -18,24 +18,24 @@
 }
 
 impl Layout {
-    /// The layout for this many workers, with at most `shards_max` shards.
+    /// Returns the layout for this many workers, with at most `shards_max` shards.
     pub fn for_workers(workers: usize, shards_max: u16) -> Layout {
         let wanted = u16::try_from(workers.div_ceil(WORKERS_PER_SHARD_MAX)).unwrap_or(u16::MAX);
         Layout { shards: wanted.clamp(1, shards_max.max(1)) }
     }
 
-    /// All shards.
+    /// Iterates over all shards.
     pub fn all(self) -> impl Iterator<Item = ShardId> {
         (0..self.shards.max(1)).map(ShardId)
     }
 
-    /// The shard that runs a job.
+    /// Returns the shard of a job, which runs it unless it delegates the job.
     pub fn of_job(self, id: JobId) -> ShardId {
         self.shard_of(&id.0.to_be_bytes())
     }
 
-    /// The shard that a worker belongs to. Ids are spread over all data centres and racks, so that
-    /// the loss of one takes a part of each shard and the whole of none.
+    /// Returns the shard of a worker. Each shard's workers are spread over all data centres and
+    /// racks, so that the loss of one takes a part of each shard but no whole shard.
     pub fn of_worker(self, id: &WorkerId) -> ShardId {
         self.shard_of(id.0.as_bytes())
     }
@@ -45,12 +45,13 @@
     }
 }
 
-/// FNV-1a with a final mix: the same on every build, unlike the standard library's hashers.
+/// Hashes with FNV-1a and a final mix: the result is the same in every build, unlike that of the
+/// standard library's hashers.
 pub(crate) fn hash(bytes: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     let fnv = bytes.iter().fold(OFFSET, |hash, it| (hash ^ u64::from(*it)).wrapping_mul(PRIME));
-    // The low bits of FNV-1a depend on the low bits of the bytes alone.
+    // The low bits of FNV-1a depend only on the low bits of the bytes.
     let mixed = (fnv ^ (fnv >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     mixed ^ (mixed >> 33)
 }
--- a/daisy-workflow/src/spec.rs
+++ b/daisy-workflow/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! The specification of a job, as submitted by a caller.
 
 use std::sync::Arc;
 
@@ -6,67 +6,68 @@
 
 use crate::TaskId;
 
-/// Tasks of one job, all occurrences together, that are taken at most.
+/// The most tasks of one job, over all occurrences.
 ///
-/// A job's progress is one record, rewritten at each change; 20,000 tasks of some 10 bytes stay
-/// below the 256 KiB that the platform takes in a record.
+/// A job's progress is one record, rewritten at each change; 20,000 tasks of about 10 bytes stay
+/// below the platform's limit of 256 KiB for a record.
 const TASKS_MAX: u64 = 20_000;
-/// Bytes of the text that a job hands to its tasks, as the platform's contract sets it.
+/// The most bytes of the text that a job passes to its tasks, set by the platform's contract.
 const TEXT_MAX: usize = 4_000;
 
-/// What makes a submission unusable.
+/// Why a submission is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
-    /// There is nothing to run.
+    /// The job has no steps.
     #[error("a job needs at least one step")]
     NoSteps,
-    /// A step without tasks.
+    /// A step has no tasks.
     #[error("step {0}: count must be at least 1")]
     NoTasks(usize),
-    /// A step that waits for itself or a later one.
+    /// A step depends on itself or a later step.
     #[error("step {0}: depends on step {1}, which is not an earlier step")]
     Dependency(usize, u64),
-    /// More tasks than one job may have.
-    #[error("{0} tasks; at most {TASKS_MAX} are taken")]
+    /// The job has too many tasks.
+    #[error("the job has {0} tasks; at most {TASKS_MAX} are allowed")]
     TooManyTasks(u64),
     /// The text is too long.
-    #[error("the text has {0} bytes; at most {TEXT_MAX} are taken")]
+    #[error("the text has {0} bytes; at most {TEXT_MAX} are allowed")]
     LongText(usize),
-    /// Occurrences without a time between them.
+    /// The job is repeated without an interval between its occurrences.
     #[error("a repeated job needs an interval above 0")]
     NoInterval,
 }
 
-/// The terms of a job's queue when it was submitted; they hold on where the queue is removed.
+/// The terms of a job's queue when it was submitted; they still apply after the queue is removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Terms {
     /// The queue's name.
     pub queue: Arc<str>,
     /// The service whose workers run the tasks.
     pub service: Arc<str>,
-    /// Lower goes first.
+    /// The priority; lower values run first.
     pub priority: i32,
-    /// Runs of a task that may end as failed.
+    /// The most failed runs of a task.
     pub max_attempts: u32,
-    /// The latency objective is this many thousandths of the job's longest chain of work ...
+    /// The part of the latency objective that is proportional to the job's longest chain of work,
+    /// in thousandths of it.
     pub slack_permille: u32,
-    /// ... and this many milliseconds more.
+    /// The constant part of the latency objective, in milliseconds.
     pub target_latency_ms: u32,
 }
 
-/// What decides how a job's tasks are placed.
+/// The kind of a job, which decides how its tasks are placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobKind {
     /// Some of its tasks run until it is cancelled.
     LongRunning,
-    /// Its tasks reserve what they need.
+    /// Its tasks end by themselves and reserve what they need.
     Finite,
-    /// All its tasks use what others leave.
+    /// All its tasks use only what others leave unused.
     BestEffort,
 }
 
 impl JobKind {
-    /// The kind in one word.
+    /// Returns the kind's name in log lines.
     pub fn label(self) -> &'static str {
         match self {
             JobKind::LongRunning => "lasting",
@@ -79,17 +80,17 @@
 /// A job as submitted; it never changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobSpec {
-    /// The queue's terms.
+    /// The terms of the job's queue.
     pub terms: Terms,
-    /// Handed to each task as it is.
+    /// A text that is passed to each task unchanged.
     pub text: Arc<str>,
-    /// When the job was accepted, in milliseconds since 1970 of the accepting VM's clock.
+    /// When the job was accepted, by the accepting VM's clock, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// When the first occurrence is due, in milliseconds since 1970; 0 for at once.
+    /// When the first occurrence is due, in milliseconds since 1970; 0 for immediately.
     pub first_due_ms: u64,
     /// Milliseconds between occurrences.
     pub interval_ms: u64,
-    /// How many times the steps run, at least 1.
+    /// The number of occurrences, that is, how many times the steps run; at least 1.
     pub occurrences: u32,
     /// Whether occurrences are due at set times.
     pub timed: bool,
@@ -97,45 +98,47 @@
     pub steps: Vec<StepSpec>,
 }
 
-/// Tasks that are alike.
+/// A step: a number of tasks with the same specification.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StepSpec {
-    /// Number of tasks.
+    /// The number of tasks.
     pub count: u32,
-    /// What each task takes.
+    /// The resources of each task.
     pub need: Resources,
     /// A rough estimate of a task's duration in milliseconds.
     pub estimate_ms: u32,
     /// Positions of earlier steps that must be done first.
     pub depends_on: Vec<u16>,
-    /// Tasks checkpoint and can be resumed.
+    /// Whether tasks write checkpoints and can be resumed.
     pub checkpoints: bool,
-    /// Tasks work only together.
+    /// Whether the tasks can only run all at the same time.
     pub gang: bool,
-    /// Tasks are slow when they run on more than one rack.
+    /// Whether the tasks are slow when spread over more than one rack.
     pub same_rack: bool,
     /// A label that the worker must have.
     pub required_label: Option<Arc<str>>,
     /// The rack on which the tasks are fast.
     pub data_rack: Option<Arc<str>>,
-    /// At most this many tasks of the step on one worker; 0 for no bound.
+    /// The most tasks of the step on one worker; 0 for no limit.
     pub max_per_worker: u32,
-    /// Several copies of a task may run; the first to finish counts.
+    /// Whether several copies of a task may run; the result of the first to finish is used.
     pub speculative: bool,
-    /// Tasks run until the job is cancelled.
+    /// Whether tasks run until the job is cancelled.
     pub long_running: bool,
-    /// Tasks of one image behave alike.
+    /// The image of the tasks; tasks of the same image behave alike.
     pub image: Option<Arc<str>>,
-    /// Tasks serve callers whose tail latency in milliseconds must stay below this; 0 for none.
+    /// The target for the tail latency of the callers that the tasks serve, in milliseconds; 0 for
+    /// none.
     pub target_ms: u32,
-    /// Tasks use only processor time that the others on the worker leave, and count none.
+    /// Whether tasks reserve no processors and use only what other tasks on the worker leave
+    /// unused.
     pub best_effort: bool,
-    /// This many tasks may be down at one time through the system's own doing.
+    /// The most tasks that the system itself may make unavailable at one time.
     pub max_unavailable: Option<u32>,
 }
 
 impl StepSpec {
-    /// What a task counts against its worker's capacity.
+    /// Returns the resources that a task takes from its worker's capacity.
     pub fn allocation(&self) -> Resources {
         match self.best_effort {
             true => Resources { cpu_milli: 0, ..self.need },
@@ -145,11 +148,12 @@
 }
 
 impl JobSpec {
-    /// The job, if it can be run at all.
+    /// Returns the job if it is valid.
     ///
     /// # Errors
     ///
-    /// If steps are missing, empty or depend on later ones, or the job is too large.
+    /// Fails if steps are missing, empty or depend on later ones, if a repeated job has no
+    /// interval, or if the job is too large.
     pub fn validated(self) -> Result<JobSpec, SpecError> {
         if self.steps.is_empty() {
             return Err(SpecError::NoSteps);
@@ -176,23 +180,23 @@
         Ok(self)
     }
 
-    /// Whether it has a task of this position.
+    /// Returns whether the job has a task at the position that `id` names.
     pub fn has_task(&self, id: TaskId) -> bool {
         let step = self.steps.get(usize::from(id.step));
         id.occurrence < self.occurrences && step.is_some_and(|it| id.index < it.count)
     }
 
-    /// The step of a task, if it has such a step.
+    /// Returns the step of a task, if the job has such a step.
     pub fn step_of(&self, id: TaskId) -> Option<&StepSpec> {
         self.steps.get(usize::from(id.step))
     }
 
-    /// When occurrence `k` is due, in milliseconds since 1970; 0 for at once.
+    /// Returns when occurrence `k` is due, in milliseconds since 1970; 0 for immediately.
     pub fn due_ms(&self, k: u32) -> u64 {
         self.first_due_ms.saturating_add(u64::from(k).saturating_mul(self.interval_ms))
     }
 
-    /// What kind of job it is.
+    /// Returns the kind of the job.
     pub fn kind(&self) -> JobKind {
         match &self.steps[..] {
             steps if steps.iter().any(|it| it.long_running) => JobKind::LongRunning,
@@ -201,7 +205,7 @@
         }
     }
 
-    /// The estimated work of all its tasks, in milliseconds of a core.
+    /// Returns the estimated work of all tasks, in milliseconds of a core.
     pub fn work_ms(&self) -> u64 {
         let work = |it: &StepSpec| {
             u64::from(it.count) * u64::from(it.estimate_ms) * u64::from(it.need.cpu_milli) / 1_000
@@ -209,12 +213,12 @@
         self.steps.iter().map(work).sum::<u64>() * u64::from(self.occurrences)
     }
 
-    /// The estimated length of the longest chain of steps, in milliseconds.
+    /// Returns the estimated duration of the longest chain of steps, in milliseconds.
     pub fn chain_ms(&self) -> u64 {
         self.tails_ms().into_iter().max().unwrap_or_default()
     }
 
-    /// For each step, the estimated time from its start to the job's end, in milliseconds.
+    /// Returns for each step the estimated time from its start to the job's end, in milliseconds.
     pub fn tails_ms(&self) -> Vec<u64> {
         let mut tails: Vec<u64> = self.steps.iter().map(|it| u64::from(it.estimate_ms)).collect();
         for at in (0..self.steps.len()).rev() {
--- a/daisy-workflow/src/transfer.rs
+++ b/daisy-workflow/src/transfer.rs
@@ -1,51 +1,51 @@
-//! Single tasks that change the shard that runs them.
+//! Transfers of single tasks between shards.
 //!
-//! A task that is to run until its job is cancelled may find no room in its shard for as long as
-//! the others there last, while another shard has much. It alone is then handed to that shard. Each
-//! hand-over of a task has a number, one higher than the one before, so that a shard can tell from
-//! its own records, read in any order, whether it runs the task: it does if the newest hop that it
-//! knows of brought the task there.
+//! A long-running task may find no capacity in its shard for as long as the other long-running
+//! tasks there run, while another shard has plenty. That task alone is then transferred to the
+//! other shard. The transfers of a task are numbered, each one higher than the one before, so that
+//! a shard can tell from its own records, read in any order, whether it runs the task: it does if
+//! the newest transfer that it knows of brought the task there.
 
 use crate::{JobSpec, ShardId, TaskState};
 
-/// A hand-over as the shard records it that gives the task away.
+/// A transfer as recorded by the shard that gives the task away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutgoingTransfer {
-    /// Counts the hand-overs of the task, from 1.
+    /// The number of the transfer; a task's transfers are counted from 1.
     pub number: u32,
-    /// The shard that runs the task from then on.
+    /// The shard that runs the task after the transfer.
     pub to: ShardId,
 }
 
-/// A hand-over as the shard reads it that is given the task.
+/// A transfer as read by the shard that receives the task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IncomingTransfer {
-    /// The number of the hop.
+    /// The number of the transfer.
     pub hop: u32,
     /// The task's job.
     pub spec: JobSpec,
-    /// The highest number of a start of the task so far: those that follow are higher.
+    /// The highest run number of the task so far; later runs get higher numbers.
     pub runs: u32,
-    /// Runs that ended as failed.
+    /// The number of failed runs.
     pub failures: u32,
     /// The newest checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// What a shard knows of a task that has changed its shard.
+/// What a shard knows of a task that was transferred.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransferState {
-    /// The number of the newest hop.
+    /// The number of the newest transfer.
     pub hop: u32,
-    /// Where the task was handed to; `None` if it was handed to this shard.
+    /// The shard that the task was transferred to; `None` for this shard.
     pub to: Option<ShardId>,
-    /// The task as it came, if it came here.
+    /// The state of the task on arrival, if it was transferred to this shard.
     pub(crate) received: TaskState,
 }
 
 impl From<OutgoingTransfer> for TransferState {
-    fn from(hop: OutgoingTransfer) -> TransferState {
-        TransferState { hop: hop.number, to: Some(hop.to), received: TaskState::default() }
+    fn from(it: OutgoingTransfer) -> TransferState {
+        TransferState { hop: it.number, to: Some(it.to), received: TaskState::default() }
     }
 }
 
