--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -210,7 +210,7 @@
         let mut batch = Vec::new();
         loop {
             let waits = !self.appending && self.owner.has_batch()
-                || !self.telling_now && self.telling.is_waiting();
+                || !self.telling_now && self.telling.has_pending_states();
             tokio::select! {
                 it = appended.recv() => {
                     if !self.taken(it) {
--- a/daisy-workflow/src/publisher.rs
+++ b/daisy-workflow/src/publisher.rs
@@ -107,7 +107,7 @@
     }
 
     /// Returns whether there are states to be published.
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_pending_states(&self) -> bool {
         !self.pending.is_empty()
     }
 }
--- a/daisy-workflow/tests/telling.rs
+++ b/daisy-workflow/tests/telling.rs
@@ -60,7 +60,7 @@
     let due = telling.try_records(at(30), None);
 
     assert_eq!((early, due), (None, Some(vec![state(JobState::Running)])));
-    assert!(!telling.is_waiting());
+    assert!(!telling.has_pending_states());
 }
 
 #[test]
@@ -70,7 +70,7 @@
     telling.add(ID, JobState::Queued);
     telling.add(ID, JobState::Running);
 
-    assert!(!telling.is_waiting());
+    assert!(!telling.has_pending_states());
 }
 
 /// A job's own shard has told that it waits, and then handed it here. Unless this shard tells of it,
@@ -90,7 +90,7 @@
 
     telling.add(ID, JobState::Running);
 
-    assert!(!telling.is_waiting());
+    assert!(!telling.has_pending_states());
 }
 
 /// An owner that dies before it tells of a job it has handed on leaves one that nobody knows.
