--- a/daisy-workflow/src/election.rs
+++ b/daisy-workflow/src/election.rs
@@ -35,7 +35,7 @@
     process: u64,
     /// How much later than the first candidate this process claims.
     claim_delay: Duration,
-    /// When the time-out for the owner's records was last restarted: a record was read, or the
+    /// When the timeout for the owner's records was last restarted: a record was read, or the
     /// watch began.
     timeout_started_at: Instant,
     /// When the owner's last heartbeat was read, or the watch began.
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -143,7 +143,7 @@
     Progress(JobId),
     /// A task was transferred to this shard.
     Task(TaskId),
-    /// The shard was claimed, or its owner renewed or released its claim.
+    /// The shard was claimed.
     Claim,
     /// Nothing that its reader acts on, as for a record that repeats another.
     Nothing,
@@ -229,7 +229,7 @@
 
     /// Adds a job and applies all its records that were read before its submission.
     fn add_job(&mut self, id: JobId, spec: JobSpec, has_only_received_tasks: bool) {
-        let early = self.early_progress.remove(&id).filter(|it| it.fits(&spec));
+        let early = self.early_progress.remove(&id).filter(|it| it.matches_spec(&spec));
         let mut progress = early.unwrap_or_else(|| Progress::new(&spec));
         progress.has_started |= has_only_received_tasks;
         let cancelled = self.early_cancellations.contains(&id);
@@ -277,7 +277,7 @@
             self.early_progress.insert(id, progress);
             return FoldEffect::Nothing;
         };
-        if !progress.fits(&job.spec) {
+        if !progress.matches_spec(&job.spec) {
             return FoldEffect::Nothing;
         }
         job.progress = progress;
--- a/daisy-workflow/src/log_health.rs
+++ b/daisy-workflow/src/log_health.rs
@@ -144,11 +144,11 @@
         let is_hung = |it: &&Instant| now.since(**it) > hung_after;
         // A log that has answered later reads is responsive.
         let overtaken_after = self.overtaken_after();
-        let overtaken = |it: &&Instant| self.last_read_at > **it + overtaken_after;
-        let others = || self.in_flight.iter().filter(|it| !overtaken(it));
-        let most = if self.recent_append_time > SLOW_APPEND { 1 } else { IN_FLIGHT_MAX };
-        if others().any(|it| is_hung(&it))
-            || others().count() >= most
+        let is_overtaken = |it: &&Instant| self.last_read_at > **it + overtaken_after;
+        let not_overtaken = || self.in_flight.iter().filter(|it| !is_overtaken(it));
+        let in_flight_max = if self.recent_append_time > SLOW_APPEND { 1 } else { IN_FLIGHT_MAX };
+        if not_overtaken().any(|it| is_hung(&it))
+            || not_overtaken().count() >= in_flight_max
             || self.in_flight.len() >= IN_FLIGHT_WITH_OVERTAKEN_MAX
         {
             return SendDecision::Wait;
@@ -171,22 +171,23 @@
     pub fn try_probe(&self, now: Instant) -> Option<Duration> {
         let after = self.overtaken_after();
         let is_hung = |it: &Instant| now.since(*it) >= after && self.last_read_at <= *it + after;
-        let unsure = self.has_unconfirmed_append()
+        let is_uncertain = self.has_unconfirmed_append()
             || self.may_be_unresponsive(now)
             || self.in_flight.iter().any(is_hung);
         let due = self.probes.is_none_or(|it| now.since(it.last) >= PROBE_INTERVAL);
-        (unsure && due).then_some(PROBE_TIMEOUT)
+        (is_uncertain && due).then_some(PROBE_TIMEOUT)
     }
 
-    /// Returns whether an append went unanswered and no read was answered since.
+    /// Returns whether an append went unanswered and nothing was answered since.
     pub fn has_unconfirmed_append(&self) -> bool {
         self.unanswered.is_some_and(|it| self.last_read_at <= it.last)
     }
 
     /// Returns whether the log is unresponsive, so that waiting for it is of no use.
     pub fn is_unresponsive(&self, now: Instant) -> bool {
-        let probes = self.probes.is_some_and(|it| now.since(it.first) >= PROBE_TIMEOUT);
-        probes || self.unanswered.is_some_and(|it| it.is_unresponsive(now, self.last_read_at))
+        let probe_unanswered = self.probes.is_some_and(|it| now.since(it.first) >= PROBE_TIMEOUT);
+        probe_unanswered
+            || self.unanswered.is_some_and(|it| it.is_unresponsive(now, self.last_read_at))
     }
 
     /// Returns whether the log may be unresponsive, as nothing was answered for a while.
@@ -207,8 +208,8 @@
 
 impl Unanswered {
     fn is_unresponsive(&self, now: Instant, last_read_at: Instant) -> bool {
-        let deaf = self.overtaken >= UNANSWERED_WHILE_READABLE_MIN
+        let ignores_appends = self.overtaken >= UNANSWERED_WHILE_READABLE_MIN
             && now.since(self.last) < APPEND_PROBE_INTERVAL * 2;
-        deaf || last_read_at <= self.last && now.since(self.first) >= UNRESPONSIVE_AFTER
+        ignores_appends || last_read_at <= self.last && now.since(self.first) >= UNRESPONSIVE_AFTER
     }
 }
--- a/daisy-workflow/src/progress.rs
+++ b/daisy-workflow/src/progress.rs
@@ -82,9 +82,9 @@
         steps.get_mut(usize::from(id.step))?.get_mut(id.index as usize)
     }
 
-    /// Returns whether this has the steps and tasks of `spec`; otherwise it can't be used for that
-    /// job.
-    pub fn fits(&self, spec: &JobSpec) -> bool {
+    /// Returns whether the job has ended or this has the steps and tasks of `spec`. Otherwise it is
+    /// the progress of another job and says nothing about this one.
+    pub fn matches_spec(&self, spec: &JobSpec) -> bool {
         self.phase != Phase::Active
             || self.occurrences.len() == spec.occurrences as usize
                 && self.occurrences.iter().all(|steps| {
--- a/daisy-workflow/src/publisher.rs
+++ b/daisy-workflow/src/publisher.rs
@@ -53,8 +53,7 @@
 
     /// Returns whether a heartbeat is due.
     pub fn is_heartbeat_due(&self, now: Instant) -> bool {
-        self.last_heartbeat_at
-            .is_none_or(|last_append_at| now.since(last_append_at) >= HEARTBEAT_INTERVAL)
+        self.last_heartbeat_at.is_none_or(|at| now.since(at) >= HEARTBEAT_INTERVAL)
     }
 
     /// Returns the records to append now, if any are due; `heartbeat` is given if one is due.
--- a/daisy-workflow/src/read_timeout.rs
+++ b/daisy-workflow/src/read_timeout.rs
@@ -48,14 +48,14 @@
             self.check_at = now + CHECK_INTERVAL;
             self.answered_calls = answered_calls;
         }
-        let bound =
+        let timeout =
             (TIMEOUT_MIN * 2u32.saturating_pow(self.timed_out_tries)).min(Self::TIMEOUT_MAX);
-        let left = bound.saturating_sub(now.since(self.started_at));
-        if left.is_zero() {
+        let remaining = timeout.saturating_sub(now.since(self.started_at));
+        if remaining.is_zero() {
             self.timed_out_tries += 1;
             return None;
         }
-        Some(left.min(self.check_at.since(now)))
+        Some(remaining.min(self.check_at.since(now)))
     }
 
     /// Returns whether a try was given up because the response took too long, rather than because
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -12,7 +12,8 @@
 
 use self::wire::{
     ClaimWire, FreeBlocksWire, HeartbeatWire, InterferenceSumsWire, JobWire,
-    LearnedInterferenceWire, ProgressWire, TransferWire, WitnessesWire, state_number, state_of,
+    LearnedInterferenceWire, ProgressWire, TransferWire, WitnessesWire, state_from_number,
+    state_to_number,
 };
 use crate::{
     FREE_BLOCKS, IncomingTransfer, JobId, JobSpec, Layout, OutgoingTransfer, OwnerHeartbeat,
@@ -63,7 +64,7 @@
     Cancelled(JobId),
     /// The newest progress of a job.
     Progress(JobId, Progress),
-    /// An owner's claim, renewal or release.
+    /// An owner's claim.
     Claim(Claim),
     /// What the owner has learned about interference between images.
     LearnedInterference(Vec<ImageInterference>),
@@ -81,7 +82,7 @@
     OwnerHeartbeat(Box<OwnerHeartbeat>),
     /// How jobs and workers are divided among shards.
     Layout(Layout),
-    /// What a shard's owner has observed of interference since its last such record.
+    /// What a shard's owner has observed about interference since its last such record.
     Observed(ShardId, Vec<InterferenceSums>),
 }
 
@@ -140,8 +141,8 @@
             (WITNESSES_KEY.to_owned(), encode_framed(WitnessesWire::from(witnesses)))
         }
         Record::Delegated(id, shard) => (format!("delegated-{id}"), encode_framed(shard.0)),
-        Record::TaskTransferredOut(id, hop) => {
-            (format!("handed-{id}"), encode_framed((hop.number, hop.to.0)))
+        Record::TaskTransferredOut(id, transfer) => {
+            (format!("handed-{id}"), encode_framed((transfer.number, transfer.to.0)))
         }
         // The log keeps only the newest record of each key, and a transfer may be written again
         // after a later one to the same shard, so each transfer has its own key.
@@ -150,7 +151,7 @@
         }
         Record::State(id, published) => (
             format!("state-{id}"),
-            encode_framed((state_number(published.state), published.shard.0)),
+            encode_framed((state_to_number(published.state), published.shard.0)),
         ),
         Record::OwnerHeartbeat(heartbeat) => (
             format!("sign-{}", heartbeat.shard.0),
@@ -195,7 +196,9 @@
     if kind == "sign" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
         let (wire, rest): (HeartbeatWire, _) = decode_with_rest(value)?;
-        return Ok(Record::OwnerHeartbeat(Box::new(wire.of(shard, free_blocks(rest)?))));
+        return Ok(Record::OwnerHeartbeat(Box::new(
+            wire.into_heartbeat(shard, decode_free_blocks(rest)?),
+        )));
     }
     if kind == "observed" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
@@ -212,7 +215,7 @@
         let (id, hop) = id.rsplit_once('.').ok_or_else(unknown)?;
         let id: TaskId = id.parse().map_err(|_| unknown())?;
         let hop: u32 = hop.parse().map_err(|_| unknown())?;
-        let transfer = decode_framed::<TransferWire>(value)?.of(id, hop)?;
+        let transfer = decode_framed::<TransferWire>(value)?.into_transfer(id, hop)?;
         return Ok(Record::TaskTransferredIn(id, Box::new(transfer)));
     }
     let id: JobId = id.parse().map_err(|_| unknown())?;
@@ -225,7 +228,8 @@
         "delegated" => decode_framed(value).map(|it| Record::Delegated(id, ShardId(it))),
         "state" => {
             let (state, shard) = decode_framed(value)?;
-            let published = PublishedState { state: state_of(state)?, shard: ShardId(shard) };
+            let published =
+                PublishedState { state: state_from_number(state)?, shard: ShardId(shard) };
             Ok(Record::State(id, published))
         }
         "progress" => {
@@ -237,10 +241,10 @@
 }
 
 fn encode_framed<T: Encode>(value: T) -> Vec<u8> {
-    let mut buf = vec![VERSION];
+    let mut bytes = vec![VERSION];
     // Encoding into memory can't fail for the types used here.
-    buf.extend(bincode::encode_to_vec(value, config::standard()).unwrap_or_default());
-    buf
+    bytes.extend(bincode::encode_to_vec(value, config::standard()).unwrap_or_default());
+    bytes
 }
 
 fn decode_framed<T: Decode<()>>(bytes: &[u8]) -> Result<T, RecordError> {
@@ -264,7 +268,7 @@
 
 /// Decodes the free blocks at the end of a heartbeat. Older builds wrote nothing there, or one
 /// number for each block.
-fn free_blocks(bytes: &[u8]) -> Result<FreeBlocksWire, RecordError> {
+fn decode_free_blocks(bytes: &[u8]) -> Result<FreeBlocksWire, RecordError> {
     let older =
         bytes.is_empty() || matches!(decode_unframed::<[u32; FREE_BLOCKS]>(bytes), Ok((_, [])));
     match older {
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -62,20 +62,24 @@
         };
         let mut sums = Vec::with_capacity(wire.sums.len());
         for wire_sums in wire.sums {
-            let finite = wire_sums.loss_sums.iter().all(|(_, it)| it.is_finite())
+            let all_finite = wire_sums.loss_sums.iter().all(|(_, it)| it.is_finite())
                 && wire_sums.share_products.iter().all(|(.., it)| it.is_finite());
-            if !finite {
+            if !all_finite {
                 return Err(RecordError::Malformed("a sum that is not a finite number".to_owned()));
             }
-            let answer = |(a, sum)| Ok((name(a)?, sum));
-            let product = |(a, b, sum)| Ok((name(a)?, name(b)?, sum));
+            let loss_sum = |(a, sum)| Ok((name(a)?, sum));
+            let share_product = |(a, b, sum)| Ok((name(a)?, name(b)?, sum));
             sums.push(InterferenceSums {
                 serving: name(wire_sums.serving)?,
-                loss_sums: wire_sums.loss_sums.into_iter().map(answer).collect::<Result<_, _>>()?,
+                loss_sums: wire_sums
+                    .loss_sums
+                    .into_iter()
+                    .map(loss_sum)
+                    .collect::<Result<_, _>>()?,
                 share_products: wire_sums
                     .share_products
                     .into_iter()
-                    .map(product)
+                    .map(share_product)
                     .collect::<Result<_, _>>()?,
             });
         }
@@ -83,7 +87,7 @@
     }
 }
 
-pub(super) fn state_number(state: JobState) -> u8 {
+pub(super) fn state_to_number(state: JobState) -> u8 {
     match state {
         JobState::Queued => 0,
         JobState::Running => 1,
@@ -93,7 +97,7 @@
     }
 }
 
-pub(super) fn state_of(number: u8) -> Result<JobState, RecordError> {
+pub(super) fn state_from_number(number: u8) -> Result<JobState, RecordError> {
     match number {
         0 => Ok(JobState::Queued),
         1 => Ok(JobState::Running),
@@ -165,7 +169,11 @@
 
 impl HeartbeatWire {
     /// Returns the heartbeat for the shard named by the record's key.
-    pub(super) fn of(self, shard: ShardId, free_blocks: FreeBlocksWire) -> OwnerHeartbeat {
+    pub(super) fn into_heartbeat(
+        self,
+        shard: ShardId,
+        free_blocks: FreeBlocksWire,
+    ) -> OwnerHeartbeat {
         let HeartbeatWire { claim, is_caught_up, pending, load } = self;
         let [capacity, long_running, finite, best_effort] = load;
         let free_blocks = free_blocks.0.map(|[cpu_milli, memory_mib, accelerators]| Resources {
@@ -334,7 +342,11 @@
 
 impl TransferWire {
     /// Returns the transfer for the task and the number in the record's key.
-    pub(super) fn of(self, id: TaskId, hop: u32) -> Result<IncomingTransfer, RecordError> {
+    pub(super) fn into_transfer(
+        self,
+        id: TaskId,
+        hop: u32,
+    ) -> Result<IncomingTransfer, RecordError> {
         let TransferWire { spec, runs, failures, checkpoint } = self;
         let spec = JobSpec::try_from(spec)?;
         if !spec.has_task(id) {
--- a/daisy-workflow/src/shard.rs
+++ b/daisy-workflow/src/shard.rs
@@ -20,8 +20,8 @@
 impl Layout {
     /// Returns the layout for this many workers, with at most `shards_max` shards.
     pub fn for_workers(workers: usize, shards_max: u16) -> Layout {
-        let wanted = u16::try_from(workers.div_ceil(WORKERS_PER_SHARD_MAX)).unwrap_or(u16::MAX);
-        Layout { shards: wanted.clamp(1, shards_max.max(1)) }
+        let needed = u16::try_from(workers.div_ceil(WORKERS_PER_SHARD_MAX)).unwrap_or(u16::MAX);
+        Layout { shards: needed.clamp(1, shards_max.max(1)) }
     }
 
     /// Iterates over all shards.
