--- a/daisy-measure/src/overload/drive.rs
+++ b/daisy-measure/src/overload/drive.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Action, Batch, Claimed, Event, JobId, JobKind, JobState, Layout, Ledger, Owner, Queue, Queues,
-    Record, Rules, Service, Settings, ShardId, Start, TaskId, WorkerKey,
+    Action, Batch, Claimed, Event, JobId, JobKind, JobState, Layout, Ledger, Owner, Queue,
+    QueueConfig, Record, Rules, Service, Settings, ShardId, Start, TaskId, WorkerKey,
 };
 
 use super::{
@@ -251,9 +251,9 @@
         for it in &self.arrivals {
             let id = JobId(it.id);
             let state = self.shards.iter().find_map(|shard| {
-                shard.ledger.job(id).filter(|it| !it.is_part()).map(|it| it.state())
+                shard.ledger.job(id).filter(|it| !it.belongs_to_other_shard()).map(|it| it.state())
             });
-            if it.spec.kind() != JobKind::Lasting && it.at >= Instant::from_millis(LEAD_MS) {
+            if it.spec.kind() != JobKind::LongRunning && it.at >= Instant::from_millis(LEAD_MS) {
                 self.report.add_job(it, state == Some(JobState::Completed));
             }
         }
@@ -300,7 +300,7 @@
     Resources { cpu_milli, memory_mib, accelerators: 0 }
 }
 
-fn queues() -> Arc<Queues> {
-    let services = vec![Service { name: "shop".into(), workers_guard: false, connections: 64 }];
-    Arc::new(Queues { version: 1, queues: Vec::<Queue>::new(), services, body_bytes: 1 << 18 })
+fn queues() -> Arc<QueueConfig> {
+    let services = vec![Service { name: "shop".into(), admission_control: false, connections: 64 }];
+    Arc::new(QueueConfig { version: 1, queues: Vec::<Queue>::new(), services, body_bytes: 1 << 18 })
 }
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -1,33 +1,33 @@
-//! The fold of all records: what every entry VM knows.
+//! The state folded from the records of one shard.
 
 use std::sync::Arc;
 
 use daisy_model::SortedMap;
 
 use crate::{
-    Claim, Disturbance, Handover, Hop, JobId, JobSpec, Moved, Phase, Progress, Record, ShardId,
-    TaskId, Witnesses,
+    Claim, ImageInterference, IncomingTransfer, JobId, JobSpec, OutgoingTransfer, Phase, Progress,
+    Record, ShardId, TaskId, TransferState, Witnesses,
 };
 
-/// A job as the records tell it.
+/// A job as folded from the records.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// As submitted.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// As the owner last recorded it.
+    /// The progress that the owner last recorded.
     pub progress: Progress,
     /// Whether a caller cancelled it.
     pub cancelled: bool,
-    /// The shard that it was handed to, which runs it.
+    /// The shard that the job was delegated to, which runs it.
     pub delegated: Option<ShardId>,
-    /// Whether this shard runs nothing of it but the tasks that were handed to it.
-    pub partial: bool,
-    /// Its tasks that have changed their shard.
-    pub moved: SortedMap<TaskId, Moved>,
+    /// Whether this shard knows the job only by tasks that were transferred to it.
+    pub has_only_received_tasks: bool,
+    /// The job's tasks that were transferred between shards.
+    pub transfers: SortedMap<TaskId, TransferState>,
 }
 
-/// The state of a job that callers are told. A later one in this order replaces an earlier one,
-/// never the reverse.
+/// The state of a job as callers see it. A later state in this order replaces an earlier one, never
+/// the reverse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum JobState {
     /// No task was started.
@@ -43,256 +43,259 @@
 }
 
 impl JobState {
-    /// Whether nothing more happens to the job.
+    /// Returns whether the job has ended.
     pub fn is_ended(self) -> bool {
         self >= JobState::Cancelled
     }
 }
 
 impl Job {
-    /// The state that callers are told. An end that was recorded stands, also against a
-    /// cancellation that came later.
+    /// Returns the state that callers see. A recorded end takes precedence over a later
+    /// cancellation.
     pub fn state(&self) -> JobState {
         match self.progress.phase {
             Phase::Completed => JobState::Completed,
             Phase::Failed => JobState::Failed,
             Phase::Active if self.cancelled => JobState::Cancelled,
-            Phase::Active if self.progress.begun => JobState::Running,
+            Phase::Active if self.progress.has_started => JobState::Running,
             Phase::Active => JobState::Queued,
         }
     }
 
-    /// Whether this shard runs nothing of it but the tasks that were handed to it, as another shard
-    /// has the job.
-    pub fn is_part(&self) -> bool {
-        self.partial || self.delegated.is_some()
+    /// Returns whether another shard has the job, so that this one runs only those of its tasks
+    /// that were transferred here.
+    pub fn belongs_to_other_shard(&self) -> bool {
+        self.has_only_received_tasks || self.delegated.is_some()
     }
 
-    /// Whether tasks of it were handed to this shard.
-    pub fn has_tasks_that_came(&self) -> bool {
-        self.moved.iter().any(|(_, it)| it.to.is_none())
+    /// Returns whether tasks of the job were transferred to this shard.
+    pub fn has_received_tasks(&self) -> bool {
+        self.transfers.iter().any(|(_, it)| it.to.is_none())
     }
 
-    /// Gives the whole job, of which nothing has begun, to another shard.
+    /// Delegates the whole job, of which nothing has started, to another shard.
     pub(crate) fn delegate(&mut self, to: ShardId) {
         self.delegated = Some(to);
-        self.settle_tasks();
+        self.update_task_locations();
     }
 
-    /// Takes a change of a task's shard in; whether it is newer than all that was known.
-    pub(crate) fn move_task(&mut self, id: TaskId, moved: Moved) -> bool {
-        let newer = self.moved.get(&id).is_none_or(|it| it.hop < moved.hop);
+    /// Records a transfer of a task and returns whether it is newer than all that were known.
+    pub(crate) fn move_task(&mut self, id: TaskId, transfer: TransferState) -> bool {
+        let newer = self.transfers.get(&id).is_none_or(|it| it.hop < transfer.hop);
         if newer {
-            self.moved.insert(id, moved);
-            self.settle_tasks();
+            self.transfers.insert(id, transfer);
+            self.update_task_locations();
         }
         newer
     }
 
-    /// Makes the states of tasks follow from where they were handed to.
+    /// Updates the states of tasks from their transfers.
     ///
-    /// Progress that was recorded before a task came says nothing of its earlier runs: started by it,
-    /// the task would get the number of a run that another shard has started.
-    fn settle_tasks(&mut self) {
-        let is_part = self.is_part();
-        if !is_part && self.moved.is_empty() {
+    /// Progress that was recorded before a task arrived doesn't include its runs on other shards:
+    /// if the task were started from that progress, its run would get a number that another shard
+    /// has already used.
+    fn update_task_locations(&mut self) {
+        let is_foreign = self.belongs_to_other_shard();
+        if !is_foreign && self.transfers.is_empty() {
             return;
         }
         let tasks = self.progress.occurrences.iter_mut().flatten().flatten();
-        tasks.for_each(|it| it.elsewhere = is_part);
-        for (id, moved) in self.moved.iter() {
+        tasks.for_each(|it| it.on_other_shard = is_foreign);
+        for (id, transfer) in self.transfers.iter() {
             let Some(state) = self.progress.task_mut(*id) else { continue };
-            state.elsewhere = moved.to.is_some();
-            if moved.to.is_none() && state.runs < moved.came.runs {
-                *state = moved.came.clone();
+            state.on_other_shard = transfer.to.is_some();
+            if transfer.to.is_none() && state.runs < transfer.received.runs {
+                *state = transfer.received.clone();
             }
         }
     }
 
-    /// Shards that tasks of this job were handed to by this one.
-    pub fn handed_to(&self) -> Vec<ShardId> {
-        let mut shards: Vec<ShardId> = self.moved.iter().filter_map(|(_, it)| it.to).collect();
+    /// Returns the shards that this shard transferred tasks of the job to.
+    pub fn transferred_to(&self) -> Vec<ShardId> {
+        let mut shards: Vec<ShardId> = self.transfers.iter().filter_map(|(_, it)| it.to).collect();
         shards.sort_unstable();
         shards.dedup();
         shards
     }
 
-    /// The part of the job's estimated work whose tasks have not ended as done, in thousandths.
-    pub fn left_permille(&self) -> u64 {
-        let (mut left, mut all) = (0, 0);
+    /// Returns the share of the job's estimated work in tasks that are not done, in thousandths.
+    pub fn remaining_work_permille(&self) -> u64 {
+        let (mut remaining, mut all) = (0, 0);
         for steps in &self.progress.occurrences {
             for (tasks, step) in steps.iter().zip(&self.spec.steps) {
-                let each = u64::from(step.estimate_ms) * u64::from(step.need.cpu_milli);
-                all += each * tasks.len() as u64;
-                left += each * tasks.iter().filter(|it| !it.done).count() as u64;
+                let task_work = u64::from(step.estimate_ms) * u64::from(step.need.cpu_milli);
+                all += task_work * tasks.len() as u64;
+                remaining += task_work * tasks.iter().filter(|it| !it.done).count() as u64;
             }
         }
-        left * 1_000 / all.max(1)
+        remaining * 1_000 / all.max(1)
     }
 }
 
-/// What a record changed.
+/// The effect of folding a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fold {
-    /// A job that was not known.
+pub enum FoldEffect {
+    /// A job was submitted that was not known.
     Submitted(JobId),
-    /// A job was cancelled that was not.
+    /// A job was cancelled that was not cancelled before.
     Cancelled(JobId),
-    /// A job's progress.
+    /// A job's progress was updated.
     Progress(JobId),
-    /// A task was handed to this shard.
+    /// A task was transferred to this shard.
     Task(TaskId),
-    /// Somebody claimed the workers, or showed that it lives.
+    /// The shard was claimed.
     Claim,
-    /// Nothing, as for a record that repeats another.
+    /// Nothing that its reader acts on, as for a record that repeats another.
     Nothing,
 }
 
-/// All jobs, and who owns the workers.
+/// All jobs of a shard, and who owns its workers.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     jobs: SortedMap<JobId, Job>,
-    /// Cancellations and progress of jobs whose submission was not read yet: the topics are read
-    /// independently of each other.
-    early_cancels: Vec<JobId>,
+    /// Cancellations, progress, delegations and transfers of jobs whose submission was not read
+    /// yet: the topics are read independently of each other.
+    early_cancellations: Vec<JobId>,
     early_progress: SortedMap<JobId, Progress>,
-    early_delegated: SortedMap<JobId, ShardId>,
-    early_hops: SortedMap<TaskId, Hop>,
+    early_delegations: SortedMap<JobId, ShardId>,
+    early_transfers: SortedMap<TaskId, OutgoingTransfer>,
     owner: Option<Claim>,
-    learnt: Vec<Disturbance>,
+    learned_interference: Vec<ImageInterference>,
     witnesses: Witnesses,
 }
 
 impl Ledger {
-    /// Takes one record in. Taking a record twice changes nothing.
-    pub fn fold(&mut self, record: Record) -> Fold {
+    /// Folds one record into the state. Folding a record again changes nothing.
+    pub fn fold(&mut self, record: Record) -> FoldEffect {
         match record {
             Record::Submitted(id, spec) => self.submitted(id, spec),
             Record::Cancelled(id) => self.cancelled(id),
             Record::Progress(id, progress) => self.progress(id, progress),
             Record::Claim(claim) => self.claim(claim),
-            Record::Learnt(pairs) => {
-                self.learnt = pairs;
-                Fold::Nothing
+            Record::LearnedInterference(pairs) => {
+                self.learned_interference = pairs;
+                FoldEffect::Nothing
             }
             Record::Witnesses(witnesses) => {
                 self.witnesses = witnesses;
-                Fold::Nothing
+                FoldEffect::Nothing
             }
             Record::Delegated(id, shard) => {
                 match self.jobs.get_mut(&id) {
                     Some(job) => job.delegate(shard),
-                    None => drop(self.early_delegated.insert(id, shard)),
+                    None => drop(self.early_delegations.insert(id, shard)),
                 }
-                Fold::Nothing
+                FoldEffect::Nothing
             }
-            Record::TaskHandedOn(id, hop) => {
+            Record::TaskTransferredOut(id, transfer) => {
                 match self.jobs.get_mut(&id.job) {
-                    Some(job) => drop(job.move_task(id, hop.into())),
-                    None => self.early_hop(id, hop),
+                    Some(job) => drop(job.move_task(id, transfer.into())),
+                    None => self.add_early_transfer(id, transfer),
                 }
-                Fold::Nothing
-            }
-            Record::TaskSubmitted(id, handover) => self.task_submitted(id, *handover),
-            // For a [`Directory`](crate::Directory).
-            Record::State(..) | Record::Sign(_) | Record::Layout(_) | Record::Observed(..) => {
-                Fold::Nothing
+                FoldEffect::Nothing
             }
+            Record::TaskTransferredIn(id, transfer) => self.task_transferred_in(id, *transfer),
+            // These are folded by a [`Directory`](crate::Directory) or by the owner.
+            Record::State(..)
+            | Record::OwnerHeartbeat(_)
+            | Record::Layout(_)
+            | Record::Observed(..) => FoldEffect::Nothing,
         }
     }
 
-    fn submitted(&mut self, id: JobId, spec: JobSpec) -> Fold {
+    fn submitted(&mut self, id: JobId, spec: JobSpec) -> FoldEffect {
         match self.jobs.get_mut(&id) {
             None => self.add_job(id, spec, false),
-            // A task of it that returned was read first.
-            Some(job) if job.partial => {
-                job.partial = false;
-                job.settle_tasks();
+            // A transfer that returned one of its tasks was read before the submission.
+            Some(job) if job.has_only_received_tasks => {
+                job.has_only_received_tasks = false;
+                job.update_task_locations();
             }
-            Some(_) => return Fold::Nothing,
+            Some(_) => return FoldEffect::Nothing,
         }
-        Fold::Submitted(id)
+        FoldEffect::Submitted(id)
     }
 
-    fn task_submitted(&mut self, id: TaskId, handover: Handover) -> Fold {
+    fn task_transferred_in(&mut self, id: TaskId, transfer: IncomingTransfer) -> FoldEffect {
         if !self.jobs.contains_key(&id.job) {
-            self.add_job(id.job, handover.spec.clone(), true);
+            self.add_job(id.job, transfer.spec.clone(), true);
         }
         let job = self.jobs.get_mut(&id.job);
-        match job.is_some_and(|it| it.move_task(id, handover.into())) {
-            true => Fold::Task(id),
-            false => Fold::Nothing,
+        match job.is_some_and(|it| it.move_task(id, transfer.into())) {
+            true => FoldEffect::Task(id),
+            false => FoldEffect::Nothing,
         }
     }
 
-    /// Adds a job, with all that was read of it before.
-    fn add_job(&mut self, id: JobId, spec: JobSpec, partial: bool) {
-        let early = self.early_progress.remove(&id).filter(|it| it.fits(&spec));
+    /// Adds a job and applies all its records that were read before its submission.
+    fn add_job(&mut self, id: JobId, spec: JobSpec, has_only_received_tasks: bool) {
+        let early = self.early_progress.remove(&id).filter(|it| it.matches_spec(&spec));
         let mut progress = early.unwrap_or_else(|| Progress::new(&spec));
-        progress.begun |= partial;
-        let cancelled = self.early_cancels.contains(&id);
-        self.early_cancels.retain(|it| *it != id);
-        let delegated = self.early_delegated.remove(&id);
+        progress.has_started |= has_only_received_tasks;
+        let cancelled = self.early_cancellations.contains(&id);
+        self.early_cancellations.retain(|it| *it != id);
+        let delegated = self.early_delegations.remove(&id);
         let spec = Arc::new(spec);
-        let moved = SortedMap::new();
-        let mut job = Job { spec, progress, cancelled, delegated, partial, moved };
-        let hops: Vec<(TaskId, Hop)> = self
-            .early_hops
+        let transfers = SortedMap::new();
+        let mut job =
+            Job { spec, progress, cancelled, delegated, has_only_received_tasks, transfers };
+        let early_transfers: Vec<(TaskId, OutgoingTransfer)> = self
+            .early_transfers
             .iter()
             .filter(|(task, _)| task.job == id)
-            .map(|(task, hop)| (*task, *hop))
+            .map(|(task, transfer)| (*task, *transfer))
             .collect();
-        for (task, hop) in hops {
-            self.early_hops.remove(&task);
-            job.move_task(task, hop.into());
+        for (task, transfer) in early_transfers {
+            self.early_transfers.remove(&task);
+            job.move_task(task, transfer.into());
         }
-        job.settle_tasks();
+        job.update_task_locations();
         self.jobs.insert(id, job);
     }
 
-    fn early_hop(&mut self, id: TaskId, hop: Hop) {
-        if self.early_hops.get(&id).is_none_or(|it| it.number < hop.number) {
-            self.early_hops.insert(id, hop);
+    fn add_early_transfer(&mut self, id: TaskId, transfer: OutgoingTransfer) {
+        if self.early_transfers.get(&id).is_none_or(|it| it.number < transfer.number) {
+            self.early_transfers.insert(id, transfer);
         }
     }
 
-    fn cancelled(&mut self, id: JobId) -> Fold {
+    fn cancelled(&mut self, id: JobId) -> FoldEffect {
         let Some(job) = self.jobs.get_mut(&id) else {
-            if !self.early_cancels.contains(&id) {
-                self.early_cancels.push(id);
+            if !self.early_cancellations.contains(&id) {
+                self.early_cancellations.push(id);
             }
-            return Fold::Nothing;
+            return FoldEffect::Nothing;
         };
         if std::mem::replace(&mut job.cancelled, true) {
-            return Fold::Nothing;
+            return FoldEffect::Nothing;
         }
-        Fold::Cancelled(id)
+        FoldEffect::Cancelled(id)
     }
 
-    fn progress(&mut self, id: JobId, progress: Progress) -> Fold {
+    fn progress(&mut self, id: JobId, progress: Progress) -> FoldEffect {
         let Some(job) = self.jobs.get_mut(&id) else {
             self.early_progress.insert(id, progress);
-            return Fold::Nothing;
+            return FoldEffect::Nothing;
         };
-        if !progress.fits(&job.spec) {
-            return Fold::Nothing;
+        if !progress.matches_spec(&job.spec) {
+            return FoldEffect::Nothing;
         }
         job.progress = progress;
-        job.settle_tasks();
-        Fold::Progress(id)
+        job.update_task_locations();
+        FoldEffect::Progress(id)
     }
 
-    fn claim(&mut self, claim: Claim) -> Fold {
+    fn claim(&mut self, claim: Claim) -> FoldEffect {
         self.owner = Some(claim);
-        Fold::Claim
+        FoldEffect::Claim
     }
 
-    /// Forgets a job.
+    /// Removes a job.
     pub fn remove(&mut self, id: JobId) {
         self.jobs.remove(&id);
     }
 
-    /// The job of this id.
+    /// Returns the job with this id.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
@@ -301,27 +304,28 @@
         self.jobs.get_mut(&id)
     }
 
-    /// All jobs.
+    /// Iterates over all jobs.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// The newest claim.
+    /// Returns the newest claim.
     pub fn owner(&self) -> Option<&Claim> {
         self.owner.as_ref()
     }
 
-    /// What the owners have learnt of images that disturb each other.
-    pub fn learnt(&self) -> &[Disturbance] {
-        &self.learnt
+    /// Returns what the owners have learned about interference between images.
+    pub fn learned_interference(&self) -> &[ImageInterference] {
+        &self.learned_interference
     }
 
-    /// The workers that owners have to be answered by while they go without the log.
+    /// Returns the workers that must answer an owner while it operates without the log.
     pub fn witnesses(&self) -> &Witnesses {
         &self.witnesses
     }
 
-    /// By queue, the jobs without a time of which no task was started and that were not cancelled.
+    /// Returns by queue the number of jobs without set times of which no task was started and that
+    /// were neither cancelled nor delegated.
     pub fn pending(&self) -> Vec<(String, u32)> {
         let mut counts: SortedMap<&str, u32> = SortedMap::new();
         let queued =
--- a/daisy-workflow/src/lib.rs
+++ b/daisy-workflow/src/lib.rs
@@ -1,54 +1,56 @@
-//! Jobs made of dependent steps: what they are, what is recorded of them, and who runs what.
+//! Jobs made of dependent steps: their specification, their records, and which VM runs their tasks.
 //!
-//! A caller submits a job: steps of tasks, some of which wait for others. Submissions and
+//! A caller submits a job: steps of tasks, some of which depend on others. Submissions and
 //! cancellations are immutable records that any entry VM may write; progress is written by one
-//! entry VM at a time, the [`Owner`], under an epoch. Every entry VM folds what all need to know into
-//! a [`Directory`], which answers callers; the records of one [shard](Layout) fold into a
-//! [`Ledger`], from which its next owner starts.
+//! entry VM at a time, the [`Owner`], under an epoch. Every entry VM folds the records that all
+//! need into a [`Directory`], from which it answers callers; the records of one [shard](Layout)
+//! fold into a [`Ledger`], from which the shard's next owner starts.
 //!
-//! Nothing here reads a clock, a socket or a file: the present time is an argument, and what is
-//! to be done comes back as [`Action`]s.
+//! Nothing here reads a clock, a socket or a file: the current time is an argument, and what is to
+//! be done is returned as [`Action`]s.
 
 #![deny(missing_docs, unsafe_code)]
 
 mod balance;
 mod directory;
 mod election;
-mod handover;
 mod id;
-mod lateness;
 mod ledger;
+mod log_health;
 mod owner;
-mod patience;
 mod progress;
+mod publisher;
 mod queue;
-mod reach;
+mod reachability;
+mod read_timeout;
 mod record;
 mod shard;
-mod silence;
 mod spec;
-mod telling;
+mod tick_delay;
+mod transfer;
 
 pub use crate::{
-    balance::{Demand, Load, Others, PIECES},
-    directory::{Directory, Heard, Sign, Told},
-    election::{Candidate, Election, Verdict},
-    handover::{Handover, Hop, Moved},
+    balance::{Demand, FREE_BLOCKS, Load, OtherShards},
+    directory::{Directory, OwnerHeartbeat, PublishedState, ReceivedHeartbeat},
+    election::{Candidate, Election, ElectionDecision},
     id::{JobId, ParseIdError, TaskId, WorkerId},
-    lateness::Lateness,
-    ledger::{Fold, Job, JobState, Ledger},
+    ledger::{FoldEffect, Job, JobState, Ledger},
+    log_health::{LogHealth, SendDecision},
     owner::{
         Action, Batch, Claimed, Doubt, Ended, Event, HoldAnswer, Lacks, Listed, Note, OrderReply,
         Outcome, Owner, Packing, Refusal, Rules, Running, Settings, Start, StopCause, Summary,
         Uncertain, WaitCause, Witness, Witnesses, Worker, WorkerKey,
     },
-    patience::Patience,
     progress::{Copy, Phase, Progress, TaskState},
-    queue::{Queue, Queues, Service},
-    reach::Reach,
-    record::{Claim, Disturbance, OWNER_KEY, Observations, Record, RecordError, decode, encode},
+    publisher::StatePublisher,
+    queue::{Queue, QueueConfig, Service},
+    reachability::LogReachability,
+    read_timeout::LargeReadTimeout,
+    record::{
+        Claim, ImageInterference, InterferenceSums, OWNER_KEY, Record, RecordError, decode, encode,
+    },
     shard::{Layout, ShardId},
-    silence::{Silence, Turn},
     spec::{JobKind, JobSpec, SpecError, StepSpec, Terms},
-    telling::Telling,
+    tick_delay::TickDelay,
+    transfer::{IncomingTransfer, OutgoingTransfer, TransferState},
 };
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -48,8 +48,8 @@
     worker::{Worker, WorkerKey},
 };
 use crate::{
-    Job, JobId, JobState, Layout, Ledger, Observations, Others, Phase, Queues, Record, ShardId,
-    TaskId, WorkerId,
+    InterferenceSums, Job, JobId, JobState, Layout, Ledger, OtherShards, Phase, QueueConfig,
+    Record, ShardId, TaskId, WorkerId,
 };
 
 /// Figures of the platform that an owner goes by.
@@ -111,7 +111,7 @@
 pub struct Owner {
     settings: Settings,
     ledger: Ledger,
-    queues: Arc<Queues>,
+    queues: Arc<QueueConfig>,
     workers: Arena<WorkerKey, Worker>,
     by_id: SortedMap<WorkerId, WorkerKey>,
     /// When the platform's list of workers was last read.
@@ -139,7 +139,7 @@
     actions: Vec<Action>,
     /// States of jobs that stand in the log and that callers are to be told.
     states: Vec<(JobId, JobState)>,
-    others: Others,
+    others: OtherShards,
     /// Tasks that are handed on and of which nothing is recorded yet.
     handed: Vec<TaskId>,
     /// Since when tasks that last have found no room here.
@@ -189,11 +189,11 @@
         wall_ms: u64,
         settings: Settings,
         ledger: Ledger,
-        queues: Arc<Queues>,
+        queues: Arc<QueueConfig>,
         claimed: Claimed,
     ) -> Owner {
         let succession = Succession::new(now, claimed, ledger.witnesses());
-        let interference = Interference::inherit(now, ledger.learnt());
+        let interference = Interference::inherit(now, ledger.learned_interference());
         let mut owner = Owner {
             settings,
             ledger,
@@ -215,7 +215,7 @@
             plan_due: true,
             actions: Vec::new(),
             states: Vec::new(),
-            others: Others::default(),
+            others: OtherShards::default(),
             handed: Vec::new(),
             waits_since: SortedMap::new(),
             delegated_at: now,
@@ -226,7 +226,7 @@
             defragmented_at: now,
             typical_cpu: 0,
         };
-        let own = owner.ledger.jobs().filter(|(_, it)| !it.is_part());
+        let own = owner.ledger.jobs().filter(|(_, it)| !it.belongs_to_other_shard());
         owner.states = own.map(|(id, job)| (id, job.state())).collect();
         owner.forward_all();
         owner.forward_all_tasks();
@@ -267,7 +267,7 @@
                 self.listed(now, &listed);
             }
             Event::ListRead => self.list_read_at = now,
-            Event::Queues(queues) => {
+            Event::QueueConfig(queues) => {
                 if queues.version >= self.queues.version {
                     self.queues = queues;
                     self.plan_due = true;
@@ -329,7 +329,7 @@
             let Some(job) = ledger.job(id) else { continue };
             records.push(Record::Progress(id, job.progress.clone()));
             // What a part of a job comes to is no state of the job.
-            if !job.is_part() {
+            if !job.belongs_to_other_shard() {
                 states.push((id, job.state()));
             }
         }
@@ -337,7 +337,7 @@
         records.extend(self.handed_records(&handed));
         if now.since(self.learnt_at) >= LEARNT_EVERY {
             self.learnt_at = now;
-            records.push(Record::Learnt(self.interference.pairs()));
+            records.push(Record::LearnedInterference(self.interference.pairs()));
         }
         records.extend(self.succession.try_record());
         let seen = self.workers.iter().filter(|(_, it)| it.cursor_seen > it.cursor_durable);
@@ -353,7 +353,7 @@
     }
 
     /// What was learnt of images since the last call, for the owners of other shards.
-    pub fn take_observations(&mut self) -> Vec<Observations> {
+    pub fn take_observations(&mut self) -> Vec<InterferenceSums> {
         self.interference.take_observations()
     }
 
@@ -405,7 +405,7 @@
 
 /// Whether this shard runs a job, or tasks of it.
 fn runs_here(job: &Job) -> bool {
-    job.delegated.is_none() || job.has_tasks_that_came()
+    job.delegated.is_none() || job.has_received_tasks()
 }
 
 /// Between records of what was learnt, so that a new owner need not begin anew: about 1 KB each.
@@ -421,20 +421,20 @@
 /// An assignment that begins now.
 fn assignment(
     now: Instant,
-    learnt: &mut Interference,
+    learned_interference: &mut Interference,
     task: TaskId,
     run: u32,
     step: &crate::StepSpec,
 ) -> Assignment {
     let image = match (&step.image, step.target_ms) {
         (None, _) => None,
-        (Some(it), 0) => Some(learnt.best_effort_key(it)),
-        (Some(it), _) => Some(learnt.serving_key(now, it)),
+        (Some(it), 0) => Some(learned_interference.best_effort_key(it)),
+        (Some(it), _) => Some(learned_interference.serving_key(now, it)),
     };
     Assignment {
         task,
         run,
-        counted: step.counted(),
+        allocation: step.allocation(),
         best_effort_cpu: if step.best_effort { step.need.cpu_milli } else { 0 },
         image,
         target_ms: step.target_ms,
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -1,8 +1,8 @@
-//! Records of the platform's log: bincode behind one byte of version.
+//! Records of the platform's log: a version byte followed by bincode.
 //!
-//! Builds of several ages read each other's records while a fleet is updated. A field that older
-//! builds may pass over is added at the end of its record's form, where they ignore it. A record
-//! that they must not misread gets a higher version, which they refuse.
+//! Different builds read each other's records while a fleet is updated. A field that older builds
+//! may ignore is added at the end of its record's encoding, where they skip it. A record that they
+//! must not misread gets a higher version, which they reject.
 
 mod wire;
 
@@ -11,173 +11,183 @@
 use bincode::{Decode, Encode, config};
 
 use self::wire::{
-    ClaimWire, HandoverWire, JobWire, LearntWire, ObservedWire, PiecesWire, ProgressWire, SignWire,
-    WitnessesWire, state_number, state_of,
+    ClaimWire, FreeBlocksWire, HeartbeatWire, InterferenceSumsWire, JobWire,
+    LearnedInterferenceWire, ProgressWire, TransferWire, WitnessesWire, state_from_number,
+    state_to_number,
 };
 use crate::{
-    Handover, Hop, JobId, JobSpec, Layout, PIECES, Progress, ShardId, Sign, TaskId, Told, Witnesses,
+    FREE_BLOCKS, IncomingTransfer, JobId, JobSpec, Layout, OutgoingTransfer, OwnerHeartbeat,
+    Progress, PublishedState, ShardId, TaskId, Witnesses,
 };
 
-/// The version that this build writes, and the newest that it reads.
+/// The version that this build writes, and the highest that it reads.
 const VERSION: u8 = 1;
 /// The key of the newest [`Claim`].
 pub const OWNER_KEY: &str = "owner";
-/// The key of what the owner has learnt.
-const LEARNT_KEY: &str = "learnt";
+/// The key of what the owner has learned about interference.
+const INTERFERENCE_KEY: &str = "learnt";
 /// The key of an owner's witnesses.
 const WITNESSES_KEY: &str = "witnesses";
 /// The key of the layout of shards.
 const LAYOUT_KEY: &str = "layout";
 
-/// Who owns the workers, from this record's offset on.
+/// A claim to own a shard's workers, in effect from this record's offset on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
     /// The claiming VM's name.
     pub vm: String,
-    /// Drawn at random at each start of a process.
+    /// The process's id, drawn at random at each start.
     pub process: u64,
-    /// The fencing token: higher than all before.
+    /// The fencing token, higher than those of all earlier claims.
     pub epoch: u64,
-    /// The owner gives its workers up: anybody may claim at once.
+    /// Whether the owner releases its workers, so that any VM may claim them at once.
     pub released: bool,
-    /// No owner before this one can renew anything any more.
-    pub settled: bool,
+    /// Whether no earlier owner can renew anything any more.
+    pub predecessors_expired: bool,
 }
 
 impl Claim {
-    /// The claim at `offset` of a shard's log whose record cannot be read: an owner of unknown name
-    /// and of which nothing else may be assumed.
+    /// Returns the claim for an unreadable record at `offset` of a shard's log: its owner's name is
+    /// unknown, and nothing else may be assumed about it.
     pub fn unreadable(offset: u64) -> Claim {
         let epoch = offset + 1;
-        Claim { vm: String::new(), process: 0, epoch, released: false, settled: false }
+        Claim { vm: String::new(), process: 0, epoch, released: false, predecessors_expired: false }
     }
 }
 
-/// What a record says.
+/// A record of the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
     /// A caller submitted a job.
     Submitted(JobId, JobSpec),
     /// A caller cancelled a job.
     Cancelled(JobId),
-    /// The owner's newest state of a job.
+    /// The newest progress of a job.
     Progress(JobId, Progress),
-    /// An owner's claim or sign of life.
+    /// An owner's claim.
     Claim(Claim),
-    /// What the owner has learnt of images that disturb each other.
-    Learnt(Vec<Disturbance>),
-    /// The workers that a shard's owners have to be answered by while they go without the log.
+    /// What the owner has learned about interference between images.
+    LearnedInterference(Vec<ImageInterference>),
+    /// The workers that must answer a shard's owners while these operate without the log.
     Witnesses(Witnesses),
-    /// The owner of a job's own shard has handed it to another one.
+    /// The owner of a job's own shard has delegated the job to another shard.
     Delegated(JobId, ShardId),
-    /// A shard has handed a task to another one.
-    TaskHandedOn(TaskId, Hop),
-    /// A task is handed to this shard by another one.
-    TaskSubmitted(TaskId, Box<Handover>),
-    /// The state of a job that callers are told.
-    State(JobId, Told),
-    /// A sign of life of a shard's owner.
-    Sign(Box<Sign>),
+    /// A shard has transferred a task to another shard.
+    TaskTransferredOut(TaskId, OutgoingTransfer),
+    /// Another shard has transferred a task to this shard.
+    TaskTransferredIn(TaskId, Box<IncomingTransfer>),
+    /// The state of a job as callers see it.
+    State(JobId, PublishedState),
+    /// A heartbeat of a shard's owner.
+    OwnerHeartbeat(Box<OwnerHeartbeat>),
     /// How jobs and workers are divided among shards.
     Layout(Layout),
-    /// What a shard's owner has learnt since its last such record.
-    Observed(ShardId, Vec<Observations>),
+    /// What a shard's owner has observed about interference since its last such record.
+    Observed(ShardId, Vec<InterferenceSums>),
 }
 
-/// How much best-effort tasks of one image take from serving tasks of another.
+/// How much best-effort tasks of one image interfere with serving tasks of another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Disturbance {
+pub struct ImageInterference {
     /// The image of the serving tasks.
     pub serving: Arc<str>,
     /// The image of the best-effort tasks.
     pub best_effort: Arc<str>,
-    /// Thousandths of the headroom (target by tail latency) that are lost if best-effort tasks
-    /// use all of a worker's processors.
+    /// The headroom (target divided by tail latency) that is lost if best-effort tasks use all of a
+    /// worker's processors, in thousandths.
     pub permille: u32,
 }
 
-/// What an owner has learnt of a serving image's neighbours within a second or so: weighted sums
-/// that those of other owners can be added to.
+/// What an owner has observed within about a second of the best-effort tasks beside a serving
+/// image: weighted sums, to which those of other owners can be added.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Observations {
+pub struct InterferenceSums {
     /// The image of the serving tasks.
     pub serving: Arc<str>,
-    /// By image of best-effort tasks, share of a worker's processors times headroom lost.
-    pub answers: Vec<(Arc<str>, f32)>,
-    /// By two of them, share times share.
-    pub products: Vec<(Arc<str>, Arc<str>, f32)>,
+    /// By image of best-effort tasks, the sum of the share of a worker's processors times the
+    /// headroom lost.
+    pub loss_sums: Vec<(Arc<str>, f32)>,
+    /// By pair of such images, the sum of share times share.
+    pub share_products: Vec<(Arc<str>, Arc<str>, f32)>,
 }
 
-/// Why a record says nothing that can be used.
+/// Why a record can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The key has no known form.
-    #[error("key {0:?} is not known")]
+    /// The key has an unknown format.
+    #[error("unknown record key {0:?}")]
     Key(String),
-    /// The record comes from a newer build.
+    /// The record has a newer version than this build reads.
     #[error("version {0} is newer than {VERSION}")]
     Version(u8),
-    /// The bytes do not decode.
+    /// The value can't be decoded.
     #[error("malformed: {0}")]
     Malformed(String),
 }
 
-/// The key and the value of a record.
+/// Returns the key and the value of a record.
 pub fn encode(record: &Record) -> (String, Vec<u8>) {
     match record {
-        Record::Submitted(id, spec) => (format!("job-{id}"), framed(JobWire::from(spec))),
-        Record::Cancelled(id) => (format!("cancel-{id}"), framed(())),
+        Record::Submitted(id, spec) => (format!("job-{id}"), encode_framed(JobWire::from(spec))),
+        Record::Cancelled(id) => (format!("cancel-{id}"), encode_framed(())),
         Record::Progress(id, progress) => {
-            (format!("progress-{id}"), framed(ProgressWire::from(progress)))
+            (format!("progress-{id}"), encode_framed(ProgressWire::from(progress)))
+        }
+        Record::Claim(claim) => (OWNER_KEY.to_owned(), encode_framed(ClaimWire::from(claim))),
+        Record::LearnedInterference(pairs) => {
+            (INTERFERENCE_KEY.to_owned(), encode_framed(LearnedInterferenceWire::from(&pairs[..])))
         }
-        Record::Claim(claim) => (OWNER_KEY.to_owned(), framed(ClaimWire::from(claim))),
-        Record::Learnt(pairs) => (LEARNT_KEY.to_owned(), framed(LearntWire::from(&pairs[..]))),
         Record::Witnesses(witnesses) => {
-            (WITNESSES_KEY.to_owned(), framed(WitnessesWire::from(witnesses)))
+            (WITNESSES_KEY.to_owned(), encode_framed(WitnessesWire::from(witnesses)))
         }
-        Record::Delegated(id, shard) => (format!("delegated-{id}"), framed(shard.0)),
-        Record::TaskHandedOn(id, hop) => (format!("handed-{id}"), framed((hop.number, hop.to.0))),
-        // The log keeps the newest record of a key alone, and a hop may be written again after a
-        // later one to the same shard: each has a key of its own.
-        Record::TaskSubmitted(id, it) => {
-            (format!("task-{id}.{}", it.hop), framed(HandoverWire::from(&**it)))
+        Record::Delegated(id, shard) => (format!("delegated-{id}"), encode_framed(shard.0)),
+        Record::TaskTransferredOut(id, transfer) => {
+            (format!("handed-{id}"), encode_framed((transfer.number, transfer.to.0)))
         }
-        Record::State(id, told) => {
-            (format!("state-{id}"), framed((state_number(told.state), told.shard.0)))
+        // The log keeps only the newest record of each key, and a transfer may be written again
+        // after a later one to the same shard, so each transfer has its own key.
+        Record::TaskTransferredIn(id, it) => {
+            (format!("task-{id}.{}", it.hop), encode_framed(TransferWire::from(&**it)))
         }
-        Record::Sign(sign) => (
-            format!("sign-{}", sign.shard.0),
-            framed((SignWire::from(&**sign), PiecesWire::from(&**sign))),
+        Record::State(id, published) => (
+            format!("state-{id}"),
+            encode_framed((state_to_number(published.state), published.shard.0)),
+        ),
+        Record::OwnerHeartbeat(heartbeat) => (
+            format!("sign-{}", heartbeat.shard.0),
+            encode_framed((HeartbeatWire::from(&**heartbeat), FreeBlocksWire::from(&**heartbeat))),
         ),
-        Record::Observed(shard, seen) => {
-            (format!("observed-{}", shard.0), framed(ObservedWire::from(&seen[..])))
+        Record::Observed(shard, sums) => {
+            (format!("observed-{}", shard.0), encode_framed(InterferenceSumsWire::from(&sums[..])))
         }
-        Record::Layout(layout) => (LAYOUT_KEY.to_owned(), framed(layout.shards)),
+        Record::Layout(layout) => (LAYOUT_KEY.to_owned(), encode_framed(layout.shards)),
     }
 }
 
-/// What the record under `key` says.
+/// Decodes the record with this key and value.
 ///
 /// # Errors
 ///
-/// If the key or the bytes are not of this build's making.
+/// Fails if the key is unknown, the version is newer, or the value is malformed.
 pub fn decode(key: &str, value: &[u8]) -> Result<Record, RecordError> {
-    // Comes first, as an unknown kind of record may be one that must not be passed over.
+    // The version is checked first, as an unknown kind of record may be one that must not be
+    // skipped.
     if let Some(newer) = value.first().filter(|it| **it > VERSION) {
         return Err(RecordError::Version(*newer));
     }
     if key == OWNER_KEY {
-        return unframed::<ClaimWire>(value).map(|it| Record::Claim(it.into()));
+        return decode_framed::<ClaimWire>(value).map(|it| Record::Claim(it.into()));
     }
-    if key == LEARNT_KEY {
-        return unframed::<LearntWire>(value).map(|it| Record::Learnt(it.into()));
+    if key == INTERFERENCE_KEY {
+        return decode_framed::<LearnedInterferenceWire>(value)
+            .map(|it| Record::LearnedInterference(it.into()));
     }
     if key == WITNESSES_KEY {
-        return unframed::<WitnessesWire>(value).map(|it| Record::Witnesses(it.into()));
+        return decode_framed::<WitnessesWire>(value).map(|it| Record::Witnesses(it.into()));
     }
     if key == LAYOUT_KEY {
-        return match unframed(value)? {
-            0 => Err(RecordError::Malformed("no shards".to_owned())),
+        return match decode_framed(value)? {
+            0 => Err(RecordError::Malformed("layout without shards".to_owned())),
             shards => Ok(Record::Layout(Layout { shards })),
         };
     }
@@ -185,78 +195,84 @@
     let (kind, id) = key.split_once('-').ok_or_else(unknown)?;
     if kind == "sign" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
-        let (wire, rest): (SignWire, _) = parted(value)?;
-        return Ok(Record::Sign(Box::new(wire.of(shard, pieces(rest)?))));
+        let (wire, rest): (HeartbeatWire, _) = decode_with_rest(value)?;
+        return Ok(Record::OwnerHeartbeat(Box::new(
+            wire.into_heartbeat(shard, decode_free_blocks(rest)?),
+        )));
     }
     if kind == "observed" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
-        let wire: ObservedWire = unframed(value)?;
+        let wire: InterferenceSumsWire = decode_framed(value)?;
         return Ok(Record::Observed(shard, wire.try_into()?));
     }
     if kind == "handed" {
         let id: TaskId = id.parse().map_err(|_| unknown())?;
-        return unframed(value)
-            .map(|(number, to)| Record::TaskHandedOn(id, Hop { number, to: ShardId(to) }));
+        return decode_framed(value).map(|(number, to)| {
+            Record::TaskTransferredOut(id, OutgoingTransfer { number, to: ShardId(to) })
+        });
     }
     if kind == "task" {
         let (id, hop) = id.rsplit_once('.').ok_or_else(unknown)?;
         let id: TaskId = id.parse().map_err(|_| unknown())?;
         let hop: u32 = hop.parse().map_err(|_| unknown())?;
-        let handover = unframed::<HandoverWire>(value)?.of(id, hop)?;
-        return Ok(Record::TaskSubmitted(id, Box::new(handover)));
+        let transfer = decode_framed::<TransferWire>(value)?.into_transfer(id, hop)?;
+        return Ok(Record::TaskTransferredIn(id, Box::new(transfer)));
     }
     let id: JobId = id.parse().map_err(|_| unknown())?;
     match kind {
         "job" => {
-            let wire: JobWire = unframed(value)?;
+            let wire: JobWire = decode_framed(value)?;
             Ok(Record::Submitted(id, wire.try_into()?))
         }
-        "cancel" => unframed(value).map(|()| Record::Cancelled(id)),
-        "delegated" => unframed(value).map(|it| Record::Delegated(id, ShardId(it))),
+        "cancel" => decode_framed(value).map(|()| Record::Cancelled(id)),
+        "delegated" => decode_framed(value).map(|it| Record::Delegated(id, ShardId(it))),
         "state" => {
-            let (state, shard) = unframed(value)?;
-            let told = Told { state: state_of(state)?, shard: ShardId(shard) };
-            Ok(Record::State(id, told))
+            let (state, shard) = decode_framed(value)?;
+            let published =
+                PublishedState { state: state_from_number(state)?, shard: ShardId(shard) };
+            Ok(Record::State(id, published))
         }
         "progress" => {
-            let wire: ProgressWire = unframed(value)?;
+            let wire: ProgressWire = decode_framed(value)?;
             Ok(Record::Progress(id, wire.try_into()?))
         }
         _ => Err(unknown()),
     }
 }
 
-fn framed<T: Encode>(value: T) -> Vec<u8> {
-    let mut buf = vec![VERSION];
-    // Encoding into memory fails for no type that is used here.
-    buf.extend(bincode::encode_to_vec(value, config::standard()).unwrap_or_default());
-    buf
+fn encode_framed<T: Encode>(value: T) -> Vec<u8> {
+    let mut bytes = vec![VERSION];
+    // Encoding into memory can't fail for the types used here.
+    bytes.extend(bincode::encode_to_vec(value, config::standard()).unwrap_or_default());
+    bytes
 }
 
-fn unframed<T: Decode<()>>(bytes: &[u8]) -> Result<T, RecordError> {
-    parted(bytes).map(|(value, _)| value)
+fn decode_framed<T: Decode<()>>(bytes: &[u8]) -> Result<T, RecordError> {
+    decode_with_rest(bytes).map(|(value, _)| value)
 }
 
-/// The value and the bytes after it.
-fn parted<T: Decode<()>>(bytes: &[u8]) -> Result<(T, &[u8]), RecordError> {
+/// Decodes the value after the version byte and returns it with the bytes after it.
+fn decode_with_rest<T: Decode<()>>(bytes: &[u8]) -> Result<(T, &[u8]), RecordError> {
     let (_, body) =
-        bytes.split_first().ok_or_else(|| RecordError::Malformed("empty".to_owned()))?;
-    unpacked(body)
+        bytes.split_first().ok_or_else(|| RecordError::Malformed("empty value".to_owned()))?;
+    decode_unframed(body)
 }
 
-fn unpacked<T: Decode<()>>(body: &[u8]) -> Result<(T, &[u8]), RecordError> {
-    // The limit keeps a corrupt length from allocating memory.
+fn decode_unframed<T: Decode<()>>(body: &[u8]) -> Result<(T, &[u8]), RecordError> {
+    // The limit prevents a corrupt length from causing a large allocation.
     let cfg = config::standard().with_limit::<{ 4 << 20 }>();
     let (value, len) =
         bincode::decode_from_slice(body, cfg).map_err(|e| RecordError::Malformed(e.to_string()))?;
     Ok((value, &body[len..]))
 }
 
-/// The end of a sign of life. Older builds wrote nothing there, or a number for each piece.
-fn pieces(bytes: &[u8]) -> Result<PiecesWire, RecordError> {
-    let older = bytes.is_empty() || matches!(unpacked::<[u32; PIECES]>(bytes), Ok((_, [])));
+/// Decodes the free blocks at the end of a heartbeat. Older builds wrote nothing there, or one
+/// number for each block.
+fn decode_free_blocks(bytes: &[u8]) -> Result<FreeBlocksWire, RecordError> {
+    let older =
+        bytes.is_empty() || matches!(decode_unframed::<[u32; FREE_BLOCKS]>(bytes), Ok((_, [])));
     match older {
-        true => Ok(PiecesWire::default()),
-        false => unpacked(bytes).map(|(pieces, _)| pieces),
+        true => Ok(FreeBlocksWire::default()),
+        false => decode_unframed(bytes).map(|(free_blocks, _)| free_blocks),
     }
 }
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -1,32 +1,32 @@
-//! The forms of records that go over the wire.
+//! The encodings of records.
 
 use std::sync::Arc;
 
 use bincode::{Decode, Encode};
 use daisy_model::Resources;
 
-use super::{Claim, Disturbance, Observations, RecordError};
+use super::{Claim, ImageInterference, InterferenceSums, RecordError};
 use crate::{
-    Copy, Handover, JobSpec, JobState, Load, PIECES, Phase, Progress, ShardId, Sign, StepSpec,
-    TaskId, TaskState, Terms, Witness, Witnesses,
+    Copy, FREE_BLOCKS, IncomingTransfer, JobSpec, JobState, Load, OwnerHeartbeat, Phase, Progress,
+    ShardId, StepSpec, TaskId, TaskState, Terms, Witness, Witnesses,
 };
 
-/// Images by their position in `images`, so that each pair needs numbers only.
+/// Names images by their position in `images`, so that each pair needs only numbers.
 #[derive(Debug, Encode, Decode)]
-pub(super) struct ObservedWire {
+pub(super) struct InterferenceSumsWire {
     images: Vec<String>,
-    fits: Vec<FitWire>,
+    sums: Vec<ImageSumsWire>,
 }
 
 #[derive(Debug, Encode, Decode)]
-struct FitWire {
+struct ImageSumsWire {
     serving: u16,
-    answers: Vec<(u16, f32)>,
-    products: Vec<(u16, u16, f32)>,
+    loss_sums: Vec<(u16, f32)>,
+    share_products: Vec<(u16, u16, f32)>,
 }
 
-impl From<&[Observations]> for ObservedWire {
-    fn from(seen: &[Observations]) -> ObservedWire {
+impl From<&[InterferenceSums]> for InterferenceSumsWire {
+    fn from(observed: &[InterferenceSums]) -> InterferenceSumsWire {
         let mut images: Vec<String> = Vec::new();
         let mut number = |name: &Arc<str>| match images.iter().position(|it| **it == **name) {
             Some(at) => at as u16,
@@ -35,51 +35,59 @@
                 (images.len() - 1) as u16
             }
         };
-        let mut fits = Vec::with_capacity(seen.len());
-        for it in seen {
-            fits.push(FitWire {
+        let mut sums = Vec::with_capacity(observed.len());
+        for it in observed {
+            sums.push(ImageSumsWire {
                 serving: number(&it.serving),
-                answers: it.answers.iter().map(|(a, sum)| (number(a), *sum)).collect(),
-                products: it
-                    .products
+                loss_sums: it.loss_sums.iter().map(|(a, sum)| (number(a), *sum)).collect(),
+                share_products: it
+                    .share_products
                     .iter()
                     .map(|(a, b, sum)| (number(a), number(b), *sum))
                     .collect(),
             });
         }
-        ObservedWire { images, fits }
+        InterferenceSumsWire { images, sums }
     }
 }
 
-impl TryFrom<ObservedWire> for Vec<Observations> {
+impl TryFrom<InterferenceSumsWire> for Vec<InterferenceSums> {
     type Error = RecordError;
 
-    fn try_from(wire: ObservedWire) -> Result<Vec<Observations>, RecordError> {
+    fn try_from(wire: InterferenceSumsWire) -> Result<Vec<InterferenceSums>, RecordError> {
         let images: Vec<Arc<str>> = wire.images.into_iter().map(Into::into).collect();
         let name = |at: u16| {
             let image = images.get(usize::from(at)).cloned();
-            image.ok_or_else(|| RecordError::Malformed(format!("image {at}")))
+            image.ok_or_else(|| RecordError::Malformed(format!("unknown image number {at}")))
         };
-        let mut seen = Vec::with_capacity(wire.fits.len());
-        for fit in wire.fits {
-            let finite = fit.answers.iter().all(|(_, it)| it.is_finite())
-                && fit.products.iter().all(|(.., it)| it.is_finite());
-            if !finite {
-                return Err(RecordError::Malformed("a sum that is no number".to_owned()));
+        let mut sums = Vec::with_capacity(wire.sums.len());
+        for wire_sums in wire.sums {
+            let all_finite = wire_sums.loss_sums.iter().all(|(_, it)| it.is_finite())
+                && wire_sums.share_products.iter().all(|(.., it)| it.is_finite());
+            if !all_finite {
+                return Err(RecordError::Malformed("a sum that is not a finite number".to_owned()));
             }
-            let answer = |(a, sum)| Ok((name(a)?, sum));
-            let product = |(a, b, sum)| Ok((name(a)?, name(b)?, sum));
-            seen.push(Observations {
-                serving: name(fit.serving)?,
-                answers: fit.answers.into_iter().map(answer).collect::<Result<_, _>>()?,
-                products: fit.products.into_iter().map(product).collect::<Result<_, _>>()?,
+            let loss_sum = |(a, sum)| Ok((name(a)?, sum));
+            let share_product = |(a, b, sum)| Ok((name(a)?, name(b)?, sum));
+            sums.push(InterferenceSums {
+                serving: name(wire_sums.serving)?,
+                loss_sums: wire_sums
+                    .loss_sums
+                    .into_iter()
+                    .map(loss_sum)
+                    .collect::<Result<_, _>>()?,
+                share_products: wire_sums
+                    .share_products
+                    .into_iter()
+                    .map(share_product)
+                    .collect::<Result<_, _>>()?,
             });
         }
-        Ok(seen)
+        Ok(sums)
     }
 }
 
-pub(super) fn state_number(state: JobState) -> u8 {
+pub(super) fn state_to_number(state: JobState) -> u8 {
     match state {
         JobState::Queued => 0,
         JobState::Running => 1,
@@ -89,105 +97,113 @@
     }
 }
 
-pub(super) fn state_of(number: u8) -> Result<JobState, RecordError> {
+pub(super) fn state_from_number(number: u8) -> Result<JobState, RecordError> {
     match number {
         0 => Ok(JobState::Queued),
         1 => Ok(JobState::Running),
         2 => Ok(JobState::Cancelled),
         3 => Ok(JobState::Completed),
         4 => Ok(JobState::Failed),
-        other => Err(RecordError::Malformed(format!("state {other}"))),
+        other => Err(RecordError::Malformed(format!("unknown job state {other}"))),
     }
 }
 
-/// Stands within signs of life: what is added to claims goes to their ends instead.
+/// A claim. It is also embedded in heartbeats, so a new field of claims must be added at the end of
+/// the records instead.
 #[derive(Debug, Encode, Decode)]
 pub(super) struct ClaimWire {
     vm: String,
     process: u64,
     epoch: u64,
     released: bool,
-    settled: bool,
+    predecessors_expired: bool,
 }
 
 impl From<&Claim> for ClaimWire {
     fn from(claim: &Claim) -> ClaimWire {
-        let Claim { vm, process, epoch, released, settled } = claim.clone();
-        ClaimWire { vm, process, epoch, released, settled }
+        let Claim { vm, process, epoch, released, predecessors_expired } = claim.clone();
+        ClaimWire { vm, process, epoch, released, predecessors_expired }
     }
 }
 
 impl From<ClaimWire> for Claim {
     fn from(wire: ClaimWire) -> Claim {
-        let ClaimWire { vm, process, epoch, released, settled } = wire;
-        Claim { vm, process, epoch, released, settled }
+        let ClaimWire { vm, process, epoch, released, predecessors_expired } = wire;
+        Claim { vm, process, epoch, released, predecessors_expired }
     }
 }
 
-/// What all builds write of a sign of life; what follows it differs.
+/// The part of a heartbeat that all builds write; what follows it differs between builds.
 #[derive(Debug, Encode, Decode)]
-pub(super) struct SignWire {
+pub(super) struct HeartbeatWire {
     claim: ClaimWire,
-    current: bool,
+    is_caught_up: bool,
     pending: Vec<(String, u32)>,
-    /// Capacity, then what lasting, other and best-effort tasks ask for.
+    /// The capacity, then the demand of long-running, finite and best-effort tasks.
     load: [u64; 4],
 }
 
-/// The largest free pieces of workers: thousandths of a core, MiB, accelerators.
+/// The largest free blocks of workers: thousandths of a core, MiB, accelerators.
 #[derive(Debug, Default, Encode, Decode)]
-pub(super) struct PiecesWire([[u32; 3]; PIECES]);
+pub(super) struct FreeBlocksWire([[u32; 3]; FREE_BLOCKS]);
 
-impl From<&Sign> for PiecesWire {
-    fn from(sign: &Sign) -> PiecesWire {
-        PiecesWire(sign.load.pieces.map(|it| [it.cpu_milli, it.memory_mib, it.accelerators]))
+impl From<&OwnerHeartbeat> for FreeBlocksWire {
+    fn from(heartbeat: &OwnerHeartbeat) -> FreeBlocksWire {
+        FreeBlocksWire(
+            heartbeat.load.free_blocks.map(|it| [it.cpu_milli, it.memory_mib, it.accelerators]),
+        )
     }
 }
 
-impl From<&Sign> for SignWire {
-    fn from(sign: &Sign) -> SignWire {
-        let Load { capacity, lasting, once, best_effort, .. } = sign.load;
-        SignWire {
-            claim: ClaimWire::from(&sign.claim),
-            current: sign.current,
-            pending: sign.pending.clone(),
-            load: [capacity, lasting, once, best_effort],
+impl From<&OwnerHeartbeat> for HeartbeatWire {
+    fn from(heartbeat: &OwnerHeartbeat) -> HeartbeatWire {
+        let Load { capacity, long_running, finite, best_effort, .. } = heartbeat.load;
+        HeartbeatWire {
+            claim: ClaimWire::from(&heartbeat.claim),
+            is_caught_up: heartbeat.is_caught_up,
+            pending: heartbeat.pending.clone(),
+            load: [capacity, long_running, finite, best_effort],
         }
     }
 }
 
-impl SignWire {
-    /// The sign of the shard that stands in the record's key.
-    pub(super) fn of(self, shard: ShardId, pieces: PiecesWire) -> Sign {
-        let SignWire { claim, current, pending, load } = self;
-        let [capacity, lasting, once, best_effort] = load;
-        let pieces = pieces.0.map(|[cpu_milli, memory_mib, accelerators]| Resources {
+impl HeartbeatWire {
+    /// Returns the heartbeat for the shard named by the record's key.
+    pub(super) fn into_heartbeat(
+        self,
+        shard: ShardId,
+        free_blocks: FreeBlocksWire,
+    ) -> OwnerHeartbeat {
+        let HeartbeatWire { claim, is_caught_up, pending, load } = self;
+        let [capacity, long_running, finite, best_effort] = load;
+        let free_blocks = free_blocks.0.map(|[cpu_milli, memory_mib, accelerators]| Resources {
             cpu_milli,
             memory_mib,
             accelerators,
         });
-        let load = Load { capacity, lasting, once, best_effort, pieces };
-        Sign { shard, claim: claim.into(), current, pending, load }
+        let load = Load { capacity, long_running, finite, best_effort, free_blocks };
+        OwnerHeartbeat { shard, claim: claim.into(), is_caught_up, pending, load }
     }
 }
 
 #[derive(Debug, Encode, Decode)]
-pub(super) struct LearntWire {
-    /// Serving image, best-effort image, thousandths.
+pub(super) struct LearnedInterferenceWire {
+    /// The serving image, the best-effort image, and the lost headroom in thousandths.
     pairs: Vec<(String, String, u32)>,
 }
 
-impl From<&[Disturbance]> for LearntWire {
-    fn from(pairs: &[Disturbance]) -> LearntWire {
-        let wire =
-            |it: &Disturbance| (it.serving.to_string(), it.best_effort.to_string(), it.permille);
-        LearntWire { pairs: pairs.iter().map(wire).collect() }
+impl From<&[ImageInterference]> for LearnedInterferenceWire {
+    fn from(pairs: &[ImageInterference]) -> LearnedInterferenceWire {
+        let wire = |it: &ImageInterference| {
+            (it.serving.to_string(), it.best_effort.to_string(), it.permille)
+        };
+        LearnedInterferenceWire { pairs: pairs.iter().map(wire).collect() }
     }
 }
 
-impl From<LearntWire> for Vec<Disturbance> {
-    fn from(wire: LearntWire) -> Vec<Disturbance> {
-        let pair = |(serving, best_effort, permille): (String, String, u32)| Disturbance {
+impl From<LearnedInterferenceWire> for Vec<ImageInterference> {
+    fn from(wire: LearnedInterferenceWire) -> Vec<ImageInterference> {
+        let pair = |(serving, best_effort, permille): (String, String, u32)| ImageInterference {
             serving: serving.into(),
             best_effort: best_effort.into(),
             permille,
@@ -199,7 +215,7 @@
 #[derive(Debug, Encode, Decode)]
 pub(super) struct WitnessesWire {
     heeded_by: u64,
-    /// Worker, start of its incarnation in milliseconds since 1970.
+    /// The worker, and the start of its incarnation in milliseconds since 1970.
     workers: Vec<(String, u64)>,
 }
 
@@ -301,21 +317,21 @@
             timed: wire.timed,
             steps: wire.steps.into_iter().map(StepSpec::from).collect(),
         };
-        spec.checked().map_err(|e| RecordError::Malformed(e.to_string()))
+        spec.validated().map_err(|e| RecordError::Malformed(e.to_string()))
     }
 }
 
 #[derive(Debug, Encode, Decode)]
-pub(super) struct HandoverWire {
+pub(super) struct TransferWire {
     spec: JobWire,
     runs: u32,
     failures: u32,
     checkpoint: String,
 }
 
-impl From<&Handover> for HandoverWire {
-    fn from(it: &Handover) -> HandoverWire {
-        HandoverWire {
+impl From<&IncomingTransfer> for TransferWire {
+    fn from(it: &IncomingTransfer) -> TransferWire {
+        TransferWire {
             spec: JobWire::from(&it.spec),
             runs: it.runs,
             failures: it.failures,
@@ -324,15 +340,19 @@
     }
 }
 
-impl HandoverWire {
-    /// The handover of the task and with the number that stand in the record's key.
-    pub(super) fn of(self, id: TaskId, hop: u32) -> Result<Handover, RecordError> {
-        let HandoverWire { spec, runs, failures, checkpoint } = self;
+impl TransferWire {
+    /// Returns the transfer for the task and the number in the record's key.
+    pub(super) fn into_transfer(
+        self,
+        id: TaskId,
+        hop: u32,
+    ) -> Result<IncomingTransfer, RecordError> {
+        let TransferWire { spec, runs, failures, checkpoint } = self;
         let spec = JobSpec::try_from(spec)?;
         if !spec.has_task(id) {
-            return Err(RecordError::Malformed(format!("no task {id}")));
+            return Err(RecordError::Malformed(format!("the job has no task {id}")));
         }
-        Ok(Handover { hop, spec, runs, failures, checkpoint })
+        Ok(IncomingTransfer { hop, spec, runs, failures, checkpoint })
     }
 }
 
@@ -392,8 +412,8 @@
 #[derive(Debug, Encode, Decode)]
 pub(super) struct ProgressWire {
     phase: u8,
-    begun: bool,
-    /// Names of workers, so that each copy needs a number only.
+    has_started: bool,
+    /// The names of workers, so that each copy needs only a number.
     workers: Vec<String>,
     occurrences: Vec<Vec<Vec<TaskWire>>>,
 }
@@ -434,7 +454,7 @@
                 .map(|copy| CopyWire { run: copy.run, worker: number(&copy.worker.0) })
                 .collect(),
         };
-        // An ended job's tasks are never looked at again.
+        // The tasks of an ended job are never read again.
         let occurrences = match progress.phase {
             Phase::Active => progress
                 .occurrences
@@ -448,7 +468,7 @@
             Phase::Completed => 1,
             Phase::Failed => 2,
         };
-        ProgressWire { phase, begun: progress.begun, workers, occurrences }
+        ProgressWire { phase, has_started: progress.has_started, workers, occurrences }
     }
 }
 
@@ -460,22 +480,22 @@
             0 => Phase::Active,
             1 => Phase::Completed,
             2 => Phase::Failed,
-            other => return Err(RecordError::Malformed(format!("phase {other}"))),
+            other => return Err(RecordError::Malformed(format!("unknown phase {other}"))),
         };
         let workers: Vec<crate::WorkerId> =
             wire.workers.iter().map(|it| it.as_str().into()).collect();
         let copy = |it: CopyWire| match workers.get(usize::from(it.worker)) {
             Some(worker) => Ok(Copy { run: it.run, worker: worker.clone() }),
-            None => Err(RecordError::Malformed(format!("worker {}", it.worker))),
+            None => Err(RecordError::Malformed(format!("unknown worker number {}", it.worker))),
         };
         let task = |it: TaskWire| {
             let copies = it.copies.into_iter().map(copy).collect::<Result<_, _>>()?;
             let TaskWire { done, runs, failures, checkpoint, .. } = it;
-            Ok(TaskState { done, runs, failures, checkpoint, copies, elsewhere: false })
+            Ok(TaskState { done, runs, failures, checkpoint, copies, on_other_shard: false })
         };
         let step = |it: Vec<TaskWire>| it.into_iter().map(task).collect::<Result<_, _>>();
         let steps = |it: Vec<Vec<TaskWire>>| it.into_iter().map(step).collect::<Result<_, _>>();
         let occurrences = wire.occurrences.into_iter().map(steps).collect::<Result<_, _>>()?;
-        Ok(Progress { phase, begun: wire.begun, occurrences })
+        Ok(Progress { phase, has_started: wire.has_started, occurrences })
     }
 }
--- a/daisy-workflow/tests/cancel.rs
+++ b/daisy-workflow/tests/cancel.rs
@@ -6,7 +6,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Event, Handover, Hop, JobId, JobSpec, Layout, Record, ShardId, StepSpec, TaskId,
+    Event, IncomingTransfer, JobId, JobSpec, Layout, OutgoingTransfer, Record, ShardId, StepSpec,
+    TaskId,
 };
 use util::{
     CORE, FakeWorker, Fault, LONG_RUNNING_WORK_MS, Simulation, job, long_running_step, task,
@@ -64,7 +65,7 @@
         for (shard, record) in placement.records() {
             let sim = &mut self.shards[shard];
             match record {
-                Record::Submitted(..) | Record::TaskSubmitted(..) => sim.write(record),
+                Record::Submitted(..) | Record::TaskTransferredIn(..) => sim.write(record),
                 it => drop(sim.ledger.fold(it)),
             }
         }
@@ -226,12 +227,13 @@
 }
 
 fn task_transferred(from: usize, number: u32, to: u16) -> (usize, Record) {
-    (from, Record::TaskHandedOn(second_task(), Hop { number, to: ShardId(to) }))
+    (from, Record::TaskTransferredOut(second_task(), OutgoingTransfer { number, to: ShardId(to) }))
 }
 
 fn task_received(to: usize, hop: u32) -> (usize, Record) {
-    let it = Handover { hop, spec: spec(), runs: 0, failures: 0, checkpoint: String::new() };
-    (to, Record::TaskSubmitted(second_task(), Box::new(it)))
+    let it =
+        IncomingTransfer { hop, spec: spec(), runs: 0, failures: 0, checkpoint: String::new() };
+    (to, Record::TaskTransferredIn(second_task(), Box::new(it)))
 }
 
 /// Owners that are killed around a cancellation that is stored would leave tasks of the job
@@ -347,7 +349,7 @@
 
     fn is_transferred(&self, sender: usize) -> bool {
         let job = self.shards[sender].ledger.job(job_id());
-        job.is_some_and(|it| it.handed_to().contains(&ShardId(2)))
+        job.is_some_and(|it| it.transferred_to().contains(&ShardId(2)))
     }
 }
 
--- a/daisy-workflow/tests/directory.rs
+++ b/daisy-workflow/tests/directory.rs
@@ -3,18 +3,27 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_workflow::{Claim, Directory, JobId, JobState, Layout, Load, ShardId, Sign, Told};
+use daisy_workflow::{
+    Claim, Directory, JobId, JobState, Layout, Load, OwnerHeartbeat, PublishedState, ShardId,
+};
 
 const ID: JobId = JobId(7);
 
-fn published_state(state: JobState) -> Told {
-    Told { state, shard: ShardId(0) }
+fn published_state(state: JobState) -> PublishedState {
+    PublishedState { state, shard: ShardId(0) }
 }
 
-fn sample_heartbeat(epoch: u64, released: bool) -> Sign {
-    let claim = Claim { vm: "a".to_owned(), process: 1, epoch, released, settled: true };
+fn sample_heartbeat(epoch: u64, released: bool) -> OwnerHeartbeat {
+    let claim =
+        Claim { vm: "a".to_owned(), process: 1, epoch, released, predecessors_expired: true };
     let load = Load { capacity: epoch, ..Load::default() };
-    Sign { shard: ShardId(1), claim, current: true, pending: vec![("q".to_owned(), 3)], load }
+    OwnerHeartbeat {
+        shard: ShardId(1),
+        claim,
+        is_caught_up: true,
+        pending: vec![("q".to_owned(), 3)],
+        load,
+    }
 }
 
 /// A record of a job's earlier state is read after that of its end, as an owner's append was
@@ -33,7 +42,7 @@
 fn the_shard_that_runs_a_job_replaces_the_jobs_own_shard() {
     let mut directory = Directory::default();
     directory.set_state(ID, published_state(JobState::Queued));
-    let elsewhere = Told { state: JobState::Queued, shard: ShardId(2) };
+    let elsewhere = PublishedState { state: JobState::Queued, shard: ShardId(2) };
 
     directory.set_state(ID, elsewhere);
 
@@ -50,8 +59,8 @@
     let mut complete = Vec::new();
     for read_at in [1_000, 1_400, 9_000, 9_400] {
         let now = Instant::from_millis(read_at);
-        directory.hear(now, sample_heartbeat(5, false));
-        directory.read_to_end(now);
+        directory.receive_heartbeat(now, sample_heartbeat(5, false));
+        directory.mark_caught_up(now);
         complete.push(directory.is_complete(now + Duration::from_millis(100), id));
     }
 
@@ -63,13 +72,13 @@
 fn the_directory_is_incomplete_when_an_owner_sends_no_heartbeat() {
     let mut directory = Directory::default();
     directory.set_layout(Layout { shards: 1 });
-    let latest_heartbeat = Sign { shard: ShardId(0), ..sample_heartbeat(5, false) };
+    let latest_heartbeat = OwnerHeartbeat { shard: ShardId(0), ..sample_heartbeat(5, false) };
     for read_at in [1_000, 1_400] {
-        directory.hear(Instant::from_millis(read_at), latest_heartbeat.clone());
-        directory.read_to_end(Instant::from_millis(read_at));
+        directory.receive_heartbeat(Instant::from_millis(read_at), latest_heartbeat.clone());
+        directory.mark_caught_up(Instant::from_millis(read_at));
     }
 
-    directory.read_to_end(Instant::from_millis(2_400));
+    directory.mark_caught_up(Instant::from_millis(2_400));
 
     assert!(directory.is_complete(Instant::from_millis(1_500), ID));
     assert!(!directory.is_complete(Instant::from_millis(2_400), ID));
@@ -90,22 +99,22 @@
 #[test]
 fn a_heartbeat_of_an_earlier_owner_is_ignored() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sample_heartbeat(5, false));
+    directory.receive_heartbeat(Instant::from_millis(10), sample_heartbeat(5, false));
 
-    directory.hear(Instant::from_millis(20), sample_heartbeat(4, false));
+    directory.receive_heartbeat(Instant::from_millis(20), sample_heartbeat(4, false));
 
     let received = directory.owner(ShardId(1)).expect("a heartbeat was received");
-    assert_eq!((received.sign.claim.epoch, received.at), (5, Instant::from_millis(10)));
+    assert_eq!((received.heartbeat.claim.epoch, received.at), (5, Instant::from_millis(10)));
 }
 
 #[test]
 fn loads_are_those_of_other_current_owners() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sample_heartbeat(5, false));
+    directory.receive_heartbeat(Instant::from_millis(10), sample_heartbeat(5, false));
 
     let seen_by_another = directory.loads(ShardId(0)).len();
     let seen_by_itself = directory.loads(ShardId(1)).len();
-    directory.hear(Instant::from_millis(20), sample_heartbeat(5, true));
+    directory.receive_heartbeat(Instant::from_millis(20), sample_heartbeat(5, true));
     let released = directory.loads(ShardId(0)).len();
 
     assert_eq!((seen_by_another, seen_by_itself, released), (1, 0, 0));
@@ -114,7 +123,7 @@
 #[test]
 fn jobs_without_a_start_are_counted_by_queue() {
     let mut directory = Directory::default();
-    directory.hear(Instant::from_millis(10), sample_heartbeat(5, false));
+    directory.receive_heartbeat(Instant::from_millis(10), sample_heartbeat(5, false));
 
     assert_eq!((directory.pending("q"), directory.pending("other")), (3, 0));
 }
--- a/daisy-workflow/tests/election.rs
+++ b/daisy-workflow/tests/election.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_workflow::{Claim, Election, Verdict};
+use daisy_workflow::{Claim, Election, ElectionDecision};
 
 const RTT: Duration = Duration::from_millis(5);
 
 fn claim(vm: &str, process: u64, released: bool) -> Claim {
-    Claim { vm: vm.to_owned(), process, epoch: 4, released, settled: true }
+    Claim { vm: vm.to_owned(), process, epoch: 4, released, predecessors_expired: true }
 }
 
 fn at(millis: u64) -> Instant {
@@ -19,9 +19,9 @@
 fn the_process_that_claimed_is_the_owner() {
     let mut election = Election::new(at(0), "a", 1);
 
-    let verdict = election.verdict(at(5_000), Some(&claim("a", 1, false)), RTT);
+    let decision = election.decision(at(5_000), Some(&claim("a", 1, false)), RTT);
 
-    assert_eq!(verdict, Verdict::Own(4));
+    assert_eq!(decision, ElectionDecision::Own(4));
 }
 
 /// The owner's VM loses power and restarts: its new process need not wait for the election timeout.
@@ -29,22 +29,22 @@
 fn an_earlier_process_of_the_vm_is_replaced_at_once() {
     let mut election = Election::new(at(0), "a", 2);
 
-    let verdict = election.verdict(at(0), Some(&claim("a", 1, false)), RTT);
+    let decision = election.decision(at(0), Some(&claim("a", 1, false)), RTT);
 
-    assert_eq!(verdict, Verdict::Claim);
+    assert_eq!(decision, ElectionDecision::Claim);
 }
 
 #[test]
 fn an_owner_without_heartbeats_is_replaced_after_the_election_timeout() {
     let mut election = Election::new(at(0), "b", 2);
-    election.heard(at(1_000));
+    election.heartbeat_received(at(1_000));
     let other = claim("a", 1, false);
 
-    let early = election.verdict(at(2_300), Some(&other), RTT);
-    let after_timeout = election.verdict(at(2_500), Some(&other), RTT);
+    let early = election.decision(at(2_300), Some(&other), RTT);
+    let after_timeout = election.decision(at(2_500), Some(&other), RTT);
 
-    assert!(matches!(early, Verdict::Wait(_)));
-    assert_eq!(after_timeout, Verdict::Claim);
+    assert!(matches!(early, ElectionDecision::Wait(_)));
+    assert_eq!(after_timeout, ElectionDecision::Claim);
 }
 
 /// All VMs see at the same moment that the owner released its shard. Those nearest to the platform
@@ -52,14 +52,14 @@
 #[test]
 fn the_nearest_vm_claims_first() {
     let mut election = Election::new(at(0), "b", 2);
-    election.heard(at(1_000));
+    election.heartbeat_received(at(1_000));
     let released = claim("a", 1, true);
 
-    let near = election.verdict(at(1_050), Some(&released), RTT);
-    let far = election.verdict(at(1_050), Some(&released), Duration::from_millis(30));
+    let near = election.decision(at(1_050), Some(&released), RTT);
+    let far = election.decision(at(1_050), Some(&released), Duration::from_millis(30));
 
-    assert_eq!(near, Verdict::Claim);
-    assert!(matches!(far, Verdict::Wait(_)));
+    assert_eq!(near, ElectionDecision::Claim);
+    assert!(matches!(far, ElectionDecision::Wait(_)));
 }
 
 /// Forty VMs start together, and heartbeats are read 0.2 s after they are written. A VM whose turn
@@ -70,11 +70,11 @@
     let mut election = Election::new(at(0), "b", 2);
     let new_claim = claim("a", 1, false);
 
-    let verdict = election.verdict(at(500), None, RTT);
-    let first_check = election.is_just_claimed(Some(&new_claim));
-    let second_check = election.is_just_claimed(Some(&new_claim));
+    let decision = election.decision(at(500), None, RTT);
+    let first_check = election.is_newly_claimed(Some(&new_claim));
+    let second_check = election.is_newly_claimed(Some(&new_claim));
 
-    assert_eq!(verdict, Verdict::Claim);
+    assert_eq!(decision, ElectionDecision::Claim);
     assert!(first_check, "the new owner may be about to send its first heartbeat");
     assert!(!second_check, "the new owner died before its first heartbeat");
 }
@@ -84,32 +84,32 @@
 #[test]
 fn a_rival_without_a_first_heartbeat_is_given_time() {
     let mut election = Election::new(at(0), "b", 2);
-    election.is_just_claimed(Some(&claim("a", 1, false)));
-    election.heard(at(1_000));
+    election.is_newly_claimed(Some(&claim("a", 1, false)));
+    election.heartbeat_received(at(1_000));
 
-    let soon = election.verdict(at(1_300), None, RTT);
-    let after_timeout = election.verdict(at(2_500), None, RTT);
+    let soon = election.decision(at(1_300), None, RTT);
+    let after_timeout = election.decision(at(2_500), None, RTT);
 
-    assert!(matches!(soon, Verdict::Wait(_)));
-    assert_eq!(after_timeout, Verdict::Claim);
+    assert!(matches!(soon, ElectionDecision::Wait(_)));
+    assert_eq!(after_timeout, ElectionDecision::Claim);
 }
 
 #[test]
 fn a_claim_that_was_known_at_the_verdict_is_not_new() {
     let mut election = Election::new(at(0), "b", 2);
     let old = claim("a", 1, false);
-    let verdict = election.verdict(at(2_000), Some(&old), RTT);
+    let decision = election.decision(at(2_000), Some(&old), RTT);
 
-    assert_eq!(verdict, Verdict::Claim);
-    assert!(!election.is_just_claimed(Some(&old)));
-    assert!(!election.is_just_claimed(None));
+    assert_eq!(decision, ElectionDecision::Claim);
+    assert!(!election.is_newly_claimed(Some(&old)));
+    assert!(!election.is_newly_claimed(None));
 }
 
 #[test]
 fn an_own_claim_is_not_a_rival() {
     let mut election = Election::new(at(0), "b", 2);
 
-    assert!(!election.is_just_claimed(Some(&claim("b", 2, false))));
+    assert!(!election.is_newly_claimed(Some(&claim("b", 2, false))));
 }
 
 /// An owner whose heartbeats were delayed was replaced while it was writing.
@@ -118,13 +118,13 @@
     let mut election = Election::new(at(0), "a", 1);
     let owner = claim("b", 2, false);
 
-    let before = election.verdict(at(1_500), Some(&owner), RTT);
-    let is_extended = election.wrote(at(1_500));
-    let after = election.verdict(at(1_600), Some(&owner), RTT);
+    let before = election.decision(at(1_500), Some(&owner), RTT);
+    let is_extended = election.owner_wrote(at(1_500));
+    let after = election.decision(at(1_600), Some(&owner), RTT);
 
-    assert_eq!(before, Verdict::Claim);
+    assert_eq!(before, ElectionDecision::Claim);
     assert!(is_extended);
-    assert!(matches!(after, Verdict::Wait(_)), "{after:?}");
+    assert!(matches!(after, ElectionDecision::Wait(_)), "{after:?}");
 }
 
 /// Guards against an owner that is never replaced although no heartbeat of it arrives.
@@ -133,9 +133,9 @@
     let mut election = Election::new(at(0), "a", 1);
     let owner = claim("b", 2, false);
 
-    let last = (1..20).map(|it| it * 500).find(|it| !election.wrote(at(*it)));
-    let verdict = election.verdict(at(6_000), Some(&owner), RTT);
+    let last = (1..20).map(|it| it * 500).find(|it| !election.owner_wrote(at(*it)));
+    let decision = election.decision(at(6_000), Some(&owner), RTT);
 
     assert_eq!(last, Some(4_500));
-    assert_eq!(verdict, Verdict::Claim);
+    assert_eq!(decision, ElectionDecision::Claim);
 }
--- a/daisy-workflow/tests/fragmentation.rs
+++ b/daisy-workflow/tests/fragmentation.rs
@@ -3,7 +3,7 @@
 mod util;
 
 use daisy_model::Resources;
-use daisy_workflow::{Handover, JobState, Layout, Record, ShardId, StepSpec, TaskId};
+use daisy_workflow::{IncomingTransfer, JobState, Layout, Record, ShardId, StepSpec, TaskId};
 
 use util::{
     CORE, FakeWorker, Fault, LONG_RUNNING_WORK_MS, Simulation, job, long_running_step, step, task,
@@ -191,9 +191,10 @@
     sim.submit(FIRST_SHORT_JOB, short());
     sim.run_ms(100);
     let spec = job(vec![wide(long_running_step(1), 4)]);
-    let handover = Handover { hop: 1, spec, runs: 0, failures: 0, checkpoint: String::new() };
+    let handover =
+        IncomingTransfer { hop: 1, spec, runs: 0, failures: 0, checkpoint: String::new() };
 
-    sim.write(Record::TaskSubmitted(task(0, 0, 0), Box::new(handover)));
+    sim.write(Record::TaskTransferredIn(task(0, 0, 0), Box::new(handover)));
     sim.submit(FIRST_SHORT_JOB + 1, short());
     let long_running_started =
         sim.run_until(700, |it| it.workers_running(task(0, 0, 0)).len() == 1);
--- a/daisy-workflow/tests/free_capacity.rs
+++ b/daisy-workflow/tests/free_capacity.rs
@@ -3,7 +3,9 @@
 mod util;
 
 use daisy_model::{Instant, Resources};
-use daisy_workflow::{Fold, Handover, JobId, JobSpec, Ledger, Record, ShardId, StepSpec, TaskId};
+use daisy_workflow::{
+    FoldEffect, IncomingTransfer, JobId, JobSpec, Ledger, Record, ShardId, StepSpec, TaskId,
+};
 use util::{
     CORE, FakeWorker, LONG_RUNNING_WORK_MS, ShardedSimulation, Simulation, best_effort, job,
     long_running_step, step, task,
@@ -91,10 +93,15 @@
 fn a_job_that_is_read_after_its_returned_task_is_complete() {
     let id = JobId(1);
     let spec = tasks(2, 1, 100);
-    let it =
-        Handover { hop: 2, spec: spec.clone(), runs: 3, failures: 0, checkpoint: String::new() };
+    let it = IncomingTransfer {
+        hop: 2,
+        spec: spec.clone(),
+        runs: 3,
+        failures: 0,
+        checkpoint: String::new(),
+    };
     let mut ledger = Ledger::default();
-    ledger.fold(Record::TaskSubmitted(first_task(id), Box::new(it)));
+    ledger.fold(Record::TaskTransferredIn(first_task(id), Box::new(it)));
 
     let fold = ledger.fold(Record::Submitted(id, spec));
 
@@ -102,7 +109,7 @@
         let job = ledger.job(id).expect("a job that was read");
         job.progress.task(task(id.0, 0, index)).expect("its task").is_waiting()
     };
-    assert_eq!((fold, waits(0), waits(1)), (Fold::Submitted(id), true, true));
+    assert_eq!((fold, waits(0), waits(1)), (FoldEffect::Submitted(id), true, true));
 }
 
 /// A task that is transferred to a shard with free processors but no free memory would wait there
@@ -119,8 +126,8 @@
 
     sim.run_with_loads_ms(3_000);
 
-    let handed_to = sim.shards[0].ledger.job(id).map(|it| it.handed_to());
-    assert_eq!(handed_to, Some(vec![ShardId(2)]));
+    let transferred_to = sim.shards[0].ledger.job(id).map(|it| it.transferred_to());
+    assert_eq!(transferred_to, Some(vec![ShardId(2)]));
     assert_eq!(sim.workers_running(task(id.0, 0, 1)), ["w2"]);
 }
 
@@ -139,7 +146,7 @@
     sim.run_ms(100);
     let after = sim.owner.load(sim.now);
 
-    let cores = [before, after].map(|it| it.pieces[0].cpu_milli / CORE);
+    let cores = [before, after].map(|it| it.free_blocks[0].cpu_milli / CORE);
     assert_eq!(cores, [4, 1]);
 }
 
@@ -154,8 +161,8 @@
     sim.run_ms(500);
     let id = JobId(1_000_003);
     let spec = tasks(1, 2, 100);
-    let it = Handover { hop: 4, spec, runs: 2, failures: 0, checkpoint: String::new() };
-    sim.shards[0].write(Record::TaskSubmitted(first_task(id), Box::new(it)));
+    let it = IncomingTransfer { hop: 4, spec, runs: 2, failures: 0, checkpoint: String::new() };
+    sim.shards[0].write(Record::TaskTransferredIn(first_task(id), Box::new(it)));
     sim.run_with_loads_ms(4_000);
     assert_eq!(sim.workers_running(first_task(id)), [""; 0], "no shard has capacity yet");
 
@@ -197,10 +204,10 @@
     let mut sim = Simulation::new((0..60).map(worker).collect());
     sim.run_ms(300);
 
-    let pieces = sim.owner.load(sim.now).pieces;
+    let free_blocks = sim.owner.load(sim.now).free_blocks;
 
-    let with_accelerators = pieces.iter().take_while(|it| it.accelerators > 0).count();
+    let with_accelerators = free_blocks.iter().take_while(|it| it.accelerators > 0).count();
     assert!(with_accelerators >= 4, "{with_accelerators} free blocks with accelerators come first");
-    let sizes: Vec<u32> = pieces[4..].iter().map(|it| it.cpu_milli).collect();
+    let sizes: Vec<u32> = free_blocks[4..].iter().map(|it| it.cpu_milli).collect();
     assert!(sizes.is_sorted_by(|a, b| a >= b), "{sizes:?}");
 }
--- a/daisy-workflow/tests/job_transfer.rs
+++ b/daisy-workflow/tests/job_transfer.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, SortedMap};
 use daisy_workflow::{
-    Action, Claimed, Copy, Demand, Event, JobId, JobSpec, JobState, Layout, Ledger, Load, Others,
-    Owner, Progress, Record, Rules, Settings, ShardId,
+    Action, Claimed, Copy, Demand, Event, JobId, JobSpec, JobState, Layout, Ledger, Load,
+    OtherShards, Owner, Progress, Record, Rules, Settings, ShardId,
 };
 use std::time::Duration;
 use util::{CORE, FakeWorker, best_effort, job, long_running_step, step};
@@ -27,8 +27,8 @@
     ids(shard).next().expect("some job id belongs to each shard")
 }
 
-fn load(lasting: u64, once: u64, best_effort: u64) -> Load {
-    Load { capacity: 1_000, lasting, once, best_effort, ..Load::default() }
+fn load(long_running: u64, finite: u64, best_effort: u64) -> Load {
+    Load { capacity: 1_000, long_running, finite, best_effort, ..Load::default() }
 }
 
 fn owner(ledger: Ledger) -> Owner {
@@ -186,7 +186,7 @@
     let id = id_of(OWN);
     let spec = job(vec![step(1)]);
     let mut progress = Progress::new(&spec);
-    progress.begun = true;
+    progress.has_started = true;
     progress.occurrences[0][0][0].runs = 1;
     progress.occurrences[0][0][0].copies = vec![Copy { run: 1, worker: "w1".into() }];
     let mut ledger = Ledger::default();
@@ -251,7 +251,7 @@
 
 #[test]
 fn a_shard_with_capacity_transfers_no_job() {
-    let mut others = Others::default();
+    let mut others = OtherShards::default();
     others.update(SortedMap::from_iter([(OTHER, load(0, 0, 0))]));
 
     for (own, spec) in [
@@ -260,7 +260,7 @@
         (load(500, 200, 200), best_effort(1, "a")),
     ] {
         let demand = Demand::of(&job(vec![spec]));
-        assert_eq!(others.try_better(at(0), own, demand), None);
+        assert_eq!(others.try_find_better_shard(at(0), own, demand), None);
     }
 }
 
@@ -268,19 +268,22 @@
 /// that was emptiest at the last update.
 #[test]
 fn a_transfer_counts_before_the_next_load_is_published() {
-    let mut others = Others::default();
+    let mut others = OtherShards::default();
     let shards = [(OTHER, load(0, 0, 0)), (ShardId(2), load(100, 0, 0))];
     others.update(SortedMap::from_iter(shards));
     let demand = Demand::of(&job(vec![long_running_step(1)]));
-    let own =
-        Load { capacity: 20 * u64::from(CORE), lasting: 15 * u64::from(CORE), ..load(0, 0, 0) };
+    let own = Load {
+        capacity: 20 * u64::from(CORE),
+        long_running: 15 * u64::from(CORE),
+        ..load(0, 0, 0)
+    };
     let empty = Load { capacity: 20 * u64::from(CORE), ..load(0, 0, 0) };
     others.update(SortedMap::from_iter([(OTHER, empty), (ShardId(2), empty)]));
     let mut taken = [0; 3];
 
     for _ in 0..10 {
-        let to = others.try_better(at(0), own, demand).expect("others are empty");
-        others.sent(at(0), to, demand);
+        let to = others.try_find_better_shard(at(0), own, demand).expect("others are empty");
+        others.transferred(at(0), to, demand);
         taken[usize::from(to.0)] += 1;
     }
 
@@ -294,18 +297,24 @@
 #[test]
 fn many_owners_do_not_overload_the_emptiest_shard() {
     let cores = |it: u64| it * u64::from(CORE);
-    let load = |lasting| Load { capacity: cores(1_000), lasting: cores(lasting), ..load(0, 0, 0) };
+    let load = |long_running| Load {
+        capacity: cores(1_000),
+        long_running: cores(long_running),
+        ..load(0, 0, 0)
+    };
     let (emptiest, empty) = (ShardId(8), ShardId(9));
     let demand = Demand::of(&job(vec![long_running_step(10)]));
     let mut taken = [cores(100), cores(200)];
 
     for owner in 0..4 {
         let full = (0..4).filter(|it| *it != owner).map(|it| (ShardId(it), load(950)));
-        let mut view = Others::default();
+        let mut view = OtherShards::default();
         view.update(full.chain([(emptiest, load(100)), (empty, load(200))]).collect());
         for _ in 0..25 {
-            let to = view.try_better(at(0), load(900), demand).expect("two shards have capacity");
-            view.sent(at(0), to, demand);
+            let to = view
+                .try_find_better_shard(at(0), load(900), demand)
+                .expect("two shards have capacity");
+            view.transferred(at(0), to, demand);
             taken[usize::from(to == empty)] += cores(10);
         }
     }
--- a/daisy-workflow/tests/log_health.rs
+++ b/daisy-workflow/tests/log_health.rs
@@ -1,17 +1,17 @@
 //! What is sent to a log that does not answer.
 
 use daisy_model::Instant;
-use daisy_workflow::{Silence, Turn};
+use daisy_workflow::{LogHealth, SendDecision};
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
 /// Returns a log that has answered appends within 10 ms, and reads, up to 1,000 ms.
-fn responsive_log() -> Silence {
-    let mut log = Silence::default();
+fn responsive_log() -> LogHealth {
+    let mut log = LogHealth::default();
     for began in [900, 940, 980] {
-        log.begin(at(began));
+        log.begin_append(at(began));
         log.end(at(began + 10), at(began), true);
     }
     log.read(at(1_000));
@@ -27,9 +27,9 @@
     let mut sent = 0;
 
     for now in (1_000..2_400).step_by(20) {
-        if let Turn::All(_) = log.turn(at(now)) {
+        if let SendDecision::All(_) = log.next_send(at(now)) {
             sent += 1;
-            log.begin(at(now));
+            log.begin_append(at(now));
         }
         if now == 1_500 {
             log.end(at(now), at(1_000), false);
@@ -44,19 +44,19 @@
 #[test]
 fn an_unresponsive_log_is_reported_until_it_answers() {
     let mut log = responsive_log();
-    log.begin(at(1_010));
+    log.begin_append(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
-    let before = log.is_silent(at(1_600));
-    let unresponsive = log.is_silent(at(1_800));
-    let again = log.turn(at(1_800));
+    let before = log.is_unresponsive(at(1_600));
+    let unresponsive = log.is_unresponsive(at(1_800));
+    let again = log.next_send(at(1_800));
     log.read(at(5_000));
-    let after = (log.is_silent(at(5_000)), log.turn(at(5_000)));
+    let after = (log.is_unresponsive(at(5_000)), log.next_send(at(5_000)));
 
     assert!(!before && unresponsive);
-    assert!(matches!(again, Turn::Again(_)));
+    assert!(matches!(again, SendDecision::RetriesOnly(_)));
     assert!(!after.0);
-    assert!(matches!(after.1, Turn::All(_)));
+    assert!(matches!(after.1, SendDecision::All(_)));
 }
 
 /// A record that arrived during an outage was sent, its outcome was unknown, and its caller could
@@ -68,22 +68,22 @@
     let mut queried_at = Vec::new();
 
     for now in (1_700..4_000).step_by(50) {
-        match log.turn(at(now)) {
-            Turn::All(_) | Turn::Again(_) => sent += 1,
-            Turn::Ask(_) => {
-                log.ask(at(now));
+        match log.next_send(at(now)) {
+            SendDecision::All(_) | SendDecision::RetriesOnly(_) => sent += 1,
+            SendDecision::Probe(_) => {
+                log.begin_probe(at(now));
                 queried_at.push(now);
             }
-            Turn::Wait => {}
+            SendDecision::Wait => {}
         }
     }
-    let unresponsive = log.is_silent(at(2_200));
+    let unresponsive = log.is_unresponsive(at(2_200));
     log.read(at(4_000));
 
     assert_eq!((sent, unresponsive), (0, true));
     assert_eq!(queried_at, [1_700, 2_700, 3_700]);
-    assert!(!log.is_silent(at(4_000)));
-    assert!(matches!(log.turn(at(4_000)), Turn::All(_)));
+    assert!(!log.is_unresponsive(at(4_000)));
+    assert!(matches!(log.next_send(at(4_000)), SendDecision::All(_)));
 }
 
 /// A read was lost though the log is available: one query shows that it answers, and the record is
@@ -92,14 +92,14 @@
 fn a_lost_read_rejects_no_request() {
     let mut log = responsive_log();
 
-    let first = log.turn(at(1_700));
-    log.ask(at(1_700));
-    let waits = (log.turn(at(1_720)), log.is_hopeless(at(1_720), at(1_690)));
+    let first = log.next_send(at(1_700));
+    log.begin_probe(at(1_700));
+    let waits = (log.next_send(at(1_720)), log.should_reject(at(1_720), at(1_690)));
     log.read(at(1_730));
 
-    assert!(matches!(first, Turn::Ask(_)));
-    assert_eq!(waits, (Turn::Wait, false));
-    assert!(matches!(log.turn(at(1_730)), Turn::All(_)));
+    assert!(matches!(first, SendDecision::Probe(_)));
+    assert_eq!(waits, (SendDecision::Wait, false));
+    assert!(matches!(log.next_send(at(1_730)), SendDecision::All(_)));
 }
 
 /// The log answers reads but no appends. One append a second detects the end of that; callers in
@@ -107,7 +107,7 @@
 #[test]
 fn a_log_that_answers_only_reads_is_probed_with_appends() {
     let mut log = responsive_log();
-    log.begin(at(1_010));
+    log.begin_append(at(1_010));
     log.end(at(1_510), at(1_010), false);
     let mut probes = 0;
 
@@ -118,9 +118,9 @@
             log.end(at(now), at(began), false);
             in_flight = None;
         }
-        if in_flight.is_none() && matches!(log.turn(at(now)), Turn::All(_)) {
+        if in_flight.is_none() && matches!(log.next_send(at(now)), SendDecision::All(_)) {
             probes += 1;
-            log.begin(at(now));
+            log.begin_append(at(now));
             in_flight = Some(now);
         }
     }
@@ -133,8 +133,8 @@
 fn a_record_that_was_not_sent_is_rejected_after_1500_ms() {
     let log = responsive_log();
 
-    assert!(!log.is_hopeless(at(2_400), at(1_000)));
-    assert!(log.is_hopeless(at(2_500), at(1_000)));
+    assert!(!log.should_reject(at(2_400), at(1_000)));
+    assert!(log.should_reject(at(2_500), at(1_000)));
 }
 
 /// Two fifths of the log's partitions were unresponsive, and records were sent to them because the
@@ -145,39 +145,39 @@
     let mut sent: Vec<u64> = Vec::new();
 
     for now in (1_000..4_000).step_by(20) {
-        log.read_elsewhere(at(now), at(0));
+        log.other_partition_read(at(now), at(0));
         for began in sent.iter().filter(|it| now == **it + 500) {
             log.end(at(now), at(*began), false);
         }
-        if let Turn::All(_) = log.turn(at(now)) {
+        if let SendDecision::All(_) = log.next_send(at(now)) {
             sent.push(now);
-            log.begin(at(now));
+            log.begin_append(at(now));
         }
     }
-    let unresponsive = log.is_silent(at(4_000));
+    let unresponsive = log.is_unresponsive(at(4_000));
     log.read(at(4_010));
 
     assert!(sent.len() <= 2 && unresponsive, "{sent:?}");
-    assert!(!log.is_silent(at(4_010)));
+    assert!(!log.is_unresponsive(at(4_010)));
 }
 
 /// A lost answer of an append made a partition with few writes count as unresponsive.
 #[test]
 fn a_lost_answer_of_an_append_rejects_no_request() {
     let mut log = responsive_log();
-    log.begin(at(1_010));
+    log.begin_append(at(1_010));
     log.end(at(1_510), at(1_010), false);
-    log.read_elsewhere(at(1_500), at(0));
+    log.other_partition_read(at(1_500), at(0));
 
-    let query = log.try_question(at(1_510));
-    log.ask(at(1_510));
-    let again = log.try_question(at(1_520));
+    let query = log.try_probe(at(1_510));
+    log.begin_probe(at(1_510));
+    let again = log.try_probe(at(1_520));
     log.read(at(1_520));
-    log.read_elsewhere(at(8_980), at(0));
+    log.other_partition_read(at(8_980), at(0));
 
     assert!(query.is_some() && again.is_none());
-    assert!(!log.is_silent(at(9_000)));
-    assert!(matches!(log.turn(at(9_000)), Turn::All(_)));
+    assert!(!log.is_unresponsive(at(9_000)));
+    assert!(matches!(log.next_send(at(9_000)), SendDecision::All(_)));
 }
 
 /// After an outage of the whole log, an answer of one partition counts for the others. Otherwise
@@ -185,12 +185,12 @@
 #[test]
 fn partitions_that_became_unresponsive_together_recover_together() {
     let mut log = responsive_log();
-    log.begin(at(1_010));
+    log.begin_append(at(1_010));
     log.end(at(1_510), at(1_010), false);
 
-    let unresponsive = log.is_silent(at(4_990));
-    log.read_elsewhere(at(5_000), at(5_000));
+    let unresponsive = log.is_unresponsive(at(4_990));
+    log.other_partition_read(at(5_000), at(5_000));
 
-    assert!(unresponsive && !log.is_silent(at(5_000)));
-    assert!(matches!(log.turn(at(5_000)), Turn::All(_)));
+    assert!(unresponsive && !log.is_unresponsive(at(5_000)));
+    assert!(matches!(log.next_send(at(5_000)), SendDecision::All(_)));
 }
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -6,9 +6,10 @@
 use bincode::{Encode, config};
 use daisy_model::Resources;
 use daisy_workflow::{
-    Claim, Copy, Disturbance, Fold, Handover, Hop, JobId, JobState, Layout, Ledger, Load,
-    Observations, PIECES, Phase, Progress, Record, RecordError, ShardId, Sign, SpecError,
-    TaskState, Told, Witness, Witnesses, decode, encode,
+    Claim, Copy, FREE_BLOCKS, FoldEffect, ImageInterference, IncomingTransfer, InterferenceSums,
+    JobId, JobState, Layout, Ledger, Load, OutgoingTransfer, OwnerHeartbeat, Phase, Progress,
+    PublishedState, Record, RecordError, ShardId, SpecError, TaskState, Witness, Witnesses, decode,
+    encode,
 };
 use util::{best_effort, job, long_running_step, step, step_after, task};
 
@@ -16,7 +17,7 @@
 
 fn progress() -> Progress {
     let mut progress = Progress::new(&job(vec![step(3)]));
-    progress.begun = true;
+    progress.has_started = true;
     let copies = vec![Copy { run: 4, worker: "w1".into() }, Copy { run: 5, worker: "w2".into() }];
     progress.occurrences[0][0][1] = TaskState {
         runs: 5,
@@ -29,22 +30,27 @@
 }
 
 fn claim() -> Claim {
-    Claim { vm: "vm".to_owned(), process: 3, epoch: 9, released: true, settled: true }
+    Claim { vm: "vm".to_owned(), process: 3, epoch: 9, released: true, predecessors_expired: true }
 }
 
-fn sample_heartbeat() -> Sign {
-    let load =
-        Load { capacity: 9, lasting: 5, once: 3, best_effort: 7, pieces: [FREE_BLOCK; PIECES] };
+fn sample_heartbeat() -> OwnerHeartbeat {
+    let load = Load {
+        capacity: 9,
+        long_running: 5,
+        finite: 3,
+        best_effort: 7,
+        free_blocks: [FREE_BLOCK; FREE_BLOCKS],
+    };
     let pending = vec![("q".to_owned(), 4)];
-    Sign { shard: ShardId(3), claim: claim(), current: true, pending, load }
+    OwnerHeartbeat { shard: ShardId(3), claim: claim(), is_caught_up: true, pending, load }
 }
 
-/// Encodes a heartbeat as a build does whose encoding ends with `pieces`.
-fn encoded_heartbeat_ending_with(pieces: impl Encode) -> Vec<u8> {
-    let Sign { claim, current, pending, load, .. } = sample_heartbeat();
-    let claim = (claim.vm, claim.process, claim.epoch, claim.released, claim.settled);
-    let load = [load.capacity, load.lasting, load.once, load.best_effort];
-    let form = (claim, current, pending, load, pieces);
+/// Encodes a heartbeat as a build does whose encoding ends with `free_blocks`.
+fn encoded_heartbeat_ending_with(free_blocks: impl Encode) -> Vec<u8> {
+    let OwnerHeartbeat { claim, is_caught_up, pending, load, .. } = sample_heartbeat();
+    let claim = (claim.vm, claim.process, claim.epoch, claim.released, claim.predecessors_expired);
+    let load = [load.capacity, load.long_running, load.finite, load.best_effort];
+    let form = (claim, is_caught_up, pending, load, free_blocks);
     let mut buf = vec![1];
     buf.extend(bincode::encode_to_vec(form, config::standard()).expect("memory"));
     buf
@@ -60,13 +66,13 @@
         Record::Progress(JobId(7), progress()),
         Record::Claim(claim()),
         Record::Delegated(JobId(7), ShardId(2)),
-        Record::State(JobId(7), Told { state: JobState::Completed, shard: ShardId(2) }),
-        Record::Sign(Box::new(sample_heartbeat())),
+        Record::State(JobId(7), PublishedState { state: JobState::Completed, shard: ShardId(2) }),
+        Record::OwnerHeartbeat(Box::new(sample_heartbeat())),
         Record::Layout(Layout { shards: 6 }),
-        Record::TaskHandedOn(task(7, 0, 1), Hop { number: 3, to: ShardId(2) }),
-        Record::TaskSubmitted(
+        Record::TaskTransferredOut(task(7, 0, 1), OutgoingTransfer { number: 3, to: ShardId(2) }),
+        Record::TaskTransferredIn(
             task(7, 0, 1),
-            Box::new(Handover {
+            Box::new(IncomingTransfer {
                 hop: 3,
                 spec: job(vec![long_running_step(2)]),
                 runs: 5,
@@ -76,17 +82,20 @@
         ),
         Record::Observed(
             ShardId(3),
-            vec![Observations {
+            vec![InterferenceSums {
                 serving: "s".into(),
-                answers: vec![("a".into(), 0.25), ("b".into(), -0.5)],
-                products: vec![("a".into(), "a".into(), 0.125), ("a".into(), "b".into(), 0.5)],
+                loss_sums: vec![("a".into(), 0.25), ("b".into(), -0.5)],
+                share_products: vec![
+                    ("a".into(), "a".into(), 0.125),
+                    ("a".into(), "b".into(), 0.5),
+                ],
             }],
         ),
         Record::Witnesses(Witnesses {
             heeded_by: 9,
             workers: vec![Witness { worker: "w1".into(), born_ms: 1_700_000_000_000 }],
         }),
-        Record::Learnt(vec![Disturbance {
+        Record::LearnedInterference(vec![ImageInterference {
             serving: "s".into(),
             best_effort: "b".into(),
             permille: 6_500,
@@ -113,10 +122,10 @@
             // Earlier builds wrote heartbeats that end earlier.
             let earlier_lengths = [
                 encoded_heartbeat_ending_with(()).len(),
-                encoded_heartbeat_ending_with([0_u8; PIECES]).len(),
+                encoded_heartbeat_ending_with([0_u8; FREE_BLOCKS]).len(),
             ];
             let is_earlier_form =
-                matches!(record, Record::Sign(_)) && earlier_lengths.contains(&len);
+                matches!(record, Record::OwnerHeartbeat(_)) && earlier_lengths.contains(&len);
             assert_eq!(read.is_ok(), is_earlier_form, "{key}, {len} bytes");
         }
     }
@@ -124,11 +133,12 @@
 
 #[test]
 fn heartbeats_are_encoded_as_by_the_previous_build() {
-    let pieces = [[FREE_BLOCK.cpu_milli, FREE_BLOCK.memory_mib, FREE_BLOCK.accelerators]; PIECES];
+    let free_blocks =
+        [[FREE_BLOCK.cpu_milli, FREE_BLOCK.memory_mib, FREE_BLOCK.accelerators]; FREE_BLOCKS];
 
     assert_eq!(
-        encode(&Record::Sign(Box::new(sample_heartbeat()))).1,
-        encoded_heartbeat_ending_with(pieces)
+        encode(&Record::OwnerHeartbeat(Box::new(sample_heartbeat()))).1,
+        encoded_heartbeat_ending_with(free_blocks)
     );
 }
 
@@ -137,14 +147,14 @@
 #[test]
 fn heartbeats_of_older_builds_are_decoded_without_free_blocks() {
     let mut expected = sample_heartbeat();
-    expected.load.pieces = [Resources::ZERO; PIECES];
-    let expected = Record::Sign(Box::new(expected));
+    expected.load.free_blocks = [Resources::ZERO; FREE_BLOCKS];
+    let expected = Record::OwnerHeartbeat(Box::new(expected));
 
     // Values large enough that they take as many bytes as those of the present encoding.
     for value in [
         encoded_heartbeat_ending_with(()),
-        encoded_heartbeat_ending_with([6_u32; PIECES]),
-        encoded_heartbeat_ending_with([70_000_u32; PIECES]),
+        encoded_heartbeat_ending_with([6_u32; FREE_BLOCKS]),
+        encoded_heartbeat_ending_with([70_000_u32; FREE_BLOCKS]),
     ] {
         assert_eq!(decode("sign-3", &value), Ok(expected.clone()));
     }
@@ -197,7 +207,7 @@
     let second_fold = ledger.fold(Record::Submitted(JobId(1), spec.clone()));
     ledger.fold(Record::Submitted(JobId(2), spec));
 
-    assert_eq!((first_fold, second_fold), (Fold::Submitted(JobId(1)), Fold::Nothing));
+    assert_eq!((first_fold, second_fold), (FoldEffect::Submitted(JobId(1)), FoldEffect::Nothing));
     assert_eq!(ledger.job(JobId(1)).map(|it| it.state()), Some(JobState::Cancelled));
     assert_eq!(ledger.job(JobId(2)).map(|it| it.state()), Some(JobState::Running));
 }
@@ -209,14 +219,14 @@
 
     let fold = ledger.fold(Record::Progress(JobId(1), progress()));
 
-    assert_eq!(fold, Fold::Nothing);
+    assert_eq!(fold, FoldEffect::Nothing);
 }
 
 #[test]
 fn a_cancellation_after_the_end_does_not_change_the_state() {
     let mut ledger = Ledger::default();
     ledger.fold(Record::Submitted(JobId(1), job(vec![step(2)])));
-    let done = Progress { phase: Phase::Completed, begun: true, occurrences: Vec::new() };
+    let done = Progress { phase: Phase::Completed, has_started: true, occurrences: Vec::new() };
     ledger.fold(Record::Progress(JobId(1), done));
     ledger.fold(Record::Cancelled(JobId(1)));
 
@@ -233,7 +243,7 @@
         (job(vec![step(20_001)]), SpecError::TooManyTasks(20_001)),
     ];
     for (spec, error) in cases {
-        assert_eq!(spec.checked(), Err(error));
+        assert_eq!(spec.validated(), Err(error));
     }
 }
 
--- a/daisy-workflow/tests/state_publishing.rs
+++ b/daisy-workflow/tests/state_publishing.rs
@@ -2,7 +2,8 @@
 
 use daisy_model::{Instant, SortedMap};
 use daisy_workflow::{
-    Claim, Directory, JobId, JobState, Load, Record, ShardId, Sign, Telling, Told,
+    Claim, Directory, JobId, JobState, Load, OwnerHeartbeat, PublishedState, Record, ShardId,
+    StatePublisher,
 };
 
 const OWN: ShardId = ShardId(1);
@@ -12,34 +13,46 @@
     Instant::from_millis(millis)
 }
 
-fn sample_heartbeat() -> Sign {
-    let claim = Claim { vm: "a".to_owned(), process: 1, epoch: 3, released: false, settled: true };
-    Sign { shard: OWN, claim, current: true, pending: Vec::new(), load: Load::default() }
+fn sample_heartbeat() -> OwnerHeartbeat {
+    let claim = Claim {
+        vm: "a".to_owned(),
+        process: 1,
+        epoch: 3,
+        released: false,
+        predecessors_expired: true,
+    };
+    OwnerHeartbeat {
+        shard: OWN,
+        claim,
+        is_caught_up: true,
+        pending: Vec::new(),
+        load: Load::default(),
+    }
 }
 
-fn published_state(state: JobState, shard: ShardId) -> SortedMap<JobId, Told> {
-    SortedMap::from_iter([(ID, Told { state, shard })])
+fn published_state(state: JobState, shard: ShardId) -> SortedMap<JobId, PublishedState> {
+    SortedMap::from_iter([(ID, PublishedState { state, shard })])
 }
 
 fn state_record(state: JobState) -> Record {
-    Record::State(ID, Told { state, shard: OWN })
+    Record::State(ID, PublishedState { state, shard: OWN })
 }
 
 #[test]
 fn a_new_owner_publishes_a_heartbeat_at_once() {
-    let mut publisher = Telling::new(at(0), OWN, SortedMap::new());
+    let mut publisher = StatePublisher::new(at(0), OWN, SortedMap::new());
 
-    let due = publisher.is_sign_due(at(0));
+    let due = publisher.is_heartbeat_due(at(0));
     let records = publisher.try_records(at(0), Some(sample_heartbeat()));
 
     assert!(due);
-    assert_eq!(records, Some(vec![Record::Sign(Box::new(sample_heartbeat()))]));
-    assert!(!publisher.is_sign_due(at(399)) && publisher.is_sign_due(at(400)));
+    assert_eq!(records, Some(vec![Record::OwnerHeartbeat(Box::new(sample_heartbeat()))]));
+    assert!(!publisher.is_heartbeat_due(at(399)) && publisher.is_heartbeat_due(at(400)));
 }
 
 #[test]
 fn states_are_batched_for_30_ms() {
-    let mut publisher = Telling::new(at(0), OWN, SortedMap::new());
+    let mut publisher = StatePublisher::new(at(0), OWN, SortedMap::new());
     publisher.add(ID, JobState::Queued);
     publisher.add(ID, JobState::Running);
 
@@ -47,24 +60,25 @@
     let due = publisher.try_records(at(30), None);
 
     assert_eq!((early, due), (None, Some(vec![state_record(JobState::Running)])));
-    assert!(!publisher.is_waiting());
+    assert!(!publisher.has_pending_states());
 }
 
 #[test]
 fn a_state_that_is_already_published_is_not_published_again() {
-    let mut publisher = Telling::new(at(0), OWN, published_state(JobState::Running, OWN));
+    let mut publisher = StatePublisher::new(at(0), OWN, published_state(JobState::Running, OWN));
 
     publisher.add(ID, JobState::Queued);
     publisher.add(ID, JobState::Running);
 
-    assert!(!publisher.is_waiting());
+    assert!(!publisher.has_pending_states());
 }
 
 /// A job's own shard published that it is queued, and then transferred it here. Unless this shard
 /// publishes its state, the next owner of the other shard transfers the job once more.
 #[test]
 fn the_state_of_a_job_from_another_shard_is_published() {
-    let mut publisher = Telling::new(at(0), OWN, published_state(JobState::Queued, ShardId(0)));
+    let mut publisher =
+        StatePublisher::new(at(0), OWN, published_state(JobState::Queued, ShardId(0)));
 
     publisher.add(ID, JobState::Queued);
 
@@ -73,35 +87,36 @@
 
 #[test]
 fn an_older_state_is_not_published_after_a_newer_one() {
-    let mut publisher = Telling::new(at(0), OWN, published_state(JobState::Completed, ShardId(0)));
+    let mut publisher =
+        StatePublisher::new(at(0), OWN, published_state(JobState::Completed, ShardId(0)));
 
     publisher.add(ID, JobState::Running);
 
-    assert!(!publisher.is_waiting());
+    assert!(!publisher.has_pending_states());
 }
 
 /// An owner that dies before it publishes the state of a transferred job leaves a job that no VM
 /// knows.
 #[test]
 fn a_transferred_job_without_a_published_state_is_missing() {
-    let publisher = Telling::new(at(0), OWN, SortedMap::new());
+    let publisher = StatePublisher::new(at(0), OWN, SortedMap::new());
     let mut directory = Directory::default();
 
-    let before = publisher.all_told(&directory, [ID].into_iter());
-    directory.set_state(ID, Told { state: JobState::Queued, shard: ShardId(0) });
-    let after = publisher.all_told(&directory, [ID].into_iter());
+    let before = publisher.are_all_published(&directory, [ID].into_iter());
+    directory.set_state(ID, PublishedState { state: JobState::Queued, shard: ShardId(0) });
+    let after = publisher.are_all_published(&directory, [ID].into_iter());
 
     assert_eq!((before, after), (false, true));
 }
 
 #[test]
 fn a_job_that_this_owner_publishes_is_not_missing() {
-    let mut publisher = Telling::new(at(0), OWN, SortedMap::new());
+    let mut publisher = StatePublisher::new(at(0), OWN, SortedMap::new());
     publisher.add(ID, JobState::Queued);
 
-    let while_pending = publisher.all_told(&Directory::default(), [ID].into_iter());
+    let while_pending = publisher.are_all_published(&Directory::default(), [ID].into_iter());
     publisher.try_records(at(30), None);
-    let after_publishing = publisher.all_told(&Directory::default(), [ID].into_iter());
+    let after_publishing = publisher.are_all_published(&Directory::default(), [ID].into_iter());
 
     assert_eq!((while_pending, after_publishing), (true, true));
 }
--- a/daisy-workflow/tests/task_transfer.rs
+++ b/daisy-workflow/tests/task_transfer.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Copy, Event, Fold, Handover, Hop, JobId, JobSpec, Layout, Ledger, Load, Others, Progress,
-    Record, ShardId, StepSpec, TaskId,
+    Copy, Event, FoldEffect, IncomingTransfer, JobId, JobSpec, Layout, Ledger, Load, OtherShards,
+    OutgoingTransfer, Progress, Record, ShardId, StepSpec, TaskId,
 };
 use util::{CORE, FakeWorker, ShardedSimulation, job, long_running_step, task};
 
@@ -47,12 +47,13 @@
 }
 
 fn task_received(hop: u32, runs: u32) -> Record {
-    let it = Handover { hop, spec: large_job(), runs, failures: 0, checkpoint: String::new() };
-    Record::TaskSubmitted(task_of_job(0), Box::new(it))
+    let it =
+        IncomingTransfer { hop, spec: large_job(), runs, failures: 0, checkpoint: String::new() };
+    Record::TaskTransferredIn(task_of_job(0), Box::new(it))
 }
 
 fn task_transferred(number: u32) -> Record {
-    Record::TaskHandedOn(task_of_job(0), Hop { number, to: ShardId(2) })
+    Record::TaskTransferredOut(task_of_job(0), OutgoingTransfer { number, to: ShardId(2) })
 }
 
 /// Returns whether the job's first task waits for a start in the shard of this ledger.
@@ -150,7 +151,7 @@
 #[test]
 fn a_task_stays_when_no_other_shard_has_capacity() {
     let mut sim = with_a_waiting_task();
-    let full = Load { capacity: 8_000, lasting: 8_000, ..Load::default() };
+    let full = Load { capacity: 8_000, long_running: 8_000, ..Load::default() };
     let now = sim.shards[0].now;
     sim.shards[0]
         .owner
@@ -158,7 +159,7 @@
 
     sim.run_ms(4_500);
 
-    let receiving_shards = sim.shards[0].ledger.job(job_id()).map(|it| it.handed_to());
+    let receiving_shards = sim.shards[0].ledger.job(job_id()).map(|it| it.transferred_to());
     assert_eq!(receiving_shards, Some(vec![]));
 }
 
@@ -188,7 +189,7 @@
     let fold = ledger.fold(task_received(2, 6));
     let second_fold = ledger.fold(task_received(2, 6));
 
-    assert_eq!((fold, second_fold), (Fold::Task(task_of_job(0)), Fold::Nothing));
+    assert_eq!((fold, second_fold), (FoldEffect::Task(task_of_job(0)), FoldEffect::Nothing));
     assert!(is_waiting_here(&ledger));
 }
 
@@ -214,22 +215,28 @@
 fn owners_share_the_free_blocks_that_all_of_them_see() {
     let mut load_with_capacity = Load { capacity: 64_000, ..Load::default() };
     let need = large_job().steps[0].need;
-    load_with_capacity
-        .set_pieces(vec![Resources { cpu_milli: 6_000, memory_mib: 64_000, ..need }; 6]);
+    load_with_capacity.set_free_blocks(vec![
+        Resources {
+            cpu_milli: 6_000,
+            memory_mib: 64_000,
+            ..need
+        };
+        6
+    ]);
     let full = Load { capacity: 64_000, ..Load::default() };
     let loads = [(ShardId(1), load_with_capacity), (ShardId(2), full), (ShardId(3), full)];
-    let mut others = Others::default();
+    let mut others = OtherShards::default();
     others.update(SortedMap::from_iter(loads));
-    let mut sent = 0;
+    let mut transferred = 0;
 
-    while let Some(to) = others.try_room(Instant::default(), FULL_SHARD, need) {
-        others.sent(
+    while let Some(to) = others.try_find_capacity(Instant::default(), FULL_SHARD, need) {
+        others.transferred(
             Instant::default(),
             to,
-            daisy_workflow::Demand::of_lasting(&large_job().steps[0]),
+            daisy_workflow::Demand::of_long_running_task(&large_job().steps[0]),
         );
-        sent += 1;
+        transferred += 1;
     }
 
-    assert_eq!(sent, 4);
+    assert_eq!(transferred, 4);
 }
--- a/daisy-workflow/tests/tick_delay.rs
+++ b/daisy-workflow/tests/tick_delay.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_workflow::Lateness;
+use daisy_workflow::TickDelay;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -11,11 +11,11 @@
 /// them.
 fn is_too_slow(gaps: &[u64]) -> bool {
     let mut now = Instant::from_millis(1_000);
-    let mut tick_delay = Lateness::new(now, TICK_INTERVAL);
+    let mut tick_delay = TickDelay::new(now, TICK_INTERVAL);
     let mut last = false;
     for gap in gaps {
         now = now + Duration::from_millis(*gap);
-        last = tick_delay.is_too_late(now);
+        last = tick_delay.record_tick(now);
     }
     last
 }
--- a/daisy-workflow/tests/transfer_paths.rs
+++ b/daisy-workflow/tests/transfer_paths.rs
@@ -4,7 +4,7 @@
 mod util;
 
 use daisy_model::Resources;
-use daisy_workflow::{Handover, JobId, JobSpec, Record, ShardId, StepSpec, TaskId};
+use daisy_workflow::{IncomingTransfer, JobId, JobSpec, Record, ShardId, StepSpec, TaskId};
 use util::{
     CORE, FakeWorker, LONG_RUNNING_WORK_MS, ShardedSimulation, Simulation, job, long_running_step,
     step, task,
@@ -175,7 +175,7 @@
     sim.run_with_loads_ms(30_000);
 
     let jobs = sim.shards.iter().filter_map(|it| it.ledger.job(id));
-    let hops = jobs.flat_map(|it| it.moved.iter().map(|(_, it)| it.hop)).max().unwrap_or(0);
+    let hops = jobs.flat_map(|it| it.transfers.iter().map(|(_, it)| it.hop)).max().unwrap_or(0);
     assert!(hops <= 6, "{hops} hops in 30 s");
 }
 
@@ -195,9 +195,14 @@
     sim.work_ms = |_| LONG_RUNNING_WORK_MS;
     let id = JobId(1);
     let spec = tasks(1, 1);
-    let it =
-        Handover { hop: 2, spec: spec.clone(), runs: 3, failures: 0, checkpoint: String::new() };
-    sim.write(Record::TaskSubmitted(first_task(id), Box::new(it)));
+    let it = IncomingTransfer {
+        hop: 2,
+        spec: spec.clone(),
+        runs: 3,
+        failures: 0,
+        checkpoint: String::new(),
+    };
+    sim.write(Record::TaskTransferredIn(first_task(id), Box::new(it)));
     sim.run_ms(500);
 
     sim.submit(id.0, spec);
--- a/daisy-workflow/tests/util/mod.rs
+++ b/daisy-workflow/tests/util/mod.rs
@@ -12,7 +12,7 @@
 use std::{sync::Arc, time::Duration};
 
 use daisy_model::Resources;
-use daisy_workflow::{JobId, JobSpec, Queue, Queues, Service, StepSpec, TaskId, Terms};
+use daisy_workflow::{JobId, JobSpec, Queue, QueueConfig, Service, StepSpec, TaskId, Terms};
 
 pub use self::{
     partition::{Cluster, Node},
@@ -41,17 +41,17 @@
     }
 }
 
-pub fn queues() -> Arc<Queues> {
-    Arc::new(Queues {
+pub fn queues() -> Arc<QueueConfig> {
+    Arc::new(QueueConfig {
         version: 1,
         queues: vec![Queue {
             host: "shop.example".into(),
             path_prefix: "/renders/".into(),
             timeout_ms: 3_000,
-            advised: false,
+            needs_policy_approval: false,
             terms: terms(),
         }],
-        services: vec![Service { name: "shop".into(), workers_guard: false, connections: 64 }],
+        services: vec![Service { name: "shop".into(), admission_control: false, connections: 64 }],
         body_bytes: 1 << 18,
     })
 }
--- a/daisy-workflow/tests/util/partition.rs
+++ b/daisy-workflow/tests/util/partition.rs
@@ -62,7 +62,7 @@
 struct Process {
     epoch: u64,
     owner: Owner,
-    settled: bool,
+    predecessors_expired: bool,
     heartbeat_sent_at: Option<Instant>,
     listed_at: Option<Instant>,
     writes: Vec<Write>,
@@ -97,7 +97,7 @@
 struct NewestClaim {
     epoch: u64,
     vm: usize,
-    settled: bool,
+    predecessors_expired: bool,
     released: bool,
 }
 
@@ -329,17 +329,25 @@
             return false;
         }
         let last = self.claimed.as_ref();
-        let settled = last.is_none_or(|it| (it.released || it.vm == vm) && it.settled);
+        let predecessors_expired =
+            last.is_none_or(|it| (it.released || it.vm == vm) && it.predecessors_expired);
         let epoch = last.map_or(0, |it| it.epoch) + 1;
-        self.claimed = Some(NewestClaim { epoch, vm, settled, released: false });
+        self.claimed = Some(NewestClaim { epoch, vm, predecessors_expired, released: false });
         let mut ledger = self.log.read(false, false);
         if self.ignores_witnesses {
             ledger.fold(Record::Witnesses(Witnesses::default()));
         }
         self.vms[vm].process = Some(Process {
             epoch,
-            owner: owner(self.now, epoch, ledger, settled, ShardId(0), Layout { shards: 1 }),
-            settled,
+            owner: owner(
+                self.now,
+                epoch,
+                ledger,
+                predecessors_expired,
+                ShardId(0),
+                Layout { shards: 1 },
+            ),
+            predecessors_expired,
             heartbeat_sent_at: None,
             listed_at: None,
             writes: Vec::new(),
@@ -574,7 +582,8 @@
             None => {
                 self.last_heartbeat = (process.epoch, self.now);
                 if process.epoch == claimed.epoch {
-                    claimed.settled = process.settled || process.owner.is_settled(self.now);
+                    claimed.predecessors_expired =
+                        process.predecessors_expired || process.owner.is_settled(self.now);
                 }
                 Event::Reached { sent_at: *sent_at }
             }
