--- a/daisy-entry/src/proxy/answer.rs
+++ b/daisy-entry/src/proxy/answer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_routing::{KeyStop, Reason, Refusal};
+use daisy_routing::{KeyDenial, Reason, Refusal};
 use daisy_wire::headers;
 use http::{HeaderValue, Response, StatusCode, header::RETRY_AFTER};
 
@@ -60,17 +60,17 @@
     }
 
     /// Why a keyed request does not run in this attempt.
-    pub(super) fn from_key(stop: KeyStop, not_run: bool) -> Failure {
+    pub(super) fn from_key(stop: KeyDenial, not_run: bool) -> Failure {
         let outcome = if not_run { Outcome::NotRun } else { Outcome::Unknown };
         let (status, reason) = match stop {
-            KeyStop::Unknown => (StatusCode::CONFLICT, "key-unknown"),
-            KeyStop::Running => (StatusCode::CONFLICT, "key-in-progress"),
-            KeyStop::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, "key-reused"),
-            KeyStop::Full => (StatusCode::SERVICE_UNAVAILABLE, "keys-full"),
-            KeyStop::Settling => (StatusCode::SERVICE_UNAVAILABLE, "key-home-settling"),
-            KeyStop::Unreachable => (StatusCode::SERVICE_UNAVAILABLE, "key-home-unreachable"),
+            KeyDenial::Unknown => (StatusCode::CONFLICT, "key-unknown"),
+            KeyDenial::Running => (StatusCode::CONFLICT, "key-in-progress"),
+            KeyDenial::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, "key-reused"),
+            KeyDenial::Full => (StatusCode::SERVICE_UNAVAILABLE, "keys-full"),
+            KeyDenial::Settling => (StatusCode::SERVICE_UNAVAILABLE, "key-home-settling"),
+            KeyDenial::Unreachable => (StatusCode::SERVICE_UNAVAILABLE, "key-home-unreachable"),
         };
-        let final_word = matches!(stop, KeyStop::Unknown | KeyStop::Mismatch);
+        let final_word = matches!(stop, KeyDenial::Unknown | KeyDenial::Mismatch);
         let retry_after = (!final_word).then_some(KEY_RETRY);
         Failure { retry_after, ..Failure::new(status, outcome, reason) }
     }
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -166,20 +166,20 @@
 
     /// The home of `key` in the own data centre.
     pub(super) fn home(&self, key: &KeyId) -> Option<VmId> {
-        self.homes(key).first().copied()
+        self.candidate_homes(key).first().copied()
     }
 
     /// Those in the own data centre that may be the home of `key`, the likeliest first.
-    pub(super) fn homes(&self, key: &KeyId) -> Vec<VmId> {
+    pub(super) fn candidate_homes(&self, key: &KeyId) -> Vec<VmId> {
         let keys = lock(&self.keys);
-        keys.homes(keys.dc(), key)
+        keys.candidate_homes(keys.dc(), key)
     }
 
     /// The homes of `key` in all other data centres; `None` where none shows.
     pub(super) fn other_homes(&self, key: &KeyId) -> Vec<Option<VmId>> {
         let keys = lock(&self.keys);
-        let others = keys.others(self.clock.now());
-        others.into_iter().map(|dc| keys.homes(dc, key).first().copied()).collect()
+        let other_dcs = keys.other_dcs(self.clock.now());
+        other_dcs.into_iter().map(|dc| keys.candidate_homes(dc, key).first().copied()).collect()
     }
 
     /// Answers a question about a key.
@@ -198,7 +198,7 @@
     /// Lets time pass for the queue.
     pub(super) fn tick(&self) {
         let now = self.clock.now();
-        lock(&self.keys).observe(now);
+        lock(&self.keys).observe_time(now);
         lock(&self.deciding).apply(|router, rng| router.tick(now, rng), now);
     }
 
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, VmId};
 use daisy_routing::{
-    ClaimEnd, ClaimId, KeyAnswer, KeyId, KeyQuery, KeyStep, KeyStop, StoredAnswer, after_home,
-    after_others, digest,
+    ClaimEnd, ClaimId, KeyAnswer, KeyDenial, KeyId, KeyQuery, KeyStep, StoredAnswer, digest,
+    next_step_after_home, next_step_after_other_dcs,
 };
 use futures::future::join_all;
 
@@ -57,7 +57,7 @@
     pub(super) core: Arc<Core>,
     pub(super) peers: K,
     pub(super) id: KeyId,
-    pub(super) shape: u64,
+    pub(super) request_digest: u64,
     pub(super) key: Key,
     pub(super) deadline: Instant,
 }
@@ -72,10 +72,10 @@
             let home = self.core.home(&self.id);
             claim.home = claim.home.or(home);
             let mut step = self.ask_home(home, claim.id).await;
-            let granted = matches!(step, KeyStep::Run | KeyStep::AskOthers);
+            let granted = matches!(step, KeyStep::Run | KeyStep::QueryOtherDcs);
             if granted && self.key.logged {
                 step = self.intend().await;
-            } else if step == KeyStep::AskOthers {
+            } else if step == KeyStep::QueryOtherDcs {
                 step = self.ask_others().await;
             }
             let stop = match step {
@@ -86,7 +86,7 @@
                     }
                     return Ok(Claimed::Replay(answer));
                 }
-                KeyStep::AskOthers => KeyStop::Unknown,
+                KeyStep::QueryOtherDcs => KeyDenial::Unknown,
                 KeyStep::Stop(stop) | KeyStep::Wait(stop) if granted => {
                     self.finish(claim, ClaimEnd::NotRun).await;
                     // A finish may overtake the next claim of the same name and release it.
@@ -96,7 +96,7 @@
                 KeyStep::Stop(stop) | KeyStep::Wait(stop) => stop,
             };
             if !self.may_wait(stop, begun, pause) {
-                if stop == KeyStop::Unreachable {
+                if stop == KeyDenial::Unreachable {
                     self.finish(claim, ClaimEnd::NotRun).await;
                 }
                 return Err(self.stopped(stop));
@@ -113,7 +113,7 @@
         let query = KeyQuery::Finish { key: self.id.clone(), claim: claim.id, end };
         for _ in 0..FINISH_TRIES {
             if let Some(home) = self.core.home(&self.id)
-                && self.ask(home, query.clone()).await == Some(KeyAnswer::Taken)
+                && self.ask(home, query.clone()).await == Some(KeyAnswer::Acknowledged)
             {
                 if not_run && claim.home != Some(home) {
                     self.tell_others(home, query).await;
@@ -127,7 +127,7 @@
 
     /// Tells those beside the home that may have a copy of a claim from a handover.
     async fn tell_others(&self, home: VmId, query: KeyQuery) {
-        let others = self.core.homes(&self.id).into_iter().filter(|it| *it != home);
+        let others = self.core.candidate_homes(&self.id).into_iter().filter(|it| *it != home);
         join_all(others.map(|it| self.ask(it, query.clone()))).await;
     }
 
@@ -136,24 +136,25 @@
         let repeated = self.key.repeated && !self.key.logged;
         let query = KeyQuery::Claim {
             key: self.id.clone(),
-            shape: self.shape,
+            request_digest: self.request_digest,
             claim,
             repeated,
-            hold: left + HOLD_MARGIN,
+            claim_timeout: left + HOLD_MARGIN,
         };
         let Some(home) = home else {
-            return KeyStep::Wait(KeyStop::Unreachable);
+            return KeyStep::Wait(KeyDenial::Unreachable);
         };
-        after_home(self.ask(home, query).await, repeated)
+        next_step_after_home(self.ask(home, query).await, repeated)
     }
 
     async fn ask_others(&self) -> KeyStep {
-        let homes = self.core.other_homes(&self.id);
-        let answers = join_all(homes.into_iter().map(async |home| {
-            let query = KeyQuery::Fence { key: self.id.clone(), shape: self.shape };
+        let candidate_homes = self.core.other_homes(&self.id);
+        let answers = join_all(candidate_homes.into_iter().map(async |home| {
+            let query =
+                KeyQuery::Fence { key: self.id.clone(), request_digest: self.request_digest };
             self.ask(home?, query).await
         }));
-        after_others(answers.await, self.key.repeated)
+        next_step_after_other_dcs(answers.await, self.key.repeated)
     }
 
     /// Notes the request in the platform's log; the first intent for a key wins.
@@ -162,8 +163,8 @@
         let intent = self.peers.intend(intent_key(&self.id), left.min(INTENT_TIMEOUT)).await;
         match intent {
             Intent::Won => KeyStep::Run,
-            Intent::Lost => KeyStep::Stop(KeyStop::Unknown),
-            Intent::Unavailable => KeyStep::Stop(KeyStop::Unreachable),
+            Intent::Lost => KeyStep::Stop(KeyDenial::Unknown),
+            Intent::Unavailable => KeyStep::Stop(KeyDenial::Unreachable),
         }
     }
 
@@ -172,11 +173,11 @@
     }
 
     /// Whether asking again may help before the caller's patience or the home's ends.
-    fn may_wait(&self, stop: KeyStop, begun: Instant, pause: Duration) -> bool {
+    fn may_wait(&self, stop: KeyDenial, begun: Instant, pause: Duration) -> bool {
         let next = self.core.clock.now() + pause;
         let end = match stop {
-            KeyStop::Running => self.deadline,
-            KeyStop::Settling | KeyStop::Unreachable if !self.key.logged => {
+            KeyDenial::Running => self.deadline,
+            KeyDenial::Settling | KeyDenial::Unreachable if !self.key.logged => {
                 self.deadline.min(begun + HOME_PATIENCE)
             }
             _ => return false,
@@ -184,7 +185,7 @@
         next < end
     }
 
-    fn stopped(&self, stop: KeyStop) -> Failure {
+    fn stopped(&self, stop: KeyDenial) -> Failure {
         Failure::from_key(stop, stop.proves_not_run(self.key.repeated))
     }
 }
@@ -236,7 +237,7 @@
 ) -> bool {
     for query in queries {
         let begun = core.clock.now();
-        while ask(core, peers, peer, query.clone()).await != Some(KeyAnswer::Taken) {
+        while ask(core, peers, peer, query.clone()).await != Some(KeyAnswer::Acknowledged) {
             if core.clock.now().since(begun) >= patience {
                 return false;
             }
--- a/daisy-entry/src/proxy/request.rs
+++ b/daisy-entry/src/proxy/request.rs
@@ -81,11 +81,11 @@
             idempotent: head.idempotent,
             bytes,
         };
-        let shape = shape(&parts);
+        let request_digest = request_digest(&parts);
         let job = Job { call, sending: Sending::new(parts, id, deadline), payload };
         match head.key {
             None => run_job(core, job).await.map_err(Refused::Final),
-            Some(key) => self.run_keyed(job, key, shape).await.map_err(Refused::Final),
+            Some(key) => self.run_keyed(job, key, request_digest).await.map_err(Refused::Final),
         }
     }
 
@@ -95,12 +95,12 @@
         &self,
         job: Job,
         key: Key,
-        shape: u64,
+        request_digest: u64,
     ) -> Result<Response<AnswerBody>, Failure> {
         let id = KeyId { service: job.call.service.clone(), key: key.key.clone() };
         let deadline = job.call.deadline;
         let Requests { core, peers } = self.clone();
-        let keyed = Keyed { core, peers, id, shape, key, deadline };
+        let keyed = Keyed { core, peers, id, request_digest, key, deadline };
         let running = self.core.keyed.clone().acquire_owned().await;
         let task = tokio::spawn(async move {
             let answer = run_claimed(keyed, job).await;
@@ -156,7 +156,7 @@
 }
 
 /// A digest of what a key stands for: the same key for another request is an error.
-fn shape(parts: &Parts) -> u64 {
+fn request_digest(parts: &Parts) -> u64 {
     digest(format!("{} {}", parts.method, parts.uri).as_bytes())
 }
 
--- a/daisy-routing/src/attempt.rs
+++ b/daisy-routing/src/attempt.rs
@@ -8,18 +8,18 @@
     /// It may run.
     Run,
     /// The homes of the other data centres have to be asked.
-    AskOthers,
+    QueryOtherDcs,
     /// It ran, and this is its answer.
     Replay(StoredAnswer),
     /// Another attempt runs, or a home is not there yet: ask again a little later.
-    Wait(KeyStop),
+    Wait(KeyDenial),
     /// It must not run.
-    Stop(KeyStop),
+    Stop(KeyDenial),
 }
 
 /// Why a keyed request does not run in this attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyStop {
+pub enum KeyDenial {
     /// Whether an earlier attempt ran is not known.
     Unknown,
     /// An earlier attempt runs.
@@ -34,7 +34,7 @@
     Unreachable,
 }
 
-impl KeyStop {
+impl KeyDenial {
     /// Whether it is proven that the caller's request has not run.
     ///
     /// Guards against an order under a new key for one that ran: of a repeated attempt nothing is
@@ -42,27 +42,30 @@
     pub fn proves_not_run(self, repeated: bool) -> bool {
         let not_run = matches!(
             self,
-            KeyStop::Mismatch | KeyStop::Full | KeyStop::Settling | KeyStop::Unreachable
+            KeyDenial::Mismatch | KeyDenial::Full | KeyDenial::Settling | KeyDenial::Unreachable
         );
         not_run && !repeated
     }
 }
 
 /// What comes after the word of the home in the own data centre; `None` for no answer.
-pub fn after_home(answer: Option<KeyAnswer>, repeated: bool) -> KeyStep {
+pub fn next_step_after_home(answer: Option<KeyAnswer>, repeated: bool) -> KeyStep {
     match answer {
-        Some(KeyAnswer::Granted) if repeated => KeyStep::AskOthers,
-        Some(KeyAnswer::Conditional) => KeyStep::AskOthers,
+        Some(KeyAnswer::Granted) if repeated => KeyStep::QueryOtherDcs,
+        Some(KeyAnswer::Conditional) => KeyStep::QueryOtherDcs,
         Some(KeyAnswer::Granted) => KeyStep::Run,
         Some(KeyAnswer::Answered(answer)) => KeyStep::Replay(answer),
-        Some(KeyAnswer::Running) => KeyStep::Wait(KeyStop::Running),
-        Some(KeyAnswer::Mismatch) => KeyStep::Stop(KeyStop::Mismatch),
-        Some(KeyAnswer::Full) => KeyStep::Stop(KeyStop::Full),
-        Some(KeyAnswer::Settling | KeyAnswer::NotHome) => KeyStep::Wait(KeyStop::Settling),
+        Some(KeyAnswer::Running) => KeyStep::Wait(KeyDenial::Running),
+        Some(KeyAnswer::Mismatch) => KeyStep::Stop(KeyDenial::Mismatch),
+        Some(KeyAnswer::Full) => KeyStep::Stop(KeyDenial::Full),
+        Some(KeyAnswer::Settling | KeyAnswer::NotHome) => KeyStep::Wait(KeyDenial::Settling),
         Some(
-            KeyAnswer::Unknown | KeyAnswer::Fenced | KeyAnswer::FencedBefore | KeyAnswer::Taken,
-        ) => KeyStep::Stop(KeyStop::Unknown),
-        None => KeyStep::Wait(KeyStop::Unreachable),
+            KeyAnswer::Unknown
+            | KeyAnswer::Fenced
+            | KeyAnswer::AlreadyFenced
+            | KeyAnswer::Acknowledged,
+        ) => KeyStep::Stop(KeyDenial::Unknown),
+        None => KeyStep::Wait(KeyDenial::Unreachable),
     }
 }
 
@@ -74,19 +77,19 @@
 /// Of a first attempt whose own home does not vouch, a fence that stood there before is no such
 /// word: a repeated attempt may have set it and then run in this data centre. Nor is it one if
 /// there is no other data centre.
-pub fn after_others(answers: Vec<Option<KeyAnswer>>, repeated: bool) -> KeyStep {
+pub fn next_step_after_other_dcs(answers: Vec<Option<KeyAnswer>>, repeated: bool) -> KeyStep {
     if answers.is_empty() && !repeated {
-        return KeyStep::Stop(KeyStop::Unknown);
+        return KeyStep::Stop(KeyDenial::Unknown);
     }
     let mut step = KeyStep::Run;
     for answer in answers {
         let next = match answer {
             Some(KeyAnswer::Fenced) => KeyStep::Run,
-            Some(KeyAnswer::FencedBefore) if repeated => KeyStep::Run,
+            Some(KeyAnswer::AlreadyFenced) if repeated => KeyStep::Run,
             Some(KeyAnswer::Answered(answer)) => return KeyStep::Replay(answer),
-            Some(KeyAnswer::Running) => KeyStep::Wait(KeyStop::Running),
-            Some(KeyAnswer::Mismatch) => KeyStep::Stop(KeyStop::Mismatch),
-            _ => KeyStep::Stop(KeyStop::Unknown),
+            Some(KeyAnswer::Running) => KeyStep::Wait(KeyDenial::Running),
+            Some(KeyAnswer::Mismatch) => KeyStep::Stop(KeyDenial::Mismatch),
+            _ => KeyStep::Stop(KeyDenial::Unknown),
         };
         if step == KeyStep::Run || matches!(next, KeyStep::Stop(_)) {
             step = if next == KeyStep::Run { step } else { next };
--- a/daisy-routing/src/key.rs
+++ b/daisy-routing/src/key.rs
@@ -53,7 +53,7 @@
     Repeated,
     /// One of the three, granted by an earlier home that did not say which: unknown, which is safe
     /// for each.
-    Handed,
+    Unspecified,
 }
 
 /// What a home knows of a key.
@@ -76,15 +76,15 @@
 
 /// A key on its way to its new home.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HandedKey {
+pub struct TransferredKey {
     /// The key.
     pub key: KeyId,
     /// A digest of the request's method and path.
-    pub shape: u64,
+    pub request_digest: u64,
     /// What the old home knows.
     pub state: KeyState,
     /// How long it is still kept.
-    pub keep: Duration,
+    pub remaining_retention: Duration,
 }
 
 /// A question or order of one entry VM to another.
@@ -95,14 +95,14 @@
         /// The key.
         key: KeyId,
         /// A digest of the request's method and path, so that a key is not used for another.
-        shape: u64,
+        request_digest: u64,
         /// Names the wish; a lost answer is asked for again under the same name, and a wish after
         /// [`KeyQuery::Finish`] has another: the finish may arrive after it.
         claim: ClaimId,
         /// Whether the caller says that it sent the request before.
         repeated: bool,
         /// How long the claim may run at most.
-        hold: Duration,
+        claim_timeout: Duration,
     },
     /// To the key's home in another data centre: do you know it? If not, never run its first
     /// attempt.
@@ -110,7 +110,7 @@
         /// The key.
         key: KeyId,
         /// A digest of the request's method and path.
-        shape: u64,
+        request_digest: u64,
     },
     /// To the home that granted a claim: how it ended.
     Finish {
@@ -124,13 +124,13 @@
     /// To a new home: what the old one knows of the keys that are now the new one's.
     Handover {
         /// The keys.
-        keys: Vec<HandedKey>,
+        keys: Vec<TransferredKey>,
         /// Whether nothing follows.
         last: bool,
         /// Whether the old home knew all that happened to these keys in the retry window.
-        complete: bool,
+        complete_in_window: bool,
         /// Whether the old home missed nothing but the time before its own start.
-        fresh: bool,
+        complete_since_start: bool,
         /// Whether the old home stops.
         leaving: bool,
     },
@@ -144,7 +144,7 @@
     /// Not known here, and now fenced.
     Fenced,
     /// Not run here, and fenced before: some repeated attempt has asked.
-    FencedBefore,
+    AlreadyFenced,
     /// Another claim runs.
     Running,
     /// It ran, and this is its answer.
@@ -160,7 +160,7 @@
     /// The entry VM asked has just become the home and does not grant yet; nothing was noted.
     Settling,
     /// The order was carried out.
-    Taken,
+    Acknowledged,
     /// The claim may run if the other data centres' homes do not know the key either: this one
     /// does not vouch for its past.
     Conditional,
--- a/daisy-routing/src/keys.rs
+++ b/daisy-routing/src/keys.rs
@@ -11,7 +11,7 @@
 use daisy_model::{DcId, Instant, VmId};
 
 use crate::{
-    ClaimEnd, ClaimId, ClaimKind, HandedKey, KeyAnswer, KeyId, KeyQuery, Routes, digest,
+    ClaimEnd, ClaimId, ClaimKind, KeyAnswer, KeyId, KeyQuery, Routes, TransferredKey, digest,
     keys::{
         past::{Past, Word},
         store::{Held, Holding, Store},
@@ -67,7 +67,7 @@
     /// To be called at each change and about once a second, as what is listed and does not answer
     /// counts as missing only after a while.
     pub fn set_routes(&mut self, now: Instant, routes: &Routes) -> Vec<(VmId, KeyQuery)> {
-        self.observe(now);
+        self.observe_time(now);
         self.window = routes.policy.retry_window;
         let joined = self.view.update(now, self.me, routes);
         self.past.members_changed(now, self.me, &self.view, &joined);
@@ -75,14 +75,14 @@
     }
 
     /// Lets time pass; to be called several times a second, as silence counts as a freeze.
-    pub fn observe(&mut self, now: Instant) {
-        self.past.observe(now);
+    pub fn observe_time(&mut self, now: Instant) {
+        self.past.observe_time(now);
         self.store.expire(now, self.window);
     }
 
     /// The home of `key` in the data centre `dc` as this entry VM sees it, the likeliest first.
-    pub fn homes(&self, dc: DcId, key: &KeyId) -> Vec<VmId> {
-        self.view.homes(dc, key)
+    pub fn candidate_homes(&self, dc: DcId, key: &KeyId) -> Vec<VmId> {
+        self.view.candidate_homes(dc, key)
     }
 
     /// The own data centre.
@@ -92,8 +92,8 @@
 
     /// The other data centres that have to give their word for a repeated attempt: all that have
     /// entry VMs, or had some within the retry window.
-    pub fn others(&self, now: Instant) -> Vec<DcId> {
-        self.view.others(now, self.window)
+    pub fn other_dcs(&self, now: Instant) -> Vec<DcId> {
+        self.view.other_dcs(now, self.window)
     }
 
     /// Keys kept.
@@ -113,23 +113,33 @@
 
     /// Answers a question or carries out an order of the entry VM `from`, which may be this one.
     pub fn handle(&mut self, now: Instant, from: VmId, query: KeyQuery) -> KeyAnswer {
-        self.observe(now);
+        self.observe_time(now);
         match query {
-            KeyQuery::Handover { keys, last, complete, fresh, leaving } => {
+            KeyQuery::Handover {
+                keys,
+                last,
+                complete_in_window,
+                complete_since_start,
+                leaving,
+            } => {
                 self.take_over(now, keys);
                 if last {
-                    self.past.handed_over(now, from, Word { complete, fresh, leaving });
+                    self.past.handed_over(
+                        now,
+                        from,
+                        Word { complete_in_window, complete_since_start, leaving },
+                    );
                     self.view.set_left(from, leaving);
                     self.view.set_shown(from);
                 }
-                KeyAnswer::Taken
+                KeyAnswer::Acknowledged
             }
-            KeyQuery::Claim { key, shape, claim, repeated, hold } => {
+            KeyQuery::Claim { key, request_digest, claim, repeated, claim_timeout } => {
                 let kind = self.kind(now, repeated);
-                let claimed = Held::running(shape, claim, kind, now + hold);
+                let claimed = Held::running(request_digest, claim, kind, now + claim_timeout);
                 self.claim(now, key, claimed, kind)
             }
-            KeyQuery::Fence { key, shape } => self.fence(now, key, shape),
+            KeyQuery::Fence { key, request_digest } => self.fence(now, key, request_digest),
             KeyQuery::Finish { key, claim, end } => self.finish(now, key, claim, end),
         }
     }
@@ -178,21 +188,21 @@
         self.note(now, key, claimed, kind.grant())
     }
 
-    fn fence(&mut self, now: Instant, key: KeyId, shape: u64) -> KeyAnswer {
+    fn fence(&mut self, now: Instant, key: KeyId, request_digest: u64) -> KeyAnswer {
         if !self.is_home(&key) {
             return KeyAnswer::NotHome;
         }
         let until = now + self.window;
         let vouches = self.past.is_complete(now, self.window);
         if let Some(held) = self.store.get_mut(&key) {
-            return held.fence(shape, vouches, until);
+            return held.fence(request_digest, vouches, until);
         }
         if !vouches {
             return KeyAnswer::Unknown;
         }
         // Guards against a first attempt that was delayed on its way here: it must not run after
         // the repeated one has run elsewhere.
-        let fenced = Held { shape, holding: Holding::Fenced, until };
+        let fenced = Held { request_digest, holding: Holding::Fenced, until };
         self.note(now, key, fenced, KeyAnswer::Fenced)
     }
 
@@ -218,13 +228,17 @@
             return KeyAnswer::Settling;
         }
         self.store.finish(&key, claim, end, until);
-        KeyAnswer::Taken
+        KeyAnswer::Acknowledged
     }
 
-    fn take_over(&mut self, now: Instant, keys: Vec<HandedKey>) {
+    fn take_over(&mut self, now: Instant, keys: Vec<TransferredKey>) {
         for handed in keys {
-            let HandedKey { key, shape, state, keep } = handed;
-            let held = Held { shape, holding: Holding::from(state), until: now + keep };
+            let TransferredKey { key, request_digest, state, remaining_retention } = handed;
+            let held = Held {
+                request_digest,
+                holding: Holding::from(state),
+                until: now + remaining_retention,
+            };
             self.store.merge(key, held);
         }
     }
@@ -257,10 +271,16 @@
         messages
     }
 
-    fn handover(&self, now: Instant, keys: Vec<HandedKey>, last: bool) -> KeyQuery {
-        let complete = self.past.is_complete(now, self.window);
-        let fresh = self.past.is_fresh();
-        KeyQuery::Handover { keys, last, complete, fresh, leaving: self.leaving }
+    fn handover(&self, now: Instant, keys: Vec<TransferredKey>, last: bool) -> KeyQuery {
+        let complete_in_window = self.past.is_complete(now, self.window);
+        let complete_since_start = self.past.is_fresh();
+        KeyQuery::Handover {
+            keys,
+            last,
+            complete_in_window,
+            complete_since_start,
+            leaving: self.leaving,
+        }
     }
 }
 
--- a/daisy-routing/src/keys/past.rs
+++ b/daisy-routing/src/keys/past.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Word {
     /// It vouches for the whole retry window.
-    pub(super) complete: bool,
+    pub(super) complete_in_window: bool,
     /// It missed nothing but the time before its own start.
-    pub(super) fresh: bool,
+    pub(super) complete_since_start: bool,
     /// It stops.
     pub(super) leaving: bool,
 }
@@ -34,7 +34,7 @@
     /// Since when nothing has been missed; `None` for longer than any window.
     unbroken: Option<Instant>,
     /// Whether nothing but the process's own start broke it.
-    fresh: bool,
+    complete_since_start: bool,
     /// Whether a listed entry VM does not answer now.
     missing: bool,
     observed: Instant,
@@ -59,7 +59,7 @@
     pub(super) fn new(now: Instant) -> Past {
         Past {
             unbroken: Some(now),
-            fresh: true,
+            complete_since_start: true,
             missing: false,
             observed: now,
             joined: None,
@@ -74,7 +74,7 @@
 
     /// Guards against a home that was frozen: its peers took it for dead, another became the home,
     /// and it wakes not knowing. Seen by the gap that the freeze leaves between two observations.
-    pub(super) fn observe(&mut self, now: Instant) {
+    pub(super) fn observe_time(&mut self, now: Instant) {
         if now.since(self.observed) > MAX_GAP {
             self.break_at(now);
         }
@@ -112,16 +112,16 @@
 
     /// Takes in that `from` has handed over all it has for this home.
     pub(super) fn handed_over(&mut self, now: Instant, from: VmId, word: Word) {
-        let Word { complete, fresh, leaving } = word;
+        let Word { complete_in_window, complete_since_start, leaving } = word;
         self.awaiting.retain(|vm| *vm != from);
         self.handed.push(from);
-        self.vouched |= complete;
-        self.all_fresh &= fresh;
+        self.vouched |= complete_in_window;
+        self.all_fresh &= complete_since_start;
         self.left.retain(|vm| *vm != from);
         if leaving {
             self.left.push(from);
             // What a fresh one missed was before its start, and so not its to grant.
-            if !complete && !fresh {
+            if !complete_in_window && !complete_since_start {
                 self.break_at(now);
             }
         }
@@ -142,26 +142,33 @@
 
     /// Whether nothing but its own start broke this process's past.
     pub(super) fn is_fresh(&self) -> bool {
-        self.fresh
+        self.complete_since_start
     }
 
     /// Whether every entry VM of the data centre has just started, so that none can hold a request
     /// that was sent before: callers close the connection of an attempt before they repeat it.
     pub(super) fn is_cold(&self) -> bool {
-        self.fresh && self.all_fresh && self.joined.is_some() && self.awaiting.is_empty()
+        self.complete_since_start
+            && self.all_fresh
+            && self.joined.is_some()
+            && self.awaiting.is_empty()
     }
 
     /// A new process is complete once all who were there have handed over and one of them vouches
     /// for the time before.
     fn try_complete(&mut self) {
-        if self.fresh && self.vouched && self.joined.is_some() && self.awaiting.is_empty() {
+        if self.complete_since_start
+            && self.vouched
+            && self.joined.is_some()
+            && self.awaiting.is_empty()
+        {
             self.unbroken = None;
-            self.fresh = false;
+            self.complete_since_start = false;
         }
     }
 
     fn break_at(&mut self, now: Instant) {
         self.unbroken = Some(now);
-        self.fresh = false;
+        self.complete_since_start = false;
     }
 }
--- a/daisy-routing/src/keys/store.rs
+++ b/daisy-routing/src/keys/store.rs
@@ -5,7 +5,7 @@
 use daisy_model::{Instant, SortedMap};
 
 use crate::{
-    ClaimEnd, ClaimId, ClaimKind, HandedKey, KeyAnswer, KeyId, KeyState, StoredAnswer, digest,
+    ClaimEnd, ClaimId, ClaimKind, KeyAnswer, KeyId, KeyState, StoredAnswer, TransferredKey, digest,
     keys::KeyLimits,
 };
 
@@ -36,7 +36,7 @@
 /// A key's state and how long it is kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Held {
-    pub(super) shape: u64,
+    pub(super) request_digest: u64,
     pub(super) holding: Holding,
     pub(super) until: Instant,
 }
@@ -46,7 +46,7 @@
     pub(super) fn grant(self) -> KeyAnswer {
         match self {
             ClaimKind::First | ClaimKind::Repeated => KeyAnswer::Granted,
-            ClaimKind::Conditional | ClaimKind::Handed => KeyAnswer::Conditional,
+            ClaimKind::Conditional | ClaimKind::Unspecified => KeyAnswer::Conditional,
         }
     }
 }
@@ -64,13 +64,18 @@
 
 impl Held {
     /// A claim that runs until `until` at most.
-    pub(super) fn running(shape: u64, claim: ClaimId, kind: ClaimKind, until: Instant) -> Held {
-        Held { shape, holding: Holding::Running { claim, kind }, until }
+    pub(super) fn running(
+        request_digest: u64,
+        claim: ClaimId,
+        kind: ClaimKind,
+        until: Instant,
+    ) -> Held {
+        Held { request_digest, holding: Holding::Running { claim, kind }, until }
     }
 
     /// What another claim is told; a fenced key is granted if `past_fence`.
     pub(super) fn claim(&mut self, claimed: Held, past_fence: bool) -> KeyAnswer {
-        if self.shape != claimed.shape {
+        if self.request_digest != claimed.request_digest {
             return KeyAnswer::Mismatch;
         }
         match (&self.holding, &claimed.holding) {
@@ -90,8 +95,13 @@
     }
 
     /// What another data centre is told.
-    pub(super) fn fence(&mut self, shape: u64, vouches: bool, until: Instant) -> KeyAnswer {
-        if self.shape != shape {
+    pub(super) fn fence(
+        &mut self,
+        request_digest: u64,
+        vouches: bool,
+        until: Instant,
+    ) -> KeyAnswer {
+        if self.request_digest != request_digest {
             return KeyAnswer::Mismatch;
         }
         match &self.holding {
@@ -101,20 +111,25 @@
             Holding::Fenced if !vouches => KeyAnswer::Unknown,
             Holding::Fenced => {
                 self.until = self.until.max(until);
-                KeyAnswer::FencedBefore
+                KeyAnswer::AlreadyFenced
             }
         }
     }
 
     /// The key as it is handed over at `now`.
-    pub(super) fn handed(&self, key: &KeyId, now: Instant) -> HandedKey {
+    pub(super) fn handed(&self, key: &KeyId, now: Instant) -> TransferredKey {
         let state = match &self.holding {
             Holding::Running { claim, kind } => KeyState::Running { claim: *claim, kind: *kind },
             Holding::Answered(answer) => KeyState::Answered(answer.clone()),
             Holding::Unknown { .. } => KeyState::Unknown,
             Holding::Fenced => KeyState::Fenced,
         };
-        HandedKey { key: key.clone(), shape: self.shape, state, keep: self.until.since(now) }
+        TransferredKey {
+            key: key.clone(),
+            request_digest: self.request_digest,
+            state,
+            remaining_retention: self.until.since(now),
+        }
     }
 
     /// Bytes of its answer.
@@ -187,7 +202,7 @@
             Some(_) => {
                 // Only a fence is less sure than a claim, and it must not go when the claim ends.
                 if let Holding::Running { kind, .. } = &mut held.holding {
-                    *kind = ClaimKind::Handed;
+                    *kind = ClaimKind::Unspecified;
                 }
                 self.replace(&key, held);
             }
@@ -205,7 +220,7 @@
     /// Ends a claim.
     pub(super) fn finish(&mut self, key: &KeyId, claim: ClaimId, end: ClaimEnd, until: Instant) {
         let held = self.get_mut(key);
-        let shape = held.as_ref().map_or(0, |held| held.shape);
+        let request_digest = held.as_ref().map_or(0, |held| held.request_digest);
         let holding = match (held.map(|held| &held.holding), end) {
             (Some(Holding::Running { claim: running, kind }), end) if *running == claim => {
                 match end {
@@ -214,7 +229,7 @@
                     ClaimEnd::NotRun => match kind {
                         ClaimKind::First | ClaimKind::Conditional => return self.remove(key),
                         ClaimKind::Repeated => Holding::Fenced,
-                        ClaimKind::Handed => Holding::Unknown { claim: None },
+                        ClaimKind::Unspecified => Holding::Unknown { claim: None },
                     },
                 }
             }
@@ -225,7 +240,7 @@
             }
             _ => return,
         };
-        self.replace(key, Held { shape, holding, until });
+        self.replace(key, Held { request_digest, holding, until });
     }
 
     /// Forgets what is kept long enough; a claim that has run too long becomes unknown.
--- a/daisy-routing/src/keys/view.rs
+++ b/daisy-routing/src/keys/view.rs
@@ -141,7 +141,7 @@
     }
 
     /// The likeliest homes of `key` in `dc`, the likeliest first.
-    pub(super) fn homes(&self, dc: DcId, key: &KeyId) -> Vec<VmId> {
+    pub(super) fn candidate_homes(&self, dc: DcId, key: &KeyId) -> Vec<VmId> {
         let item = digest(key.key.as_bytes());
         let mut members: Vec<VmId> = self.members(dc).collect();
         members.sort_by_key(|vm| Reverse((weight(item, vm.0), *vm)));
@@ -152,10 +152,11 @@
     ///
     /// Guards against a data centre whose entry VMs are all gone: what ran there is not known to
     /// anybody, and asking nobody must not count as everybody's word.
-    pub(super) fn others(&self, now: Instant, window: Duration) -> Vec<DcId> {
+    pub(super) fn other_dcs(&self, now: Instant, window: Duration) -> Vec<DcId> {
         let recent = |since: &Option<Instant>| since.is_none_or(|at| now.since(at) < window);
-        let others = self.empty_since.iter().filter(|(dc, since)| **dc != self.dc && recent(since));
-        others.map(|(dc, _)| *dc).collect()
+        let other_dcs =
+            self.empty_since.iter().filter(|(dc, since)| **dc != self.dc && recent(since));
+        other_dcs.map(|(dc, _)| *dc).collect()
     }
 
     fn members(&self, dc: DcId) -> impl Iterator<Item = VmId> + '_ {
--- a/daisy-routing/src/lib.rs
+++ b/daisy-routing/src/lib.rs
@@ -25,11 +25,12 @@
 mod update;
 
 pub use crate::{
-    attempt::{KeyStep, KeyStop, after_home, after_others},
+    attempt::{KeyDenial, KeyStep, next_step_after_home, next_step_after_other_dcs},
     call::{Call, CallerId, Grant, Offer, Reason, Refusal, Target, Ticket, TryId, Urgency},
     digest::{digest, weight},
     key::{
-        ClaimEnd, ClaimId, ClaimKind, HandedKey, KeyAnswer, KeyId, KeyQuery, KeyState, StoredAnswer,
+        ClaimEnd, ClaimId, ClaimKind, KeyAnswer, KeyId, KeyQuery, KeyState, StoredAnswer,
+        TransferredKey,
     },
     keys::{KeyLimits, KeyTable},
     learn::{Report, TryEnd},
--- a/daisy-routing/tests/keys/home.rs
+++ b/daisy-routing/tests/keys/home.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{DcId, Instant, VmId};
 use daisy_routing::{
-    ClaimEnd, ClaimId, ClaimKind, HandedKey, KeyAnswer, KeyId, KeyLimits, KeyQuery, KeyState,
-    KeyTable, StoredAnswer,
+    ClaimEnd, ClaimId, ClaimKind, KeyAnswer, KeyId, KeyLimits, KeyQuery, KeyState, KeyTable,
+    StoredAnswer, TransferredKey,
 };
 
 use crate::world::{Ended, World, key, routes};
@@ -189,10 +189,10 @@
     let now = world.now;
     let claim = |claim, repeated| KeyQuery::Claim {
         key: key(1),
-        shape: 0,
+        request_digest: 0,
         claim: ClaimId(claim),
         repeated,
-        hold: seconds(1),
+        claim_timeout: seconds(1),
     };
     let table = &mut world.node(home).table;
 
@@ -227,7 +227,7 @@
     world.call(at, key(1), false);
     world.pass(seconds(1));
     let now = world.now;
-    let other = KeyQuery::Fence { key: key(1), shape: 1 };
+    let other = KeyQuery::Fence { key: key(1), request_digest: 1 };
 
     let answer = world.node(at).table.handle(now, at, other);
 
@@ -243,8 +243,8 @@
     let handover = KeyQuery::Handover {
         keys: Vec::new(),
         last: true,
-        complete: false,
-        fresh: true,
+        complete_in_window: false,
+        complete_since_start: true,
         leaving: false,
     };
     table.handle(Instant::from_millis(100), VmId(2), handover);
@@ -252,13 +252,13 @@
     let entries = vec![(A, VmId(1)), (A, VmId(2))];
     table.set_routes(now, &routes(A, entries.clone(), entries));
 
-    let own = (0..20).map(key).find(|key| table.homes(A, key)[0] == VmId(1)).unwrap();
+    let own = (0..20).map(key).find(|key| table.candidate_homes(A, key)[0] == VmId(1)).unwrap();
     let first = KeyQuery::Claim {
         key: own,
-        shape: 0,
+        request_digest: 0,
         claim: ClaimId(1),
         repeated: false,
-        hold: seconds(1),
+        claim_timeout: seconds(1),
     };
 
     assert_eq!(table.handle(now, VmId(1), first), KeyAnswer::Granted);
@@ -272,17 +272,22 @@
     let now = Instant::from_millis(200);
     let entries = vec![(A, new), (A, old)];
     table.set_routes(now, &routes(A, entries.clone(), entries));
-    let own = (0..20).map(key).find(|key| table.homes(A, key)[0] == new).unwrap();
+    let own = (0..20).map(key).find(|key| table.candidate_homes(A, key)[0] == new).unwrap();
     let answer = StoredAnswer { status: 200, headers: Vec::new(), body: None };
     let end = ClaimEnd::Answered(answer.clone());
     let finish = KeyQuery::Finish { key: own.clone(), claim: ClaimId(1), end };
     let state = KeyState::Running { claim: ClaimId(1), kind: ClaimKind::First };
-    let running = HandedKey { key: own.clone(), shape: 0, state, keep: seconds(4) };
+    let running = TransferredKey {
+        key: own.clone(),
+        request_digest: 0,
+        state,
+        remaining_retention: seconds(4),
+    };
     let handover = KeyQuery::Handover {
         keys: vec![running],
         last: true,
-        complete: true,
-        fresh: false,
+        complete_in_window: true,
+        complete_since_start: false,
         leaving: false,
     };
 
@@ -290,9 +295,14 @@
     table.handle(now, old, handover);
     let again = table.handle(now, old, finish);
 
-    let repeat =
-        KeyQuery::Claim { key: own, shape: 0, claim: ClaimId(2), repeated: true, hold: seconds(1) };
-    assert_eq!((early, again), (KeyAnswer::Settling, KeyAnswer::Taken));
+    let repeat = KeyQuery::Claim {
+        key: own,
+        request_digest: 0,
+        claim: ClaimId(2),
+        repeated: true,
+        claim_timeout: seconds(1),
+    };
+    assert_eq!((early, again), (KeyAnswer::Settling, KeyAnswer::Acknowledged));
     assert_eq!(table.handle(now, old, repeat), KeyAnswer::Answered(answer));
 }
 
@@ -304,24 +314,24 @@
     let now = Instant::from_millis(200);
     let listed = vec![(A, new), (A, old)];
     table.set_routes(now, &routes(A, listed.clone(), listed.clone()));
-    let others = (0..20).map(key).find(|key| table.homes(A, key)[0] == old).unwrap();
+    let others = (0..20).map(key).find(|key| table.candidate_homes(A, key)[0] == old).unwrap();
     let mut table = KeyTable::new(new, KeyLimits { keys: 10, bytes: 1 << 10 }, Instant::default());
     table.set_routes(now, &routes(A, vec![(A, new)], listed));
     let handover = KeyQuery::Handover {
         keys: Vec::new(),
         last: true,
-        complete: true,
-        fresh: false,
+        complete_in_window: true,
+        complete_since_start: false,
         leaving: false,
     };
     table.handle(now, old, handover);
 
     let repeat = KeyQuery::Claim {
         key: others,
-        shape: 0,
+        request_digest: 0,
         claim: ClaimId(1),
         repeated: true,
-        hold: seconds(1),
+        claim_timeout: seconds(1),
     };
     let told = table.handle(now, new, repeat);
 
@@ -342,7 +352,7 @@
     let [from_new, from_old] = messages;
     from_new.into_iter().for_each(|(_, query)| drop(at_old.handle(now, new, query)));
     from_old.into_iter().for_each(|(_, query)| drop(at_new.handle(now, old, query)));
-    let key = (0..20).map(key).find(|key| at_old.homes(A, key)[0] == old).unwrap();
+    let key = (0..20).map(key).find(|key| at_old.candidate_homes(A, key)[0] == old).unwrap();
     assert_eq!(at_old.handle(now, old, first(&key, 1)), KeyAnswer::Granted);
     for (_, query) in at_old.leave(now) {
         at_new.handle(now, old, query);
@@ -352,7 +362,7 @@
 
 fn first(key: &KeyId, claim: u64) -> KeyQuery {
     let (key, claim) = (key.clone(), ClaimId(claim));
-    KeyQuery::Claim { key, shape: 0, claim, repeated: false, hold: seconds(4) }
+    KeyQuery::Claim { key, request_digest: 0, claim, repeated: false, claim_timeout: seconds(4) }
 }
 
 /// A buyer whose order was refused while its home stopped was told at the next try that nobody knows.
--- a/daisy-routing/tests/keys/world.rs
+++ b/daisy-routing/tests/keys/world.rs
@@ -6,7 +6,7 @@
 use daisy_model::{DcId, Instant, JobId, Name, Policy, Priority, SortedMap, VmId};
 use daisy_routing::{
     Backend, ClaimEnd, ClaimId, KeyAnswer, KeyId, KeyLimits, KeyQuery, KeyStep, KeyTable, Routes,
-    Service, StoredAnswer, after_home, after_others,
+    Service, StoredAnswer, next_step_after_home, next_step_after_other_dcs,
 };
 
 /// The retry window of the tests.
@@ -193,7 +193,7 @@
     /// The home of `key` in `dc`, as a node that is well sees it.
     pub fn home(&mut self, dc: DcId, key: &KeyId) -> VmId {
         let at = self.nodes.iter().find(|node| node.dc == dc && node.alive && !node.frozen);
-        at.unwrap().table.homes(dc, key)[0]
+        at.unwrap().table.candidate_homes(dc, key)[0]
     }
 
     pub fn runs_of(&self, key: &KeyId) -> u32 {
@@ -339,15 +339,17 @@
         let attempt = &mut self.attempts[id];
         let answers = std::mem::take(&mut attempt.answers);
         let step = match attempt.phase {
-            Phase::Home => after_home(answers.into_iter().next().flatten(), attempt.repeated),
-            Phase::Others => after_others(answers, attempt.repeated),
+            Phase::Home => {
+                next_step_after_home(answers.into_iter().next().flatten(), attempt.repeated)
+            }
+            Phase::Others => next_step_after_other_dcs(answers, attempt.repeated),
             Phase::Done => return,
         };
         let too_late = self.now.since(attempt.begun) >= HOLD;
         match step {
             // The deadline is looked at right before the request is sent.
             KeyStep::Run if !too_late => self.run(id),
-            KeyStep::AskOthers if !too_late => self.ask_others(id),
+            KeyStep::QueryOtherDcs if !too_late => self.ask_others(id),
             KeyStep::Replay(answer) => self.end(id, Ended::Replayed, ClaimEnd::Answered(answer)),
             KeyStep::Wait(_) if !too_late => {
                 if matches!(self.attempts[id].phase, Phase::Others) {
@@ -380,7 +382,7 @@
         let key = key.clone();
         let node = self.node(at);
         let dc = node.dc;
-        if let Some(home) = node.table.homes(dc, &key).first().copied() {
+        if let Some(home) = node.table.candidate_homes(dc, &key).first().copied() {
             self.send(at, home, query, None);
         }
     }
@@ -392,11 +394,17 @@
         attempt.asked = now;
         attempt.answers = vec![None];
         let Attempt { at, ref key, claim, repeated, .. } = *attempt;
-        let query = KeyQuery::Claim { key: key.clone(), shape: 0, claim, repeated, hold: HOLD };
+        let query = KeyQuery::Claim {
+            key: key.clone(),
+            request_digest: 0,
+            claim,
+            repeated,
+            claim_timeout: HOLD,
+        };
         let key = key.clone();
         let node = self.node(at);
         let dc = node.dc;
-        if let Some(home) = node.table.homes(dc, &key).first().copied() {
+        if let Some(home) = node.table.candidate_homes(dc, &key).first().copied() {
             self.send(at, home, query, Some(Waiter { attempt: id, question: 0, claim }));
         }
     }
@@ -406,21 +414,21 @@
         let Attempt { at, ref key, claim, .. } = self.attempts[id];
         let key = key.clone();
         let table = &self.node(at).table;
-        let homes: Vec<Option<VmId>> = table
-            .others(now)
+        let candidate_homes: Vec<Option<VmId>> = table
+            .other_dcs(now)
             .into_iter()
-            .map(|dc| table.homes(dc, &key).first().copied())
+            .map(|dc| table.candidate_homes(dc, &key).first().copied())
             .collect();
         let attempt = &mut self.attempts[id];
         attempt.phase = Phase::Others;
         attempt.asked = now;
-        attempt.expected = homes.len();
-        attempt.answers = vec![None; homes.len()];
-        if homes.is_empty() {
+        attempt.expected = candidate_homes.len();
+        attempt.answers = vec![None; candidate_homes.len()];
+        if candidate_homes.is_empty() {
             return self.decide(id);
         }
-        for (question, home) in homes.into_iter().enumerate() {
-            let query = KeyQuery::Fence { key: key.clone(), shape: 0 };
+        for (question, home) in candidate_homes.into_iter().enumerate() {
+            let query = KeyQuery::Fence { key: key.clone(), request_digest: 0 };
             if let Some(home) = home {
                 self.send(
                     at,
--- a/daisy-wire/src/peer/key.rs
+++ b/daisy-wire/src/peer/key.rs
@@ -5,7 +5,8 @@
 use bincode::{Decode, Encode};
 use daisy_model::Name;
 use daisy_routing::{
-    ClaimEnd, ClaimId, ClaimKind, HandedKey, KeyAnswer, KeyId, KeyQuery, KeyState, StoredAnswer,
+    ClaimEnd, ClaimId, ClaimKind, KeyAnswer, KeyId, KeyQuery, KeyState, StoredAnswer,
+    TransferredKey,
 };
 
 use crate::WireError;
@@ -48,8 +49,8 @@
     Conditional,
     /// See [`ClaimKind::Repeated`].
     Repeated,
-    /// See [`ClaimKind::Handed`].
-    Handed,
+    /// See [`ClaimKind::Unspecified`].
+    Unspecified,
 }
 
 /// See [`KeyState`].
@@ -68,11 +69,11 @@
     Claimed(u64, ClaimKindWire),
 }
 
-/// See [`HandedKey`].
+/// See [`TransferredKey`].
 #[derive(Debug, Encode, Decode)]
 pub struct HandedKeyWire {
     key: KeyIdWire,
-    shape: u64,
+    request_digest: u64,
     state: KeyStateWire,
     keep_ms: u64,
 }
@@ -85,7 +86,7 @@
         /// The key.
         key: KeyIdWire,
         /// A digest of method and path.
-        shape: u64,
+        request_digest: u64,
         /// The wish.
         claim: u64,
         /// Whether the caller has sent the request before.
@@ -98,7 +99,7 @@
         /// The key.
         key: KeyIdWire,
         /// A digest of method and path.
-        shape: u64,
+        request_digest: u64,
     },
     /// See [`KeyQuery::Finish`].
     Finish {
@@ -116,9 +117,9 @@
         /// Whether nothing follows.
         last: bool,
         /// Whether nothing is missing.
-        complete: bool,
+        complete_in_window: bool,
         /// Whether the sender missed nothing but the time before its start.
-        fresh: bool,
+        complete_since_start: bool,
         /// Whether the sender stops.
         leaving: bool,
     },
@@ -145,12 +146,12 @@
     NotHome,
     /// See [`KeyAnswer::Settling`].
     Settling,
-    /// See [`KeyAnswer::Taken`].
-    Taken,
+    /// See [`KeyAnswer::Acknowledged`].
+    Acknowledged,
     /// See [`KeyAnswer::Conditional`].
     Conditional,
-    /// See [`KeyAnswer::FencedBefore`].
-    FencedBefore,
+    /// See [`KeyAnswer::AlreadyFenced`].
+    AlreadyFenced,
 }
 
 impl From<KeyId> for KeyIdWire {
@@ -222,7 +223,7 @@
             ClaimKind::First => ClaimKindWire::First,
             ClaimKind::Conditional => ClaimKindWire::Conditional,
             ClaimKind::Repeated => ClaimKindWire::Repeated,
-            ClaimKind::Handed => ClaimKindWire::Handed,
+            ClaimKind::Unspecified => ClaimKindWire::Unspecified,
         }
     }
 }
@@ -233,7 +234,7 @@
             ClaimKindWire::First => ClaimKind::First,
             ClaimKindWire::Conditional => ClaimKind::Conditional,
             ClaimKindWire::Repeated => ClaimKind::Repeated,
-            ClaimKindWire::Handed => ClaimKind::Handed,
+            ClaimKindWire::Unspecified => ClaimKind::Unspecified,
         }
     }
 }
@@ -253,7 +254,7 @@
     fn from(it: KeyStateWire) -> KeyState {
         match it {
             KeyStateWire::Running(claim) => {
-                KeyState::Running { claim: ClaimId(claim), kind: ClaimKind::Handed }
+                KeyState::Running { claim: ClaimId(claim), kind: ClaimKind::Unspecified }
             }
             KeyStateWire::Claimed(claim, kind) => {
                 KeyState::Running { claim: ClaimId(claim), kind: kind.into() }
@@ -265,26 +266,26 @@
     }
 }
 
-impl From<HandedKey> for HandedKeyWire {
-    fn from(it: HandedKey) -> HandedKeyWire {
+impl From<TransferredKey> for HandedKeyWire {
+    fn from(it: TransferredKey) -> HandedKeyWire {
         HandedKeyWire {
             key: it.key.into(),
-            shape: it.shape,
+            request_digest: it.request_digest,
             state: it.state.into(),
-            keep_ms: millis(it.keep),
+            keep_ms: millis(it.remaining_retention),
         }
     }
 }
 
-impl TryFrom<HandedKeyWire> for HandedKey {
+impl TryFrom<HandedKeyWire> for TransferredKey {
     type Error = WireError;
 
-    fn try_from(it: HandedKeyWire) -> Result<HandedKey, WireError> {
-        Ok(HandedKey {
+    fn try_from(it: HandedKeyWire) -> Result<TransferredKey, WireError> {
+        Ok(TransferredKey {
             key: it.key.try_into()?,
-            shape: it.shape,
+            request_digest: it.request_digest,
             state: it.state.into(),
-            keep: Duration::from_millis(it.keep_ms),
+            remaining_retention: Duration::from_millis(it.keep_ms),
         })
     }
 }
@@ -292,22 +293,32 @@
 impl From<KeyQuery> for KeyQueryWire {
     fn from(query: KeyQuery) -> KeyQueryWire {
         match query {
-            KeyQuery::Claim { key, shape, claim, repeated, hold } => KeyQueryWire::Claim {
-                key: key.into(),
-                shape,
-                claim: claim.0,
-                repeated,
-                hold_ms: millis(hold),
-            },
-            KeyQuery::Fence { key, shape } => KeyQueryWire::Fence { key: key.into(), shape },
+            KeyQuery::Claim { key, request_digest, claim, repeated, claim_timeout } => {
+                KeyQueryWire::Claim {
+                    key: key.into(),
+                    request_digest,
+                    claim: claim.0,
+                    repeated,
+                    hold_ms: millis(claim_timeout),
+                }
+            }
+            KeyQuery::Fence { key, request_digest } => {
+                KeyQueryWire::Fence { key: key.into(), request_digest }
+            }
             KeyQuery::Finish { key, claim, end } => {
                 KeyQueryWire::Finish { key: key.into(), claim: claim.0, end: end.into() }
             }
-            KeyQuery::Handover { keys, last, complete, fresh, leaving } => KeyQueryWire::Handover {
+            KeyQuery::Handover {
+                keys,
+                last,
+                complete_in_window,
+                complete_since_start,
+                leaving,
+            } => KeyQueryWire::Handover {
                 keys: keys.into_iter().map(HandedKeyWire::from).collect(),
                 last,
-                complete,
-                fresh,
+                complete_in_window,
+                complete_since_start,
                 leaving,
             },
         }
@@ -319,22 +330,32 @@
 
     fn try_from(query: KeyQueryWire) -> Result<KeyQuery, WireError> {
         Ok(match query {
-            KeyQueryWire::Claim { key, shape, claim, repeated, hold_ms } => KeyQuery::Claim {
-                key: key.try_into()?,
-                shape,
-                claim: ClaimId(claim),
-                repeated,
-                hold: Duration::from_millis(hold_ms),
-            },
-            KeyQueryWire::Fence { key, shape } => KeyQuery::Fence { key: key.try_into()?, shape },
+            KeyQueryWire::Claim { key, request_digest, claim, repeated, hold_ms } => {
+                KeyQuery::Claim {
+                    key: key.try_into()?,
+                    request_digest,
+                    claim: ClaimId(claim),
+                    repeated,
+                    claim_timeout: Duration::from_millis(hold_ms),
+                }
+            }
+            KeyQueryWire::Fence { key, request_digest } => {
+                KeyQuery::Fence { key: key.try_into()?, request_digest }
+            }
             KeyQueryWire::Finish { key, claim, end } => {
                 KeyQuery::Finish { key: key.try_into()?, claim: ClaimId(claim), end: end.into() }
             }
-            KeyQueryWire::Handover { keys, last, complete, fresh, leaving } => KeyQuery::Handover {
-                keys: keys.into_iter().map(HandedKey::try_from).collect::<Result<_, _>>()?,
+            KeyQueryWire::Handover {
+                keys,
+                last,
+                complete_in_window,
+                complete_since_start,
+                leaving,
+            } => KeyQuery::Handover {
+                keys: keys.into_iter().map(TransferredKey::try_from).collect::<Result<_, _>>()?,
                 last,
-                complete,
-                fresh,
+                complete_in_window,
+                complete_since_start,
                 leaving,
             },
         })
@@ -353,9 +374,9 @@
             KeyAnswer::Full => KeyAnswerWire::Full,
             KeyAnswer::NotHome => KeyAnswerWire::NotHome,
             KeyAnswer::Settling => KeyAnswerWire::Settling,
-            KeyAnswer::Taken => KeyAnswerWire::Taken,
+            KeyAnswer::Acknowledged => KeyAnswerWire::Acknowledged,
             KeyAnswer::Conditional => KeyAnswerWire::Conditional,
-            KeyAnswer::FencedBefore => KeyAnswerWire::FencedBefore,
+            KeyAnswer::AlreadyFenced => KeyAnswerWire::AlreadyFenced,
         }
     }
 }
@@ -372,9 +393,9 @@
             KeyAnswerWire::Full => KeyAnswer::Full,
             KeyAnswerWire::NotHome => KeyAnswer::NotHome,
             KeyAnswerWire::Settling => KeyAnswer::Settling,
-            KeyAnswerWire::Taken => KeyAnswer::Taken,
+            KeyAnswerWire::Acknowledged => KeyAnswer::Acknowledged,
             KeyAnswerWire::Conditional => KeyAnswer::Conditional,
-            KeyAnswerWire::FencedBefore => KeyAnswer::FencedBefore,
+            KeyAnswerWire::AlreadyFenced => KeyAnswer::AlreadyFenced,
         }
     }
 }
--- a/daisy-wire/tests/peer.rs
+++ b/daisy-wire/tests/peer.rs
@@ -78,8 +78,8 @@
 fn questions_about_keys_come_back_as_they_were() {
     let key = KeyId { service: Name::new("shop").expect("valid"), key: "order-1".into() };
     let claim = ClaimId(77);
-    let hold = Duration::from_secs(2);
-    let query = KeyQuery::Claim { key, shape: 5, claim, repeated: true, hold };
+    let claim_timeout = Duration::from_secs(2);
+    let query = KeyQuery::Claim { key, request_digest: 5, claim, repeated: true, claim_timeout };
     let sent = Question::Key(query);
 
     let mut frames = Frames::new(LIMIT);
