--- a/daisy-entry/src/proxy/answer.rs
+++ b/daisy-entry/src/proxy/answer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_routing::{KeyDenial, Reason, Refusal};
+use daisy_routing::{KeyDenial, RejectReason, Rejection};
 use daisy_wire::headers;
 use http::{HeaderValue, Response, StatusCode, header::RETRY_AFTER};
 
@@ -99,17 +99,17 @@
     }
 }
 
-impl From<Refusal> for Failure {
-    fn from(refusal: Refusal) -> Failure {
-        let Refusal { reason, retry_after } = refusal;
+impl From<Rejection> for Failure {
+    fn from(rejection: Rejection) -> Failure {
+        let Rejection { reason, retry_after } = rejection;
         match reason {
-            Reason::UnknownService => {
+            RejectReason::UnknownService => {
                 Failure::new(StatusCode::NOT_FOUND, Outcome::NotRun, "unknown-service")
             }
-            Reason::NoBackend => Failure::later(Outcome::NotRun, "no-backend", retry_after),
-            Reason::Deadline => Failure::later(Outcome::NotRun, "deadline", retry_after),
-            Reason::Overload => Failure::later(Outcome::NotRun, "overload", retry_after),
-            Reason::Draining => Failure::later(Outcome::NotRun, "draining", retry_after),
+            RejectReason::NoBackend => Failure::later(Outcome::NotRun, "no-backend", retry_after),
+            RejectReason::Deadline => Failure::later(Outcome::NotRun, "deadline", retry_after),
+            RejectReason::Overload => Failure::later(Outcome::NotRun, "overload", retry_after),
+            RejectReason::Draining => Failure::later(Outcome::NotRun, "draining", retry_after),
         }
     }
 }
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -10,8 +10,8 @@
 
 use daisy_model::{SortedMap, VmId};
 use daisy_routing::{
-    Call, Grant, KeyAnswer, KeyId, KeyLimits, KeyQuery, KeyTable, Offer, Refusal, Report, Router,
-    Routes, Target, Ticket, TryEnd, TryId,
+    Admission, Call, KeyAnswer, KeyId, KeyLimits, KeyQuery, KeyTable, QueueDecision, Rejection,
+    Router, Routes, Target, Ticket, TryId, TryOutcome, TryReport,
 };
 use tokio::sync::{Notify, Semaphore, oneshot};
 
@@ -49,7 +49,7 @@
 struct Deciding {
     router: Router,
     rng: fastrand::Rng,
-    waiters: SortedMap<Ticket, oneshot::Sender<Grant>>,
+    waiters: SortedMap<Ticket, oneshot::Sender<QueueDecision>>,
 }
 
 /// A place in the queue; dropped, it is given up.
@@ -57,7 +57,7 @@
 pub(super) struct Waiting<'a> {
     core: &'a Core,
     ticket: Ticket,
-    rx: oneshot::Receiver<Grant>,
+    rx: oneshot::Receiver<QueueDecision>,
 }
 
 /// What came of an offer.
@@ -65,7 +65,7 @@
 pub(super) enum Offered<'a> {
     Send(Target),
     Wait(Waiting<'a>),
-    Refuse(Refusal),
+    Reject(Rejection),
 }
 
 impl Core {
@@ -113,9 +113,9 @@
         let mut deciding = lock(&self.deciding);
         let Deciding { router, rng, waiters } = &mut *deciding;
         match router.offer(now, call, rng) {
-            Offer::Send(target) => Offered::Send(target),
-            Offer::Refuse(refusal) => Offered::Refuse(refusal),
-            Offer::Wait(ticket) => {
+            Admission::Send(target) => Offered::Send(target),
+            Admission::Reject(rejection) => Offered::Reject(rejection),
+            Admission::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 waiters.insert(ticket, tx);
                 self.queued.notify_one();
@@ -154,9 +154,9 @@
     }
 
     /// Ends a try.
-    pub(super) fn finish(&self, attempt: TryId, report: Report) {
+    pub(super) fn finish(&self, try_id: TryId, report: TryReport) {
         let now = self.clock.now();
-        lock(&self.deciding).apply(|router, rng| router.finish(now, attempt, report, rng), now);
+        lock(&self.deciding).apply(|router, rng| router.finish(now, try_id, report, rng), now);
     }
 
     /// Takes in who is there; returns the keys that have to be handed over.
@@ -222,22 +222,22 @@
     /// A grant whose waiter has left is taken back at once, which may grant another.
     fn apply(
         &mut self,
-        step: impl FnOnce(&mut Router, &mut fastrand::Rng) -> Vec<Grant>,
+        step: impl FnOnce(&mut Router, &mut fastrand::Rng) -> Vec<QueueDecision>,
         now: daisy_model::Instant,
     ) {
         let mut grants = step(&mut self.router, &mut self.rng);
         while let Some(grant) = grants.pop() {
             let ticket = match &grant {
-                Grant::Send(target) => target.ticket,
-                Grant::Refuse(ticket, _) => *ticket,
+                QueueDecision::Send(target) => target.ticket,
+                QueueDecision::Reject(ticket, _) => *ticket,
             };
             let unheard = match self.waiters.remove(&ticket) {
                 Some(tx) => tx.send(grant).err(),
                 None => Some(grant),
             };
-            if let Some(Grant::Send(target)) = unheard {
-                let cancelled = Report::without_answer(TryEnd::Cancelled);
-                let more = self.router.finish(now, target.attempt, cancelled, &mut self.rng);
+            if let Some(QueueDecision::Send(target)) = unheard {
+                let cancelled = TryReport::without_answer(TryOutcome::Cancelled);
+                let more = self.router.finish(now, target.try_id, cancelled, &mut self.rng);
                 grants.extend(more);
             }
         }
@@ -246,7 +246,7 @@
 
 impl Waiting<'_> {
     /// The router's decision, which comes before the request's deadline.
-    pub(super) async fn decided(mut self) -> Option<Grant> {
+    pub(super) async fn decided(mut self) -> Option<QueueDecision> {
         (&mut self.rx).await.ok()
     }
 }
@@ -257,10 +257,10 @@
         let now = self.core.clock.now();
         let mut deciding = lock(&self.core.deciding);
         deciding.waiters.remove(&self.ticket);
-        deciding.router.forget(self.ticket);
-        if let Ok(Grant::Send(target)) = self.rx.try_recv() {
-            let cancelled = Report::without_answer(TryEnd::Cancelled);
-            deciding.apply(|router, rng| router.finish(now, target.attempt, cancelled, rng), now);
+        deciding.router.cancel_waiting(self.ticket);
+        if let Ok(QueueDecision::Send(target)) = self.rx.try_recv() {
+            let cancelled = TryReport::without_answer(TryOutcome::Cancelled);
+            deciding.apply(|router, rng| router.finish(now, target.try_id, cancelled, rng), now);
         }
     }
 }
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use daisy_model::Instant;
-use daisy_routing::{Report, Target, TryEnd};
+use daisy_routing::{Target, TryOutcome, TryReport};
 use daisy_wire::headers;
 use http::{
     HeaderMap, HeaderName, HeaderValue, Request, Response, StatusCode, Uri, Version,
@@ -130,7 +130,7 @@
     sending: &Sending,
     body: Outgoing,
 ) -> Result<Response<AnswerBody>, TryError> {
-    let mut guard = TryGuard::new(Arc::clone(core), target.attempt);
+    let mut guard = TryGuard::new(Arc::clone(core), target.try_id);
     let sent = send(core, &target, sending, body);
     let at = core.clock.timer_at(sending.deadline);
     let result = tokio::time::timeout_at(at, sent).await.unwrap_or(Err(TryError::Deadline));
@@ -138,18 +138,18 @@
         Ok(answered) => answered,
         Err(err) => {
             let end = match err {
-                TryError::NotSent => TryEnd::NotSent,
-                TryError::NoConnection => TryEnd::Refused,
-                _ => TryEnd::Broken,
+                TryError::NotSent => TryOutcome::NotSent,
+                TryError::NoConnection => TryOutcome::Refused,
+                _ => TryOutcome::Broken,
             };
-            guard.end(Report::without_answer(end));
+            guard.end(TryReport::without_answer(end));
             return Err(err);
         }
     };
     let report = read_report(response.headers());
     if let Err(err) = check(&response, &sending.id) {
-        let end = if err == TryError::Refused { TryEnd::Refused } else { TryEnd::Broken };
-        guard.end(Report { end, ..report });
+        let end = if err == TryError::Refused { TryOutcome::Refused } else { TryOutcome::Broken };
+        guard.end(TryReport { end, ..report });
         return Err(err);
     }
     Ok(pass_on(response, AnswerGuard::new(guard, lease, report, sending.deadline)))
@@ -190,10 +190,10 @@
     if unwritten { TryError::NotSent } else { TryError::Broken }
 }
 
-fn read_report(map: &HeaderMap) -> Report {
+fn read_report(map: &HeaderMap) -> TryReport {
     let text = |name| map.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
-    Report {
-        end: TryEnd::Answered,
+    TryReport {
+        end: TryOutcome::Answered,
         in_flight: text(headers::IN_FLIGHT).and_then(|text| text.parse().ok()),
         leaving: text(headers::LEAVING) == Some("1"),
         bytes: 0,
--- a/daisy-entry/src/proxy/guard.rs
+++ b/daisy-entry/src/proxy/guard.rs
@@ -8,7 +8,7 @@
 };
 
 use daisy_model::Instant;
-use daisy_routing::{Report, TryEnd, TryId};
+use daisy_routing::{TryId, TryOutcome, TryReport};
 use tokio::time::Sleep;
 
 use crate::proxy::{core::Core, pool::Lease};
@@ -20,27 +20,27 @@
 #[derive(Debug)]
 pub(super) struct TryGuard {
     core: Arc<Core>,
-    attempt: TryId,
+    try_id: TryId,
     ended: bool,
 }
 
 impl TryGuard {
-    /// Guards `attempt`.
-    pub(super) fn new(core: Arc<Core>, attempt: TryId) -> TryGuard {
-        TryGuard { core, attempt, ended: false }
+    /// Guards `try_id`.
+    pub(super) fn new(core: Arc<Core>, try_id: TryId) -> TryGuard {
+        TryGuard { core, try_id, ended: false }
     }
 
     /// Tells the router how the try ended.
-    pub(super) fn end(&mut self, report: Report) {
+    pub(super) fn end(&mut self, report: TryReport) {
         if !std::mem::replace(&mut self.ended, true) {
-            self.core.finish(self.attempt, report);
+            self.core.finish(self.try_id, report);
         }
     }
 }
 
 impl Drop for TryGuard {
     fn drop(&mut self) {
-        self.end(Report::without_answer(TryEnd::Cancelled));
+        self.end(TryReport::without_answer(TryOutcome::Cancelled));
     }
 }
 
@@ -49,7 +49,7 @@
 pub(super) struct AnswerGuard {
     guard: TryGuard,
     lease: Option<Lease>,
-    report: Report,
+    report: TryReport,
     deadline: Instant,
     timer: Option<Pin<Box<Sleep>>>,
 }
@@ -59,7 +59,7 @@
     pub(super) fn new(
         guard: TryGuard,
         lease: Lease,
-        report: Report,
+        report: TryReport,
         deadline: Instant,
     ) -> AnswerGuard {
         AnswerGuard { guard, lease: Some(lease), report, deadline, timer: None }
@@ -81,7 +81,7 @@
     /// The body broke off: the connection is closed, so that nothing of it reaches a later request.
     pub(super) fn broken(&mut self) {
         self.lease = None;
-        self.guard.end(Report { end: TryEnd::Broken, ..self.report });
+        self.guard.end(TryReport { end: TryOutcome::Broken, ..self.report });
     }
 
     /// Ready when the request's deadline has passed.
--- a/daisy-entry/src/proxy/request.rs
+++ b/daisy-entry/src/proxy/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use daisy_model::Instant;
-use daisy_routing::{Call, ClaimEnd, Grant, KeyAnswer, KeyId, KeyQuery, Target, digest};
+use daisy_routing::{Call, ClaimEnd, KeyAnswer, KeyId, KeyQuery, QueueDecision, Target, digest};
 use daisy_wire::headers;
 use http::{HeaderValue, Request, Response, StatusCode, request::Parts};
 use http_body_util::BodyExt;
@@ -163,10 +163,10 @@
 async fn find_target(core: &Core, call: &Call) -> Result<Target, Failure> {
     match core.offer(call) {
         Offered::Send(target) => Ok(target),
-        Offered::Refuse(refusal) => Err(refusal.into()),
+        Offered::Reject(rejection) => Err(rejection.into()),
         Offered::Wait(waiting) => match waiting.decided().await {
-            Some(Grant::Send(target)) => Ok(target),
-            Some(Grant::Refuse(_, refusal)) => Err(refusal.into()),
+            Some(QueueDecision::Send(target)) => Ok(target),
+            Some(QueueDecision::Reject(_, rejection)) => Err(rejection.into()),
             None => Err(Failure::later(Outcome::NotRun, "draining", core.retry_after(call))),
         },
     }
--- a/daisy-measure/src/choose/policy.rs
+++ b/daisy-measure/src/choose/policy.rs
@@ -4,7 +4,8 @@
 
 use daisy_model::{DcId, Instant, JobId, Name, Priority, SortedMap, VmId};
 use daisy_routing::{
-    Backend, Call, CallerId, Grant, Offer, Report, Router, Routes, Service, TryEnd, TryId, Urgency,
+    Admission, Backend, Call, CallerId, QueueDecision, Router, Routes, Service, TryId, TryOutcome,
+    TryReport, Urgency,
 };
 
 use crate::choose::sim::{DEADLINE, SERVERS, SLOTS};
@@ -20,7 +21,7 @@
     /// It waits at the entry VM.
     Wait,
     /// It is refused.
-    Refuse,
+    Reject,
 }
 
 /// A change for a request that waited.
@@ -153,20 +154,20 @@
         Daisy { router, rng, service, tries: SortedMap::new(), waiting: SortedMap::new() }
     }
 
-    fn later(&mut self, grants: Vec<Grant>) -> Vec<Later> {
+    fn later(&mut self, grants: Vec<QueueDecision>) -> Vec<Later> {
         grants.into_iter().filter_map(|grant| self.try_later(grant)).collect()
     }
 
-    fn try_later(&mut self, grant: Grant) -> Option<Later> {
+    fn try_later(&mut self, grant: QueueDecision) -> Option<Later> {
         match grant {
-            Grant::Send(target) => {
+            QueueDecision::Send(target) => {
                 let request = self.waiting.remove(&target.ticket)?;
-                self.tries.insert(request, target.attempt);
+                self.tries.insert(request, target.try_id);
                 Some(Later { request, said: Said::Send(target.vm.0) })
             }
-            Grant::Refuse(ticket, _) => {
+            QueueDecision::Reject(ticket, _) => {
                 let request = self.waiting.remove(&ticket)?;
-                Some(Later { request, said: Said::Refuse })
+                Some(Later { request, said: Said::Reject })
             }
         }
     }
@@ -183,27 +184,27 @@
             bytes: 200,
         };
         match self.router.offer(now, &call, &mut self.rng) {
-            Offer::Send(target) => {
-                self.tries.insert(request, target.attempt);
+            Admission::Send(target) => {
+                self.tries.insert(request, target.try_id);
                 Said::Send(target.vm.0)
             }
-            Offer::Wait(ticket) => {
+            Admission::Wait(ticket) => {
                 self.waiting.insert(ticket, request);
                 Said::Wait
             }
-            Offer::Refuse(_) => Said::Refuse,
+            Admission::Reject(_) => Said::Reject,
         }
     }
 
     fn answered(&mut self, now: Instant, request: u32, in_flight: u32) -> Vec<Later> {
-        let Some(attempt) = self.tries.remove(&request) else { return Vec::new() };
-        let report = Report {
-            end: TryEnd::Answered,
+        let Some(try_id) = self.tries.remove(&request) else { return Vec::new() };
+        let report = TryReport {
+            end: TryOutcome::Answered,
             in_flight: Some(in_flight),
             leaving: false,
             bytes: 200,
         };
-        let grants = self.router.finish(now, attempt, report, &mut self.rng);
+        let grants = self.router.finish(now, try_id, report, &mut self.rng);
         self.later(grants)
     }
 
--- a/daisy-measure/src/choose/sim.rs
+++ b/daisy-measure/src/choose/sim.rs
@@ -233,7 +233,7 @@
         match said {
             Said::Send(server) => self.after(ONE_WAY, Event::AtServer { request, server }),
             Said::Wait => {}
-            Said::Refuse => self.refused += u64::from(self.is_measured(request)),
+            Said::Reject => self.refused += u64::from(self.is_measured(request)),
         }
     }
 
--- a/daisy-measure/src/retries.rs
+++ b/daisy-measure/src/retries.rs
@@ -11,8 +11,8 @@
 
 use daisy_model::{DcId, Instant, JobId, Name, Priority, SortedMap, VmId};
 use daisy_routing::{
-    Backend, Call, CallerId, Grant, Offer, Report, Router, Routes, Service, Target, TryEnd, TryId,
-    Urgency,
+    Admission, Backend, Call, CallerId, QueueDecision, Router, Routes, Service, Target, TryId,
+    TryOutcome, TryReport, Urgency,
 };
 
 const SERVERS: u32 = 20;
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
-    Done { request: u32, server: u32, attempt: u32, failed: bool },
+    Done { request: u32, server: u32, try_id: u32, failed: bool },
     Late { request: u32 },
     Tick,
 }
@@ -146,8 +146,8 @@
     fn step(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrive(),
-            Event::Done { request, server, attempt, failed } => {
-                self.done(request, server, attempt, failed);
+            Event::Done { request, server, try_id, failed } => {
+                self.done(request, server, try_id, failed);
             }
             Event::Late { request } => self.late(request),
             Event::Tick => {
@@ -179,22 +179,22 @@
         }
         let call = self.call(request);
         match self.router.offer(self.now, &call, &mut self.rng) {
-            Offer::Send(target) => self.send_to(request, target),
-            Offer::Wait(ticket) => {
+            Admission::Send(target) => self.send_to(request, target),
+            Admission::Wait(ticket) => {
                 self.waiting.insert(ticket, request);
             }
-            Offer::Refuse(_) => self.requests[request as usize].ended = true,
+            Admission::Reject(_) => self.requests[request as usize].ended = true,
         }
     }
 
     fn send_to(&mut self, request: u32, target: Target) {
-        self.send(request, target.vm.0, Some(target.attempt));
+        self.send(request, target.vm.0, Some(target.try_id));
     }
 
-    fn send(&mut self, request: u32, server: u32, attempt: Option<TryId>) {
+    fn send(&mut self, request: u32, server: u32, try_id: Option<TryId>) {
         self.requests[request as usize].tries += 1;
         let number = self.attempts.len() as u32;
-        self.attempts.push(attempt);
+        self.attempts.push(try_id);
         let state = &mut self.servers[server as usize];
         state.sent += 1;
         if state.busy < SLOTS {
@@ -205,29 +205,29 @@
         }
     }
 
-    fn serve(&mut self, request: u32, server: u32, attempt: u32) {
+    fn serve(&mut self, request: u32, server: u32, try_id: u32) {
         let since = self.now.since(Instant::default());
         let burst = since >= BURST.0 && since < BURST.1;
         let failed = burst && self.rng.f64() < FAIL_SHARE;
         let time = -(1.0 - self.rng.f64()).ln() * MEAN * if failed { FAIL_TIME } else { 1.0 };
-        let done = Event::Done { request, server, attempt, failed };
+        let done = Event::Done { request, server, try_id, failed };
         self.after(Duration::from_secs_f64(time), done);
     }
 
-    fn done(&mut self, request: u32, server: u32, attempt: u32, failed: bool) {
+    fn done(&mut self, request: u32, server: u32, try_id: u32, failed: bool) {
         let state = &mut self.servers[server as usize];
         state.sent -= 1;
         match state.queue.pop_front() {
             Some((next, number)) => self.serve(next, server, number),
             None => state.busy -= 1,
         }
-        let end = if failed { TryEnd::Broken } else { TryEnd::Answered };
-        if let Some(attempt) = self.attempts[attempt as usize].take() {
-            let report = Report {
+        let end = if failed { TryOutcome::Broken } else { TryOutcome::Answered };
+        if let Some(try_id) = self.attempts[try_id as usize].take() {
+            let report = TryReport {
                 in_flight: Some(self.servers[server as usize].sent),
-                ..Report::without_answer(end)
+                ..TryReport::without_answer(end)
             };
-            let grants = self.router.finish(self.now, attempt, report, &mut self.rng);
+            let grants = self.router.finish(self.now, try_id, report, &mut self.rng);
             self.apply(grants);
         }
         let state = &mut self.requests[request as usize];
@@ -274,15 +274,15 @@
         }
     }
 
-    fn apply(&mut self, grants: Vec<Grant>) {
+    fn apply(&mut self, grants: Vec<QueueDecision>) {
         for grant in grants {
             match grant {
-                Grant::Send(target) => {
+                QueueDecision::Send(target) => {
                     if let Some(request) = self.waiting.remove(&target.ticket) {
                         self.send_to(request, target);
                     }
                 }
-                Grant::Refuse(ticket, _) => {
+                QueueDecision::Reject(ticket, _) => {
                     if let Some(request) = self.waiting.remove(&ticket) {
                         self.requests[request as usize].ended = true;
                     }
--- a/daisy-routing/src/call.rs
+++ b/daisy-routing/src/call.rs
@@ -53,7 +53,7 @@
     /// The request.
     pub ticket: Ticket,
     /// The try, to be ended with [`Router::finish`](crate::Router::finish).
-    pub attempt: TryId,
+    pub try_id: TryId,
     /// The backend server.
     pub vm: VmId,
     /// Its address.
@@ -64,7 +64,7 @@
 
 /// Why a request is refused; a refused request has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectReason {
     /// No service has the name.
     UnknownService,
     /// The service has no backend server that may take anything new.
@@ -79,29 +79,29 @@
 
 /// A refusal and when to come again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// Why.
-    pub reason: Reason,
+    pub reason: RejectReason,
     /// When the load is expected to have gone down.
     pub retry_after: Duration,
 }
 
 /// What becomes of a request for now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It goes to a backend server at once.
     Send(Target),
-    /// It waits in the queue; a later [`Grant`] decides.
+    /// It waits in the queue; a later [`QueueDecision`] decides.
     Wait(Ticket),
     /// It is not run.
-    Refuse(Refusal),
+    Reject(Rejection),
 }
 
 /// What became of a request that waited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Grant {
+pub enum QueueDecision {
     /// It goes to a backend server.
     Send(Target),
     /// It is not run.
-    Refuse(Ticket, Refusal),
+    Reject(Ticket, Rejection),
 }
--- a/daisy-routing/src/learn.rs
+++ b/daisy-routing/src/learn.rs
@@ -5,7 +5,7 @@
 use daisy_model::{Instant, VmId};
 
 use crate::{
-    Grant, Router, TryId,
+    QueueDecision, Router, TryId,
     router::ANSWER_BYTES,
     server::Server,
     service::ServiceKey,
@@ -18,7 +18,7 @@
 
 /// How a try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum TryOutcome {
     /// The whole answer came.
     Answered,
     /// The backend server refused it and proved that it did not run.
@@ -33,9 +33,9 @@
 
 /// What a try taught about its backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Report {
+pub struct TryReport {
     /// How the try ended.
-    pub end: TryEnd,
+    pub end: TryOutcome,
     /// Requests in progress there after this one, as its answer said.
     pub in_flight: Option<u32>,
     /// Whether its answer said that it is leaving.
@@ -44,10 +44,10 @@
     pub bytes: u64,
 }
 
-impl Report {
+impl TryReport {
     /// The report of a try that ended without an answer.
-    pub fn without_answer(end: TryEnd) -> Report {
-        Report { end, in_flight: None, leaving: false, bytes: 0 }
+    pub fn without_answer(end: TryOutcome) -> TryReport {
+        TryReport { end, in_flight: None, leaving: false, bytes: 0 }
     }
 }
 
@@ -56,11 +56,11 @@
     pub fn finish(
         &mut self,
         now: Instant,
-        attempt: TryId,
-        report: Report,
+        try_id: TryId,
+        report: TryReport,
         rng: &mut fastrand::Rng,
-    ) -> Vec<Grant> {
-        let Some(ended) = self.tries.try_remove(attempt) else { return Vec::new() };
+    ) -> Vec<QueueDecision> {
+        let Some(ended) = self.tries.try_remove(try_id) else { return Vec::new() };
         if ended.far {
             self.region.spend(report.bytes.saturating_sub(ANSWER_BYTES));
         }
@@ -70,20 +70,20 @@
         self.dispatch(now, rng)
     }
 
-    fn learn_service(&mut self, now: Instant, key: ServiceKey, end: TryEnd, latency: Duration) {
+    fn learn_service(&mut self, now: Instant, key: ServiceKey, end: TryOutcome, latency: Duration) {
         let share = self.routes.policy.retry_budget;
         let Some(service) = self.services.get_mut(key) else { return };
         service.in_flight = service.in_flight.saturating_sub(1);
         service.drained.add(now);
-        service.failing.add(matches!(end, TryEnd::NotSent | TryEnd::Broken));
-        if end == TryEnd::Answered {
+        service.failing.add(matches!(end, TryOutcome::NotSent | TryOutcome::Broken));
+        if end == TryOutcome::Answered {
             service.retries.earn(share);
             service.latencies.add(latency);
             service.typical.add(latency);
         }
     }
 
-    fn learn_server(&mut self, now: Instant, ended: &Try, report: Report, latency: Duration) {
+    fn learn_server(&mut self, now: Instant, ended: &Try, report: TryReport, latency: Duration) {
         let Some(service) = self.services.get(ended.service) else { return };
         let median = service.median;
         let failing = service.failing.value();
@@ -138,21 +138,21 @@
 
 fn judge(
     server: &mut Server,
-    end: TryEnd,
+    end: TryOutcome,
     latency: Duration,
     median: Option<f64>,
 ) -> Option<Verdict> {
     match end {
-        TryEnd::Answered => {
+        TryOutcome::Answered => {
             server.adapt(false);
             Some(server.judge(latency, median))
         }
-        TryEnd::Refused => {
+        TryOutcome::Refused => {
             server.adapt(true);
             None
         }
-        TryEnd::NotSent | TryEnd::Broken => Some(Verdict::Failed),
-        TryEnd::Cancelled => judge_cancelled(server, latency, median),
+        TryOutcome::NotSent | TryOutcome::Broken => Some(Verdict::Failed),
+        TryOutcome::Cancelled => judge_cancelled(server, latency, median),
     }
 }
 
--- a/daisy-routing/src/lib.rs
+++ b/daisy-routing/src/lib.rs
@@ -26,14 +26,17 @@
 
 pub use crate::{
     attempt::{KeyDenial, KeyStep, next_step_after_home, next_step_after_other_dcs},
-    call::{Call, CallerId, Grant, Offer, Reason, Refusal, Target, Ticket, TryId, Urgency},
+    call::{
+        Admission, Call, CallerId, QueueDecision, RejectReason, Rejection, Target, Ticket, TryId,
+        Urgency,
+    },
     digest::{digest, weight},
     key::{
         ClaimEnd, ClaimId, ClaimKind, KeyAnswer, KeyId, KeyQuery, KeyState, StoredAnswer,
         TransferredKey,
     },
     keys::{KeyLimits, KeyTable},
-    learn::{Report, TryEnd},
+    learn::{TryOutcome, TryReport},
     router::Router,
     routes::{Backend, Routes, Service},
 };
--- a/daisy-routing/src/router.rs
+++ b/daisy-routing/src/router.rs
@@ -5,7 +5,7 @@
 use daisy_model::{Arena, Instant, Name, Priority, SortedMap, VmId};
 
 use crate::{
-    Call, Grant, Offer, Reason, Refusal, Routes, Target, Ticket, Urgency,
+    Admission, Call, QueueDecision, RejectReason, Rejection, Routes, Target, Ticket, Urgency,
     budget::ByteBudget,
     choose::{FAR_ROUND_TRIP, Wish, any_usable, choose},
     queue::{MAX_WAITING, Queue, Rank, Waiting},
@@ -69,29 +69,29 @@
     }
 
     /// Decides about a new request.
-    pub fn offer(&mut self, now: Instant, call: &Call, rng: &mut fastrand::Rng) -> Offer {
+    pub fn offer(&mut self, now: Instant, call: &Call, rng: &mut fastrand::Rng) -> Admission {
         let Some(key) = self.try_service(&call.service) else {
-            return refuse(Reason::UnknownService, UNKNOWN_RETRY);
+            return refuse(RejectReason::UnknownService, UNKNOWN_RETRY);
         };
         let reach = self.reach(now, key, call);
         if let Some(service) = self.services.get_mut(key) {
             service.offered.add(now);
         }
         let Some(service) = self.services.get(key) else {
-            return refuse(Reason::UnknownService, UNKNOWN_RETRY);
+            return refuse(RejectReason::UnknownService, UNKNOWN_RETRY);
         };
         if !any_usable(&self.servers, &service.servers, reach, now) {
-            return refuse(Reason::NoBackend, service.retry_after(now, rng));
+            return refuse(RejectReason::NoBackend, service.retry_after(now, rng));
         }
         if call.deadline.since(now) < service.typical() / 2 {
-            return refuse(Reason::Deadline, service.retry_after(now, rng));
+            return refuse(RejectReason::Deadline, service.retry_after(now, rng));
         }
         let rank = rank(service.priority, call.urgency);
         let placing = Placing { key, call, ticket: None, farthest: reach, exclude: &[] };
         if !self.queue.has_ahead(key, rank)
             && let Some(target) = self.try_send(now, placing, rng)
         {
-            return Offer::Send(target);
+            return Admission::Send(target);
         }
         self.wait(now, key, rank, call, rng)
     }
@@ -104,7 +104,7 @@
         rank: Rank,
         call: &Call,
         rng: &mut fastrand::Rng,
-    ) -> Offer {
+    ) -> Admission {
         let ticket = self.tickets.draw();
         self.queue.push(ticket, key, rank, call.clone(), now);
         match self.try_refuse(now, ticket) {
@@ -113,12 +113,12 @@
                 let wait = self.retry_after_of(now, key, rng);
                 refuse(reason, wait)
             }
-            None => Offer::Wait(ticket),
+            None => Admission::Wait(ticket),
         }
     }
 
     /// Why a request that has just been put in the queue must not stay there.
-    fn try_refuse(&self, now: Instant, ticket: Ticket) -> Option<Reason> {
+    fn try_refuse(&self, now: Instant, ticket: Ticket) -> Option<RejectReason> {
         let at = self.queue.iter().position(|waiting| waiting.ticket == ticket)?;
         let waiting = self.queue.get(at)?;
         let ahead =
@@ -126,16 +126,16 @@
         let service = self.services.get(waiting.service)?;
         let wait = service.wait(ahead, now);
         if wait + service.typical() > waiting.call.deadline.since(now) {
-            Some(Reason::Deadline)
+            Some(RejectReason::Deadline)
         } else if wait > service.queue_bound() || self.queue.len() > MAX_WAITING {
-            Some(Reason::Overload)
+            Some(RejectReason::Overload)
         } else {
             None
         }
     }
 
     /// Grants slots to those that wait, in their order, and refuses those pushed out.
-    pub(crate) fn dispatch(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Vec<Grant> {
+    pub(crate) fn dispatch(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Vec<QueueDecision> {
         let mut grants = Vec::new();
         // Taken out while its requests are looked at, and put back below.
         let mut queue = std::mem::take(&mut self.queue);
@@ -145,7 +145,7 @@
             match self.try_turn(now, waiting, &stuck, rng) {
                 Some(target) => {
                     queue.serve(index);
-                    grants.push(Grant::Send(target));
+                    grants.push(QueueDecision::Send(target));
                 }
                 // Those of the same service behind it rank lower and find no slot either.
                 None => {
@@ -179,7 +179,12 @@
     ///
     /// Guards against answers that come too late for their caller: a request is refused as soon as
     /// its turn cannot come in time, not when its deadline has passed.
-    fn refuse_late(&mut self, now: Instant, rng: &mut fastrand::Rng, grants: &mut Vec<Grant>) {
+    fn refuse_late(
+        &mut self,
+        now: Instant,
+        rng: &mut fastrand::Rng,
+        grants: &mut Vec<QueueDecision>,
+    ) {
         let mut counts: Vec<(ServiceKey, usize)> = Vec::new();
         let mut index = 0;
         while let Some(waiting) = self.queue.get(index) {
@@ -195,7 +200,10 @@
                 Some(reason) => {
                     let waiting = self.queue.remove(index);
                     let retry_after = self.retry_after_of(now, key, rng);
-                    grants.push(Grant::Refuse(waiting.ticket, Refusal { reason, retry_after }));
+                    grants.push(QueueDecision::Reject(
+                        waiting.ticket,
+                        Rejection { reason, retry_after },
+                    ));
                 }
                 None => {
                     *ahead += 1;
@@ -205,16 +213,16 @@
         }
     }
 
-    fn try_give_up(&self, now: Instant, waiting: &Waiting, ahead: usize) -> Option<Reason> {
+    fn try_give_up(&self, now: Instant, waiting: &Waiting, ahead: usize) -> Option<RejectReason> {
         let service = self.services.get(waiting.service)?;
         let waited = now.since(waiting.since);
         let left = waiting.call.deadline.since(now);
         if !service.known {
-            Some(Reason::UnknownService)
+            Some(RejectReason::UnknownService)
         } else if left < service.typical() {
-            Some(Reason::Deadline)
+            Some(RejectReason::Deadline)
         } else if waited + service.wait(ahead, now) > service.queue_bound() * GIVE_UP_BOUNDS {
-            Some(Reason::Overload)
+            Some(RejectReason::Overload)
         } else {
             None
         }
@@ -251,10 +259,10 @@
         if let Some(service) = self.services.get_mut(key) {
             service.in_flight += 1;
         }
-        let attempt = self.tries.insert(Try { vm: server.vm, service: key, begun: now, far });
+        let try_id = self.tries.insert(Try { vm: server.vm, service: key, begun: now, far });
         Target {
             ticket,
-            attempt,
+            try_id,
             vm: server.vm,
             address: server.address,
             connections: server.connections,
@@ -274,13 +282,13 @@
     }
 
     /// Lets time pass: probes fall due, and what waits and can no longer finish is refused.
-    pub fn tick(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Vec<Grant> {
+    pub fn tick(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Vec<QueueDecision> {
         self.refresh_medians();
         self.dispatch(now, rng)
     }
 
     /// Forgets a request whose caller has left while it waited.
-    pub fn forget(&mut self, ticket: Ticket) {
+    pub fn cancel_waiting(&mut self, ticket: Ticket) {
         self.queue.try_forget(ticket);
     }
 
@@ -306,8 +314,8 @@
     }
 }
 
-fn refuse(reason: Reason, retry_after: Duration) -> Offer {
-    Offer::Refuse(Refusal { reason, retry_after })
+fn refuse(reason: RejectReason, retry_after: Duration) -> Admission {
+    Admission::Reject(Rejection { reason, retry_after })
 }
 
 fn rank(priority: Priority, urgency: Urgency) -> Rank {
--- a/daisy-routing/src/update.rs
+++ b/daisy-routing/src/update.rs
@@ -3,7 +3,7 @@
 use daisy_model::{DcId, Instant, SortedMap, VmId};
 
 use crate::{
-    Backend, Grant, Router, Routes,
+    Backend, QueueDecision, Router, Routes,
     measure::LogMean,
     server::{Distance, Server},
     service::{ServiceKey, ServiceState},
@@ -18,7 +18,7 @@
         now: Instant,
         routes: &Routes,
         rng: &mut fastrand::Rng,
-    ) -> Vec<Grant> {
+    ) -> Vec<QueueDecision> {
         let first = self.servers.is_empty() && self.names.is_empty();
         if !first && routes.version <= self.routes.version {
             return Vec::new();
@@ -41,7 +41,7 @@
         peer: VmId,
         in_flight: &[(VmId, u32)],
         rng: &mut fastrand::Rng,
-    ) -> Vec<Grant> {
+    ) -> Vec<QueueDecision> {
         self.peers.insert(peer, in_flight.iter().copied().collect());
         self.sum_peers();
         self.dispatch(now, rng)
--- a/daisy-routing/tests/choose.rs
+++ b/daisy-routing/tests/choose.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use daisy_model::{DcId, Policy, VmId};
-use daisy_routing::{Backend, Offer, Reason, TryEnd, share};
+use daisy_routing::{Admission, Backend, RejectReason, TryOutcome, share};
 use fixture::{answered, backend, call, ended, fill, millis, rng, router, routes, sent, warm};
 
 fn elsewhere(vm: u32, dc: u16) -> Backend {
@@ -41,7 +41,10 @@
 
     let sent = (0..8)
         .filter(|_| {
-            matches!(router.offer(millis(1_000), &call(millis(1_000)), &mut rng), Offer::Send(_))
+            matches!(
+                router.offer(millis(1_000), &call(millis(1_000)), &mut rng),
+                Admission::Send(_)
+            )
         })
         .count();
 
@@ -59,7 +62,9 @@
 
     let offer = router.offer(now, &call, &mut rng);
 
-    assert!(matches!(offer, Offer::Refuse(refusal) if refusal.reason == Reason::NoBackend));
+    assert!(
+        matches!(offer, Admission::Reject(rejection) if rejection.reason == RejectReason::NoBackend)
+    );
 }
 
 /// A decorator's orders fail one after another although nine of ten servers are well.
@@ -75,8 +80,8 @@
         now = now + Duration::from_millis(1);
         let bad = target.vm == VmId(100);
         failed += u32::from(bad);
-        let report = if bad { ended(TryEnd::NotSent) } else { answered(0) };
-        router.finish(now, target.attempt, report, &mut rng);
+        let report = if bad { ended(TryOutcome::NotSent) } else { answered(0) };
+        router.finish(now, target.try_id, report, &mut rng);
     }
     assert_eq!(failed, 3);
 
@@ -98,7 +103,7 @@
     for _ in 0..500 {
         let target = sent(router.offer(now, &call(now), &mut rng));
         now = now + Duration::from_micros(100);
-        router.finish(now, target.attempt, ended(TryEnd::NotSent), &mut rng);
+        router.finish(now, target.try_id, ended(TryOutcome::NotSent), &mut rng);
     }
 
     let at = fill(&mut router, now, 5, &mut rng);
@@ -116,8 +121,8 @@
     for _ in 0..1_000 {
         let target = sent(router.offer(now, &call(now), &mut rng));
         now = now + Duration::from_millis(1);
-        let report = if rng.bool() { ended(TryEnd::Broken) } else { answered(0) };
-        router.finish(now, target.attempt, report, &mut rng);
+        let report = if rng.bool() { ended(TryOutcome::Broken) } else { answered(0) };
+        router.finish(now, target.try_id, report, &mut rng);
     }
 
     // One may be put aside before the storm is known as such.
@@ -142,7 +147,7 @@
         if slow {
             at_slow.push(round);
         }
-        router.finish(now, target.attempt, answered(0), &mut rng);
+        router.finish(now, target.try_id, answered(0), &mut rng);
         router.tick(now, &mut rng);
     }
 
@@ -150,7 +155,7 @@
     assert!(late <= 6, "{at_slow:?}");
     // Also when all others are full it gets no more than a probe.
     let mut at = Vec::new();
-    while let Offer::Send(target) = router.offer(now, &call(now), &mut rng) {
+    while let Admission::Send(target) = router.offer(now, &call(now), &mut rng) {
         at.push(target.vm);
     }
     assert!(at.iter().filter(|vm| **vm == VmId(100)).count() <= 1, "{at:?}");
@@ -184,7 +189,7 @@
     let target = sent(router.offer(millis(0), &call(millis(0)), &mut rng));
     let mut report = answered(0);
     report.leaving = true;
-    router.finish(millis(1), target.attempt, report, &mut rng);
+    router.finish(millis(1), target.try_id, report, &mut rng);
 
     let at = fill(&mut router, millis(2), 7, &mut rng);
 
--- a/daisy-routing/tests/queue.rs
+++ b/daisy-routing/tests/queue.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use daisy_model::{Instant, Priority, SortedMap};
-use daisy_routing::{Call, CallerId, Grant, Offer, Reason, Router, Ticket, Urgency};
+use daisy_routing::{
+    Admission, Call, CallerId, QueueDecision, RejectReason, Router, Ticket, Urgency,
+};
 use fixture::{answered, backend, call, fill, millis, name, rng, router, routes, service, warm};
 
 /// A router whose two backend servers are busy with what it sent there at the returned time.
@@ -16,9 +18,9 @@
     (router, now, targets)
 }
 
-fn waiting(offer: Offer) -> Ticket {
+fn waiting(offer: Admission) -> Ticket {
     match offer {
-        Offer::Wait(ticket) => ticket,
+        Admission::Wait(ticket) => ticket,
         other => panic!("does not wait: {other:?}"),
     }
 }
@@ -27,12 +29,12 @@
     Call { caller: CallerId(caller), ..call(now) }
 }
 
-fn sent_tickets(grants: &[Grant]) -> Vec<Ticket> {
+fn sent_tickets(grants: &[QueueDecision]) -> Vec<Ticket> {
     grants
         .iter()
         .filter_map(|grant| match grant {
-            Grant::Send(target) => Some(target.ticket),
-            Grant::Refuse(..) => None,
+            QueueDecision::Send(target) => Some(target.ticket),
+            QueueDecision::Reject(..) => None,
         })
         .collect()
 }
@@ -43,7 +45,7 @@
     let (mut router, now, targets) = busy(&mut rng);
     let ticket = waiting(router.offer(now, &call(now), &mut rng));
 
-    let grants = router.finish(now, targets[0].attempt, answered(7), &mut rng);
+    let grants = router.finish(now, targets[0].try_id, answered(7), &mut rng);
 
     assert_eq!(sent_tickets(&grants), [ticket]);
 }
@@ -59,9 +61,9 @@
 
     let offer = router.offer(now, &call, &mut rng);
 
-    let Offer::Refuse(refusal) = offer else { panic!("{offer:?}") };
-    assert_eq!(refusal.reason, Reason::Deadline);
-    assert!(refusal.retry_after >= Duration::from_millis(50));
+    let Admission::Reject(rejection) = offer else { panic!("{offer:?}") };
+    assert_eq!(rejection.reason, RejectReason::Deadline);
+    assert!(rejection.retry_after >= Duration::from_millis(50));
 }
 
 #[test]
@@ -70,7 +72,9 @@
     let (mut router, now, _) = busy(&mut rng);
 
     let waits = (0..200)
-        .filter(|caller| matches!(router.offer(now, &from(*caller, now), &mut rng), Offer::Wait(_)))
+        .filter(|caller| {
+            matches!(router.offer(now, &from(*caller, now), &mut rng), Admission::Wait(_))
+        })
         .count();
 
     assert!((4..=32).contains(&waits), "{waits}");
@@ -83,8 +87,8 @@
     let mut last = |count: u32| {
         let mut told = Duration::ZERO;
         for _ in 0..count {
-            if let Offer::Refuse(refusal) = router.offer(now, &call(now), &mut rng) {
-                told = refusal.retry_after;
+            if let Admission::Reject(rejection) = router.offer(now, &call(now), &mut rng) {
+                told = rejection.retry_after;
             }
         }
         told
@@ -113,14 +117,14 @@
     let now = warm(&mut router, millis(0), 100, Duration::from_millis(100), &mut rng);
     let render = Call { service: name("render"), ..call(now) };
     let mut in_flight = Vec::new();
-    while let Offer::Send(target) = router.offer(now, &render, &mut rng) {
+    while let Admission::Send(target) = router.offer(now, &render, &mut rng) {
         in_flight.push(target);
     }
 
     // Renders leave a slot free on each server, so the first critical requests do not wait.
     let critical = fill(&mut router, now, 2, &mut rng);
     let ticket = waiting(router.offer(now, &call(now), &mut rng));
-    let grants = router.finish(now, in_flight[0].attempt, answered(7), &mut rng);
+    let grants = router.finish(now, in_flight[0].try_id, answered(7), &mut rng);
 
     assert_eq!(critical.len(), 2);
     assert_eq!(sent_tickets(&grants), [ticket]);
@@ -137,8 +141,8 @@
     }
 
     let quiet = waiting(router.offer(now, &from(2, now), &mut rng));
-    let first = router.finish(now, targets[0].attempt, answered(7), &mut rng);
-    let second = router.finish(now, targets[1].attempt, answered(7), &mut rng);
+    let first = router.finish(now, targets[0].try_id, answered(7), &mut rng);
+    let second = router.finish(now, targets[1].try_id, answered(7), &mut rng);
 
     let served = [sent_tickets(&first), sent_tickets(&second)].concat();
     assert!(served.contains(&quiet));
@@ -154,7 +158,7 @@
     waiting(router.offer(now, &low, &mut rng));
     let second = waiting(router.offer(now, &urgent, &mut rng));
 
-    let grants = router.finish(now, targets[0].attempt, answered(7), &mut rng);
+    let grants = router.finish(now, targets[0].try_id, answered(7), &mut rng);
 
     assert_eq!(sent_tickets(&grants), [second]);
 }
@@ -167,7 +171,7 @@
 
     let grants = router.tick(now + Duration::from_millis(1_000), &mut rng);
 
-    assert!(matches!(grants[..], [Grant::Refuse(given_up, _)] if given_up == ticket));
+    assert!(matches!(grants[..], [QueueDecision::Reject(given_up, _)] if given_up == ticket));
 }
 
 #[test]
@@ -176,8 +180,8 @@
     let (mut router, now, targets) = busy(&mut rng);
     let ticket = waiting(router.offer(now, &call(now), &mut rng));
 
-    router.forget(ticket);
-    let grants = router.finish(now, targets[0].attempt, answered(7), &mut rng);
+    router.cancel_waiting(ticket);
+    let grants = router.finish(now, targets[0].try_id, answered(7), &mut rng);
 
     assert!(grants.is_empty());
 }
--- a/daisy-routing/tests/retry.rs
+++ b/daisy-routing/tests/retry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use daisy_model::VmId;
-use daisy_routing::{Call, Offer, TryEnd, Urgency};
+use daisy_routing::{Admission, Call, TryOutcome, Urgency};
 use fixture::{answered, backend, call, ended, fill, millis, rng, router, routes, sent, warm};
 
 /// A short fault becomes a long one: every failed request is sent again, and the servers that
@@ -18,10 +18,10 @@
     let mut retries = 0;
     for _ in 0..1_000 {
         let first = sent(router.offer(now, &call(now), &mut rng));
-        router.finish(now, first.attempt, ended(TryEnd::Cancelled), &mut rng);
+        router.finish(now, first.try_id, ended(TryOutcome::Cancelled), &mut rng);
         if let Some(second) = router.retry(now, &call(now), &[first.vm], &mut rng) {
             retries += 1;
-            router.finish(now, second.attempt, ended(TryEnd::Cancelled), &mut rng);
+            router.finish(now, second.try_id, ended(TryOutcome::Cancelled), &mut rng);
         }
     }
 
@@ -49,7 +49,7 @@
     let mut router = router(&routes(vec![backend(100)]));
     let now = warm(&mut router, millis(0), 100, Duration::from_millis(100), &mut rng);
     let low = Call { urgency: Urgency::Low, ..call(now) };
-    while let Offer::Send(_) = router.offer(now, &low, &mut rng) {}
+    while let Admission::Send(_) = router.offer(now, &low, &mut rng) {}
 
     let retried = router.retry(now, &call(now), &[], &mut rng);
 
@@ -77,8 +77,8 @@
     let mut router = router(&routes(vec![backend(100)]));
     let targets = fill(&mut router, millis(0), 2, &mut rng);
 
-    router.finish(millis(1), targets[0].attempt, answered(1), &mut rng);
-    router.finish(millis(1), targets[0].attempt, ended(TryEnd::Cancelled), &mut rng);
+    router.finish(millis(1), targets[0].try_id, answered(1), &mut rng);
+    router.finish(millis(1), targets[0].try_id, ended(TryOutcome::Cancelled), &mut rng);
 
     assert_eq!(router.in_flight(), [(VmId(100), 1)]);
 }
