--- a/daisy-routing/src/budget.rs
+++ b/daisy-routing/src/budget.rs
@@ -3,9 +3,9 @@
 use daisy_model::Instant;
 
 /// Retries that a service may make before it has answered anything.
-const RETRY_RESERVE: f64 = 10.0;
+const INITIAL_RETRIES: f64 = 10.0;
 /// Retries that a service can have saved up; longer memory would let an old calm pay for a storm.
-const RETRY_CAP: f64 = 100.0;
+const MAX_SAVED_RETRIES: f64 = 100.0;
 
 /// Retries and hedges that a service may still add: a share of its recent successes.
 #[derive(Debug, Clone, Copy)]
@@ -16,12 +16,12 @@
 impl RetryBudget {
     /// A budget with its reserve only.
     pub(crate) fn new() -> RetryBudget {
-        RetryBudget { tokens: RETRY_RESERVE }
+        RetryBudget { tokens: INITIAL_RETRIES }
     }
 
     /// Earns `share` thousandths of a retry by a success.
-    pub(crate) fn earn(&mut self, share: u32) {
-        self.tokens = (self.tokens + f64::from(share) / 1_000.0).min(RETRY_CAP);
+    pub(crate) fn earn(&mut self, share_per_mille: u32) {
+        self.tokens = (self.tokens + f64::from(share_per_mille) / 1_000.0).min(MAX_SAVED_RETRIES);
     }
 
     /// Whether a retry is left; takes it.
@@ -34,8 +34,8 @@
     }
 
     /// Gives back a retry that was not made after all.
-    pub(crate) fn give_back(&mut self) {
-        self.tokens = (self.tokens + 1.0).min(RETRY_CAP);
+    pub(crate) fn refund(&mut self) {
+        self.tokens = (self.tokens + 1.0).min(MAX_SAVED_RETRIES);
     }
 }
 
@@ -44,14 +44,14 @@
 pub(crate) struct ByteBudget {
     per_second: f64,
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
 impl ByteBudget {
     /// A full bucket.
     pub(crate) fn new(per_second: u64, now: Instant) -> ByteBudget {
         let per_second = per_second as f64;
-        ByteBudget { per_second, tokens: per_second, at: now }
+        ByteBudget { per_second, tokens: per_second, refilled_at: now }
     }
 
     /// Changes the rate; what is saved stays, up to the new size.
@@ -62,7 +62,7 @@
     }
 
     /// Whether `bytes` may move now.
-    pub(crate) fn has(&mut self, bytes: u64, now: Instant) -> bool {
+    pub(crate) fn allows(&mut self, bytes: u64, now: Instant) -> bool {
         self.refill(now);
         self.tokens >= bytes as f64 && self.tokens > 0.0
     }
@@ -73,8 +73,8 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        let earned = now.since(self.at).as_secs_f64() * self.per_second;
+        let earned = now.since(self.refilled_at).as_secs_f64() * self.per_second;
         self.tokens = (self.tokens + earned).min(self.per_second);
-        self.at = self.at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/daisy-routing/src/choose.rs
+++ b/daisy-routing/src/choose.rs
@@ -7,25 +7,25 @@
 use crate::server::{Distance, Server};
 
 /// Slots that delayable work leaves free, so that a critical request finds one at once.
-const HEADROOM: u32 = 1;
-/// Slots that must seem free on a backend server of another data centre before one is taken: its
+const HEADROOM_SLOTS: u32 = 1;
+/// Slots that must seem free on a backend server of another data centre before one is in_flight: its
 /// own entry VMs have their shares of it, and what is known of it is older.
-const ELSEWHERE_FREE: u32 = 2;
+const REMOTE_FREE_SLOTS: u32 = 2;
 /// Time there and back to another region (12 ms one way in the users' networks).
-pub(crate) const FAR_ROUND_TRIP: Duration = Duration::from_millis(24);
+pub(crate) const REGION_ROUND_TRIP: Duration = Duration::from_millis(24);
 
 /// What a request asks of a backend server.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wish<'a> {
+pub(crate) struct Requirements<'a> {
     pub(crate) now: Instant,
     /// Whether the service's operators or the caller allow it to wait.
-    pub(crate) delayable: bool,
+    pub(crate) may_wait: bool,
     /// The farthest that it may go.
-    pub(crate) reach: Distance,
+    pub(crate) max_distance: Distance,
     /// Backend servers that it has been at.
     pub(crate) exclude: &'a [VmId],
     /// The median speed of the service's backend servers.
-    pub(crate) median: Option<f64>,
+    pub(crate) median_log_latency: Option<f64>,
 }
 
 /// How good a backend server is for a request; less is better.
@@ -34,14 +34,14 @@
 /// The position of the best backend server; `None` when the request has to wait.
 pub(crate) fn choose(
     servers: &[Server],
-    of_service: &[u32],
-    wish: &Wish<'_>,
+    service_servers: &[u32],
+    requirements: &Requirements<'_>,
     rng: &mut fastrand::Rng,
 ) -> Option<u32> {
     let mut best: Option<(Score, u32)> = None;
-    for &position in of_service {
+    for &position in service_servers {
         let server = &servers[position as usize];
-        let Some(score) = try_score(server, wish, rng) else { continue };
+        let Some(score) = try_score(server, requirements, rng) else { continue };
         if best.is_none_or(|(other, _)| score < other) {
             best = Some((score, position));
         }
@@ -50,48 +50,53 @@
 }
 
 /// Whether the service has a backend server that may take anything new at any time.
-pub(crate) fn any_usable(
+pub(crate) fn has_usable_server(
     servers: &[Server],
-    of_service: &[u32],
-    reach: Distance,
+    service_servers: &[u32],
+    max_distance: Distance,
     now: Instant,
 ) -> bool {
-    of_service.iter().any(|&position| {
+    service_servers.iter().any(|&position| {
         let server = &servers[position as usize];
-        server.distance <= reach && !server.is_leaving(now)
+        server.distance <= max_distance && !server.is_leaving(now)
     })
 }
 
-fn try_score(server: &Server, wish: &Wish<'_>, rng: &mut fastrand::Rng) -> Option<Score> {
-    let closed = server.distance > wish.reach
-        || server.is_leaving(wish.now)
-        || wish.exclude.contains(&server.vm)
-        || server.own >= server.limit_at(wish.now);
-    if closed {
+fn try_score(
+    server: &Server,
+    requirements: &Requirements<'_>,
+    rng: &mut fastrand::Rng,
+) -> Option<Score> {
+    let unavailable = server.distance > requirements.max_distance
+        || server.is_leaving(requirements.now)
+        || requirements.exclude.contains(&server.vm)
+        || server.own_in_flight >= server.current_limit(requirements.now);
+    if unavailable {
         return None;
     }
-    if server.standing.is_aside() {
+    if server.health.is_quarantined() {
         // A due probe goes before all else: without it the backend server never comes back.
-        return (server.distance == Distance::Own || server.own == 0).then_some((
+        return (server.distance == Distance::Own || server.own_in_flight == 0).then_some((
             server.distance,
             -1.0,
             rng.u32(..),
         ));
     }
-    let taken = server.own + server.others_at(wish.now);
-    if !has_room(server, taken, wish) {
+    let in_flight = server.own_in_flight + server.others_in_flight(requirements.now);
+    if !has_free_slot(server, in_flight, requirements) {
         return None;
     }
-    let load = f64::from(taken + 1) * server.slowness(wish.median) / f64::from(server.slots.max(1));
+    let load = f64::from(in_flight + 1) * server.slowness(requirements.median_log_latency)
+        / f64::from(server.slots.max(1));
     Some((server.distance, load, rng.u32(..)))
 }
 
 /// Whether a slot is this entry VM's own or seems to be free.
-fn has_room(server: &Server, taken: u32, wish: &Wish<'_>) -> bool {
-    let reserved = if wish.delayable { HEADROOM } else { 0 };
+fn has_free_slot(server: &Server, in_flight: u32, requirements: &Requirements<'_>) -> bool {
+    let reserved = if requirements.may_wait { HEADROOM_SLOTS } else { 0 };
     if server.distance > Distance::Own {
-        return taken + ELSEWHERE_FREE + reserved <= server.slots;
+        return in_flight + REMOTE_FREE_SLOTS + reserved <= server.slots;
     }
-    let own = server.own + reserved < server.share;
-    own || taken + reserved < server.slots
+    let own = server.own_in_flight + reserved < server.own_slots;
+    own || in_flight + reserved < server.slots
 }
--- a/daisy-routing/src/lib.rs
+++ b/daisy-routing/src/lib.rs
@@ -4,15 +4,16 @@
 
 #![deny(missing_docs, unsafe_code)]
 
-mod attempt;
 mod budget;
 mod call;
 mod choose;
 mod digest;
+mod health;
 mod key;
+mod key_step;
 mod keys;
-mod learn;
 mod measure;
+mod outcome;
 mod queue;
 mod retry;
 mod router;
@@ -21,11 +22,9 @@
 mod service;
 pub mod share;
 mod slab;
-mod standing;
 mod update;
 
 pub use crate::{
-    attempt::{KeyDenial, KeyStep, next_step_after_home, next_step_after_other_dcs},
     call::{
         Admission, Call, CallerId, QueueDecision, RejectReason, Rejection, Target, Ticket, TryId,
         Urgency,
@@ -35,8 +34,9 @@
         ClaimEnd, ClaimId, ClaimKind, KeyAnswer, KeyId, KeyQuery, KeyState, StoredAnswer,
         TransferredKey,
     },
+    key_step::{KeyDenial, KeyStep, next_step_after_home, next_step_after_other_dcs},
     keys::{KeyLimits, KeyTable},
-    learn::{TryOutcome, TryReport},
+    outcome::{TryOutcome, TryReport},
     router::Router,
     routes::{Backend, Routes, Service},
 };
--- a/daisy-routing/src/learn.rs
+++ b/daisy-routing/src/outcome.rs
@@ -6,15 +6,15 @@
 
 use crate::{
     QueueDecision, Router, TryId,
-    router::ANSWER_BYTES,
+    health::{ServiceCondition, Verdict},
+    router::ESTIMATED_ANSWER_BYTES,
     server::Server,
     service::ServiceKey,
     slab::Try,
-    standing::{Company, Verdict},
 };
 
 /// Of a service's backend servers, at most one in this many is put aside.
-const ASIDE_ONE_IN: usize = 2;
+const QUARANTINE_AT_MOST_ONE_IN: usize = 2;
 
 /// How a try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,58 +61,73 @@
         rng: &mut fastrand::Rng,
     ) -> Vec<QueueDecision> {
         let Some(ended) = self.tries.try_remove(try_id) else { return Vec::new() };
-        if ended.far {
-            self.region.spend(report.bytes.saturating_sub(ANSWER_BYTES));
+        if ended.crosses_region {
+            self.region.spend(report.bytes.saturating_sub(ESTIMATED_ANSWER_BYTES));
         }
-        let latency = now.since(ended.begun);
-        self.learn_service(now, ended.service, report.end, latency);
-        self.learn_server(now, &ended, report, latency);
+        let latency = now.since(ended.started_at);
+        self.record_for_service(now, ended.service, report.end, latency);
+        self.record_for_server(now, &ended, report, latency);
         self.dispatch(now, rng)
     }
 
-    fn learn_service(&mut self, now: Instant, key: ServiceKey, end: TryOutcome, latency: Duration) {
+    fn record_for_service(
+        &mut self,
+        now: Instant,
+        key: ServiceKey,
+        end: TryOutcome,
+        latency: Duration,
+    ) {
         let share = self.routes.policy.retry_budget;
         let Some(service) = self.services.get_mut(key) else { return };
         service.in_flight = service.in_flight.saturating_sub(1);
-        service.drained.add(now);
-        service.failing.add(matches!(end, TryOutcome::NotSent | TryOutcome::Broken));
+        service.completions.add(now);
+        service.failure_share.add(matches!(end, TryOutcome::NotSent | TryOutcome::Broken));
         if end == TryOutcome::Answered {
-            service.retries.earn(share);
+            service.retry_budget.earn(share);
             service.latencies.add(latency);
-            service.typical.add(latency);
+            service.typical_latency.add(latency);
         }
     }
 
-    fn learn_server(&mut self, now: Instant, ended: &Try, report: TryReport, latency: Duration) {
+    fn record_for_server(
+        &mut self,
+        now: Instant,
+        ended: &Try,
+        report: TryReport,
+        latency: Duration,
+    ) {
         let Some(service) = self.services.get(ended.service) else { return };
-        let median = service.median;
-        let failing = service.failing.value();
-        let company = Company { may_spare: self.may_spare(ended.service, ended.vm), failing };
+        let median_log_latency = service.median_log_latency;
+        let failure_share = service.failure_share.value();
+        let condition = ServiceCondition {
+            may_quarantine: self.may_quarantine(ended.service, ended.vm),
+            failure_share,
+        };
         let Some(server) = self.try_server_mut(ended.vm) else { return };
-        server.own = server.own.saturating_sub(1);
+        server.own_in_flight = server.own_in_flight.saturating_sub(1);
         if let Some(reported) = report.in_flight {
-            server.note_in_flight(reported, now);
+            server.record_in_flight(reported, now);
         }
         if report.leaving {
-            server.said_leaving = Some(now);
+            server.reported_leaving_at = Some(now);
         }
-        let Some(verdict) = judge(server, report.end, latency, median) else { return };
-        let before = server.standing;
-        server.standing = before.after(verdict, company, now);
-        if server.standing.is_aside() && !before.is_aside() {
-            server.speed = Default::default();
+        let Some(verdict) = judge(server, report.end, latency, median_log_latency) else { return };
+        let before = server.health;
+        server.health = before.after_try(verdict, condition, now);
+        if server.health.is_quarantined() && !before.is_quarantined() {
+            server.mean_latency = Default::default();
         }
     }
 
     /// Whether enough of the service's backend servers would be left without `vm`.
-    fn may_spare(&self, key: ServiceKey, vm: VmId) -> bool {
+    fn may_quarantine(&self, key: ServiceKey, vm: VmId) -> bool {
         let Some(service) = self.services.get(key) else { return false };
-        let aside = |position: &&u32| {
+        let quarantined = |position: &&u32| {
             let server = &self.servers[**position as usize];
-            server.vm != vm && server.standing.is_aside()
+            server.vm != vm && server.health.is_quarantined()
         };
-        let count = service.servers.iter().filter(aside).count();
-        (count + 1) * ASIDE_ONE_IN <= service.servers.len()
+        let count = service.servers.iter().filter(quarantined).count();
+        (count + 1) * QUARANTINE_AT_MOST_ONE_IN <= service.servers.len()
     }
 
     pub(crate) fn try_server_mut(&mut self, vm: VmId) -> Option<&mut Server> {
@@ -127,11 +142,11 @@
             let Some(service) = self.services.get_mut(key) else { continue };
             let servers = service.servers.iter().map(|&at| &self.servers[at as usize]);
             let mut logs: Vec<f64> = servers
-                .filter(|server| !server.standing.is_aside())
-                .filter_map(|server| server.speed.try_log(1))
+                .filter(|server| !server.health.is_quarantined())
+                .filter_map(|server| server.mean_latency.try_log_mean(1))
                 .collect();
             logs.sort_unstable_by(f64::total_cmp);
-            service.median = logs.get(logs.len() / 2).copied();
+            service.median_log_latency = logs.get(logs.len() / 2).copied();
         }
     }
 }
@@ -140,27 +155,31 @@
     server: &mut Server,
     end: TryOutcome,
     latency: Duration,
-    median: Option<f64>,
+    median_log_latency: Option<f64>,
 ) -> Option<Verdict> {
     match end {
         TryOutcome::Answered => {
-            server.adapt(false);
-            Some(server.judge(latency, median))
+            server.adapt_limit(false);
+            Some(server.judge(latency, median_log_latency))
         }
         TryOutcome::Refused => {
-            server.adapt(true);
+            server.adapt_limit(true);
             None
         }
         TryOutcome::NotSent | TryOutcome::Broken => Some(Verdict::Failed),
-        TryOutcome::Cancelled => judge_cancelled(server, latency, median),
+        TryOutcome::Cancelled => judge_cancelled(server, latency, median_log_latency),
     }
 }
 
 /// A try that was cut short took at least so long, which counts only against its server.
-fn judge_cancelled(server: &mut Server, latency: Duration, median: Option<f64>) -> Option<Verdict> {
+fn judge_cancelled(
+    server: &mut Server,
+    latency: Duration,
+    median_log_latency: Option<f64>,
+) -> Option<Verdict> {
     let log = (latency.as_micros().max(1) as f64).ln();
-    if median.is_some_and(|median| log > median) {
-        Some(server.judge(latency, median))
+    if median_log_latency.is_some_and(|median_log_latency| log > median_log_latency) {
+        Some(server.judge(latency, median_log_latency))
     } else {
         None
     }
--- a/daisy-routing/src/queue.rs
+++ b/daisy-routing/src/queue.rs
@@ -7,7 +7,7 @@
 use crate::{Call, CallerId, Ticket, Urgency, service::ServiceKey};
 
 /// Requests that wait at one time, of all services together.
-pub(crate) const MAX_WAITING: usize = 1_024;
+pub(crate) const MAX_QUEUED: usize = 1_024;
 
 /// Who goes first: the service's priority, then the caller's word.
 ///
@@ -16,22 +16,22 @@
 pub(crate) type Rank = (Priority, Urgency);
 
 /// Where a request stands: higher ranks first, then the caller that had least, then by arrival.
-type Place = (Reverse<Rank>, u64, Ticket);
+type QueueOrder = (Reverse<Rank>, u64, Ticket);
 
 /// A request that waits.
 #[derive(Debug, Clone)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub(crate) ticket: Ticket,
     pub(crate) service: ServiceKey,
     pub(crate) rank: Rank,
     pub(crate) call: Call,
-    pub(crate) since: Instant,
-    turn: u64,
+    pub(crate) queued_at: Instant,
+    start_tag: u64,
 }
 
-impl Waiting {
-    fn place(&self) -> Place {
-        (Reverse(self.rank), self.turn, self.ticket)
+impl QueuedRequest {
+    fn order(&self) -> QueueOrder {
+        (Reverse(self.rank), self.start_tag, self.ticket)
     }
 }
 
@@ -41,9 +41,9 @@
 /// the caller's last one, and a caller that was idle starts at the turn being served.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    waiting: Vec<Waiting>,
-    served: u64,
-    last_turns: SortedMap<(Rank, CallerId), u64>,
+    waiting: Vec<QueuedRequest>,
+    virtual_time: u64,
+    last_start_tags: SortedMap<(Rank, CallerId), u64>,
 }
 
 impl Queue {
@@ -56,26 +56,26 @@
         call: Call,
         now: Instant,
     ) {
-        let last = self.last_turns.get_or_insert_with((rank, call.caller), || 0);
-        *last = (*last).max(self.served) + 1;
-        let turn = *last;
-        let waiting = Waiting { ticket, service, rank, call, since: now, turn };
-        let at = self.waiting.partition_point(|other| other.place() < waiting.place());
+        let last = self.last_start_tags.get_or_insert_with((rank, call.caller), || 0);
+        *last = (*last).max(self.virtual_time) + 1;
+        let start_tag = *last;
+        let waiting = QueuedRequest { ticket, service, rank, call, queued_at: now, start_tag };
+        let at = self.waiting.partition_point(|other| other.order() < waiting.order());
         self.waiting.insert(at, waiting);
     }
 
     /// Whether a request of `rank` for `service` would wait behind another.
-    pub(crate) fn has_ahead(&self, service: ServiceKey, rank: Rank) -> bool {
+    pub(crate) fn has_waiting_at_or_above(&self, service: ServiceKey, rank: Rank) -> bool {
         self.waiting.iter().any(|other| other.service == service && other.rank >= rank)
     }
 
     /// Whether anything waits for `service`.
-    pub(crate) fn has(&self, service: ServiceKey) -> bool {
+    pub(crate) fn has_waiting(&self, service: ServiceKey) -> bool {
         self.waiting.iter().any(|other| other.service == service)
     }
 
     /// The request at `index` in the order of going.
-    pub(crate) fn get(&self, index: usize) -> Option<&Waiting> {
+    pub(crate) fn get(&self, index: usize) -> Option<&QueuedRequest> {
         self.waiting.get(index)
     }
 
@@ -85,32 +85,32 @@
     }
 
     /// Requests in the order of going.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.waiting.iter()
     }
 
     /// Takes the request at `index` out because its turn has come.
-    pub(crate) fn serve(&mut self, index: usize) -> Waiting {
+    pub(crate) fn take_served(&mut self, index: usize) -> QueuedRequest {
         let waiting = self.remove(index);
-        self.served = self.served.max(waiting.turn);
+        self.virtual_time = self.virtual_time.max(waiting.start_tag);
         waiting
     }
 
     /// Takes the request at `index` out because it is given up.
-    pub(crate) fn remove(&mut self, index: usize) -> Waiting {
+    pub(crate) fn remove(&mut self, index: usize) -> QueuedRequest {
         let waiting = self.waiting.remove(index);
         if self.waiting.is_empty() {
-            self.last_turns = SortedMap::new();
-            self.served = 0;
-        } else if self.last_turns.len() > 2 * MAX_WAITING {
-            let served = self.served;
-            self.last_turns.retain(|_, turn| *turn > served);
+            self.last_start_tags = SortedMap::new();
+            self.virtual_time = 0;
+        } else if self.last_start_tags.len() > 2 * MAX_QUEUED {
+            let virtual_time = self.virtual_time;
+            self.last_start_tags.retain(|_, start_tag| *start_tag > virtual_time);
         }
         waiting
     }
 
     /// Takes a request out by its ticket.
-    pub(crate) fn try_forget(&mut self, ticket: Ticket) -> Option<Waiting> {
+    pub(crate) fn try_remove_ticket(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
         let index = self.waiting.iter().position(|other| other.ticket == ticket)?;
         Some(self.remove(index))
     }
--- a/daisy-routing/src/retry.rs
+++ b/daisy-routing/src/retry.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Call, Router, Target,
-    router::Placing,
+    router::PendingSend,
     server::Distance,
     service::{ServiceKey, ServiceState},
 };
@@ -23,14 +23,18 @@
         tried: &[VmId],
         rng: &mut fastrand::Rng,
     ) -> Option<Target> {
-        let key = self.try_service(&call.service)?;
-        let farthest = self.reach(now, key, call);
-        self.try_again(now, Placing { key, call, ticket: None, farthest, exclude: tried }, rng)
+        let key = self.find_service(&call.service)?;
+        let max_distance = self.max_distance(now, key, call);
+        self.try_again(
+            now,
+            PendingSend { key, call, ticket: None, max_distance, exclude: tried },
+            rng,
+        )
     }
 
     /// After how long a request deserves a second try beside its first; `None` for never.
     pub fn hedge_after(&self, call: &Call) -> Option<Duration> {
-        let service = self.services.get(self.try_service(&call.service)?)?;
+        let service = self.services.get(self.find_service(&call.service)?)?;
         if call.idempotent { service.hedge_after() } else { None }
     }
 
@@ -45,9 +49,13 @@
         if !call.idempotent {
             return None;
         }
-        let key = self.try_service(&call.service)?;
-        let farthest = Distance::Near;
-        self.try_again(now, Placing { key, call, ticket: None, farthest, exclude: tried }, rng)
+        let key = self.find_service(&call.service)?;
+        let max_distance = Distance::Near;
+        self.try_again(
+            now,
+            PendingSend { key, call, ticket: None, max_distance, exclude: tried },
+            rng,
+        )
     }
 
     /// Guards against retries that keep an overload alive, which shows as a service that stays
@@ -56,24 +64,24 @@
     fn try_again(
         &mut self,
         now: Instant,
-        placing: Placing<'_>,
+        pending: PendingSend<'_>,
         rng: &mut fastrand::Rng,
     ) -> Option<Target> {
-        let in_time = placing.call.deadline.since(now) > self.typical_of(placing.key)?;
-        if !in_time || self.queue.has(placing.key) {
+        let in_time = pending.call.deadline.since(now) > self.typical_latency_of(pending.key)?;
+        if !in_time || self.queue.has_waiting(pending.key) {
             return None;
         }
-        if !self.services.get_mut(placing.key)?.retries.try_spend() {
+        if !self.services.get_mut(pending.key)?.retry_budget.try_spend() {
             return None;
         }
-        let target = self.try_send(now, placing, rng);
+        let target = self.try_send(now, pending, rng);
         if target.is_none() {
-            self.services.get_mut(placing.key)?.retries.give_back();
+            self.services.get_mut(pending.key)?.retry_budget.refund();
         }
         target
     }
 
-    fn typical_of(&self, key: ServiceKey) -> Option<Duration> {
-        self.services.get(key).map(ServiceState::typical)
+    fn typical_latency_of(&self, key: ServiceKey) -> Option<Duration> {
+        self.services.get(key).map(ServiceState::typical_latency)
     }
 }
--- a/daisy-routing/src/router.rs
+++ b/daisy-routing/src/router.rs
@@ -7,30 +7,30 @@
 use crate::{
     Admission, Call, QueueDecision, RejectReason, Rejection, Routes, Target, Ticket, Urgency,
     budget::ByteBudget,
-    choose::{FAR_ROUND_TRIP, Wish, any_usable, choose},
-    queue::{MAX_WAITING, Queue, Rank, Waiting},
+    choose::{REGION_ROUND_TRIP, Requirements, choose, has_usable_server},
+    queue::{MAX_QUEUED, Queue, QueuedRequest, Rank},
     server::{Distance, Server},
     service::{ServiceKey, ServiceState},
     slab::{Tickets, Tries, Try},
 };
 
 /// When to come again if nothing is known of the load.
-const UNKNOWN_RETRY: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Guess of an answer's bytes before it has come, for the budget of the region link.
-pub(crate) const ANSWER_BYTES: u64 = 4 << 10;
+pub(crate) const ESTIMATED_ANSWER_BYTES: u64 = 4 << 10;
 /// A request that waits is given up when others have pushed it back this many times as far as the
 /// queue promised.
-const GIVE_UP_BOUNDS: u32 = 2;
+const MAX_WAIT_FACTOR: u32 = 2;
 
 /// A request on its way to a choice.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Placing<'a> {
+pub(crate) struct PendingSend<'a> {
     pub(crate) key: ServiceKey,
     pub(crate) call: &'a Call,
     /// Its ticket, if it waited.
     pub(crate) ticket: Option<Ticket>,
     /// The farthest that it may go.
-    pub(crate) farthest: Distance,
+    pub(crate) max_distance: Distance,
     /// Backend servers that it has been at.
     pub(crate) exclude: &'a [VmId],
 }
@@ -42,7 +42,7 @@
     pub(crate) routes: Routes,
     /// Sorted by VM.
     pub(crate) servers: Vec<Server>,
-    pub(crate) names: SortedMap<Name, ServiceKey>,
+    pub(crate) service_keys: SortedMap<Name, ServiceKey>,
     pub(crate) services: Arena<ServiceKey, ServiceState>,
     pub(crate) peers: SortedMap<VmId, SortedMap<VmId, u32>>,
     pub(crate) tries: Tries,
@@ -58,7 +58,7 @@
             me,
             routes: Routes::default(),
             servers: Vec::new(),
-            names: SortedMap::new(),
+            service_keys: SortedMap::new(),
             services: Arena::new(),
             peers: SortedMap::new(),
             tries: Tries::default(),
@@ -70,34 +70,35 @@
 
     /// Decides about a new request.
     pub fn offer(&mut self, now: Instant, call: &Call, rng: &mut fastrand::Rng) -> Admission {
-        let Some(key) = self.try_service(&call.service) else {
-            return refuse(RejectReason::UnknownService, UNKNOWN_RETRY);
+        let Some(key) = self.find_service(&call.service) else {
+            return reject(RejectReason::UnknownService, DEFAULT_RETRY_AFTER);
         };
-        let reach = self.reach(now, key, call);
+        let max_distance = self.max_distance(now, key, call);
         if let Some(service) = self.services.get_mut(key) {
-            service.offered.add(now);
+            service.offers.add(now);
         }
         let Some(service) = self.services.get(key) else {
-            return refuse(RejectReason::UnknownService, UNKNOWN_RETRY);
+            return reject(RejectReason::UnknownService, DEFAULT_RETRY_AFTER);
         };
-        if !any_usable(&self.servers, &service.servers, reach, now) {
-            return refuse(RejectReason::NoBackend, service.retry_after(now, rng));
+        if !has_usable_server(&self.servers, &service.servers, max_distance, now) {
+            return reject(RejectReason::NoBackend, service.retry_after(now, rng));
         }
-        if call.deadline.since(now) < service.typical() / 2 {
-            return refuse(RejectReason::Deadline, service.retry_after(now, rng));
+        if call.deadline.since(now) < service.typical_latency() / 2 {
+            return reject(RejectReason::Deadline, service.retry_after(now, rng));
         }
         let rank = rank(service.priority, call.urgency);
-        let placing = Placing { key, call, ticket: None, farthest: reach, exclude: &[] };
-        if !self.queue.has_ahead(key, rank)
-            && let Some(target) = self.try_send(now, placing, rng)
+        let pending =
+            PendingSend { key, call, ticket: None, max_distance: max_distance, exclude: &[] };
+        if !self.queue.has_waiting_at_or_above(key, rank)
+            && let Some(target) = self.try_send(now, pending, rng)
         {
             return Admission::Send(target);
         }
-        self.wait(now, key, rank, call, rng)
+        self.enqueue(now, key, rank, call, rng)
     }
 
     /// Puts a request in the queue, unless it could not finish from there.
-    fn wait(
+    fn enqueue(
         &mut self,
         now: Instant,
         key: ServiceKey,
@@ -107,27 +108,27 @@
     ) -> Admission {
         let ticket = self.tickets.draw();
         self.queue.push(ticket, key, rank, call.clone(), now);
-        match self.try_refuse(now, ticket) {
+        match self.queue_reject_reason(now, ticket) {
             Some(reason) => {
-                self.queue.try_forget(ticket);
+                self.queue.try_remove_ticket(ticket);
                 let wait = self.retry_after_of(now, key, rng);
-                refuse(reason, wait)
+                reject(reason, wait)
             }
             None => Admission::Wait(ticket),
         }
     }
 
     /// Why a request that has just been put in the queue must not stay there.
-    fn try_refuse(&self, now: Instant, ticket: Ticket) -> Option<RejectReason> {
+    fn queue_reject_reason(&self, now: Instant, ticket: Ticket) -> Option<RejectReason> {
         let at = self.queue.iter().position(|waiting| waiting.ticket == ticket)?;
         let waiting = self.queue.get(at)?;
         let ahead =
             self.queue.iter().take(at).filter(|other| other.service == waiting.service).count();
         let service = self.services.get(waiting.service)?;
-        let wait = service.wait(ahead, now);
-        if wait + service.typical() > waiting.call.deadline.since(now) {
+        let wait = service.expected_wait(ahead, now);
+        if wait + service.typical_latency() > waiting.call.deadline.since(now) {
             Some(RejectReason::Deadline)
-        } else if wait > service.queue_bound() || self.queue.len() > MAX_WAITING {
+        } else if wait > service.max_queue_wait() || self.queue.len() > MAX_QUEUED {
             Some(RejectReason::Overload)
         } else {
             None
@@ -136,54 +137,55 @@
 
     /// Grants slots to those that wait, in their order, and refuses those pushed out.
     pub(crate) fn dispatch(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Vec<QueueDecision> {
-        let mut grants = Vec::new();
+        let mut decisions = Vec::new();
         // Taken out while its requests are looked at, and put back below.
         let mut queue = std::mem::take(&mut self.queue);
-        let mut stuck: Vec<ServiceKey> = Vec::new();
+        let mut blocked_services: Vec<ServiceKey> = Vec::new();
         let mut index = 0;
         while let Some(waiting) = queue.get(index) {
-            match self.try_turn(now, waiting, &stuck, rng) {
+            match self.try_send_queued(now, waiting, &blocked_services, rng) {
                 Some(target) => {
-                    queue.serve(index);
-                    grants.push(QueueDecision::Send(target));
+                    queue.take_served(index);
+                    decisions.push(QueueDecision::Send(target));
                 }
                 // Those of the same service behind it rank lower and find no slot either.
                 None => {
-                    stuck.push(waiting.service);
+                    blocked_services.push(waiting.service);
                     index += 1;
                 }
             }
         }
         self.queue = queue;
-        self.refuse_late(now, rng, &mut grants);
-        grants
+        self.reject_overdue(now, rng, &mut decisions);
+        decisions
     }
 
-    fn try_turn(
+    fn try_send_queued(
         &mut self,
         now: Instant,
-        waiting: &Waiting,
-        stuck: &[ServiceKey],
+        waiting: &QueuedRequest,
+        blocked_services: &[ServiceKey],
         rng: &mut fastrand::Rng,
     ) -> Option<Target> {
-        let Waiting { service: key, ticket, call, .. } = waiting;
-        if stuck.contains(key) {
+        let QueuedRequest { service: key, ticket, call, .. } = waiting;
+        if blocked_services.contains(key) {
             return None;
         }
-        let farthest = self.reach(now, *key, call);
-        let placing = Placing { key: *key, call, ticket: Some(*ticket), farthest, exclude: &[] };
-        self.try_send(now, placing, rng)
+        let max_distance = self.max_distance(now, *key, call);
+        let pending =
+            PendingSend { key: *key, call, ticket: Some(*ticket), max_distance, exclude: &[] };
+        self.try_send(now, pending, rng)
     }
 
     /// Gives up those that can no longer finish and those that others have pushed too far back.
     ///
     /// Guards against answers that come too late for their caller: a request is refused as soon as
     /// its turn cannot come in time, not when its deadline has passed.
-    fn refuse_late(
+    fn reject_overdue(
         &mut self,
         now: Instant,
         rng: &mut fastrand::Rng,
-        grants: &mut Vec<QueueDecision>,
+        decisions: &mut Vec<QueueDecision>,
     ) {
         let mut counts: Vec<(ServiceKey, usize)> = Vec::new();
         let mut index = 0;
@@ -196,11 +198,11 @@
                     &mut counts.last_mut().expect("pushed above").1
                 }
             };
-            match self.try_give_up(now, waiting, *ahead) {
+            match self.give_up_reason(now, waiting, *ahead) {
                 Some(reason) => {
                     let waiting = self.queue.remove(index);
                     let retry_after = self.retry_after_of(now, key, rng);
-                    grants.push(QueueDecision::Reject(
+                    decisions.push(QueueDecision::Reject(
                         waiting.ticket,
                         Rejection { reason, retry_after },
                     ));
@@ -213,15 +215,22 @@
         }
     }
 
-    fn try_give_up(&self, now: Instant, waiting: &Waiting, ahead: usize) -> Option<RejectReason> {
+    fn give_up_reason(
+        &self,
+        now: Instant,
+        waiting: &QueuedRequest,
+        ahead: usize,
+    ) -> Option<RejectReason> {
         let service = self.services.get(waiting.service)?;
-        let waited = now.since(waiting.since);
+        let waited = now.since(waiting.queued_at);
         let left = waiting.call.deadline.since(now);
-        if !service.known {
+        if !service.in_routes {
             Some(RejectReason::UnknownService)
-        } else if left < service.typical() {
+        } else if left < service.typical_latency() {
             Some(RejectReason::Deadline)
-        } else if waited + service.wait(ahead, now) > service.queue_bound() * GIVE_UP_BOUNDS {
+        } else if waited + service.expected_wait(ahead, now)
+            > service.max_queue_wait() * MAX_WAIT_FACTOR
+        {
             Some(RejectReason::Overload)
         } else {
             None
@@ -232,34 +241,35 @@
     pub(crate) fn try_send(
         &mut self,
         now: Instant,
-        placing: Placing<'_>,
+        pending: PendingSend<'_>,
         rng: &mut fastrand::Rng,
     ) -> Option<Target> {
-        let service = self.services.get(placing.key)?;
-        let wish = Wish {
+        let service = self.services.get(pending.key)?;
+        let requirements = Requirements {
             now,
-            delayable: is_delayable(rank(service.priority, placing.call.urgency)),
-            reach: placing.farthest,
-            exclude: placing.exclude,
-            median: service.median,
+            may_wait: is_delayable(rank(service.priority, pending.call.urgency)),
+            max_distance: pending.max_distance,
+            exclude: pending.exclude,
+            median_log_latency: service.median_log_latency,
         };
-        let position = choose(&self.servers, &service.servers, &wish, rng)?;
-        Some(self.send(now, placing, position))
+        let position = choose(&self.servers, &service.servers, &requirements, rng)?;
+        Some(self.send(now, pending, position))
     }
 
-    fn send(&mut self, now: Instant, placing: Placing<'_>, position: u32) -> Target {
-        let Placing { key, call, ticket, .. } = placing;
+    fn send(&mut self, now: Instant, pending: PendingSend<'_>, position: u32) -> Target {
+        let PendingSend { key, call, ticket, .. } = pending;
         let ticket = ticket.unwrap_or_else(|| self.tickets.draw());
         let server = &mut self.servers[position as usize];
-        server.own += 1;
-        let far = server.distance == Distance::Far;
-        if far {
-            self.region.spend(call.bytes + ANSWER_BYTES);
+        server.own_in_flight += 1;
+        let crosses_region = server.distance == Distance::Far;
+        if crosses_region {
+            self.region.spend(call.bytes + ESTIMATED_ANSWER_BYTES);
         }
         if let Some(service) = self.services.get_mut(key) {
             service.in_flight += 1;
         }
-        let try_id = self.tries.insert(Try { vm: server.vm, service: key, begun: now, far });
+        let try_id =
+            self.tries.insert(Try { vm: server.vm, service: key, started_at: now, crosses_region });
         Target {
             ticket,
             try_id,
@@ -271,10 +281,11 @@
 
     /// How far a request may go: to another region only while its deadline and the budget of the
     /// region link allow it.
-    pub(crate) fn reach(&mut self, now: Instant, key: ServiceKey, call: &Call) -> Distance {
-        let typical = self.services.get(key).map_or(UNKNOWN_RETRY, ServiceState::typical);
-        let in_time = call.deadline.since(now) > typical + FAR_ROUND_TRIP;
-        if in_time && self.region.has(call.bytes + ANSWER_BYTES, now) {
+    pub(crate) fn max_distance(&mut self, now: Instant, key: ServiceKey, call: &Call) -> Distance {
+        let typical_latency =
+            self.services.get(key).map_or(DEFAULT_RETRY_AFTER, ServiceState::typical_latency);
+        let in_time = call.deadline.since(now) > typical_latency + REGION_ROUND_TRIP;
+        if in_time && self.region.allows(call.bytes + ESTIMATED_ANSWER_BYTES, now) {
             Distance::Far
         } else {
             Distance::Near
@@ -289,32 +300,32 @@
 
     /// Forgets a request whose caller has left while it waited.
     pub fn cancel_waiting(&mut self, ticket: Ticket) {
-        self.queue.try_forget(ticket);
+        self.queue.try_remove_ticket(ticket);
     }
 
     /// Requests in flight from this entry VM by backend server.
     pub fn in_flight(&self) -> Vec<(VmId, u32)> {
-        let busy = self.servers.iter().filter(|server| server.own > 0);
-        busy.map(|server| (server.vm, server.own)).collect()
+        let busy = self.servers.iter().filter(|server| server.own_in_flight > 0);
+        busy.map(|server| (server.vm, server.own_in_flight)).collect()
     }
 
-    pub(crate) fn try_service(&self, name: &Name) -> Option<ServiceKey> {
-        let key = *self.names.get(name)?;
-        self.services.get(key).filter(|service| service.known).map(|_| key)
+    pub(crate) fn find_service(&self, name: &Name) -> Option<ServiceKey> {
+        let key = *self.service_keys.get(name)?;
+        self.services.get(key).filter(|service| service.in_routes).map(|_| key)
     }
 
     /// When a caller of `service` is to come again after a refusal now.
     pub fn retry_after(&self, now: Instant, service: &Name, rng: &mut fastrand::Rng) -> Duration {
-        let key = self.try_service(service);
-        key.map_or(UNKNOWN_RETRY, |key| self.retry_after_of(now, key, rng))
+        let key = self.find_service(service);
+        key.map_or(DEFAULT_RETRY_AFTER, |key| self.retry_after_of(now, key, rng))
     }
 
     fn retry_after_of(&self, now: Instant, key: ServiceKey, rng: &mut fastrand::Rng) -> Duration {
-        self.services.get(key).map_or(UNKNOWN_RETRY, |service| service.retry_after(now, rng))
+        self.services.get(key).map_or(DEFAULT_RETRY_AFTER, |service| service.retry_after(now, rng))
     }
 }
 
-fn refuse(reason: RejectReason, retry_after: Duration) -> Admission {
+fn reject(reason: RejectReason, retry_after: Duration) -> Admission {
     Admission::Reject(Rejection { reason, retry_after })
 }
 
--- a/daisy-routing/src/service.rs
+++ b/daisy-routing/src/service.rs
@@ -6,23 +6,23 @@
 
 use crate::{
     budget::RetryBudget,
-    measure::{LogMean, Quantiles, Rate, Share},
+    measure::{LatencyQuantiles, LogMean, MovingShare, Rate},
 };
 
 /// How long an answer is thought to take before any has come.
-const FIRST_GUESS: Duration = Duration::from_millis(20);
+const INITIAL_LATENCY_ESTIMATE: Duration = Duration::from_millis(20);
 /// The queue holds what is served within this many typical answers.
-const QUEUE_ANSWERS: f64 = 1.0;
+const QUEUE_WAIT_IN_ANSWERS: f64 = 1.0;
 /// The shortest and the longest wait that the queue may promise.
-const MIN_QUEUE: Duration = Duration::from_millis(10);
-const MAX_QUEUE: Duration = Duration::from_millis(250);
+const MIN_QUEUE_WAIT: Duration = Duration::from_millis(10);
+const MAX_QUEUE_WAIT: Duration = Duration::from_millis(250);
 /// Of those that come again after a refusal, the last comes this much later than the first.
-const RETRY_SPREAD: f64 = 2.0;
+const RETRY_AFTER_SPREAD: f64 = 2.0;
 /// The shortest and the longest time after which a refused caller is told to come again.
-const MIN_RETRY: Duration = Duration::from_millis(50);
-const MAX_RETRY: Duration = Duration::from_secs(30);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Time over which an excess of load is to be worked off when refused callers come again.
-const RETRY_WINDOW: f64 = 1.0;
+const OVERLOAD_RECOVERY_SECS: f64 = 1.0;
 /// The share of recent answers that a hedge waits for.
 const HEDGE_QUANTILE: f64 = 0.95;
 
@@ -44,71 +44,72 @@
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceState {
     /// Whether the routes still name it.
-    pub(crate) known: bool,
+    pub(crate) in_routes: bool,
     pub(crate) priority: Priority,
     /// Positions of its backend servers in the router's sorted list.
     pub(crate) servers: Vec<u32>,
-    pub(crate) retries: RetryBudget,
-    pub(crate) latencies: Quantiles,
-    pub(crate) typical: LogMean,
+    pub(crate) retry_budget: RetryBudget,
+    pub(crate) latencies: LatencyQuantiles,
+    pub(crate) typical_latency: LogMean,
     /// Offers, refused ones included.
-    pub(crate) offered: Rate,
+    pub(crate) offers: Rate,
     /// Tries that ended and freed their slot.
-    pub(crate) drained: Rate,
+    pub(crate) completions: Rate,
     pub(crate) in_flight: u32,
     /// Tries that failed, whichever backend server they were at.
-    pub(crate) failing: Share,
+    pub(crate) failure_share: MovingShare,
     /// The median speed of its backend servers, as a logarithm of microseconds.
-    pub(crate) median: Option<f64>,
+    pub(crate) median_log_latency: Option<f64>,
 }
 
 impl ServiceState {
     /// A service that has not been asked for.
     pub(crate) fn new(priority: Priority) -> ServiceState {
         ServiceState {
-            known: true,
+            in_routes: true,
             priority,
             servers: Vec::new(),
-            retries: RetryBudget::new(),
-            latencies: Quantiles::new(),
-            typical: LogMean::default(),
-            offered: Rate::default(),
-            drained: Rate::default(),
+            retry_budget: RetryBudget::new(),
+            latencies: LatencyQuantiles::new(),
+            typical_latency: LogMean::default(),
+            offers: Rate::default(),
+            completions: Rate::default(),
             in_flight: 0,
-            failing: Share::default(),
-            median: None,
+            failure_share: MovingShare::default(),
+            median_log_latency: None,
         }
     }
 
     /// How long an answer typically takes.
-    pub(crate) fn typical(&self) -> Duration {
-        let log = self.typical.try_log(1);
-        log.map_or(FIRST_GUESS, |log| Duration::from_micros(log.exp() as u64))
+    pub(crate) fn typical_latency(&self) -> Duration {
+        let log = self.typical_latency.try_log_mean(1);
+        log.map_or(INITIAL_LATENCY_ESTIMATE, |log| Duration::from_micros(log.exp() as u64))
     }
 
     /// How long a request waits with `ahead` of its service before it.
     ///
     /// The rate of the last second lags after a pause, so it counts no less than what Little's
     /// law gives for the requests in flight.
-    pub(crate) fn wait(&self, ahead: usize, now: Instant) -> Duration {
-        let little = f64::from(self.in_flight) / self.typical().as_secs_f64().max(1e-6);
-        let per_second = self.drained.per_second(now).max(little / 2.0).max(1e-3);
+    pub(crate) fn expected_wait(&self, ahead: usize, now: Instant) -> Duration {
+        let littles_law_rate =
+            f64::from(self.in_flight) / self.typical_latency().as_secs_f64().max(1e-6);
+        let per_second = self.completions.per_second(now).max(littles_law_rate / 2.0).max(1e-3);
         Duration::from_secs_f64(((ahead + 1) as f64 / per_second).min(3_600.0))
     }
 
     /// The longest wait that the queue may promise.
-    pub(crate) fn queue_bound(&self) -> Duration {
-        self.typical().mul_f64(QUEUE_ANSWERS).clamp(MIN_QUEUE, MAX_QUEUE)
+    pub(crate) fn max_queue_wait(&self) -> Duration {
+        self.typical_latency().mul_f64(QUEUE_WAIT_IN_ANSWERS).clamp(MIN_QUEUE_WAIT, MAX_QUEUE_WAIT)
     }
 
     /// When a refused caller is to come again: later the more is offered beyond what drains, and
     /// spread, so that those refused together do not come again together.
     pub(crate) fn retry_after(&self, now: Instant, rng: &mut fastrand::Rng) -> Duration {
-        let drained = self.drained.per_second(now).max(1.0);
-        let excess = (self.offered.per_second(now) / drained - 1.0).clamp(0.0, 10.0);
-        let base = self.queue_bound().as_secs_f64() + excess * RETRY_WINDOW;
-        let spread = 1.0 + rng.f64() * (RETRY_SPREAD - 1.0);
-        Duration::from_secs_f64(base * spread).clamp(MIN_RETRY, MAX_RETRY)
+        let completions = self.completions.per_second(now).max(1.0);
+        let excess = (self.offers.per_second(now) / completions - 1.0).clamp(0.0, 10.0);
+        let base = self.max_queue_wait().as_secs_f64() + excess * OVERLOAD_RECOVERY_SECS;
+        let spread = 1.0 + rng.f64() * (RETRY_AFTER_SPREAD - 1.0);
+        Duration::from_secs_f64(base * spread).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// After how long a second try is worth its load; `None` until enough is known.
--- a/daisy-routing/src/share.rs
+++ b/daisy-routing/src/share.rs
@@ -7,7 +7,7 @@
 use crate::digest::weight;
 
 /// One entry VM in this many may be counted by some and not by others while VMs are replaced.
-const REPLACED_ONE_IN: u32 = 8;
+const MAX_REPLACED_ONE_IN: u32 = 8;
 
 /// Connections to a backend server with `total` that one of `entries` entry VMs may open.
 ///
@@ -15,7 +15,7 @@
 /// are both connected for a while, and not all lists show both. The margin has room for one VM in
 /// eight (at least one) beyond those listed.
 pub fn connections(total: u32, entries: u32) -> u32 {
-    let margin = entries.div_ceil(REPLACED_ONE_IN).max(1);
+    let margin = entries.div_ceil(MAX_REPLACED_ONE_IN).max(1);
     (total / (entries + margin)).max(1)
 }
 
--- a/daisy-routing/src/slab.rs
+++ b/daisy-routing/src/slab.rs
@@ -9,9 +9,9 @@
 pub(crate) struct Try {
     pub(crate) vm: daisy_model::VmId,
     pub(crate) service: ServiceKey,
-    pub(crate) begun: Instant,
+    pub(crate) started_at: Instant,
     /// Whether its bytes count against the region link.
-    pub(crate) far: bool,
+    pub(crate) crosses_region: bool,
 }
 
 #[derive(Debug)]
--- a/daisy-routing/src/update.rs
+++ b/daisy-routing/src/update.rs
@@ -4,11 +4,11 @@
 
 use crate::{
     Backend, QueueDecision, Router, Routes,
+    health::Health,
     measure::LogMean,
     server::{Distance, Server},
     service::{ServiceKey, ServiceState},
     share,
-    standing::Standing,
 };
 
 impl Router {
@@ -19,17 +19,17 @@
         routes: &Routes,
         rng: &mut fastrand::Rng,
     ) -> Vec<QueueDecision> {
-        let first = self.servers.is_empty() && self.names.is_empty();
-        if !first && routes.version <= self.routes.version {
+        let is_first = self.servers.is_empty() && self.service_keys.is_empty();
+        if !is_first && routes.version <= self.routes.version {
             return Vec::new();
         }
         self.routes = routes.clone();
         self.set_region_budget(now);
-        self.set_servers(now, first);
+        self.set_servers(now, is_first);
         self.set_services();
         let live: Vec<VmId> = routes.entries.iter().map(|(_, vm)| *vm).collect();
         self.peers.retain(|peer, _| live.contains(peer));
-        self.sum_peers();
+        self.update_peer_counts();
         self.refresh_medians();
         self.dispatch(now, rng)
     }
@@ -43,7 +43,7 @@
         rng: &mut fastrand::Rng,
     ) -> Vec<QueueDecision> {
         self.peers.insert(peer, in_flight.iter().copied().collect());
-        self.sum_peers();
+        self.update_peer_counts();
         self.dispatch(now, rng)
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Servers that were known before keep what was learnt of them.
-    fn set_servers(&mut self, now: Instant, first: bool) {
+    fn set_servers(&mut self, now: Instant, is_first: bool) {
         let mut backends: Vec<&Backend> =
             self.routes.services.iter().flat_map(|(_, service)| &service.backends).collect();
         backends.sort_by_key(|backend| backend.vm);
@@ -67,16 +67,16 @@
             .map(|backend| {
                 let old = self.servers.binary_search_by_key(&backend.vm, |server| server.vm);
                 let known = old.ok().map(|at| self.servers[at].clone());
-                let server = known.unwrap_or_else(|| new_server(backend, now, first));
-                self.placed(server, backend)
+                let server = known.unwrap_or_else(|| new_server(backend, now, is_first));
+                self.with_route(server, backend)
             })
             .collect();
         self.servers = servers;
-        self.count_own();
+        self.recount_own_in_flight();
     }
 
     /// `server` as the routes now describe it.
-    fn placed(&self, server: Server, backend: &Backend) -> Server {
+    fn with_route(&self, server: Server, backend: &Backend) -> Server {
         let entries = |dc: Option<DcId>| -> Vec<VmId> {
             let of = self.routes.entries.iter().filter(|(at, _)| dc.is_none_or(|dc| dc == *at));
             of.map(|(_, vm)| *vm).collect()
@@ -87,20 +87,20 @@
             address: backend.address,
             slots: backend.slots,
             connections: share::connections(backend.connections, count),
-            share: share::slots(backend.slots, backend.vm, self.me, &entries(Some(backend.dc))),
-            listed_leaving: backend.leaving,
+            own_slots: share::slots(backend.slots, backend.vm, self.me, &entries(Some(backend.dc))),
+            leaving_in_routes: backend.leaving,
             ..server
         }
     }
 
     /// Guards against a count that stays too high when a backend server is taken off the routes
     /// and comes back while its requests are in flight: the tries themselves are counted.
-    fn count_own(&mut self) {
-        self.servers.iter_mut().for_each(|server| server.own = 0);
+    fn recount_own_in_flight(&mut self) {
+        self.servers.iter_mut().for_each(|server| server.own_in_flight = 0);
         let vms: Vec<VmId> = self.tries.iter().map(|one| one.vm).collect();
         for vm in vms {
             if let Some(server) = self.try_server_mut(vm) {
-                server.own += 1;
+                server.own_in_flight += 1;
             }
         }
     }
@@ -109,25 +109,25 @@
         let keys: Vec<ServiceKey> = self.services.iter().map(|(key, _)| key).collect();
         for key in keys {
             if let Some(service) = self.services.get_mut(key) {
-                service.known = false;
+                service.in_routes = false;
                 service.servers.clear();
             }
         }
         for (name, route) in self.routes.services.iter() {
             let services = &mut self.services;
             let alloc = || services.alloc(ServiceState::new(route.priority));
-            let key = *self.names.get_or_insert_with(name.clone(), alloc);
+            let key = *self.service_keys.get_or_insert_with(name.clone(), alloc);
             let Some(service) = self.services.get_mut(key) else { continue };
             let at = |backend: &Backend| {
                 self.servers.binary_search_by_key(&backend.vm, |server| server.vm).ok()
             };
-            service.known = true;
+            service.in_routes = true;
             service.priority = route.priority;
             service.servers = route.backends.iter().filter_map(at).map(|at| at as u32).collect();
         }
     }
 
-    fn sum_peers(&mut self) {
+    fn update_peer_counts(&mut self) {
         let mut sums: SortedMap<VmId, u32> = SortedMap::new();
         for (_, in_flight) in self.peers.iter() {
             for (vm, count) in in_flight.iter() {
@@ -135,7 +135,7 @@
             }
         }
         for server in &mut self.servers {
-            server.peers = sums.get(&server.vm).copied().unwrap_or(0);
+            server.peers_in_flight = sums.get(&server.vm).copied().unwrap_or(0);
         }
     }
 }
@@ -145,24 +145,27 @@
 /// Guards against a cold backend server that gets the load of a warm one, which shows as a burst
 /// of late answers after each replacement. A new router starts all of them in full: its callers
 /// cannot wait for a ramp that serves no purpose.
-fn new_server(backend: &Backend, now: Instant, first: bool) -> Server {
-    let standing =
-        if first { Standing::default() } else { Standing::Starting { since: now, failures: 0 } };
+fn new_server(backend: &Backend, now: Instant, is_first: bool) -> Server {
+    let health = if is_first {
+        Health::default()
+    } else {
+        Health::Starting { since: now, consecutive_failures: 0 }
+    };
     Server {
         vm: backend.vm,
         distance: Distance::Own,
         address: backend.address,
         slots: backend.slots,
         connections: 1,
-        share: 0,
-        listed_leaving: backend.leaving,
-        said_leaving: None,
-        own: 0,
-        others: None,
-        peers: 0,
+        own_slots: 0,
+        leaving_in_routes: backend.leaving,
+        reported_leaving_at: None,
+        own_in_flight: 0,
+        answer_in_flight: None,
+        peers_in_flight: 0,
         limit: f64::from(backend.slots),
-        speed: LogMean::default(),
-        standing,
+        mean_latency: LogMean::default(),
+        health,
     }
 }
 
