--- a/daisy-routing/src/keys/view.rs
+++ b/daisy-routing/src/keys/membership.rs
@@ -8,72 +8,74 @@
 
 /// How long a listed entry VM that was never live may take to begin. Shorter than the time for
 /// which it grants nothing by itself, with room for the lag of the VM list.
-const UNMET_GRACE: Duration = Duration::from_secs(2);
+const STARTUP_GRACE: Duration = Duration::from_secs(2);
 
 /// The entry VMs as this one sees them.
 #[derive(Debug, Default)]
-pub(super) struct View {
+pub(super) struct Membership {
     dc: DcId,
     live: Vec<(DcId, VmId)>,
     listed: Vec<(DcId, VmId)>,
     /// Those that have handed their keys over and stop.
-    left: Vec<VmId>,
+    departed: Vec<VmId>,
     /// Those of the own data centre that have handed keys over and were not heard of otherwise.
-    shown: Vec<VmId>,
+    seen_by_handover: Vec<VmId>,
     /// Whether the platform's VM list was read: before that nobody else seems to be there.
-    informed: bool,
+    vm_list_read: bool,
     /// Peers at the last update.
-    seen: Vec<VmId>,
+    last_peers: Vec<VmId>,
     /// Listed entry VMs of the own data centre that were never live, with their first listing.
-    unmet: SortedMap<VmId, Instant>,
+    never_live: SortedMap<VmId, Instant>,
     /// Data centres, with the time since which they show no entry VM.
     empty_since: SortedMap<DcId, Option<Instant>>,
 }
 
-impl View {
+impl Membership {
     /// Takes in `routes`; returns the entry VMs of the own data centre that are newly there.
     pub(super) fn update(&mut self, now: Instant, me: VmId, routes: &Routes) -> Vec<VmId> {
         self.dc = routes.dc;
         self.live = routes.entries.clone();
         self.listed = routes.listed.clone();
         let (live, listed) = (&self.live, &self.listed);
-        self.left.retain(|vm| live.iter().chain(listed).any(|(_, known)| known == vm));
+        self.departed.retain(|vm| live.iter().chain(listed).any(|(_, known)| known == vm));
         // Backend servers come from the VM list.
-        self.informed |= routes.services.iter().any(|(_, service)| !service.backends.is_empty());
-        self.note_unmet(now);
-        self.drop_shown(now);
-        self.note_empty(now, routes);
+        self.vm_list_read |=
+            routes.services.iter().any(|(_, service)| !service.backends.is_empty());
+        self.update_never_live(now);
+        self.prune_seen_by_handover(now);
+        self.update_empty_since(now, routes);
         let peers = self.peers(me);
-        let before = std::mem::replace(&mut self.seen, peers.clone());
+        let before = std::mem::replace(&mut self.last_peers, peers.clone());
         peers.into_iter().filter(|peer| !before.contains(peer)).collect()
     }
 
-    fn note_unmet(&mut self, now: Instant) {
+    fn update_never_live(&mut self, now: Instant) {
         let (live, listed) = (&self.live, &self.listed);
         let is_in = |vms: &[(DcId, VmId)], vm: VmId| vms.iter().any(|(_, other)| *other == vm);
-        self.unmet.retain(|vm, _| is_in(listed, *vm) && !is_in(live, *vm));
+        self.never_live.retain(|vm, _| is_in(listed, *vm) && !is_in(live, *vm));
         for (_, vm) in listed.iter().filter(|(dc, vm)| *dc == self.dc && !is_in(live, *vm)) {
-            let met = self.seen.contains(vm) && !self.shown.contains(vm);
-            let since = if met { now - UNMET_GRACE } else { now };
-            self.unmet.get_or_insert_with(*vm, || since);
+            let was_live = self.last_peers.contains(vm) && !self.seen_by_handover.contains(vm);
+            let since = if was_live { now - STARTUP_GRACE } else { now };
+            self.never_live.get_or_insert_with(*vm, || since);
         }
     }
 
-    fn drop_shown(&mut self, now: Instant) {
-        let View { live, unmet, informed, .. } = self;
-        let heard = |vm: &VmId| live.iter().any(|(_, other)| other == vm);
-        let begins = |vm: &VmId| unmet.get(vm).is_some_and(|at| now.since(*at) < UNMET_GRACE);
-        self.shown.retain(|vm| !heard(vm) && (begins(vm) || !*informed));
+    fn prune_seen_by_handover(&mut self, now: Instant) {
+        let Membership { live, never_live, vm_list_read, .. } = self;
+        let is_live = |vm: &VmId| live.iter().any(|(_, other)| other == vm);
+        let may_still_start =
+            |vm: &VmId| never_live.get(vm).is_some_and(|at| now.since(*at) < STARTUP_GRACE);
+        self.seen_by_handover.retain(|vm| !is_live(vm) && (may_still_start(vm) || !*vm_list_read));
     }
 
-    fn note_empty(&mut self, now: Instant, routes: &Routes) {
+    fn update_empty_since(&mut self, now: Instant, routes: &Routes) {
         let by_region = (0..routes.regions.len()).map(|dc| DcId(dc as u16));
-        let seen = self.live.iter().chain(&self.listed).map(|(dc, _)| *dc);
-        let dcs: Vec<DcId> = by_region.chain(seen).collect();
+        let with_entry_vms = self.live.iter().chain(&self.listed).map(|(dc, _)| *dc);
+        let dcs: Vec<DcId> = by_region.chain(with_entry_vms).collect();
         for dc in dcs {
-            let shown = self.live.iter().chain(&self.listed).any(|(other, _)| *other == dc);
+            let has_entry_vms = self.live.iter().chain(&self.listed).any(|(other, _)| *other == dc);
             let since = self.empty_since.get_or_insert_with(dc, || None);
-            *since = if shown { None } else { since.or(Some(now)) };
+            *since = if has_entry_vms { None } else { since.or(Some(now)) };
         }
     }
 
@@ -98,28 +100,28 @@
 
     /// Whether a listed entry VM of the own data centre does not answer, though it did before or
     /// has had the time to begin.
-    pub(super) fn missing(&self, now: Instant, me: VmId) -> bool {
-        let late = |(vm, since): (&VmId, &Instant)| {
-            *vm != me && !self.left.contains(vm) && now.since(*since) >= UNMET_GRACE
+    pub(super) fn is_member_missing(&self, now: Instant, me: VmId) -> bool {
+        let has_not_started = |(vm, since): (&VmId, &Instant)| {
+            *vm != me && !self.departed.contains(vm) && now.since(*since) >= STARTUP_GRACE
         };
-        self.unmet.iter().any(late)
+        self.never_live.iter().any(has_not_started)
     }
 
     /// Whether the VM list was read.
-    pub(super) fn is_informed(&self) -> bool {
-        self.informed
+    pub(super) fn is_vm_list_read(&self) -> bool {
+        self.vm_list_read
     }
 
     /// Whether `vm` is listed or live.
-    pub(super) fn knows(&self, vm: VmId) -> bool {
+    pub(super) fn is_listed_or_live(&self, vm: VmId) -> bool {
         self.live.iter().chain(&self.listed).any(|(_, other)| *other == vm)
     }
 
     /// Notes whether `vm` has handed its keys over and stops.
-    pub(super) fn set_left(&mut self, vm: VmId, left: bool) {
-        self.left.retain(|other| *other != vm);
-        if left {
-            self.left.push(vm);
+    pub(super) fn set_departed(&mut self, vm: VmId, departed: bool) {
+        self.departed.retain(|other| *other != vm);
+        if departed {
+            self.departed.push(vm);
         }
     }
 
@@ -127,10 +129,10 @@
     ///
     /// Guards against an order that runs twice: a fresh entry VM that has not heard of an older one
     /// would take itself for the home of the keys that this one keeps, and vouch for them.
-    pub(super) fn set_shown(&mut self, vm: VmId) {
-        let heard = self.live.iter().any(|(_, other)| *other == vm);
-        if !heard && !self.shown.contains(&vm) {
-            self.shown.push(vm);
+    pub(super) fn add_seen_by_handover(&mut self, vm: VmId) {
+        let is_live = self.live.iter().any(|(_, other)| *other == vm);
+        if !is_live && !self.seen_by_handover.contains(&vm) {
+            self.seen_by_handover.push(vm);
         }
     }
 
@@ -152,16 +154,16 @@
     ///
     /// Guards against a data centre whose entry VMs are all gone: what ran there is not known to
     /// anybody, and asking nobody must not count as everybody's word.
-    pub(super) fn other_dcs(&self, now: Instant, window: Duration) -> Vec<DcId> {
-        let recent = |since: &Option<Instant>| since.is_none_or(|at| now.since(at) < window);
+    pub(super) fn other_dcs(&self, now: Instant, retry_window: Duration) -> Vec<DcId> {
+        let recent = |since: &Option<Instant>| since.is_none_or(|at| now.since(at) < retry_window);
         let other_dcs =
             self.empty_since.iter().filter(|(dc, since)| **dc != self.dc && recent(since));
         other_dcs.map(|(dc, _)| *dc).collect()
     }
 
     fn members(&self, dc: DcId) -> impl Iterator<Item = VmId> + '_ {
-        let of = self.live.iter().filter(move |(other, _)| *other == dc).map(|(_, vm)| *vm);
-        let shown = self.shown.iter().copied().filter(move |_| dc == self.dc);
-        of.chain(shown).filter(|vm| !self.left.contains(vm))
+        let live = self.live.iter().filter(move |(other, _)| *other == dc).map(|(_, vm)| *vm);
+        let by_handover = self.seen_by_handover.iter().copied().filter(move |_| dc == self.dc);
+        live.chain(by_handover).filter(|vm| !self.departed.contains(vm))
     }
 }
--- a/daisy-routing/src/keys/store.rs
+++ b/daisy-routing/src/keys/store.rs
@@ -12,9 +12,9 @@
 /// Keys are spread over this many sorted vectors, so that an insertion moves few.
 const BUCKETS: u64 = 512;
 
-/// What is known of a key.
+/// What is existing of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Holding {
+pub(super) enum StoredState {
     /// A claim runs.
     Running {
         /// The claim.
@@ -35,15 +35,15 @@
 
 /// A key's state and how long it is kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Held {
+pub(super) struct StoredKey {
     pub(super) request_digest: u64,
-    pub(super) holding: Holding,
-    pub(super) until: Instant,
+    pub(super) stored_state: StoredState,
+    pub(super) expires_at: Instant,
 }
 
 impl ClaimKind {
     /// What a claim of this kind is told, also when it asks again.
-    pub(super) fn grant(self) -> KeyAnswer {
+    pub(super) fn grant_answer(self) -> KeyAnswer {
         match self {
             ClaimKind::First | ClaimKind::Repeated => KeyAnswer::Granted,
             ClaimKind::Conditional | ClaimKind::Unspecified => KeyAnswer::Conditional,
@@ -51,42 +51,41 @@
     }
 }
 
-impl From<KeyState> for Holding {
-    fn from(state: KeyState) -> Holding {
+impl From<KeyState> for StoredState {
+    fn from(state: KeyState) -> StoredState {
         match state {
-            KeyState::Running { claim, kind } => Holding::Running { claim, kind },
-            KeyState::Answered(answer) => Holding::Answered(answer),
-            KeyState::Unknown => Holding::Unknown { claim: None },
-            KeyState::Fenced => Holding::Fenced,
+            KeyState::Running { claim, kind } => StoredState::Running { claim, kind },
+            KeyState::Answered(answer) => StoredState::Answered(answer),
+            KeyState::Unknown => StoredState::Unknown { claim: None },
+            KeyState::Fenced => StoredState::Fenced,
         }
     }
 }
 
-impl Held {
-    /// A claim that runs until `until` at most.
+impl StoredKey {
+    /// A claim that runs until `expires_at` at most.
     pub(super) fn running(
         request_digest: u64,
         claim: ClaimId,
         kind: ClaimKind,
-        until: Instant,
-    ) -> Held {
-        Held { request_digest, holding: Holding::Running { claim, kind }, until }
+        expires_at: Instant,
+    ) -> StoredKey {
+        StoredKey { request_digest, stored_state: StoredState::Running { claim, kind }, expires_at }
     }
 
-    /// What another claim is told; a fenced key is granted if `past_fence`.
-    pub(super) fn claim(&mut self, claimed: Held, past_fence: bool) -> KeyAnswer {
+    /// What another claim is told; a fenced key is granted if `may_pass_fence`.
+    pub(super) fn claim(&mut self, claimed: StoredKey, may_pass_fence: bool) -> KeyAnswer {
         if self.request_digest != claimed.request_digest {
             return KeyAnswer::Mismatch;
         }
-        match (&self.holding, &claimed.holding) {
-            (Holding::Running { claim, kind }, Holding::Running { claim: again, .. })
-                if claim == again =>
-            {
-                kind.grant()
-            }
-            (Holding::Running { .. }, _) => KeyAnswer::Running,
-            (Holding::Answered(answer), _) => KeyAnswer::Answered(answer.clone()),
-            (Holding::Fenced, _) if past_fence => {
+        match (&self.stored_state, &claimed.stored_state) {
+            (
+                StoredState::Running { claim, kind },
+                StoredState::Running { claim: repeated_claim, .. },
+            ) if claim == repeated_claim => kind.grant_answer(),
+            (StoredState::Running { .. }, _) => KeyAnswer::Running,
+            (StoredState::Answered(answer), _) => KeyAnswer::Answered(answer.clone()),
+            (StoredState::Fenced, _) if may_pass_fence => {
                 *self = claimed;
                 KeyAnswer::Granted
             }
@@ -98,55 +97,57 @@
     pub(super) fn fence(
         &mut self,
         request_digest: u64,
-        vouches: bool,
-        until: Instant,
+        is_complete: bool,
+        expires_at: Instant,
     ) -> KeyAnswer {
         if self.request_digest != request_digest {
             return KeyAnswer::Mismatch;
         }
-        match &self.holding {
-            Holding::Running { .. } => KeyAnswer::Running,
-            Holding::Answered(answer) => KeyAnswer::Answered(answer.clone()),
-            Holding::Unknown { .. } => KeyAnswer::Unknown,
-            Holding::Fenced if !vouches => KeyAnswer::Unknown,
-            Holding::Fenced => {
-                self.until = self.until.max(until);
+        match &self.stored_state {
+            StoredState::Running { .. } => KeyAnswer::Running,
+            StoredState::Answered(answer) => KeyAnswer::Answered(answer.clone()),
+            StoredState::Unknown { .. } => KeyAnswer::Unknown,
+            StoredState::Fenced if !is_complete => KeyAnswer::Unknown,
+            StoredState::Fenced => {
+                self.expires_at = self.expires_at.max(expires_at);
                 KeyAnswer::AlreadyFenced
             }
         }
     }
 
     /// The key as it is handed over at `now`.
-    pub(super) fn handed(&self, key: &KeyId, now: Instant) -> TransferredKey {
-        let state = match &self.holding {
-            Holding::Running { claim, kind } => KeyState::Running { claim: *claim, kind: *kind },
-            Holding::Answered(answer) => KeyState::Answered(answer.clone()),
-            Holding::Unknown { .. } => KeyState::Unknown,
-            Holding::Fenced => KeyState::Fenced,
+    pub(super) fn to_transferred(&self, key: &KeyId, now: Instant) -> TransferredKey {
+        let state = match &self.stored_state {
+            StoredState::Running { claim, kind } => {
+                KeyState::Running { claim: *claim, kind: *kind }
+            }
+            StoredState::Answered(answer) => KeyState::Answered(answer.clone()),
+            StoredState::Unknown { .. } => KeyState::Unknown,
+            StoredState::Fenced => KeyState::Fenced,
         };
         TransferredKey {
             key: key.clone(),
             request_digest: self.request_digest,
             state,
-            remaining_retention: self.until.since(now),
+            remaining_retention: self.expires_at.since(now),
         }
     }
 
     /// Bytes of its answer.
     pub(super) fn bytes(&self) -> usize {
-        match &self.holding {
-            Holding::Answered(answer) => answer.body.as_ref().map_or(0, |body| body.len()),
+        match &self.stored_state {
+            StoredState::Answered(answer) => answer.body.as_ref().map_or(0, |body| body.len()),
             _ => 0,
         }
     }
 
     /// How sure the state is; of two homes' words the surer one counts.
     fn certainty(&self) -> u8 {
-        match self.holding {
-            Holding::Fenced => 0,
-            Holding::Running { .. } => 1,
-            Holding::Unknown { .. } => 2,
-            Holding::Answered(_) => 3,
+        match self.stored_state {
+            StoredState::Fenced => 0,
+            StoredState::Running { .. } => 1,
+            StoredState::Unknown { .. } => 2,
+            StoredState::Answered(_) => 3,
         }
     }
 }
@@ -155,28 +156,28 @@
 #[derive(Debug)]
 pub(super) struct Store {
     limits: KeyLimits,
-    buckets: Vec<SortedMap<KeyId, Held>>,
+    buckets: Vec<SortedMap<KeyId, StoredKey>>,
     len: usize,
     bytes: usize,
     /// When to look at keys again; at most one entry a key, so bounded as the keys are.
-    due: VecDeque<(Instant, KeyId)>,
+    expiry_queue: VecDeque<(Instant, KeyId)>,
 }
 
 impl Store {
     pub(super) fn new(limits: KeyLimits) -> Store {
         let buckets = (0..BUCKETS).map(|_| SortedMap::new()).collect();
-        Store { limits, buckets, len: 0, bytes: 0, due: VecDeque::new() }
+        Store { limits, buckets, len: 0, bytes: 0, expiry_queue: VecDeque::new() }
     }
 
     pub(super) fn len(&self) -> usize {
         self.len
     }
 
-    pub(super) fn get_mut(&mut self, key: &KeyId) -> Option<&mut Held> {
+    pub(super) fn get_mut(&mut self, key: &KeyId) -> Option<&mut StoredKey> {
         self.buckets[bucket(key)].get_mut(key)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&KeyId, &Held)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&KeyId, &StoredKey)> {
         self.buckets.iter().flat_map(SortedMap::iter)
     }
 
@@ -184,111 +185,116 @@
     ///
     /// Guards against memory without bound, and against making room by forgetting: a forgotten key
     /// would run again. What is refused here has not run.
-    pub(super) fn try_insert(&mut self, key: KeyId, held: Held) -> bool {
-        let room = self.len < self.limits.keys;
-        if room {
-            self.insert(key, held);
+    pub(super) fn try_insert(&mut self, key: KeyId, stored: StoredKey) -> bool {
+        let has_capacity = self.len < self.limits.keys;
+        if has_capacity {
+            self.insert(key, stored);
         }
-        room
+        has_capacity
     }
 
-    /// Keeps a handed key beside or in place of what is known of it, also beyond the limit: the
+    /// Keeps a handed key beside or in place of what is existing of it, also beyond the limit: the
     /// old home has forgotten it by now.
-    pub(super) fn merge(&mut self, key: KeyId, mut held: Held) {
+    pub(super) fn merge(&mut self, key: KeyId, mut stored: StoredKey) {
         match self.get_mut(&key) {
-            Some(known) if known.certainty() >= held.certainty() => {
-                known.until = known.until.max(held.until);
+            Some(existing) if existing.certainty() >= stored.certainty() => {
+                existing.expires_at = existing.expires_at.max(stored.expires_at);
             }
             Some(_) => {
                 // Only a fence is less sure than a claim, and it must not go when the claim ends.
-                if let Holding::Running { kind, .. } = &mut held.holding {
+                if let StoredState::Running { kind, .. } = &mut stored.stored_state {
                     *kind = ClaimKind::Unspecified;
                 }
-                self.replace(&key, held);
+                self.replace(&key, stored);
             }
-            None => self.insert(key, held),
+            None => self.insert(key, stored),
         }
     }
 
     pub(super) fn remove(&mut self, key: &KeyId) {
-        if let Some(held) = self.buckets[bucket(key)].remove(key) {
+        if let Some(stored) = self.buckets[bucket(key)].remove(key) {
             self.len -= 1;
-            self.bytes -= held.bytes();
+            self.bytes -= stored.bytes();
         }
     }
 
     /// Ends a claim.
-    pub(super) fn finish(&mut self, key: &KeyId, claim: ClaimId, end: ClaimEnd, until: Instant) {
-        let held = self.get_mut(key);
-        let request_digest = held.as_ref().map_or(0, |held| held.request_digest);
-        let holding = match (held.map(|held| &held.holding), end) {
-            (Some(Holding::Running { claim: running, kind }), end) if *running == claim => {
+    pub(super) fn finish(
+        &mut self,
+        key: &KeyId,
+        claim: ClaimId,
+        end: ClaimEnd,
+        expires_at: Instant,
+    ) {
+        let stored = self.get_mut(key);
+        let request_digest = stored.as_ref().map_or(0, |stored| stored.request_digest);
+        let stored_state = match (stored.map(|stored| &stored.stored_state), end) {
+            (Some(StoredState::Running { claim: running, kind }), end) if *running == claim => {
                 match end {
-                    ClaimEnd::Answered(answer) => Holding::Answered(answer),
-                    ClaimEnd::Unknown => Holding::Unknown { claim: Some(claim) },
+                    ClaimEnd::Answered(answer) => StoredState::Answered(answer),
+                    ClaimEnd::Unknown => StoredState::Unknown { claim: Some(claim) },
                     ClaimEnd::NotRun => match kind {
                         ClaimKind::First | ClaimKind::Conditional => return self.remove(key),
-                        ClaimKind::Repeated => Holding::Fenced,
-                        ClaimKind::Unspecified => Holding::Unknown { claim: None },
+                        ClaimKind::Repeated => StoredState::Fenced,
+                        ClaimKind::Unspecified => StoredState::Unknown { claim: None },
                     },
                 }
             }
-            (Some(Holding::Unknown { claim: Some(known) }), ClaimEnd::Answered(answer))
-                if *known == claim =>
-            {
-                Holding::Answered(answer)
-            }
+            (
+                Some(StoredState::Unknown { claim: Some(unknown_claim) }),
+                ClaimEnd::Answered(answer),
+            ) if *unknown_claim == claim => StoredState::Answered(answer),
             _ => return,
         };
-        self.replace(key, Held { request_digest, holding, until });
+        self.replace(key, StoredKey { request_digest, stored_state, expires_at });
     }
 
     /// Forgets what is kept long enough; a claim that has run too long becomes unknown.
-    pub(super) fn expire(&mut self, now: Instant, window: std::time::Duration) {
-        while self.due.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, key)) = self.due.pop_front() else { return };
-            let Some(held) = self.get_mut(&key) else { continue };
-            if held.until > now {
-                let until = held.until;
-                self.due.push_back((until, key));
+    pub(super) fn expire(&mut self, now: Instant, retry_window: std::time::Duration) {
+        while self.expiry_queue.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, key)) = self.expiry_queue.pop_front() else { return };
+            let Some(stored) = self.get_mut(&key) else { continue };
+            if stored.expires_at > now {
+                let expires_at = stored.expires_at;
+                self.expiry_queue.push_back((expires_at, key));
                 continue;
             }
-            match held.holding {
+            match stored.stored_state {
                 // Guards against a key that stays granted to an entry VM that was killed: its
                 // request may have run, so it is unknown, and it is not granted again.
-                Holding::Running { claim, .. } => {
-                    held.holding = Holding::Unknown { claim: Some(claim) };
-                    held.until = now + window;
-                    let until = held.until;
-                    self.due.push_back((until, key));
+                StoredState::Running { claim, .. } => {
+                    stored.stored_state = StoredState::Unknown { claim: Some(claim) };
+                    stored.expires_at = now + retry_window;
+                    let expires_at = stored.expires_at;
+                    self.expiry_queue.push_back((expires_at, key));
                 }
                 _ => self.remove(&key),
             }
         }
     }
 
-    fn insert(&mut self, key: KeyId, mut held: Held) {
-        self.fit(&mut held);
+    fn insert(&mut self, key: KeyId, mut stored: StoredKey) {
+        self.drop_body_if_full(&mut stored);
         self.len += 1;
-        self.bytes += held.bytes();
-        self.due.push_back((held.until, key.clone()));
-        self.buckets[bucket(&key)].insert(key, held);
+        self.bytes += stored.bytes();
+        self.expiry_queue.push_back((stored.expires_at, key.clone()));
+        self.buckets[bucket(&key)].insert(key, stored);
     }
 
-    fn replace(&mut self, key: &KeyId, mut held: Held) {
-        let Some(before) = self.get_mut(key).map(|known| known.bytes()) else { return };
+    fn replace(&mut self, key: &KeyId, mut stored: StoredKey) {
+        let Some(before) = self.get_mut(key).map(|existing| existing.bytes()) else { return };
         self.bytes -= before;
-        self.fit(&mut held);
-        self.bytes += held.bytes();
-        if let Some(known) = self.get_mut(key) {
-            *known = held;
+        self.drop_body_if_full(&mut stored);
+        self.bytes += stored.bytes();
+        if let Some(existing) = self.get_mut(key) {
+            *existing = stored;
         }
     }
 
-    /// Drops the body of an answer for which there is no room; that it was answered stays known.
-    fn fit(&self, held: &mut Held) {
-        if self.bytes + held.bytes() > self.limits.bytes
-            && let Holding::Answered(answer) = &mut held.holding
+    /// Drops the body of an answer for which there is no room; that it was answered stays existing.
+    fn drop_body_if_full(&self, stored: &mut StoredKey) {
+        if self.bytes + stored.bytes() > self.limits.bytes
+            && let StoredState::Answered(answer) = &mut stored.stored_state
         {
             answer.body = None;
         }
