--- a/daisy-routing/src/key.rs
+++ b/daisy-routing/src/key.rs
@@ -130,7 +130,7 @@
         /// Whether the old home knew all that happened to these keys in the retry window.
         complete_in_window: bool,
         /// Whether the old home missed nothing but the time before its own start.
-        complete_since_start: bool,
+        only_gap_is_before_start: bool,
         /// Whether the old home stops.
         leaving: bool,
     },
--- a/daisy-routing/src/keys.rs
+++ b/daisy-routing/src/keys.rs
@@ -119,7 +119,7 @@
                 keys,
                 last,
                 complete_in_window,
-                complete_since_start,
+                only_gap_is_before_start,
                 leaving,
             } => {
                 self.merge_transferred(now, keys);
@@ -127,7 +127,7 @@
                     self.history.record_handover(
                         now,
                         from,
-                        HistorySummary { complete_in_window, complete_since_start, leaving },
+                        HistorySummary { complete_in_window, only_gap_is_before_start, leaving },
                     );
                     self.membership.set_departed(from, leaving);
                     self.membership.add_seen_by_handover(from);
@@ -285,12 +285,12 @@
 
     fn handover_message(&self, now: Instant, keys: Vec<TransferredKey>, last: bool) -> KeyQuery {
         let complete_in_window = self.history.is_complete(now, self.retry_window);
-        let complete_since_start = self.history.only_gap_is_before_start();
+        let only_gap_is_before_start = self.history.only_gap_is_before_start();
         KeyQuery::Handover {
             keys,
             last,
             complete_in_window,
-            complete_since_start,
+            only_gap_is_before_start,
             leaving: self.leaving,
         }
     }
--- a/daisy-routing/src/keys/history.rs
+++ b/daisy-routing/src/keys/history.rs
@@ -23,7 +23,7 @@
     /// It vouches for the whole retry window.
     pub(super) complete_in_window: bool,
     /// It missed nothing but the time before its own start.
-    pub(super) complete_since_start: bool,
+    pub(super) only_gap_is_before_start: bool,
     /// It stops.
     pub(super) leaving: bool,
 }
@@ -34,7 +34,7 @@
     /// Since when nothing has been missed; `None` for longer than any window.
     gap_free_since: Option<Instant>,
     /// Whether nothing but the process's own start broke it.
-    complete_since_start: bool,
+    only_gap_is_before_start: bool,
     /// Whether a listed entry VM does not answer now.
     any_member_missing: bool,
     last_observed: Instant,
@@ -59,7 +59,7 @@
     pub(super) fn new(now: Instant) -> History {
         History {
             gap_free_since: Some(now),
-            complete_since_start: true,
+            only_gap_is_before_start: true,
             any_member_missing: false,
             last_observed: now,
             first_view_at: None,
@@ -118,16 +118,16 @@
 
     /// Takes in that `from` has handed over all it has for this home.
     pub(super) fn record_handover(&mut self, now: Instant, from: VmId, summary: HistorySummary) {
-        let HistorySummary { complete_in_window, complete_since_start, leaving } = summary;
+        let HistorySummary { complete_in_window, only_gap_is_before_start, leaving } = summary;
         self.awaiting_handover.retain(|vm| *vm != from);
         self.handover_sources.push(from);
         self.has_complete_source |= complete_in_window;
-        self.all_sources_new &= complete_since_start;
+        self.all_sources_new &= only_gap_is_before_start;
         self.departed.retain(|vm| *vm != from);
         if leaving {
             self.departed.push(from);
             // What a fresh one missed was before its start, and so not its to grant.
-            if !complete_in_window && !complete_since_start {
+            if !complete_in_window && !only_gap_is_before_start {
                 self.record_gap(now);
             }
         }
@@ -149,13 +149,13 @@
 
     /// Whether nothing but its own start broke this process's past.
     pub(super) fn only_gap_is_before_start(&self) -> bool {
-        self.complete_since_start
+        self.only_gap_is_before_start
     }
 
     /// Whether every entry VM of the data centre has just started, so that none can hold a request
     /// that was sent before: callers close the connection of an attempt before they repeat it.
     pub(super) fn is_cold_start(&self) -> bool {
-        self.complete_since_start
+        self.only_gap_is_before_start
             && self.all_sources_new
             && self.first_view_at.is_some()
             && self.awaiting_handover.is_empty()
@@ -164,18 +164,18 @@
     /// A new process is complete once all who were there have handed over and one of them vouches
     /// for the time before.
     fn complete_after_handovers(&mut self) {
-        if self.complete_since_start
+        if self.only_gap_is_before_start
             && self.has_complete_source
             && self.first_view_at.is_some()
             && self.awaiting_handover.is_empty()
         {
             self.gap_free_since = None;
-            self.complete_since_start = false;
+            self.only_gap_is_before_start = false;
         }
     }
 
     fn record_gap(&mut self, now: Instant) {
         self.gap_free_since = Some(now);
-        self.complete_since_start = false;
+        self.only_gap_is_before_start = false;
     }
 }
--- a/daisy-routing/tests/keys/home.rs
+++ b/daisy-routing/tests/keys/home.rs
@@ -244,7 +244,7 @@
         keys: Vec::new(),
         last: true,
         complete_in_window: false,
-        complete_since_start: true,
+        only_gap_is_before_start: true,
         leaving: false,
     };
     table.handle(Instant::from_millis(100), VmId(2), handover);
@@ -287,7 +287,7 @@
         keys: vec![running],
         last: true,
         complete_in_window: true,
-        complete_since_start: false,
+        only_gap_is_before_start: false,
         leaving: false,
     };
 
@@ -321,7 +321,7 @@
         keys: Vec::new(),
         last: true,
         complete_in_window: true,
-        complete_since_start: false,
+        only_gap_is_before_start: false,
         leaving: false,
     };
     table.handle(now, old, handover);
--- a/daisy-wire/src/peer/key.rs
+++ b/daisy-wire/src/peer/key.rs
@@ -119,7 +119,7 @@
         /// Whether nothing is missing.
         complete_in_window: bool,
         /// Whether the sender missed nothing but the time before its start.
-        complete_since_start: bool,
+        only_gap_is_before_start: bool,
         /// Whether the sender stops.
         leaving: bool,
     },
@@ -312,13 +312,13 @@
                 keys,
                 last,
                 complete_in_window,
-                complete_since_start,
+                only_gap_is_before_start,
                 leaving,
             } => KeyQueryWire::Handover {
                 keys: keys.into_iter().map(HandedKeyWire::from).collect(),
                 last,
                 complete_in_window,
-                complete_since_start,
+                only_gap_is_before_start,
                 leaving,
             },
         }
@@ -349,13 +349,13 @@
                 keys,
                 last,
                 complete_in_window,
-                complete_since_start,
+                only_gap_is_before_start,
                 leaving,
             } => KeyQuery::Handover {
                 keys: keys.into_iter().map(TransferredKey::try_from).collect::<Result<_, _>>()?,
                 last,
                 complete_in_window,
-                complete_since_start,
+                only_gap_is_before_start,
                 leaving,
             },
         })
