--- a/daisy-routing/src/budget.rs
+++ b/daisy-routing/src/budget.rs
@@ -1,30 +1,31 @@
-//! Budgets that are spent by what would otherwise add load without bound.
+//! Budgets that limit load which would otherwise grow without bound.
 
 use daisy_model::Instant;
 
-/// Retries that a service may make before it has answered anything.
+/// Retries that a service may make before it has answered any request.
 const INITIAL_RETRIES: f64 = 10.0;
-/// Retries that a service can have saved up; longer memory would let an old calm pay for a storm.
+/// Maximum number of retries that a service can save up; with a higher limit, an earlier calm
+/// period would pay for the retries of an outage.
 const MAX_SAVED_RETRIES: f64 = 100.0;
 
-/// Retries and hedges that a service may still add: a share of its recent successes.
+/// Budget of retries and hedges of a service: a share of its recent successes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A budget with its reserve only.
+    /// Creates a budget that holds only the initial retries.
     pub(crate) fn new() -> RetryBudget {
         RetryBudget { tokens: INITIAL_RETRIES }
     }
 
-    /// Earns `share` thousandths of a retry by a success.
+    /// Adds `share_per_mille` thousandths of a retry for a success.
     pub(crate) fn earn(&mut self, share_per_mille: u32) {
         self.tokens = (self.tokens + f64::from(share_per_mille) / 1_000.0).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether a retry is left; takes it.
+    /// Takes a retry; returns whether one was left.
     pub(crate) fn try_spend(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
@@ -33,13 +34,13 @@
         enough
     }
 
-    /// Gives back a retry that was not made after all.
+    /// Returns a retry that was not made to the budget.
     pub(crate) fn refund(&mut self) {
         self.tokens = (self.tokens + 1.0).min(MAX_SAVED_RETRIES);
     }
 }
 
-/// Bytes that may move over the region link: a token bucket of one second's worth.
+/// Bytes that may be sent over the region link: a token bucket that holds one second of the rate.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ByteBudget {
     per_second: f64,
@@ -48,26 +49,26 @@
 }
 
 impl ByteBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(per_second: u64, now: Instant) -> ByteBudget {
         let per_second = per_second as f64;
         ByteBudget { per_second, tokens: per_second, refilled_at: now }
     }
 
-    /// Changes the rate; what is saved stays, up to the new size.
+    /// Changes the rate; saved bytes remain available up to the new size.
     pub(crate) fn set_rate(&mut self, per_second: u64, now: Instant) {
         self.refill(now);
         self.per_second = per_second as f64;
         self.tokens = self.tokens.min(self.per_second);
     }
 
-    /// Whether `bytes` may move now.
+    /// Returns whether `bytes` may be sent now.
     pub(crate) fn allows(&mut self, bytes: u64, now: Instant) -> bool {
         self.refill(now);
         self.tokens >= bytes as f64 && self.tokens > 0.0
     }
 
-    /// Takes `bytes`, into debt where an answer was longer than foreseen.
+    /// Takes `bytes`; the balance becomes negative if an answer was longer than estimated.
     pub(crate) fn spend(&mut self, bytes: u64) {
         self.tokens -= bytes as f64;
     }
--- a/daisy-routing/src/call.rs
+++ b/daisy-routing/src/call.rs
@@ -1,107 +1,107 @@
-//! What the router is asked, and what it decides.
+//! Requests to the router and its decisions.
 
 use std::{net::SocketAddr, time::Duration};
 
 use daisy_model::{Instant, Name, VmId};
 
-/// How urgent a caller says its request is; a later variant goes before an earlier one.
+/// The urgency that a caller declares for its request; a later variant precedes an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Whenever there is room.
+    /// The request can wait until there is free capacity.
     Low,
-    /// The default.
+    /// The default urgency.
     Normal,
-    /// Somebody waits for the answer.
+    /// Somebody is waiting for the answer.
     Critical,
 }
 
-/// Who sent a request, as far as fairness goes: a digest of the caller's name or address.
+/// Identifies the caller of a request for fair queueing: a digest of the caller's name or address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// A request that looks for a backend server.
+/// A request for which a backend server is needed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// The service that it names.
+    /// The service that the request names.
     pub service: Name,
-    /// Its urgency within the service.
+    /// The urgency of the request within its service.
     pub urgency: Urgency,
-    /// Who sent it.
+    /// The caller that sent the request.
     pub caller: CallerId,
-    /// When its answer must have come.
+    /// The time by which the answer must arrive.
     pub deadline: Instant,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run twice.
     pub idempotent: bool,
-    /// Bytes of its body, for the budget of the region link.
+    /// Size of the body in bytes, for the budget of the region link.
     pub bytes: u64,
 }
 
-/// Names a request from its offer to its end; never reused within a process.
+/// Identifies a request from its admission to its end; never reused within a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(crate) u64);
 
-/// Names one try of a request on one backend server; never reused within a process.
+/// Identifies one try of a request on one backend server; never reused within a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TryId {
     pub(crate) index: u32,
     pub(crate) generation: u32,
 }
 
-/// Where a try goes.
+/// The destination of a try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Target {
     /// The request.
     pub ticket: Ticket,
-    /// The try, to be ended with [`Router::finish`](crate::Router::finish).
+    /// The try, which must be ended with [`Router::finish`](crate::Router::finish).
     pub try_id: TryId,
     /// The backend server.
     pub vm: VmId,
-    /// Its address.
+    /// The address of the backend server.
     pub address: SocketAddr,
-    /// Connections that this entry VM may have open to it.
+    /// Maximum number of connections that this entry VM may have open to the backend server.
     pub connections: u32,
 }
 
-/// Why a request is refused; a refused request has not run.
+/// Why a request is rejected; a rejected request has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// No service has the name.
+    /// No service has the requested name.
     UnknownService,
-    /// The service has no backend server that may take anything new.
+    /// The service has no backend server that may take new requests.
     NoBackend,
-    /// It could not finish before its deadline.
+    /// The request could not finish before its deadline.
     Deadline,
-    /// The queue is full of requests that go before it.
+    /// The queue is full of requests that precede this one.
     Overload,
     /// The entry VM is about to stop.
     Draining,
 }
 
-/// A refusal and when to come again.
+/// The rejection of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// The reason.
     pub reason: RejectReason,
-    /// When the load is expected to have gone down.
+    /// Time after which the load is expected to have decreased and the caller should retry.
     pub retry_after: Duration,
 }
 
-/// What becomes of a request for now.
+/// The router's decision about a new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It goes to a backend server at once.
+    /// The request is sent to a backend server at once.
     Send(Target),
-    /// It waits in the queue; a later [`QueueDecision`] decides.
+    /// The request waits in the queue; a later [`QueueDecision`] follows.
     Wait(Ticket),
-    /// It is not run.
+    /// The request is rejected and does not run.
     Reject(Rejection),
 }
 
-/// What became of a request that waited.
+/// The router's decision about a request that waited in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// It goes to a backend server.
+    /// The request is sent to a backend server.
     Send(Target),
-    /// It is not run.
+    /// The request is rejected and does not run.
     Reject(Ticket, Rejection),
 }
--- a/daisy-routing/src/choose.rs
+++ b/daisy-routing/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which of a service's backend servers a request goes to.
+//! Chooses one of the backend servers of a service for a request.
 
 use std::time::Duration;
 
@@ -6,32 +6,35 @@
 
 use crate::server::{Distance, Server};
 
-/// Slots that delayable work leaves free, so that a critical request finds one at once.
+/// Slots that delayable requests leave free, so that a critical request finds one at once.
 const HEADROOM_SLOTS: u32 = 1;
-/// Slots that must seem free on a backend server of another data centre before one is in_flight: its
-/// own entry VMs have their shares of it, and what is known of it is older.
+/// Slots that must appear free on a backend server of another data centre before it is chosen: the
+/// entry VMs of that data centre have their shares of its slots, and the information about it is
+/// older.
 const REMOTE_FREE_SLOTS: u32 = 2;
-/// Time there and back to another region (12 ms one way in the users' networks).
+/// Round-trip time to another region (12 ms one way in the users' networks).
 pub(crate) const REGION_ROUND_TRIP: Duration = Duration::from_millis(24);
 
-/// What a request asks of a backend server.
+/// What a request requires of a backend server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Requirements<'a> {
     pub(crate) now: Instant,
-    /// Whether the service's operators or the caller allow it to wait.
+    /// Whether the service's priority or the caller's urgency allows the request to wait.
     pub(crate) may_wait: bool,
-    /// The farthest that it may go.
+    /// The greatest distance of an eligible backend server.
     pub(crate) max_distance: Distance,
-    /// Backend servers that it has been at.
+    /// Backend servers that have already been tried.
     pub(crate) exclude: &'a [VmId],
-    /// The median speed of the service's backend servers.
+    /// The median over the service's backend servers of their mean latency, as a logarithm of
+    /// microseconds.
     pub(crate) median_log_latency: Option<f64>,
 }
 
-/// How good a backend server is for a request; less is better.
+/// How suitable a backend server is for a request: distance, load, random tie-break; less is
+/// better.
 type Score = (Distance, f64, u32);
 
-/// The position of the best backend server; `None` when the request has to wait.
+/// Returns the position of the best backend server; `None` if the request has to wait.
 pub(crate) fn choose(
     servers: &[Server],
     service_servers: &[u32],
@@ -49,7 +52,7 @@
     best.map(|(_, position)| position)
 }
 
-/// Whether the service has a backend server that may take anything new at any time.
+/// Returns whether the service has a backend server that may take new requests, free slots or not.
 pub(crate) fn has_usable_server(
     servers: &[Server],
     service_servers: &[u32],
@@ -75,7 +78,8 @@
         return None;
     }
     if server.health.is_quarantined() {
-        // A due probe goes before all else: without it the backend server never comes back.
+        // A due probe takes precedence over all else: without it the backend server never returns
+        // from quarantine.
         return (server.distance == Distance::Own || server.own_in_flight == 0).then_some((
             server.distance,
             -1.0,
@@ -91,7 +95,8 @@
     Some((server.distance, load, rng.u32(..)))
 }
 
-/// Whether a slot is this entry VM's own or seems to be free.
+/// Returns whether one of the slots reserved for this entry VM is free, or another slot appears to
+/// be.
 fn has_free_slot(server: &Server, in_flight: u32, requirements: &Requirements<'_>) -> bool {
     let reserved = if requirements.may_wait { HEADROOM_SLOTS } else { 0 };
     if server.distance > Distance::Own {
--- a/daisy-routing/src/health.rs
+++ b/daisy-routing/src/health.rs
@@ -1,66 +1,67 @@
-//! Whether a backend server takes requests: slow start, put aside, probed.
+//! Whether a backend server gets requests: slow start, quarantine and probes.
 
 use std::time::Duration;
 
 use daisy_model::Instant;
 
-/// Failures in a row that put a backend server aside while its service is well.
+/// Consecutive failures after which a backend server is quarantined while its service is healthy.
 const QUARANTINE_FAILURES: u32 = 3;
-/// The same while many tries of the service fail, whichever backend server they are at.
+/// Consecutive failures after which a backend server is quarantined while many tries of the service
+/// fail on whichever backend server.
 const QUARANTINE_FAILURES_IN_OUTAGE: u32 = 12;
-/// The share of failing tries that counts as many.
+/// The share of failing tries of a service above which its failures are treated as widespread.
 const OUTAGE_FAILURE_SHARE: f64 = 0.2;
-/// Time aside before the first probe.
+/// Time between the start of a quarantine and the first probe.
 const FIRST_PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest time between probes.
+/// Maximum time between probes.
 const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(10);
-/// Good probes in a row that end a time aside.
+/// Consecutive good probes that end a quarantine.
 const RECOVERY_PROBES: u32 = 3;
-/// Over how long a new backend server's limit grows to its full size.
+/// Time over which the limit of a new backend server grows to its full value.
 pub(crate) const SLOW_START_DURATION: Duration = Duration::from_secs(5);
 
-/// How a try speaks for its backend server.
+/// Assessment of a backend server by one try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It answered as fast as others do.
+    /// It answered as fast as the others.
     Good,
-    /// It answers, but takes several times as long as others do.
+    /// It answered, but takes several times as long as the others.
     Slow,
-    /// It failed.
+    /// The try failed.
     Failed,
 }
 
-/// How the other backend servers of a service are.
+/// Condition of the service of a backend server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ServiceCondition {
-    /// Whether enough of them would be left.
+    /// Whether enough backend servers would be left if this one were quarantined.
     pub(crate) may_quarantine: bool,
     /// The share of the service's recent tries that failed.
     pub(crate) failure_share: f64,
 }
 
-/// Whether a backend server takes requests.
+/// Whether a backend server gets requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Health {
-    /// It does.
+    /// It gets requests up to its full limit.
     Ready {
-        /// Failures in a row.
+        /// Consecutive failures.
         consecutive_failures: u32,
     },
-    /// It is new, or new again, and gets more and more.
+    /// It is new or has just left quarantine, and its limit grows gradually.
     Starting {
-        /// Since when.
+        /// When the slow start began.
         since: Instant,
-        /// Failures in a row.
+        /// Consecutive failures.
         consecutive_failures: u32,
     },
-    /// It gets one request at a time, and none before `probe_at`.
+    /// It gets one request at a time, as a probe, and none before `probe_at`.
     Quarantined {
-        /// When the next probe may go.
+        /// When the next probe may be sent.
         probe_at: Instant,
-        /// Until the probe after that, if it is bad.
+        /// The current interval between probes; doubled after a failed probe.
         probe_interval: Duration,
-        /// Good probes in a row.
+        /// Consecutive good probes.
         good_probes: u32,
     },
 }
@@ -72,7 +73,8 @@
 }
 
 impl Health {
-    /// The limit of requests in flight at `now`, where `full_limit` is the limit in full.
+    /// Returns the limit of requests in flight at `now`, where `full_limit` applies without
+    /// restrictions.
     pub(crate) fn limit(self, full_limit: u32, now: Instant) -> u32 {
         match self {
             Health::Ready { .. } => full_limit,
@@ -84,12 +86,12 @@
         }
     }
 
-    /// Whether only probes go there.
+    /// Returns whether only probes are sent to the backend server.
     pub(crate) fn is_quarantined(self) -> bool {
         matches!(self, Health::Quarantined { .. })
     }
 
-    /// What stands after a try; `condition` says how the others of the service are.
+    /// Returns the health after a try; `condition` describes the service of the backend server.
     pub(crate) fn after_try(
         self,
         verdict: Verdict,
@@ -143,15 +145,16 @@
         } else {
             consecutive_failures
         };
-        // Guards against half the capacity being put aside for a fault that is not the servers':
-        // in a storm a few failures in a row happen to each of them.
+        // Prevents half of the capacity from being quarantined for a fault that is not caused by
+        // the servers: during a widespread failure, each of them soon has a few consecutive
+        // failures.
         let threshold = if condition.failure_share > OUTAGE_FAILURE_SHARE {
             QUARANTINE_FAILURES_IN_OUTAGE
         } else {
             QUARANTINE_FAILURES
         };
-        // Guards against a service without backend servers: a fault that all of them share, or
-        // one of the network, would put the last one aside too and refuse every caller.
+        // Prevents a service from losing all backend servers: a fault that all of them share, or
+        // one of the network, would otherwise quarantine the last one too and reject every caller.
         if condition.may_quarantine
             && (verdict == Verdict::Slow || consecutive_failures >= threshold)
         {
--- a/daisy-routing/src/key.rs
+++ b/daisy-routing/src/key.rs
@@ -1,167 +1,173 @@
-//! The messages of the key protocol between entry VMs, as plain data.
+//! Messages of the key protocol between entry VMs, as plain data.
 //!
-//! `docs/PROTOCOL.md` has the protocol; [`KeyTable`](crate::KeyTable) is a home's part of it.
+//! The protocol is described in `docs/PROTOCOL.md`; [`KeyTable`](crate::KeyTable) implements the
+//! home's side of it.
 
 use std::time::Duration;
 
 use daisy_model::Name;
 
-/// The key of a non-idempotent request within its service.
+/// The key of a non-idempotent request, unique within its service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId {
     /// The service.
     pub service: Name,
-    /// The caller's key: 1 to 64 visible ASCII characters.
+    /// The key that the caller chose: 1 to 64 visible ASCII characters.
     pub key: Box<str>,
 }
 
-/// Names one entry VM's wish to run a keyed request; drawn at random.
+/// Identifies one claim of an entry VM to run a keyed request; drawn at random.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClaimId(pub u64);
 
-/// An answer that is kept for repeated attempts.
+/// An answer that is stored for repeated attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredAnswer {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Headers in their order.
+    /// The headers in their original order.
     pub headers: Vec<(Box<str>, Box<[u8]>)>,
-    /// The body; `None` when it was too large to keep.
+    /// The body; `None` if it was too large to store.
     pub body: Option<Box<[u8]>>,
 }
 
 /// How a granted claim ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEnd {
-    /// The request ran, and this is its answer.
+    /// The request ran and returned this answer.
     Answered(StoredAnswer),
-    /// The request was proven not to have run.
+    /// The request is proven not to have run.
     NotRun,
-    /// Nobody knows whether it ran.
+    /// It is not known whether the request ran.
     Unknown,
 }
 
-/// What a claim rests on; decides what is left when it ends without having run.
+/// On which confirmations a claim is granted; determines the state of the key if the claim ends
+/// without having run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimKind {
-    /// A first attempt's, by the word of its home alone: nothing is left.
+    /// A first attempt that needs only the grant of its home. If it does not run, the key is
+    /// removed.
     First,
-    /// A first attempt's that needs the other data centres' word: nothing is left, as its home did not
-    /// vouch for its past and must not seem to have.
+    /// A first attempt that also needs the confirmation of the other data centres. If it does not
+    /// run, the key is removed: the history of its home is incomplete, so that a remaining fence
+    /// would wrongly suggest that the home had confirmed it.
     Conditional,
-    /// A repeated attempt's: the key is fenced, as it may have been before.
+    /// A repeated attempt. If it does not run, the key becomes fenced, as it may have been before.
     Repeated,
-    /// One of the three, granted by an earlier home that did not say which: unknown, which is safe
-    /// for each.
+    /// One of the three kinds above, granted by an earlier home that did not say which. If it does
+    /// not run, the state becomes unknown, which is safe for all three.
     Unspecified,
 }
 
-/// What a home knows of a key.
+/// The state of a key at its home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyState {
-    /// A claim was granted and has not ended.
+    /// A claim was granted and has not ended yet.
     Running {
         /// The claim.
         claim: ClaimId,
-        /// What it rests on.
+        /// The kind of the claim.
         kind: ClaimKind,
     },
-    /// The request ran, and this is its answer.
+    /// The request ran and returned this answer.
     Answered(StoredAnswer),
-    /// Nobody knows whether it ran.
+    /// It is not known whether the request ran.
     Unknown,
-    /// It has not run under this home, and a first attempt that comes late must not.
+    /// The request has not run under this home, and a delayed first attempt must not run any more.
     Fenced,
 }
 
-/// A key on its way to its new home.
+/// A key that is transferred to its new home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransferredKey {
     /// The key.
     pub key: KeyId,
     /// A digest of the request's method and path.
     pub request_digest: u64,
-    /// What the old home knows.
+    /// The state of the key at the old home.
     pub state: KeyState,
-    /// How long it is still kept.
+    /// How much longer the key is stored.
     pub remaining_retention: Duration,
 }
 
-/// A question or order of one entry VM to another.
+/// A query or command that one entry VM sends to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyQuery {
-    /// To the key's home in the own data centre: may the request run?
+    /// Sent to the home of the key in the local data centre: requests the claim to run the request.
     Claim {
         /// The key.
         key: KeyId,
-        /// A digest of the request's method and path, so that a key is not used for another.
+        /// A digest of the request's method and path, so that a key is not reused for another
+        /// request.
         request_digest: u64,
-        /// Names the wish; a lost answer is asked for again under the same name, and a wish after
-        /// [`KeyQuery::Finish`] has another: the finish may arrive after it.
+        /// Identifies the claim. If an answer is lost, the query is repeated with the same id. A
+        /// claim after [`KeyQuery::Finish`] has a new id, because the finish may arrive after it.
         claim: ClaimId,
-        /// Whether the caller says that it sent the request before.
+        /// Whether the caller declares that it has sent the request before.
         repeated: bool,
-        /// How long the claim may run at most.
+        /// How long the claim may run before its outcome is treated as unknown.
         claim_timeout: Duration,
     },
-    /// To the key's home in another data centre: do you know it? If not, never run its first
-    /// attempt.
+    /// Sent to the home of the key in another data centre: asks whether it knows the key. If it
+    /// does not, it must never run a first attempt of it.
     Fence {
         /// The key.
         key: KeyId,
         /// A digest of the request's method and path.
         request_digest: u64,
     },
-    /// To the home that granted a claim: how it ended.
+    /// Sent to the home that granted a claim: reports how the claim ended.
     Finish {
         /// The key.
         key: KeyId,
         /// The claim.
         claim: ClaimId,
-        /// How it ended.
+        /// How the claim ended.
         end: ClaimEnd,
     },
-    /// To a new home: what the old one knows of the keys that are now the new one's.
+    /// Sent to a new home: the states of the keys that now belong to it.
     Handover {
-        /// The keys.
+        /// The transferred keys.
         keys: Vec<TransferredKey>,
-        /// Whether nothing follows.
+        /// Whether this is the last message of the handover.
         last: bool,
-        /// Whether the old home knew all that happened to these keys in the retry window.
+        /// Whether the old home knows everything that happened to these keys in the retry window.
         complete_in_window: bool,
-        /// Whether the old home missed nothing but the time before its own start.
+        /// Whether the only gap in the history of the old home is the time before its own start.
         only_gap_is_before_start: bool,
-        /// Whether the old home stops.
+        /// Whether the old home is stopping.
         leaving: bool,
     },
 }
 
-/// What a home says to a [`KeyQuery`].
+/// The answer of a home to a [`KeyQuery`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyAnswer {
-    /// The claim may run, as far as this data centre goes.
+    /// The claim may run as far as this data centre is concerned.
     Granted,
-    /// Not known here, and now fenced.
+    /// The key was not known here and is now fenced.
     Fenced,
-    /// Not run here, and fenced before: some repeated attempt has asked.
+    /// The request has not run here, and the key was fenced before by some repeated attempt.
     AlreadyFenced,
-    /// Another claim runs.
+    /// Another claim of the key is running.
     Running,
-    /// It ran, and this is its answer.
+    /// The request ran and returned this answer.
     Answered(StoredAnswer),
-    /// Whether it ran is not known, or an attempt elsewhere may run it.
+    /// It is not known whether the request ran, or an attempt in another data centre may run it.
     Unknown,
-    /// The key was used before for another request.
+    /// The key was already used for a different request.
     Mismatch,
-    /// The home remembers as many keys as it may; nothing was noted.
+    /// The home stores as many keys as its limit allows; nothing was stored.
     Full,
-    /// The entry VM asked is not the key's home; nothing was noted.
+    /// The queried entry VM is not the home of the key; nothing was stored.
     NotHome,
-    /// The entry VM asked has just become the home and does not grant yet; nothing was noted.
+    /// The queried entry VM became the home only recently and does not grant claims yet; nothing
+    /// was stored.
     Settling,
-    /// The order was carried out.
+    /// The command was carried out.
     Acknowledged,
-    /// The claim may run if the other data centres' homes do not know the key either: this one
-    /// does not vouch for its past.
+    /// The claim may run if the homes in the other data centres do not know the key either: the
+    /// history of this home is incomplete.
     Conditional,
 }
--- a/daisy-routing/src/key_step.rs
+++ b/daisy-routing/src/key_step.rs
@@ -1,44 +1,45 @@
-//! What an entry VM does with a keyed request, from what the homes say.
+//! The next step of a keyed request, decided from the answers of the homes of its key.
 
 use crate::{KeyAnswer, StoredAnswer};
 
-/// What comes next for a keyed request.
+/// The next step of a keyed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyStep {
-    /// It may run.
+    /// The request may run.
     Run,
-    /// The homes of the other data centres have to be asked.
+    /// The homes of the key in the other data centres must be queried first.
     QueryOtherDcs,
-    /// It ran, and this is its answer.
+    /// The request has run before; return this stored answer.
     Replay(StoredAnswer),
-    /// Another attempt runs, or a home is not there yet: ask again a little later.
+    /// Another attempt is running, or a home is not available yet: query again after a short delay.
     Wait(KeyDenial),
-    /// It must not run.
+    /// The request must not run.
     Stop(KeyDenial),
 }
 
 /// Why a keyed request does not run in this attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyDenial {
-    /// Whether an earlier attempt ran is not known.
+    /// It is not known whether an earlier attempt ran.
     Unknown,
-    /// An earlier attempt runs.
+    /// An earlier attempt is still running.
     Running,
-    /// The key was used for another request.
+    /// The key was already used for a different request.
     Mismatch,
-    /// The home remembers as many keys as it may.
+    /// The home stores as many keys as its limit allows.
     Full,
-    /// The home has just become it and does not grant yet.
+    /// The entry VM became the home only recently and does not grant claims yet.
     Settling,
     /// The home did not answer.
     Unreachable,
 }
 
 impl KeyDenial {
-    /// Whether it is proven that the caller's request has not run.
+    /// Returns whether the caller's request is proven not to have run.
     ///
-    /// Guards against an order under a new key for one that ran: of a repeated attempt nothing is
-    /// proven by what this attempt came to, as an earlier one may have run.
+    /// Prevents a caller from sending an order under a new key after it has already run: for a
+    /// repeated attempt, the outcome of this attempt proves nothing, because an earlier attempt may
+    /// have run.
     pub fn proves_not_run(self, repeated: bool) -> bool {
         let not_run = matches!(
             self,
@@ -48,7 +49,8 @@
     }
 }
 
-/// What comes after the word of the home in the own data centre; `None` for no answer.
+/// Returns the next step after the answer of the home in the local data centre; `None` means that
+/// it did not answer.
 pub fn next_step_after_home(answer: Option<KeyAnswer>, repeated: bool) -> KeyStep {
     match answer {
         Some(KeyAnswer::Granted) if repeated => KeyStep::QueryOtherDcs,
@@ -69,14 +71,17 @@
     }
 }
 
-/// What comes after the words of the other data centres' homes, one for each data centre.
+/// Returns the next step after the answers of the homes in the other data centres, one answer for
+/// each data centre.
 ///
-/// Guards against a request that runs in two data centres: it runs only when every other one has
-/// said that it has not run there and never will. One that does not answer may have run it.
+/// Prevents a request from running in two data centres: it runs only if every other data centre has
+/// confirmed that the request has not run there and never will. A data centre that does not answer
+/// may have run it.
 ///
-/// Of a first attempt whose own home does not vouch, a fence that stood there before is no such
-/// word: a repeated attempt may have set it and then run in this data centre. Nor is it one if
-/// there is no other data centre.
+/// For a first attempt whose local home has an incomplete history, a fence that existed before is
+/// no such confirmation: a repeated attempt may have set that fence and then run in this data
+/// centre. If there is no other data centre, there is no confirmation for such a first attempt
+/// either.
 pub fn next_step_after_other_dcs(answers: Vec<Option<KeyAnswer>>, repeated: bool) -> KeyStep {
     if answers.is_empty() && !repeated {
         return KeyStep::Stop(KeyDenial::Unknown);
--- a/daisy-routing/src/keys.rs
+++ b/daisy-routing/src/keys.rs
@@ -1,10 +1,11 @@
-//! At most once: what an entry VM keeps of the keys whose home it is.
+//! At-most-once execution: the keys for which an entry VM is the home.
 //!
-//! In each data centre one live entry VM is a key's home, by rendezvous hashing. It grants a key
-//! to one claim and keeps the key, its state and its answer for the retry retry_window. A first attempt
-//! needs its home's grant only, as callers number their attempts and send each once. A repeated
-//! attempt also needs the word of every other data centre's home that the key has not run there
-//! and never will ([`KeyQuery::Fence`]); a home that cannot vouch for its past gives no such word.
+//! In each data centre, one live entry VM is the home of a key, chosen by rendezvous hashing. It
+//! grants the key to one claim and stores the key, its state and its answer for the retry window. A
+//! first attempt needs only the grant of its home, because callers number their attempts and send
+//! each of them once. A repeated attempt also needs a confirmation from the home in every other
+//! data centre that the key has not run there and never will ([`KeyQuery::Fence`]). A home whose
+//! own history is incomplete gives no such confirmation.
 
 use std::time::Duration;
 
@@ -24,17 +25,18 @@
 mod membership;
 mod store;
 
-/// Keys in one handover message.
+/// Maximum number of keys in one handover message.
 const MAX_HANDOVER_KEYS: usize = 64;
-/// Bytes of answers in one handover message, beyond which it is sent.
+/// Size of the answers in a handover message, in bytes, at which the message is sent.
 const MAX_HANDOVER_BYTES: usize = 256 << 10;
 
-/// What bounds a [`KeyTable`].
+/// Limits of a [`KeyTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyLimits {
-    /// Keys kept at one time; beyond it new keys are refused, and none is forgotten early.
+    /// Maximum number of stored keys. Beyond it new keys are rejected; no key is removed early.
     pub keys: usize,
-    /// Bytes of answers kept at one time; beyond it only the fact that a key was answered is kept.
+    /// Maximum size of the stored answers in bytes. Beyond it only the fact that a key was answered
+    /// is stored.
     pub bytes: usize,
 }
 
@@ -50,7 +52,7 @@
 }
 
 impl KeyTable {
-    /// An empty table of the entry VM `me`, whose process starts `now`.
+    /// Creates an empty table for the entry VM `me`, whose process starts at `now`.
     pub fn new(me: VmId, limits: KeyLimits, now: Instant) -> KeyTable {
         KeyTable {
             me,
@@ -62,10 +64,10 @@
         }
     }
 
-    /// Takes in who is there; returns what has to be handed over to whom.
+    /// Applies new routes; returns the handover messages with their recipients.
     ///
-    /// To be called at each change and about once a second, as what is listed and does not answer
-    /// counts as missing only after a while.
+    /// Must be called at each change and about once a second, because a listed entry VM that does
+    /// not answer is treated as missing only after a while.
     pub fn set_routes(&mut self, now: Instant, routes: &Routes) -> Vec<(VmId, KeyQuery)> {
         self.observe_time(now);
         self.retry_window = routes.policy.retry_window;
@@ -74,44 +76,46 @@
         joined.into_iter().flat_map(|peer| self.handover_to(now, peer)).collect()
     }
 
-    /// Lets time pass; to be called several times a second, as silence counts as a freeze.
+    /// Advances the time. Must be called several times a second, because a longer pause is treated
+    /// as a freeze of the process.
     pub fn observe_time(&mut self, now: Instant) {
         self.history.observe_time(now);
         self.store.expire(now, self.retry_window);
     }
 
-    /// The home of `key` in the data centre `dc` as this entry VM sees it, the likeliest first.
+    /// Returns the possible homes of `key` in the data centre `dc` as this entry VM sees it, the
+    /// likeliest first.
     pub fn candidate_homes(&self, dc: DcId, key: &KeyId) -> Vec<VmId> {
         self.membership.candidate_homes(dc, key)
     }
 
-    /// The own data centre.
+    /// Returns the local data centre.
     pub fn dc(&self) -> DcId {
         self.membership.dc()
     }
 
-    /// The other data centres that have to give their word for a repeated attempt: all that have
-    /// entry VMs, or had some within the retry retry_window.
+    /// Returns the other data centres whose confirmation a repeated attempt needs: all that have
+    /// entry VMs now or had any within the retry window.
     pub fn other_dcs(&self, now: Instant) -> Vec<DcId> {
         self.membership.other_dcs(now, self.retry_window)
     }
 
-    /// Keys kept.
+    /// Returns the number of stored keys.
     pub fn len(&self) -> usize {
         self.store.len()
     }
 
-    /// Whether no keys are kept.
+    /// Returns whether no keys are stored.
     pub fn is_empty(&self) -> bool {
         self.store.len() == 0
     }
 
-    /// Whether the table is_complete for all that happened to its keys in the retry retry_window.
+    /// Returns whether the table knows everything that happened to its keys in the retry window.
     pub fn is_complete(&self, now: Instant) -> bool {
         self.history.is_complete(now, self.retry_window)
     }
 
-    /// Answers a question or carries out an order of the entry VM `from`, which may be this one.
+    /// Handles a query of the entry VM `from`, which may be this one.
     pub fn handle(&mut self, now: Instant, from: VmId, query: KeyQuery) -> KeyAnswer {
         self.observe_time(now);
         match query {
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Stops being a home; returns what has to be handed over to whom.
+    /// Stops acting as a home; returns the handover messages with their recipients.
     pub fn leave(&mut self, now: Instant) -> Vec<(VmId, KeyQuery)> {
         self.leaving = true;
         self.membership.set_departed(self.me, true);
@@ -156,11 +160,11 @@
         !self.leaving && self.membership.home(key) == Some(self.me)
     }
 
-    /// What a new claim would rest on.
+    /// Returns the kind of a new claim.
     ///
-    /// Guards against a first attempt that was held up on its way, while its repeat fenced the home
-    /// before this one and ran elsewhere: the fence died with that home, so that a home which does
-    /// not vouch for its past grants first attempts only if the other data centres do too.
+    /// Prevents a delayed first attempt from running after its repeat fenced the previous home and
+    /// ran elsewhere: the fence was lost with that home, so a home whose history is incomplete
+    /// grants first attempts only if the other data centres agree.
     fn claim_kind(&self, now: Instant, repeated: bool) -> ClaimKind {
         if repeated {
             ClaimKind::Repeated
@@ -181,9 +185,10 @@
         if !self.is_home(&key) {
             return KeyAnswer::NotHome;
         }
-        // Guards against a repeated attempt that runs a second time because this home does not
-        // know of the first: it shows after the old home was killed, frozen or cut off. A fence of
-        // its own proves no more than its past does: another home may have granted it since.
+        // Prevents a repeated attempt from running a second time because this home does not know of
+        // the first, which happens after the old home was killed, frozen or cut off. A fence at
+        // this home proves no more than its history does: another home may have granted the key
+        // since.
         let is_complete = self.history.is_complete(now, self.retry_window);
         if let Some(stored) = self.store.get_mut(&key) {
             return stored.claim(claimed, kind == ClaimKind::Repeated && is_complete);
@@ -206,8 +211,8 @@
         if !is_complete {
             return KeyAnswer::Unknown;
         }
-        // Guards against a first attempt that was delayed on its way here: it must not run after
-        // the repeated one has run elsewhere.
+        // Prevents a first attempt that was delayed on its way here from running after the repeated
+        // one has run elsewhere.
         let fenced = StoredKey { request_digest, stored_state: StoredState::Fenced, expires_at };
         self.insert_new(now, key, fenced, KeyAnswer::Fenced)
     }
@@ -228,14 +233,15 @@
     fn finish(&mut self, now: Instant, key: KeyId, claim: ClaimId, end: ClaimEnd) -> KeyAnswer {
         let expires_at = now + self.retry_window;
         if !self.is_home(&key) {
-            // Its copy would come back as a claim that runs with the next handover.
+            // Otherwise the copy at this entry VM would reappear as a running claim with the next
+            // handover.
             if end == ClaimEnd::NotRun {
                 self.store.finish(&key, claim, end, expires_at);
             }
             return KeyAnswer::NotHome;
         }
-        // Guards against an answer that is forgotten because it came before the key that the old
-        // home hands over: its repeat would be told that nobody knows.
+        // Prevents the loss of an answer that arrives before the key that the old home transfers:
+        // its repeat would be told that the outcome is unknown.
         if self.store.get_mut(&key).is_none() && !self.history.is_settled(now) {
             return KeyAnswer::Settling;
         }
@@ -255,15 +261,16 @@
         }
     }
 
-    /// The keys of which `peer` may take itself for the home, in messages of bounded size, to be
-    /// sent one after another; the last tells the peer that nothing is kept back.
+    /// Returns the keys of which `peer` may consider itself the home, in messages of bounded size,
+    /// to be sent one after another; the last one tells the peer that the handover is complete.
     ///
-    /// Guards against an order that runs twice because its new home, known here, is not known yet
-    /// to `peer`, which takes itself for the home and is_complete: a joining entry VM gets all keys for
-    /// which it goes before this one, and in a planned stop everybody gets all.
+    /// Prevents an order from running twice because its new home, known here, is not yet known to
+    /// `peer`, which considers itself the home and treats its own history as complete: a joining
+    /// entry VM gets all keys for which it precedes this one, and in a planned stop every peer gets
+    /// all keys.
     ///
-    /// They are kept here too, for as long as they count: a home that joins later and that this
-    /// entry VM hears of later still has to learn of them.
+    /// The keys also stay stored here until they expire: a home that joins later, and that this
+    /// entry VM learns of later, must still receive them.
     fn handover_to(&self, now: Instant, peer: VmId) -> Vec<(VmId, KeyQuery)> {
         let mut messages = Vec::new();
         let mut keys = Vec::new();
@@ -296,7 +303,7 @@
     }
 }
 
-/// Whether `a` goes before `b` for `key`.
+/// Returns whether `a` precedes `b` as the home of `key`.
 fn outranks(key: &KeyId, a: VmId, b: VmId) -> bool {
     let item = digest(key.key.as_bytes());
     (weight(item, a.0), a) > (weight(item, b.0), b)
--- a/daisy-routing/src/keys/history.rs
+++ b/daisy-routing/src/keys/history.rs
@@ -1,8 +1,8 @@
-//! Whether a home vouches for its past.
+//! Whether the history of a home is complete.
 //!
-//! A home that has not seen a key says so only if nobody else can have granted it within the retry
-//! window: this process was there all the time, was not frozen, and every other entry VM of the
-//! data centre is in contact or has handed its keys over.
+//! A home that has not seen a key says so only if no other entry VM can have granted it within the
+//! retry window: this process has run all the time and was not frozen, and every other entry VM of
+//! the data centre is in contact or has handed its keys over.
 
 use std::time::Duration;
 
@@ -10,52 +10,53 @@
 
 use crate::keys::membership::Membership;
 
-/// A pause between two observations that counts as a freeze. Far shorter than the silence after
-/// which peers take an entry VM for dead (2 s), so that they cannot have replaced it unnoticed.
+/// A pause between two observations that is treated as a freeze. Far shorter than the time after
+/// which peers treat a silent entry VM as lost (2 s), so that they cannot have replaced this one
+/// unnoticed.
 const MAX_OBSERVATION_GAP: Duration = Duration::from_millis(500);
-/// How long a new home waits for the keys of those that were there before it. Longer than peers
-/// need to learn of it from the VM list (about 1 s) and to count it as missing (2 s).
+/// How long a new home waits for the keys of entry VMs that started earlier. Longer than peers need
+/// to learn of it from the VM list (about 1 s) and to treat it as missing (2 s).
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// What an entry VM that hands its keys over says of its past.
+/// Summary of its own history that an entry VM sends with its handover.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct HistorySummary {
-    /// It vouches for the whole retry window.
+    /// Whether its history is complete for the whole retry window.
     pub(super) complete_in_window: bool,
-    /// It missed nothing but the time before its own start.
+    /// Whether the only gap in its history is the time before its own start.
     pub(super) only_gap_is_before_start: bool,
-    /// It stops.
+    /// Whether it is stopping.
     pub(super) leaving: bool,
 }
 
-/// What the home knows of its own past.
+/// The home's knowledge of the gaps in its own history.
 #[derive(Debug)]
 pub(super) struct History {
-    /// Since when nothing has been missed; `None` for longer than any window.
+    /// The time since which the history has no gap; `None` if it has none at all.
     gap_free_since: Option<Instant>,
-    /// Whether nothing but the process's own start broke it.
+    /// Whether the only gap is the time before the start of this process.
     only_gap_is_before_start: bool,
-    /// Whether a listed entry VM does not answer now.
+    /// Whether a listed entry VM currently does not answer.
     any_member_missing: bool,
     last_observed: Instant,
-    /// When the first membership came.
+    /// The time of the first update after the VM list was read.
     first_view_at: Option<Instant>,
-    /// Those that were there before and have not handed over yet.
+    /// Entry VMs that started earlier and have not handed over yet.
     awaiting_handover: Vec<VmId>,
-    /// Those that have handed over.
+    /// Entry VMs that have handed over.
     handover_sources: Vec<VmId>,
-    /// Whether one of those vouched for the time before this process.
+    /// Whether the history of one of them was complete for the whole retry window.
     has_complete_source: bool,
-    /// Whether all of those were as new as this process.
+    /// Whether the only gap in the history of all of them was the time before their own start.
     all_sources_new: bool,
-    /// Members of the last membership, without this one.
+    /// Members at the last update, without this one.
     last_members: Vec<VmId>,
-    /// Those that handed over and stop.
+    /// Entry VMs that have handed over and are stopping.
     departed: Vec<VmId>,
 }
 
 impl History {
-    /// A process that starts `now`.
+    /// Creates the history of a process that starts at `now`.
     pub(super) fn new(now: Instant) -> History {
         History {
             gap_free_since: Some(now),
@@ -72,8 +73,9 @@
         }
     }
 
-    /// Guards against a home that was frozen: its peers took it for dead, another became the home,
-    /// and it wakes not knowing. Seen by the gap that the freeze leaves between two observations.
+    /// Records the time of an observation. Detects a freeze of this process by the gap between two
+    /// observations: its peers may have treated it as lost and another entry VM may have become the
+    /// home, which this one does not know when it resumes.
     pub(super) fn observe_time(&mut self, now: Instant) {
         if now.since(self.last_observed) > MAX_OBSERVATION_GAP {
             self.record_gap(now);
@@ -81,7 +83,7 @@
         self.last_observed = self.last_observed.max(now);
     }
 
-    /// Takes in a new membership, with those that are newly there.
+    /// Applies a new membership, in which `joined` are the entry VMs that are new.
     pub(super) fn update_members(
         &mut self,
         now: Instant,
@@ -92,7 +94,8 @@
         let members = membership.peers(me);
         if self.first_view_at.is_none() && membership.is_vm_list_read() {
             self.first_view_at = Some(now);
-            // Those that saw this one first may have handed over before it read the list itself.
+            // Entry VMs that saw this one before it had read the VM list may already have handed
+            // over.
             self.awaiting_handover = membership.listed(me);
             self.awaiting_handover.retain(|vm| !self.handover_sources.contains(vm));
         }
@@ -103,10 +106,10 @@
         self.handover_sources.retain(|vm| listed.contains(vm));
         let any_unlisted = self.awaiting_handover.iter().any(|vm| !listed.contains(vm));
         self.awaiting_handover.retain(|vm| listed.contains(vm));
-        // Guards against a partition within the data centre: the other side may have made another
-        // entry VM the home, and goes on granting there.
-        // Or one that was there before this process died without handing over: what it had granted
-        // is known to nobody, also to those that do not know yet of its death and vouch.
+        // Detects a partition within the data centre: the other side may have made another entry VM
+        // the home, which continues to grant claims there. Also detects an entry VM that started
+        // earlier and died without a handover: what it had granted is known to nobody, including
+        // entry VMs that do not know of its death yet and treat their history as complete.
         if any_lost || any_unlisted || any_member_missing || self.any_member_missing {
             self.record_gap(now);
         }
@@ -116,7 +119,7 @@
         self.complete_after_handovers();
     }
 
-    /// Takes in that `from` has handed over all it has for this home.
+    /// Records that `from` has handed over all keys that it has for this home.
     pub(super) fn record_handover(&mut self, now: Instant, from: VmId, summary: HistorySummary) {
         let HistorySummary { complete_in_window, only_gap_is_before_start, leaving } = summary;
         self.awaiting_handover.retain(|vm| *vm != from);
@@ -126,7 +129,8 @@
         self.departed.retain(|vm| *vm != from);
         if leaving {
             self.departed.push(from);
-            // What a fresh one missed was before its start, and so not its to grant.
+            // An entry VM whose only gap is before its own start cannot have granted anything in
+            // that time.
             if !complete_in_window && !only_gap_is_before_start {
                 self.record_gap(now);
             }
@@ -134,26 +138,27 @@
         self.complete_after_handovers();
     }
 
-    /// Whether grants may be given: those that were there before have handed over, or have had
-    /// the time to learn of this home.
+    /// Returns whether claims may be granted: the entry VMs that started earlier have handed over,
+    /// or have had enough time to learn of this home.
     pub(super) fn is_settled(&self, now: Instant) -> bool {
         let waited = self.first_view_at.is_some_and(|at| now.since(at) >= SETTLE_TIME);
         self.first_view_at.is_some() && (self.awaiting_handover.is_empty() || waited)
     }
 
-    /// Whether nothing within `window` can have been missed.
+    /// Returns whether the history has no gap within `retry_window`.
     pub(super) fn is_complete(&self, now: Instant, retry_window: Duration) -> bool {
         !self.any_member_missing
             && self.gap_free_since.is_none_or(|at| now.since(at) >= retry_window)
     }
 
-    /// Whether nothing but its own start broke this process's past.
+    /// Returns whether the only gap is the time before the start of this process.
     pub(super) fn only_gap_is_before_start(&self) -> bool {
         self.only_gap_is_before_start
     }
 
-    /// Whether every entry VM of the data centre has just started, so that none can hold a request
-    /// that was sent before: callers close the connection of an attempt before they repeat it.
+    /// Returns whether every entry VM of the data centre has just started, so that none can hold a
+    /// request that was sent earlier: callers close the connection of an attempt before they repeat
+    /// it.
     pub(super) fn is_cold_start(&self) -> bool {
         self.only_gap_is_before_start
             && self.all_sources_new
@@ -161,8 +166,8 @@
             && self.awaiting_handover.is_empty()
     }
 
-    /// A new process is complete once all who were there have handed over and one of them vouches
-    /// for the time before.
+    /// Marks the history of a new process as complete once all earlier entry VMs have handed over
+    /// and one of them has a complete history.
     fn complete_after_handovers(&mut self) {
         if self.only_gap_is_before_start
             && self.has_complete_source
--- a/daisy-routing/src/keys/membership.rs
+++ b/daisy-routing/src/keys/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there, and so who is a key's home.
+//! The entry VMs of each data centre, from which the home of a key follows.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -6,8 +6,8 @@
 
 use crate::{KeyId, Routes, digest, weight};
 
-/// How long a listed entry VM that was never live may take to begin. Shorter than the time for
-/// which it grants nothing by itself, with room for the lag of the VM list.
+/// How long a listed entry VM that was never live may take to start. Shorter than the time for
+/// which it grants nothing on its own, with a margin for the delay of the VM list.
 const STARTUP_GRACE: Duration = Duration::from_secs(2);
 
 /// The entry VMs as this one sees them.
@@ -16,32 +16,34 @@
     dc: DcId,
     live: Vec<(DcId, VmId)>,
     listed: Vec<(DcId, VmId)>,
-    /// Those that have handed their keys over and stop.
+    /// Entry VMs that have handed their keys over and are stopping.
     departed: Vec<VmId>,
-    /// Those of the own data centre that have handed keys over and were not heard of otherwise.
+    /// Entry VMs of the local data centre that have handed keys over and are not live as far as
+    /// this one knows.
     seen_by_handover: Vec<VmId>,
-    /// Whether the platform's VM list was read: before that nobody else seems to be there.
+    /// Whether the platform's VM list has been read: before that no other entry VM is known.
     vm_list_read: bool,
     /// Peers at the last update.
     last_peers: Vec<VmId>,
-    /// Listed entry VMs of the own data centre that were never live, with their first listing.
-    never_live: SortedMap<VmId, Instant>,
-    /// Data centres, with the time since which they show no entry VM.
+    /// Listed entry VMs of the local data centre that were never live or are no longer live, with
+    /// the time since which they count as listed without being live.
+    listed_not_live: SortedMap<VmId, Instant>,
+    /// Data centres, each with the time since which it has had no entry VM.
     empty_since: SortedMap<DcId, Option<Instant>>,
 }
 
 impl Membership {
-    /// Takes in `routes`; returns the entry VMs of the own data centre that are newly there.
+    /// Applies `routes`; returns the entry VMs of the local data centre that are new.
     pub(super) fn update(&mut self, now: Instant, me: VmId, routes: &Routes) -> Vec<VmId> {
         self.dc = routes.dc;
         self.live = routes.entries.clone();
         self.listed = routes.listed.clone();
         let (live, listed) = (&self.live, &self.listed);
         self.departed.retain(|vm| live.iter().chain(listed).any(|(_, known)| known == vm));
-        // Backend servers come from the VM list.
+        // Backend servers are known only from the VM list.
         self.vm_list_read |=
             routes.services.iter().any(|(_, service)| !service.backends.is_empty());
-        self.update_never_live(now);
+        self.update_listed_not_live(now);
         self.prune_seen_by_handover(now);
         self.update_empty_since(now, routes);
         let peers = self.peers(me);
@@ -49,22 +51,22 @@
         peers.into_iter().filter(|peer| !before.contains(peer)).collect()
     }
 
-    fn update_never_live(&mut self, now: Instant) {
+    fn update_listed_not_live(&mut self, now: Instant) {
         let (live, listed) = (&self.live, &self.listed);
         let is_in = |vms: &[(DcId, VmId)], vm: VmId| vms.iter().any(|(_, other)| *other == vm);
-        self.never_live.retain(|vm, _| is_in(listed, *vm) && !is_in(live, *vm));
+        self.listed_not_live.retain(|vm, _| is_in(listed, *vm) && !is_in(live, *vm));
         for (_, vm) in listed.iter().filter(|(dc, vm)| *dc == self.dc && !is_in(live, *vm)) {
             let was_live = self.last_peers.contains(vm) && !self.seen_by_handover.contains(vm);
             let since = if was_live { now - STARTUP_GRACE } else { now };
-            self.never_live.get_or_insert_with(*vm, || since);
+            self.listed_not_live.get_or_insert_with(*vm, || since);
         }
     }
 
     fn prune_seen_by_handover(&mut self, now: Instant) {
-        let Membership { live, never_live, vm_list_read, .. } = self;
+        let Membership { live, listed_not_live, vm_list_read, .. } = self;
         let is_live = |vm: &VmId| live.iter().any(|(_, other)| other == vm);
         let may_still_start =
-            |vm: &VmId| never_live.get(vm).is_some_and(|at| now.since(*at) < STARTUP_GRACE);
+            |vm: &VmId| listed_not_live.get(vm).is_some_and(|at| now.since(*at) < STARTUP_GRACE);
         self.seen_by_handover.retain(|vm| !is_live(vm) && (may_still_start(vm) || !*vm_list_read));
     }
 
@@ -79,17 +81,19 @@
         }
     }
 
-    /// The own data centre.
+    /// Returns the local data centre.
     pub(super) fn dc(&self) -> DcId {
         self.dc
     }
 
-    /// Live entry VMs of the own data centre but `me`, and not those that have left.
+    /// Returns the live entry VMs of the local data centre, without `me` and those that have
+    /// departed.
     pub(super) fn peers(&self, me: VmId) -> Vec<VmId> {
         self.members(self.dc).filter(|vm| *vm != me).collect()
     }
 
-    /// Entry VMs of the own data centre that the platform lists, answering or not, but `me`.
+    /// Returns the entry VMs of the local data centre that the platform lists, whether they answer
+    /// or not, without `me`.
     pub(super) fn listed(&self, me: VmId) -> Vec<VmId> {
         let own = self.listed.iter().chain(&self.live).filter(|(dc, _)| *dc == self.dc);
         let mut vms: Vec<VmId> = own.map(|(_, vm)| *vm).filter(|vm| *vm != me).collect();
@@ -98,26 +102,26 @@
         vms
     }
 
-    /// Whether a listed entry VM of the own data centre does not answer, though it did before or
-    /// has had the time to begin.
+    /// Returns whether a listed entry VM of the local data centre does not answer, although it did
+    /// before or has had enough time to start.
     pub(super) fn is_member_missing(&self, now: Instant, me: VmId) -> bool {
         let has_not_started = |(vm, since): (&VmId, &Instant)| {
             *vm != me && !self.departed.contains(vm) && now.since(*since) >= STARTUP_GRACE
         };
-        self.never_live.iter().any(has_not_started)
+        self.listed_not_live.iter().any(has_not_started)
     }
 
-    /// Whether the VM list was read.
+    /// Returns whether the VM list has been read.
     pub(super) fn is_vm_list_read(&self) -> bool {
         self.vm_list_read
     }
 
-    /// Whether `vm` is listed or live.
+    /// Returns whether `vm` is listed or live.
     pub(super) fn is_listed_or_live(&self, vm: VmId) -> bool {
         self.live.iter().chain(&self.listed).any(|(_, other)| *other == vm)
     }
 
-    /// Notes whether `vm` has handed its keys over and stops.
+    /// Records whether `vm` has handed its keys over and is stopping.
     pub(super) fn set_departed(&mut self, vm: VmId, departed: bool) {
         self.departed.retain(|other| *other != vm);
         if departed {
@@ -125,10 +129,11 @@
         }
     }
 
-    /// Notes that `vm` of the own data centre has handed its keys over.
+    /// Records that `vm` of the local data centre has handed its keys over.
     ///
-    /// Guards against an order that runs twice: a fresh entry VM that has not heard of an older one
-    /// would take itself for the home of the keys that this one keeps, and vouch for them.
+    /// Prevents an order from running twice: a new entry VM that has received nothing from an older
+    /// one would otherwise consider itself the home of keys that the older one stores, and treat
+    /// its own history as complete for them.
     pub(super) fn add_seen_by_handover(&mut self, vm: VmId) {
         let is_live = self.live.iter().any(|(_, other)| *other == vm);
         if !is_live && !self.seen_by_handover.contains(&vm) {
@@ -136,13 +141,13 @@
         }
     }
 
-    /// The home of `key` in the own data centre.
+    /// Returns the home of `key` in the local data centre.
     pub(super) fn home(&self, key: &KeyId) -> Option<VmId> {
         let item = digest(key.key.as_bytes());
         self.members(self.dc).max_by_key(|vm| (weight(item, vm.0), *vm))
     }
 
-    /// The likeliest homes of `key` in `dc`, the likeliest first.
+    /// Returns the possible homes of `key` in `dc`, the likeliest first.
     pub(super) fn candidate_homes(&self, dc: DcId, key: &KeyId) -> Vec<VmId> {
         let item = digest(key.key.as_bytes());
         let mut members: Vec<VmId> = self.members(dc).collect();
@@ -150,10 +155,10 @@
         members
     }
 
-    /// Other data centres with entry VMs now or within `window`.
+    /// Returns the other data centres that have entry VMs now or had any within `retry_window`.
     ///
-    /// Guards against a data centre whose entry VMs are all gone: what ran there is not known to
-    /// anybody, and asking nobody must not count as everybody's word.
+    /// Prevents a data centre whose entry VMs are all lost from being ignored: nobody knows what
+    /// ran there, and querying nobody must not be treated as a confirmation by everybody.
     pub(super) fn other_dcs(&self, now: Instant, retry_window: Duration) -> Vec<DcId> {
         let recent = |since: &Option<Instant>| since.is_none_or(|at| now.since(at) < retry_window);
         let other_dcs =
--- a/daisy-routing/src/keys/store.rs
+++ b/daisy-routing/src/keys/store.rs
@@ -1,4 +1,4 @@
-//! Keys with their states, bounded.
+//! Bounded storage of keys with their states.
 
 use std::collections::VecDeque;
 
@@ -9,31 +9,31 @@
     keys::KeyLimits,
 };
 
-/// Keys are spread over this many sorted vectors, so that an insertion moves few.
+/// Number of sorted vectors over which keys are spread, so that an insertion moves few of them.
 const BUCKETS: u64 = 512;
 
-/// What is existing of a key.
+/// The stored state of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum StoredState {
-    /// A claim runs.
+    /// A claim is running.
     Running {
         /// The claim.
         claim: ClaimId,
-        /// What it rests on.
+        /// The kind of the claim.
         kind: ClaimKind,
     },
-    /// It ran.
+    /// The request ran and returned this answer.
     Answered(StoredAnswer),
-    /// Nobody knows; a late answer of the claim is still taken.
+    /// It is not known whether the request ran; a late answer of the claim is still accepted.
     Unknown {
         /// The claim that may have run.
         claim: Option<ClaimId>,
     },
-    /// Not run here; a first attempt must not run any more.
+    /// The request has not run here; a first attempt must not run any more.
     Fenced,
 }
 
-/// A key's state and how long it is kept.
+/// The state of a key and when it expires.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct StoredKey {
     pub(super) request_digest: u64,
@@ -42,7 +42,7 @@
 }
 
 impl ClaimKind {
-    /// What a claim of this kind is told, also when it asks again.
+    /// Returns the answer to a granted claim of this kind, also to a repeated query.
     pub(super) fn grant_answer(self) -> KeyAnswer {
         match self {
             ClaimKind::First | ClaimKind::Repeated => KeyAnswer::Granted,
@@ -63,7 +63,7 @@
 }
 
 impl StoredKey {
-    /// A claim that runs until `expires_at` at most.
+    /// Creates the entry of a claim that may run until `expires_at`.
     pub(super) fn running(
         request_digest: u64,
         claim: ClaimId,
@@ -73,7 +73,7 @@
         StoredKey { request_digest, stored_state: StoredState::Running { claim, kind }, expires_at }
     }
 
-    /// What another claim is told; a fenced key is granted if `may_pass_fence`.
+    /// Returns the answer to another claim of the key; a fenced key is granted if `may_pass_fence`.
     pub(super) fn claim(&mut self, claimed: StoredKey, may_pass_fence: bool) -> KeyAnswer {
         if self.request_digest != claimed.request_digest {
             return KeyAnswer::Mismatch;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// What another data centre is told.
+    /// Returns the answer to a fence query of another data centre.
     pub(super) fn fence(
         &mut self,
         request_digest: u64,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The key as it is handed over at `now`.
+    /// Returns the key in the form in which it is transferred at `now`.
     pub(super) fn to_transferred(&self, key: &KeyId, now: Instant) -> TransferredKey {
         let state = match &self.stored_state {
             StoredState::Running { claim, kind } => {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Bytes of its answer.
+    /// Returns the size of the stored answer body in bytes.
     pub(super) fn bytes(&self) -> usize {
         match &self.stored_state {
             StoredState::Answered(answer) => answer.body.as_ref().map_or(0, |body| body.len()),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// How sure the state is; of two homes' words the surer one counts.
+    /// Returns how certain the state is; of the states of two homes, the more certain one is used.
     fn certainty(&self) -> u8 {
         match self.stored_state {
             StoredState::Fenced => 0,
@@ -152,14 +152,15 @@
     }
 }
 
-/// Keys by id.
+/// Stored keys by id.
 #[derive(Debug)]
 pub(super) struct Store {
     limits: KeyLimits,
     buckets: Vec<SortedMap<KeyId, StoredKey>>,
     len: usize,
     bytes: usize,
-    /// When to look at keys again; at most one entry a key, so bounded as the keys are.
+    /// The times at which keys are to be checked for expiry; at most one entry for each key, so
+    /// that it is bounded like the keys.
     expiry_queue: VecDeque<(Instant, KeyId)>,
 }
 
@@ -181,10 +182,10 @@
         self.buckets.iter().flat_map(SortedMap::iter)
     }
 
-    /// Keeps a new key, unless as many are kept as may be.
+    /// Stores a new key unless the limit of keys is reached; returns whether it was stored.
     ///
-    /// Guards against memory without bound, and against making room by forgetting: a forgotten key
-    /// would run again. What is refused here has not run.
+    /// Prevents unbounded memory use, and also the removal of keys to free capacity: a removed key
+    /// would run again. A request that is rejected here has not run.
     pub(super) fn try_insert(&mut self, key: KeyId, stored: StoredKey) -> bool {
         let has_capacity = self.len < self.limits.keys;
         if has_capacity {
@@ -193,15 +194,16 @@
         has_capacity
     }
 
-    /// Keeps a handed key beside or in place of what is existing of it, also beyond the limit: the
-    /// old home has forgotten it by now.
+    /// Stores a transferred key beside or in place of the existing state, also beyond the limit:
+    /// the old home may have removed it by now.
     pub(super) fn merge(&mut self, key: KeyId, mut stored: StoredKey) {
         match self.get_mut(&key) {
             Some(existing) if existing.certainty() >= stored.certainty() => {
                 existing.expires_at = existing.expires_at.max(stored.expires_at);
             }
             Some(_) => {
-                // Only a fence is less sure than a claim, and it must not go when the claim ends.
+                // Only a fence is less certain than a claim. The fence must remain when the claim
+                // ends, so the kind of the claim becomes unspecified.
                 if let StoredState::Running { kind, .. } = &mut stored.stored_state {
                     *kind = ClaimKind::Unspecified;
                 }
@@ -249,7 +251,7 @@
         self.replace(key, StoredKey { request_digest, stored_state, expires_at });
     }
 
-    /// Forgets what is kept long enough; a claim that has run too long becomes unknown.
+    /// Removes expired keys; a claim that has run for too long becomes unknown.
     pub(super) fn expire(&mut self, now: Instant, retry_window: std::time::Duration) {
         while self.expiry_queue.front().is_some_and(|(at, _)| *at <= now) {
             let Some((_, key)) = self.expiry_queue.pop_front() else { return };
@@ -260,8 +262,8 @@
                 continue;
             }
             match stored.stored_state {
-                // Guards against a key that stays granted to an entry VM that was killed: its
-                // request may have run, so it is unknown, and it is not granted again.
+                // Prevents a key from staying granted to an entry VM that was killed: its request
+                // may have run, so the state becomes unknown and the key is not granted again.
                 StoredState::Running { claim, .. } => {
                     stored.stored_state = StoredState::Unknown { claim: Some(claim) };
                     stored.expires_at = now + retry_window;
@@ -291,7 +293,8 @@
         }
     }
 
-    /// Drops the body of an answer for which there is no room; that it was answered stays existing.
+    /// Drops the body of an answer that does not fit within the limit; the fact that the key was
+    /// answered stays known.
     fn drop_body_if_full(&self, stored: &mut StoredKey) {
         if self.bytes + stored.bytes() > self.limits.bytes
             && let StoredState::Answered(answer) = &mut stored.stored_state
--- a/daisy-routing/src/lib.rs
+++ b/daisy-routing/src/lib.rs
@@ -1,6 +1,7 @@
-//! Which backend server answers a request: admission, limits, retries, at most once, drain.
+//! Chooses the backend server for each request: admission, concurrency limits, retries,
+//! at-most-once execution and drain.
 //!
-//! Decisions only; `daisy-entry` carries them out.
+//! This crate only takes decisions; `daisy-entry` carries them out.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-routing/src/measure.rs
+++ b/daisy-routing/src/measure.rs
@@ -1,19 +1,19 @@
-//! Running measurements: how long answers take, and how often things happen.
+//! Running measurements of latencies, event rates and shares.
 
 use std::time::Duration;
 
 use daisy_model::Instant;
 
-/// Buckets for each doubling of the latency, so that a quantile is within 19 %.
+/// Number of buckets for each doubling of the latency, so that a quantile is accurate to 19 %.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// Buckets in all: from 1 µs to over an hour.
+/// Total number of buckets: from 1 µs to over an hour.
 const BUCKETS: usize = 128;
-/// Samples after which all counts are halved, so that old ones fade.
+/// Number of samples at which all counts are halved, so that old samples lose weight.
 const HALVING_SAMPLES: u32 = 4_000;
-/// Samples below which a quantile says nothing.
+/// Minimum number of samples for a meaningful quantile.
 const MIN_QUANTILE_SAMPLES: u32 = 50;
 
-/// Quantiles of recent latencies.
+/// Histogram of recent latencies for quantiles.
 #[derive(Debug, Clone)]
 pub(crate) struct LatencyQuantiles {
     counts: Vec<u32>,
@@ -21,12 +21,12 @@
 }
 
 impl LatencyQuantiles {
-    /// No samples yet.
+    /// Creates a histogram without samples.
     pub(crate) fn new() -> LatencyQuantiles {
         LatencyQuantiles { counts: vec![0; BUCKETS], total: 0 }
     }
 
-    /// Takes a sample in.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, latency: Duration) {
         let micros = latency.as_micros().max(1) as f64;
         let bucket = (micros.log2() * BUCKETS_PER_DOUBLING) as usize;
@@ -38,7 +38,8 @@
         }
     }
 
-    /// The latency that a share `q` of recent answers kept; `None` with too few samples.
+    /// Returns the latency that a share `q` of recent answers did not exceed; `None` with too few
+    /// samples.
     pub(crate) fn quantile(&self, q: f64) -> Option<Duration> {
         if self.total < MIN_QUANTILE_SAMPLES {
             return None;
@@ -54,11 +55,12 @@
     }
 }
 
-/// Weight of a new sample in [`LogMean`]: with exponential service times the mean then scatters by
-/// a sixth, so that a server is not taken for 2.5 times slower by chance.
+/// Weight of a new sample in [`LogMean`]: with exponentially distributed service times the mean
+/// varies by a sixth, so that a server does not appear 2.5 times slower by chance.
 const LOG_MEAN_WEIGHT: f64 = 0.03;
 
-/// A running geometric mean: one answer of a heavy tail hardly moves it, a slow server does.
+/// A running geometric mean: a single answer from a heavy tail hardly changes it, a slow server
+/// does.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LogMean {
     mean: f64,
@@ -66,7 +68,7 @@
 }
 
 impl LogMean {
-    /// Takes a sample in.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, latency: Duration) {
         let log = (latency.as_micros().max(1) as f64).ln();
         let weight = LOG_MEAN_WEIGHT.max(1.0 / f64::from(self.samples + 1));
@@ -74,16 +76,16 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The logarithm of the mean in microseconds, once there are `enough` samples.
+    /// Returns the logarithm of the mean in microseconds, once there are `enough` samples.
     pub(crate) fn try_log_mean(&self, enough: u32) -> Option<f64> {
         (self.samples >= enough).then_some(self.mean)
     }
 }
 
-/// Time over which [`Rate`] forgets.
+/// Time constant in seconds with which past events lose weight in [`Rate`].
 const RATE_WINDOW_SECS: f64 = 1.0;
 
-/// Events a second, over about the last second.
+/// Events per second, over about the last second.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Rate {
     value: f64,
@@ -97,7 +99,7 @@
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// The rate now.
+    /// Returns the current rate.
     pub(crate) fn per_second(&self, now: Instant) -> f64 {
         self.value * (-now.since(self.updated_at).as_secs_f64() / RATE_WINDOW_SECS).exp()
     }
@@ -106,19 +108,19 @@
 /// Weight of a new try in [`MovingShare`].
 const SHARE_WEIGHT: f64 = 0.02;
 
-/// The share of recent tries to which something happened.
+/// The share of recent tries for which a condition held, as a moving average.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MovingShare {
     value: f64,
 }
 
 impl MovingShare {
-    /// Takes a try in.
+    /// Adds a try.
     pub(crate) fn add(&mut self, happened: bool) {
         self.value += SHARE_WEIGHT * (f64::from(u8::from(happened)) - self.value);
     }
 
-    /// The share, from 0 to 1.
+    /// Returns the share, from 0 to 1.
     pub(crate) fn value(self) -> f64 {
         self.value
     }
--- a/daisy-routing/src/outcome.rs
+++ b/daisy-routing/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of a try teaches about its backend server and its service.
+//! Updates the state of a backend server and its service with the outcome of a try.
 
 use std::time::Duration;
 
@@ -13,46 +13,47 @@
     slab::Try,
 };
 
-/// Of a service's backend servers, at most one in this many is put aside.
+/// At most one in this many backend servers of a service is quarantined.
 const QUARANTINE_AT_MOST_ONE_IN: usize = 2;
 
 /// How a try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// The whole answer came.
+    /// The complete answer was received.
     Answered,
-    /// The backend server refused it and proved that it did not run.
+    /// The backend server refused the request and proved that it did not run.
     Refused,
-    /// No connection could be had; nothing was sent.
+    /// No connection could be established; nothing was sent.
     NotSent,
-    /// It was sent, and what came back is no whole answer, or none in time.
+    /// The request was sent, but no complete answer was received in time.
     Broken,
-    /// The caller left or another try answered first.
+    /// The caller disconnected or another try answered first.
     Cancelled,
 }
 
-/// What a try taught about its backend server.
+/// The outcome of a try and what its answer reported about the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TryReport {
     /// How the try ended.
     pub end: TryOutcome,
-    /// Requests in progress there after this one, as its answer said.
+    /// Requests in progress on the backend server after this one, as reported in its answer.
     pub in_flight: Option<u32>,
-    /// Whether its answer said that it is leaving.
+    /// Whether the answer reported that the backend server is leaving.
     pub leaving: bool,
-    /// Bytes of its answer.
+    /// Size of the answer in bytes.
     pub bytes: u64,
 }
 
 impl TryReport {
-    /// The report of a try that ended without an answer.
+    /// Returns the report of a try that ended without an answer.
     pub fn without_answer(end: TryOutcome) -> TryReport {
         TryReport { end, in_flight: None, leaving: false, bytes: 0 }
     }
 }
 
 impl Router {
-    /// Ends a try; an end that was told before changes nothing.
+    /// Ends a try and returns the decisions for waiting requests. Ending the same try again has no
+    /// effect.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Whether enough of the service's backend servers would be left without `vm`.
+    /// Returns whether `vm` may be quarantined without leaving too few of the service's backend
+    /// servers.
     fn may_quarantine(&self, key: ServiceKey, vm: VmId) -> bool {
         let Some(service) = self.services.get(key) else { return false };
         let quarantined = |position: &&u32| {
@@ -135,7 +137,7 @@
         self.servers.get_mut(position)
     }
 
-    /// Takes the median speed of each service's backend servers anew.
+    /// Recomputes the median latency of each service's backend servers.
     pub(crate) fn refresh_medians(&mut self) {
         let keys: Vec<ServiceKey> = self.services.iter().map(|(key, _)| key).collect();
         for key in keys {
@@ -171,7 +173,8 @@
     }
 }
 
-/// A try that was cut short took at least so long, which counts only against its server.
+/// Judges a cancelled try. Its request took at least `latency`, so that the try counts only against
+/// its backend server.
 fn judge_cancelled(
     server: &mut Server,
     latency: Duration,
--- a/daisy-routing/src/queue.rs
+++ b/daisy-routing/src/queue.rs
@@ -1,4 +1,4 @@
-//! The short queue of requests that wait for a slot.
+//! The short queue of requests that wait for a free slot.
 
 use std::cmp::Reverse;
 
@@ -6,19 +6,20 @@
 
 use crate::{Call, CallerId, Ticket, Urgency, service::ServiceKey};
 
-/// Requests that wait at one time, of all services together.
+/// Maximum number of waiting requests, over all services.
 pub(crate) const MAX_QUEUED: usize = 1_024;
 
-/// Who goes first: the service's priority, then the caller's word.
+/// The rank of a request: the priority of its service, then the urgency that its caller declares.
 ///
-/// The caller's word only ranks requests of equally important services: no caller can make a
-/// delayable service's request go before a critical one's.
+/// The declared urgency only ranks requests of services of the same priority: no caller can make a
+/// request of a delayable service precede one of a critical service.
 pub(crate) type Rank = (Priority, Urgency);
 
-/// Where a request stands: higher ranks first, then the caller that had least, then by arrival.
+/// The sort key of a waiting request: higher ranks first, then the lower start tag (the caller that
+/// has been served least), then the order of arrival.
 type QueueOrder = (Reverse<Rank>, u64, Ticket);
 
-/// A request that waits.
+/// A request that waits in the queue.
 #[derive(Debug, Clone)]
 pub(crate) struct QueuedRequest {
     pub(crate) ticket: Ticket,
@@ -35,10 +36,11 @@
     }
 }
 
-/// Requests that wait, in the order in which they go.
+/// Waiting requests in the order in which they are served.
 ///
-/// Fair between callers by start-time fair queueing: each request of a caller takes the turn after
-/// the caller's last one, and a caller that was idle starts at the turn being served.
+/// Fair between callers by start-time fair queueing: each request of a caller gets the start tag
+/// after that of the caller's previous request, and a caller that was idle starts at the current
+/// virtual time.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     waiting: Vec<QueuedRequest>,
@@ -47,7 +49,7 @@
 }
 
 impl Queue {
-    /// Puts a request in.
+    /// Adds a request.
     pub(crate) fn push(
         &mut self,
         ticket: Ticket,
@@ -64,39 +66,39 @@
         self.waiting.insert(at, waiting);
     }
 
-    /// Whether a request of `rank` for `service` would wait behind another.
+    /// Returns whether a request of `rank` for `service` would wait behind another one.
     pub(crate) fn has_waiting_at_or_above(&self, service: ServiceKey, rank: Rank) -> bool {
         self.waiting.iter().any(|other| other.service == service && other.rank >= rank)
     }
 
-    /// Whether anything waits for `service`.
+    /// Returns whether any request for `service` is waiting.
     pub(crate) fn has_waiting(&self, service: ServiceKey) -> bool {
         self.waiting.iter().any(|other| other.service == service)
     }
 
-    /// The request at `index` in the order of going.
+    /// Returns the request at `index` in serving order.
     pub(crate) fn get(&self, index: usize) -> Option<&QueuedRequest> {
         self.waiting.get(index)
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests in the order of going.
+    /// Returns the waiting requests in serving order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.waiting.iter()
     }
 
-    /// Takes the request at `index` out because its turn has come.
+    /// Removes the request at `index` because it is served, and advances the virtual time.
     pub(crate) fn take_served(&mut self, index: usize) -> QueuedRequest {
         let waiting = self.remove(index);
         self.virtual_time = self.virtual_time.max(waiting.start_tag);
         waiting
     }
 
-    /// Takes the request at `index` out because it is given up.
+    /// Removes the request at `index` without serving it.
     pub(crate) fn remove(&mut self, index: usize) -> QueuedRequest {
         let waiting = self.waiting.remove(index);
         if self.waiting.is_empty() {
@@ -109,7 +111,7 @@
         waiting
     }
 
-    /// Takes a request out by its ticket.
+    /// Removes a request by its ticket.
     pub(crate) fn try_remove_ticket(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
         let index = self.waiting.iter().position(|other| other.ticket == ticket)?;
         Some(self.remove(index))
--- a/daisy-routing/src/retry.rs
+++ b/daisy-routing/src/retry.rs
@@ -1,4 +1,4 @@
-//! Second tries: after a failure, or beside a first one that takes long.
+//! Second tries of a request: retries after a failure and hedges beside a slow first try.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 };
 
 impl Router {
-    /// A second try of a request whose first one failed; `None` when it must not have one.
+    /// Chooses the target of a second try after a failed one; `None` if none is allowed.
     ///
-    /// `tried` are the backend servers that it has been at. Only for requests that are idempotent
-    /// or proven not to have run.
+    /// `tried` are the backend servers that have already been tried. Must be called only for
+    /// requests that are idempotent or proven not to have run.
     pub fn retry(
         &mut self,
         now: Instant,
@@ -32,13 +32,14 @@
         )
     }
 
-    /// After how long a request deserves a second try beside its first; `None` for never.
+    /// Returns after how long a second try may be sent beside the first; `None` for never.
     pub fn hedge_after(&self, call: &Call) -> Option<Duration> {
         let service = self.services.get(self.find_service(&call.service)?)?;
         if call.idempotent { service.hedge_after() } else { None }
     }
 
-    /// A second try beside the first, in the own region only; `None` when it must not have one.
+    /// Chooses the target of a second try beside the first, in the local region only; `None` if
+    /// none is allowed.
     pub fn hedge(
         &mut self,
         now: Instant,
@@ -58,9 +59,9 @@
         )
     }
 
-    /// Guards against retries that keep an overload alive, which shows as a service that stays
-    /// slow long after its fault has gone: tries beyond the first are a share of recent successes,
-    /// and there are none while a first try waits.
+    /// Prevents retries from sustaining an overload, which shows as a service that stays slow long
+    /// after the fault that caused it has ended: further tries are limited to a share of recent
+    /// successes, and none are made while a first try is waiting.
     fn try_again(
         &mut self,
         now: Instant,
--- a/daisy-routing/src/router.rs
+++ b/daisy-routing/src/router.rs
@@ -1,4 +1,4 @@
-//! Decides where requests go, one event at a time.
+//! Decides where requests are sent, one event at a time.
 
 use std::time::Duration;
 
@@ -14,24 +14,24 @@
     slab::{Tickets, Tries, Try},
 };
 
-/// When to come again if nothing is known of the load.
+/// Retry delay for rejected callers if nothing is known about the load.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Guess of an answer's bytes before it has come, for the budget of the region link.
+/// Estimated size of an answer that has not been received yet, for the budget of the region link.
 pub(crate) const ESTIMATED_ANSWER_BYTES: u64 = 4 << 10;
-/// A request that waits is given up when others have pushed it back this many times as far as the
-/// queue promised.
+/// A waiting request is rejected when other requests have delayed it to this many times the longest
+/// wait for which the queue admits requests.
 const MAX_WAIT_FACTOR: u32 = 2;
 
-/// A request on its way to a choice.
+/// A request for which a backend server is to be chosen.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingSend<'a> {
     pub(crate) key: ServiceKey,
     pub(crate) call: &'a Call,
-    /// Its ticket, if it waited.
+    /// The ticket of the request, if it was queued.
     pub(crate) ticket: Option<Ticket>,
-    /// The farthest that it may go.
+    /// The greatest distance of an eligible backend server.
     pub(crate) max_distance: Distance,
-    /// Backend servers that it has been at.
+    /// Backend servers that have already been tried.
     pub(crate) exclude: &'a [VmId],
 }
 
@@ -40,7 +40,7 @@
 pub struct Router {
     pub(crate) me: VmId,
     pub(crate) routes: Routes,
-    /// Sorted by VM.
+    /// Backend servers, sorted by VM.
     pub(crate) servers: Vec<Server>,
     pub(crate) service_keys: SortedMap<Name, ServiceKey>,
     pub(crate) services: Arena<ServiceKey, ServiceState>,
@@ -52,7 +52,7 @@
 }
 
 impl Router {
-    /// A router of the entry VM `me` that knows no service yet.
+    /// Creates a router without routes for the entry VM `me`.
     pub fn new(me: VmId) -> Router {
         Router {
             me,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Decides about a new request.
+    /// Decides whether a new request is sent, queued or rejected.
     pub fn offer(&mut self, now: Instant, call: &Call, rng: &mut fastrand::Rng) -> Admission {
         let Some(key) = self.find_service(&call.service) else {
             return reject(RejectReason::UnknownService, DEFAULT_RETRY_AFTER);
@@ -97,7 +97,7 @@
         self.enqueue(now, key, rank, call, rng)
     }
 
-    /// Puts a request in the queue, unless it could not finish from there.
+    /// Queues a request, unless it could not finish in time from there.
     fn enqueue(
         &mut self,
         now: Instant,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Why a request that has just been put in the queue must not stay there.
+    /// Returns why a request that was just queued must be removed again, if it must.
     fn queue_reject_reason(&self, now: Instant, ticket: Ticket) -> Option<RejectReason> {
         let at = self.queue.iter().position(|waiting| waiting.ticket == ticket)?;
         let waiting = self.queue.get(at)?;
@@ -135,10 +135,11 @@
         }
     }
 
-    /// Grants slots to those that wait, in their order, and refuses those pushed out.
+    /// Sends waiting requests for which there are free slots, in queue order, and rejects those
+    /// that can no longer finish in time.
     pub(crate) fn dispatch(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Vec<QueueDecision> {
         let mut decisions = Vec::new();
-        // Taken out while its requests are looked at, and put back below.
+        // The queue is taken out of `self` during the loop and put back below.
         let mut queue = std::mem::take(&mut self.queue);
         let mut blocked_services: Vec<ServiceKey> = Vec::new();
         let mut index = 0;
@@ -148,7 +149,7 @@
                     queue.take_served(index);
                     decisions.push(QueueDecision::Send(target));
                 }
-                // Those of the same service behind it rank lower and find no slot either.
+                // Later requests of the same service rank lower and find no free slot either.
                 None => {
                     blocked_services.push(waiting.service);
                     index += 1;
@@ -177,10 +178,11 @@
         self.try_send(now, pending, rng)
     }
 
-    /// Gives up those that can no longer finish and those that others have pushed too far back.
+    /// Rejects requests that can no longer finish in time and those that other requests have
+    /// delayed for too long.
     ///
-    /// Guards against answers that come too late for their caller: a request is refused as soon as
-    /// its turn cannot come in time, not when its deadline has passed.
+    /// Prevents answers that arrive too late for their caller: a request is rejected as soon as its
+    /// turn cannot come in time, not only when its deadline has passed.
     fn reject_overdue(
         &mut self,
         now: Instant,
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Sends a request if a backend server has room for it now.
+    /// Sends a request if a backend server has a free slot for it now.
     pub(crate) fn try_send(
         &mut self,
         now: Instant,
@@ -279,8 +281,8 @@
         }
     }
 
-    /// How far a request may go: to another region only while its deadline and the budget of the
-    /// region link allow it.
+    /// Returns the greatest distance at which a request may be sent: another region is allowed only
+    /// while the deadline and the budget of the region link permit it.
     pub(crate) fn max_distance(&mut self, now: Instant, key: ServiceKey, call: &Call) -> Distance {
         let typical_latency =
             self.services.get(key).map_or(DEFAULT_RETRY_AFTER, ServiceState::typical_latency);
@@ -292,18 +294,19 @@
         }
     }
 
-    /// Lets time pass: probes fall due, and what waits and can no longer finish is refused.
+    /// Advances the time: sends probes that are due and rejects waiting requests that can no longer
+    /// finish.
     pub fn tick(&mut self, now: Instant, rng: &mut fastrand::Rng) -> Vec<QueueDecision> {
         self.refresh_medians();
         self.dispatch(now, rng)
     }
 
-    /// Forgets a request whose caller has left while it waited.
+    /// Removes a queued request whose caller has disconnected.
     pub fn cancel_waiting(&mut self, ticket: Ticket) {
         self.queue.try_remove_ticket(ticket);
     }
 
-    /// Requests in flight from this entry VM by backend server.
+    /// Returns the number of requests in flight from this entry VM for each backend server.
     pub fn in_flight(&self) -> Vec<(VmId, u32)> {
         let busy = self.servers.iter().filter(|server| server.own_in_flight > 0);
         busy.map(|server| (server.vm, server.own_in_flight)).collect()
@@ -314,7 +317,7 @@
         self.services.get(key).filter(|service| service.in_routes).map(|_| key)
     }
 
-    /// When a caller of `service` is to come again after a refusal now.
+    /// Returns after how long a caller of `service` that is rejected now should retry.
     pub fn retry_after(&self, now: Instant, service: &Name, rng: &mut fastrand::Rng) -> Duration {
         let key = self.find_service(service);
         key.map_or(DEFAULT_RETRY_AFTER, |key| self.retry_after_of(now, key, rng))
@@ -333,7 +336,7 @@
     (priority, urgency)
 }
 
-/// Whether a request may wait so that a critical one finds a free slot.
+/// Returns whether a request may wait so that a critical request finds a free slot.
 fn is_delayable((priority, urgency): Rank) -> bool {
     priority < Priority::Urgent || urgency == Urgency::Low
 }
--- a/daisy-routing/src/routes.rs
+++ b/daisy-routing/src/routes.rs
@@ -1,4 +1,4 @@
-//! What the router is told of services and backend servers.
+//! Services and backend servers, as the router receives them.
 
 use std::net::SocketAddr;
 
@@ -7,48 +7,50 @@
 /// A backend server: a worker that runs a task of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
-    /// The worker.
+    /// The worker VM.
     pub vm: VmId,
-    /// Its data centre.
+    /// The data centre of the worker.
     pub dc: DcId,
-    /// Where requests go.
+    /// The address to which requests are sent.
     pub address: SocketAddr,
-    /// Requests that it works on at one time (8 on the users' workers).
+    /// Number of requests that it processes at one time (8 on the users' workers).
     pub slots: u32,
-    /// Connections that it takes from all entry VMs together (64 on the users' workers).
+    /// Number of connections that it accepts from all entry VMs together (64 on the users'
+    /// workers).
     pub connections: u32,
-    /// Whether it is about to leave: nothing new goes there.
+    /// Whether it is about to leave, so that it gets no new requests.
     pub leaving: bool,
 }
 
 /// A service that requests can name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// The service's job.
+    /// The job of the service.
     pub job: JobId,
-    /// Its declared priority.
+    /// The declared priority of the service.
     pub priority: Priority,
-    /// Whether operators allow its requests to be refused under overload.
+    /// Whether operators allow requests of the service to be rejected under overload.
     pub refuse: bool,
-    /// Its backend servers, sorted by VM.
+    /// The backend servers of the service, sorted by VM.
     pub backends: Vec<Backend>,
 }
 
-/// Everything that the router is told from outside, whole and versioned.
+/// All external information of the router, as one complete, versioned value.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Routes {
-    /// Grows with each change.
+    /// A version that increases with each change.
     pub version: u64,
-    /// The entry VM's own data centre.
+    /// The data centre of this entry VM.
     pub dc: DcId,
-    /// The region of each data centre, by [`DcId`]; data centres of one region are near.
+    /// The region of each data centre, indexed by [`DcId`]; data centres of the same region are
+    /// near.
     pub regions: Vec<u16>,
-    /// Live entry VMs of all data centres, among which connections are split; sorted.
+    /// Live entry VMs of all data centres, among which connections are divided; sorted.
     pub entries: Vec<(DcId, VmId)>,
-    /// Entry VMs that the platform's list names, whether they can be reached or not; sorted.
+    /// Entry VMs in the platform's VM list, whether they can be reached or not; sorted.
     ///
-    /// One that is listed but not among `entries` may still be serving behind a partition,
-    /// so homes of keys do not vouch for their past while there is one.
+    /// An entry VM that is listed but not among `entries` may still be serving requests behind a
+    /// partition, so that homes of keys treat their history as incomplete while there is one.
     pub listed: Vec<(DcId, VmId)>,
     /// Services by name.
     pub services: SortedMap<Name, Service>,
--- a/daisy-routing/src/service.rs
+++ b/daisy-routing/src/service.rs
@@ -1,4 +1,4 @@
-//! What the router knows of one service.
+//! The state of one service in the router.
 
 use std::time::Duration;
 
@@ -9,24 +9,25 @@
     measure::{LatencyQuantiles, LogMean, MovingShare, Rate},
 };
 
-/// How long an answer is thought to take before any has come.
+/// Assumed latency of an answer before any has been received.
 const INITIAL_LATENCY_ESTIMATE: Duration = Duration::from_millis(20);
-/// The queue holds what is served within this many typical answers.
+/// Longest wait in the queue, in multiples of the typical latency of an answer.
 const QUEUE_WAIT_IN_ANSWERS: f64 = 1.0;
-/// The shortest and the longest wait that the queue may promise.
+/// Bounds of the longest wait in the queue.
 const MIN_QUEUE_WAIT: Duration = Duration::from_millis(10);
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(250);
-/// Of those that come again after a refusal, the last comes this much later than the first.
+/// Of the callers that retry after being rejected together, the last retries after up to this many
+/// times the delay of the first.
 const RETRY_AFTER_SPREAD: f64 = 2.0;
-/// The shortest and the longest time after which a refused caller is told to come again.
+/// Bounds of the time after which a rejected caller is told to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Time over which an excess of load is to be worked off when refused callers come again.
+/// Time in seconds over which an excess of load is to be worked off before rejected callers retry.
 const OVERLOAD_RECOVERY_SECS: f64 = 1.0;
-/// The share of recent answers that a hedge waits for.
+/// A hedge is sent when the first try takes longer than this share of recent answers.
 const HEDGE_QUANTILE: f64 = 0.95;
 
-/// A service in the router's arena.
+/// Identifies a service in the router's arena.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServiceKey(pub(crate) u32);
 
@@ -43,7 +44,7 @@
 /// A service as the router sees it.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceState {
-    /// Whether the routes still name it.
+    /// Whether the current routes contain the service.
     pub(crate) in_routes: bool,
     pub(crate) priority: Priority,
     /// Positions of its backend servers in the router's sorted list.
@@ -51,19 +52,19 @@
     pub(crate) retry_budget: RetryBudget,
     pub(crate) latencies: LatencyQuantiles,
     pub(crate) typical_latency: LogMean,
-    /// Offers, refused ones included.
+    /// Rate of requests, including rejected ones.
     pub(crate) offers: Rate,
-    /// Tries that ended and freed their slot.
+    /// Rate of tries that ended and freed their slot.
     pub(crate) completions: Rate,
     pub(crate) in_flight: u32,
-    /// Tries that failed, whichever backend server they were at.
+    /// Share of tries that failed, on whichever backend server.
     pub(crate) failure_share: MovingShare,
-    /// The median speed of its backend servers, as a logarithm of microseconds.
+    /// The median of the mean latencies of its backend servers, as a logarithm of microseconds.
     pub(crate) median_log_latency: Option<f64>,
 }
 
 impl ServiceState {
-    /// A service that has not been asked for.
+    /// Creates the state of a service without requests.
     pub(crate) fn new(priority: Priority) -> ServiceState {
         ServiceState {
             in_routes: true,
@@ -80,16 +81,17 @@
         }
     }
 
-    /// How long an answer typically takes.
+    /// Returns the typical latency of an answer.
     pub(crate) fn typical_latency(&self) -> Duration {
         let log = self.typical_latency.try_log_mean(1);
         log.map_or(INITIAL_LATENCY_ESTIMATE, |log| Duration::from_micros(log.exp() as u64))
     }
 
-    /// How long a request waits with `ahead` of its service before it.
+    /// Returns how long a request is expected to wait with `ahead` requests of its service before
+    /// it.
     ///
-    /// The rate of the last second lags after a pause, so it counts no less than what Little's
-    /// law gives for the requests in flight.
+    /// The measured rate of the last second lags after a pause, so at least half of the rate that
+    /// Little's law gives for the requests in flight is assumed.
     pub(crate) fn expected_wait(&self, ahead: usize, now: Instant) -> Duration {
         let littles_law_rate =
             f64::from(self.in_flight) / self.typical_latency().as_secs_f64().max(1e-6);
@@ -97,13 +99,14 @@
         Duration::from_secs_f64(((ahead + 1) as f64 / per_second).min(3_600.0))
     }
 
-    /// The longest wait that the queue may promise.
+    /// Returns the longest expected wait with which a request is queued.
     pub(crate) fn max_queue_wait(&self) -> Duration {
         self.typical_latency().mul_f64(QUEUE_WAIT_IN_ANSWERS).clamp(MIN_QUEUE_WAIT, MAX_QUEUE_WAIT)
     }
 
-    /// When a refused caller is to come again: later the more is offered beyond what drains, and
-    /// spread, so that those refused together do not come again together.
+    /// Returns after how long a rejected caller should retry: the delay grows with the excess of
+    /// requests over completions and is spread, so that callers rejected together do not retry
+    /// together.
     pub(crate) fn retry_after(&self, now: Instant, rng: &mut fastrand::Rng) -> Duration {
         let completions = self.completions.per_second(now).max(1.0);
         let excess = (self.offers.per_second(now) / completions - 1.0).clamp(0.0, 10.0);
@@ -112,7 +115,8 @@
         Duration::from_secs_f64(base * spread).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// After how long a second try is worth its load; `None` until enough is known.
+    /// Returns after how long a second try is worth its load; `None` until there are enough
+    /// samples.
     pub(crate) fn hedge_after(&self) -> Option<Duration> {
         self.latencies.quantile(HEDGE_QUANTILE)
     }
--- a/daisy-routing/src/share.rs
+++ b/daisy-routing/src/share.rs
@@ -1,28 +1,32 @@
-//! The fixed split of a backend server's slots and connections among entry VMs.
+//! The fixed division of a backend server's slots and connections among entry VMs.
 //!
-//! Every entry VM computes the same split from the same list, so it holds without talking.
+//! Every entry VM calculates the same division from the same list, so that it applies without
+//! communication.
 
 use daisy_model::VmId;
 
 use crate::digest::weight;
 
-/// One entry VM in this many may be counted by some and not by others while VMs are replaced.
+/// While VMs are replaced, up to one entry VM in this many may be counted by some entry VMs and not
+/// by others.
 const MAX_REPLACED_ONE_IN: u32 = 8;
 
-/// Connections to a backend server with `total` that one of `entries` entry VMs may open.
+/// Returns how many of the `total` connections to a backend server each of `entries` entry VMs may
+/// open.
 ///
-/// Guards against more than `total` connections while a VM is replaced: the old and the new one
-/// are both connected for a while, and not all lists show both. The margin has room for one VM in
-/// eight (at least one) beyond those listed.
+/// Prevents more than `total` connections while a VM is replaced: the old and the new VM are both
+/// connected for a while, and not every list contains both. The margin allows for one VM in eight
+/// (at least one) beyond those listed.
 pub fn connections(total: u32, entries: u32) -> u32 {
     let margin = entries.div_ceil(MAX_REPLACED_ONE_IN).max(1);
     (total / (entries + margin)).max(1)
 }
 
-/// Slots of the backend server `server` that are `me`'s own among `entries`.
+/// Returns how many of the `total` slots of the backend server `server` are reserved for `me` among
+/// `entries`.
 ///
-/// What does not divide evenly goes to the entry VMs that weigh most for the server, so that
-/// over many servers each gets its part.
+/// The remainder of the division goes to the entry VMs with the highest weights for the server, so
+/// that over many servers each of them gets its part.
 pub fn slots(total: u32, server: VmId, me: VmId, entries: &[VmId]) -> u32 {
     let count = entries.len() as u32;
     if !entries.contains(&me) {
--- a/daisy-routing/src/slab.rs
+++ b/daisy-routing/src/slab.rs
@@ -1,4 +1,4 @@
-//! Storage whose keys are never reused.
+//! Storage for tries in flight, whose ids are never reused, and a generator of tickets.
 
 use daisy_model::Instant;
 
@@ -10,7 +10,7 @@
     pub(crate) vm: daisy_model::VmId,
     pub(crate) service: ServiceKey,
     pub(crate) started_at: Instant,
-    /// Whether its bytes count against the region link.
+    /// Whether its bytes are charged to the budget of the region link.
     pub(crate) crosses_region: bool,
 }
 
@@ -22,8 +22,9 @@
 
 /// Tries in flight by [`TryId`].
 ///
-/// Guards against a try that is ended twice, once by its answer and once by its caller's leaving:
-/// the second would free the slot of another request. The generation tells them apart.
+/// Prevents a try from being ended twice, once by its answer and once by the disconnection of its
+/// caller: the second end would free the slot of another request. The generation tells the two
+/// apart.
 #[derive(Debug, Default)]
 pub(crate) struct Tries {
     slots: Vec<Slot>,
@@ -31,7 +32,7 @@
 }
 
 impl Tries {
-    /// Stores `item`.
+    /// Stores `item` and returns its id.
     pub(crate) fn insert(&mut self, item: Try) -> TryId {
         let index = self.free.pop().unwrap_or(self.slots.len() as u32);
         if index as usize == self.slots.len() {
@@ -43,7 +44,7 @@
         TryId { index, generation: slot.generation }
     }
 
-    /// Takes the try out, once.
+    /// Removes a try; returns `None` if it was removed before.
     pub(crate) fn try_remove(&mut self, id: TryId) -> Option<Try> {
         let slot = self.slots.get_mut(id.index as usize)?;
         if slot.generation != id.generation {
@@ -54,20 +55,20 @@
         Some(item)
     }
 
-    /// All tries in flight.
+    /// Returns all tries in flight.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Try> {
         self.slots.iter().filter_map(|slot| slot.item.as_ref())
     }
 }
 
-/// Draws tickets.
+/// Generates tickets.
 #[derive(Debug, Default)]
 pub(crate) struct Tickets {
     next: u64,
 }
 
 impl Tickets {
-    /// A ticket that was not drawn before.
+    /// Returns a new ticket.
     pub(crate) fn draw(&mut self) -> Ticket {
         self.next += 1;
         Ticket(self.next)
--- a/daisy-routing/src/update.rs
+++ b/daisy-routing/src/update.rs
@@ -1,4 +1,4 @@
-//! What the router is told from outside: routes, and what peers have in flight.
+//! Updates of the router from outside: routes, and requests in flight from peers.
 
 use daisy_model::{DcId, Instant, SortedMap, VmId};
 
@@ -12,7 +12,7 @@
 };
 
 impl Router {
-    /// Takes in new routes; older ones than those in force change nothing.
+    /// Applies new routes; older ones than those in force have no effect.
     pub fn set_routes(
         &mut self,
         now: Instant,
@@ -34,7 +34,7 @@
         self.dispatch(now, rng)
     }
 
-    /// Takes in what another entry VM has in flight by backend server.
+    /// Records the requests in flight from another entry VM for each backend server.
     pub fn peer_in_flight(
         &mut self,
         now: Instant,
@@ -47,7 +47,8 @@
         self.dispatch(now, rng)
     }
 
-    /// The part of the region link's budget that is this entry VM's: all of the region share it.
+    /// Sets this entry VM's part of the budget of the region link, which all entry VMs of the
+    /// region share.
     fn set_region_budget(&mut self, now: Instant) {
         let mine = region(&self.routes, self.routes.dc);
         let sharers =
@@ -56,7 +57,7 @@
         self.region.set_rate(self.routes.policy.region_bytes / sharers, now);
     }
 
-    /// Servers that were known before keep what was learnt of them.
+    /// Replaces the backend servers; those that were known before keep their measurements.
     fn set_servers(&mut self, now: Instant, is_first: bool) {
         let mut backends: Vec<&Backend> =
             self.routes.services.iter().flat_map(|(_, service)| &service.backends).collect();
@@ -75,7 +76,7 @@
         self.recount_own_in_flight();
     }
 
-    /// `server` as the routes now describe it.
+    /// Returns `server` with the attributes that the current routes give it.
     fn with_route(&self, server: Server, backend: &Backend) -> Server {
         let entries = |dc: Option<DcId>| -> Vec<VmId> {
             let of = self.routes.entries.iter().filter(|(at, _)| dc.is_none_or(|dc| dc == *at));
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Guards against a count that stays too high when a backend server is taken off the routes
-    /// and comes back while its requests are in flight: the tries themselves are counted.
+    /// Recounts the requests in flight from the tries. Prevents a count that stays too high if a
+    /// backend server is removed from the routes and added again while its requests are in flight.
     fn recount_own_in_flight(&mut self) {
         self.servers.iter_mut().for_each(|server| server.own_in_flight = 0);
         let vms: Vec<VmId> = self.tries.iter().map(|one| one.vm).collect();
@@ -140,11 +141,12 @@
     }
 }
 
-/// A server that was not known; slow start unless the router itself is new.
+/// Creates a backend server that was not known before, in slow start unless the router itself is
+/// new.
 ///
-/// Guards against a cold backend server that gets the load of a warm one, which shows as a burst
-/// of late answers after each replacement. A new router starts all of them in full: its callers
-/// cannot wait for a ramp that serves no purpose.
+/// Prevents a cold backend server from getting the load of a warm one, which shows as a burst of
+/// late answers after each replacement. A new router starts all of them at their full limit: its
+/// callers cannot wait for a ramp that serves no purpose.
 fn new_server(backend: &Backend, now: Instant, is_first: bool) -> Server {
     let health = if is_first {
         Health::default()
@@ -179,7 +181,7 @@
     }
 }
 
-/// The region of `dc`; each unlisted data centre counts as a region of its own.
+/// Returns the region of `dc`; each unlisted data centre is treated as a region of its own.
 fn region(routes: &Routes, dc: DcId) -> u32 {
     let listed = routes.regions.get(usize::from(dc.0)).copied();
     listed.map_or(u32::from(dc.0) + (1 << 16), u32::from)
