--- a/daisy-routing/tests/queue.rs
+++ b/daisy-routing/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Admission: who waits, who goes first, who is refused and when to come again.
+//! Admission: which requests wait, their order, rejections and retry delays.
 
 mod fixture;
 
@@ -8,31 +8,35 @@
 use daisy_routing::{
     Admission, Call, CallerId, QueueDecision, RejectReason, Router, Ticket, Urgency,
 };
-use fixture::{answered, backend, call, fill, millis, name, rng, router, routes, service, warm};
+use fixture::{
+    answer_requests, backend, call, millis, name, report_with_answer, rng, router, routes,
+    send_requests, service,
+};
 
-/// A router whose two backend servers are busy with what it sent there at the returned time.
-fn busy(rng: &mut fastrand::Rng) -> (Router, Instant, Vec<daisy_routing::Target>) {
+/// Returns a router whose two backend servers are busy, the current time, and the targets of the
+/// requests in flight.
+fn busy_router(rng: &mut fastrand::Rng) -> (Router, Instant, Vec<daisy_routing::Target>) {
     let mut router = router(&routes(vec![backend(100), backend(101)]));
-    let now = warm(&mut router, millis(0), 100, Duration::from_millis(100), rng);
-    let targets = fill(&mut router, now, 16, rng);
+    let now = answer_requests(&mut router, millis(0), 100, Duration::from_millis(100), rng);
+    let targets = send_requests(&mut router, now, 16, rng);
     (router, now, targets)
 }
 
-fn waiting(offer: Admission) -> Ticket {
+fn expect_waiting(offer: Admission) -> Ticket {
     match offer {
         Admission::Wait(ticket) => ticket,
-        other => panic!("does not wait: {other:?}"),
+        other => panic!("request was not queued: {other:?}"),
     }
 }
 
-fn from(caller: u64, now: Instant) -> Call {
+fn call_from(caller: u64, now: Instant) -> Call {
     Call { caller: CallerId(caller), ..call(now) }
 }
 
-fn sent_tickets(grants: &[QueueDecision]) -> Vec<Ticket> {
-    grants
+fn sent_tickets(decisions: &[QueueDecision]) -> Vec<Ticket> {
+    decisions
         .iter()
-        .filter_map(|grant| match grant {
+        .filter_map(|decision| match decision {
             QueueDecision::Send(target) => Some(target.ticket),
             QueueDecision::Reject(..) => None,
         })
@@ -40,69 +44,72 @@
 }
 
 #[test]
-fn a_request_waits_for_a_slot_and_gets_it() {
+fn a_queued_request_is_sent_when_a_slot_becomes_free() {
     let mut rng = rng();
-    let (mut router, now, targets) = busy(&mut rng);
-    let ticket = waiting(router.offer(now, &call(now), &mut rng));
+    let (mut router, now, targets) = busy_router(&mut rng);
+    let ticket = expect_waiting(router.offer(now, &call(now), &mut rng));
 
-    let grants = router.finish(now, targets[0].try_id, answered(7), &mut rng);
+    let decisions = router.finish(now, targets[0].try_id, report_with_answer(7), &mut rng);
 
-    assert_eq!(sent_tickets(&grants), [ticket]);
+    assert_eq!(sent_tickets(&decisions), [ticket]);
 }
 
-/// A costing is refused after its caller has waited in vain, and the caller has no time left to
-/// ask elsewhere. The queue took it although its turn could not come in time.
+/// Guards against a request that is rejected only after its caller has waited in vain and has no
+/// time left to send it elsewhere: the queue accepted it although its turn could not come in time.
 #[test]
-fn what_cannot_finish_in_time_is_refused_at_once() {
+fn a_request_that_cannot_finish_in_time_is_rejected_at_once() {
     let mut rng = rng();
-    let (mut router, now, _) = busy(&mut rng);
+    let (mut router, now, _) = busy_router(&mut rng);
     let mut call = call(now);
     call.deadline = now + Duration::from_millis(60);
 
     let offer = router.offer(now, &call, &mut rng);
 
-    let Admission::Reject(rejection) = offer else { panic!("{offer:?}") };
+    let Admission::Reject(rejection) = offer else { panic!("request was not rejected: {offer:?}") };
     assert_eq!(rejection.reason, RejectReason::Deadline);
     assert!(rejection.retry_after >= Duration::from_millis(50));
 }
 
 #[test]
-fn the_queue_holds_about_one_answers_worth_and_refuses_the_rest() {
+fn the_queue_accepts_about_one_typical_latency_of_work_and_rejects_the_rest() {
     let mut rng = rng();
-    let (mut router, now, _) = busy(&mut rng);
+    let (mut router, now, _) = busy_router(&mut rng);
 
-    let waits = (0..200)
+    let waiting_count = (0..200)
         .filter(|caller| {
-            matches!(router.offer(now, &from(*caller, now), &mut rng), Admission::Wait(_))
+            matches!(router.offer(now, &call_from(*caller, now), &mut rng), Admission::Wait(_))
         })
         .count();
 
-    assert!((4..=32).contains(&waits), "{waits}");
+    assert!((4..=32).contains(&waiting_count), "{waiting_count} requests waited");
 }
 
 #[test]
-fn callers_are_told_to_come_later_the_more_is_offered() {
+fn the_retry_delay_of_rejected_callers_grows_with_the_load() {
     let mut rng = rng();
-    let (mut router, now, _) = busy(&mut rng);
-    let mut last = |count: u32| {
-        let mut told = Duration::ZERO;
+    let (mut router, now, _) = busy_router(&mut rng);
+    let mut last_retry_after = |count: u32| {
+        let mut retry_after = Duration::ZERO;
         for _ in 0..count {
             if let Admission::Reject(rejection) = router.offer(now, &call(now), &mut rng) {
-                told = rejection.retry_after;
+                retry_after = rejection.retry_after;
             }
         }
-        told
+        retry_after
     };
 
-    let (little, much) = (last(40), last(400));
+    let (low_load, high_load) = (last_retry_after(40), last_retry_after(400));
 
-    assert!(much > little * 2, "{little:?} {much:?}");
+    assert!(
+        high_load > low_load * 2,
+        "retry after {low_load:?} at low load, {high_load:?} at high load"
+    );
 }
 
-/// Checkout waits while catalogue renders are served.
-/// Renders came first and fill the queue; the buyer's request stands behind them.
+/// Guards against a checkout that waits while catalogue renders are served: the renders arrived
+/// first and fill the queue, and the request of the buyer is behind them.
 #[test]
-fn a_critical_request_goes_before_all_that_may_wait() {
+fn a_critical_request_precedes_all_delayable_requests() {
     let mut rng = rng();
     let mut routes = routes(vec![backend(100), backend(101)]);
     let low = service(Priority::Low, vec![backend(100), backend(101)]);
@@ -114,7 +121,7 @@
     .collect();
     routes.services = services;
     let mut router = router(&routes);
-    let now = warm(&mut router, millis(0), 100, Duration::from_millis(100), &mut rng);
+    let now = answer_requests(&mut router, millis(0), 100, Duration::from_millis(100), &mut rng);
     let render = Call { service: name("render"), ..call(now) };
     let mut in_flight = Vec::new();
     while let Admission::Send(target) = router.offer(now, &render, &mut rng) {
@@ -122,66 +129,67 @@
     }
 
     // Renders leave a slot free on each server, so the first critical requests do not wait.
-    let critical = fill(&mut router, now, 2, &mut rng);
-    let ticket = waiting(router.offer(now, &call(now), &mut rng));
-    let grants = router.finish(now, in_flight[0].try_id, answered(7), &mut rng);
+    let critical = send_requests(&mut router, now, 2, &mut rng);
+    let ticket = expect_waiting(router.offer(now, &call(now), &mut rng));
+    let decisions = router.finish(now, in_flight[0].try_id, report_with_answer(7), &mut rng);
 
     assert_eq!(critical.len(), 2);
-    assert_eq!(sent_tickets(&grants), [ticket]);
+    assert_eq!(sent_tickets(&decisions), [ticket]);
 }
 
-/// One buyer's script sends a thousand requests, and every other buyer is refused.
-/// The queue is full of the script's requests when the others arrive.
+/// Guards against one caller that shuts out all others: a buyer's script sends a thousand requests,
+/// and the queue is full of them when other buyers' requests arrive.
 #[test]
-fn a_caller_that_floods_does_not_shut_others_out() {
+fn a_caller_that_floods_the_queue_does_not_block_other_callers() {
     let mut rng = rng();
-    let (mut router, now, targets) = busy(&mut rng);
+    let (mut router, now, targets) = busy_router(&mut rng);
     for _ in 0..1_000 {
-        router.offer(now, &from(1, now), &mut rng);
+        router.offer(now, &call_from(1, now), &mut rng);
     }
 
-    let quiet = waiting(router.offer(now, &from(2, now), &mut rng));
-    let first = router.finish(now, targets[0].try_id, answered(7), &mut rng);
-    let second = router.finish(now, targets[1].try_id, answered(7), &mut rng);
+    let other_caller = expect_waiting(router.offer(now, &call_from(2, now), &mut rng));
+    let first = router.finish(now, targets[0].try_id, report_with_answer(7), &mut rng);
+    let second = router.finish(now, targets[1].try_id, report_with_answer(7), &mut rng);
 
     let served = [sent_tickets(&first), sent_tickets(&second)].concat();
-    assert!(served.contains(&quiet));
+    assert!(served.contains(&other_caller));
 }
 
-/// A caller's word cannot make a delayable request go before a critical service's.
+/// The urgency that a caller declares cannot make a delayable request precede one of a critical
+/// service.
 #[test]
-fn urgency_ranks_within_a_priority_only() {
+fn urgency_only_ranks_requests_of_the_same_priority() {
     let mut rng = rng();
-    let (mut router, now, targets) = busy(&mut rng);
-    let low = Call { urgency: Urgency::Low, ..from(1, now) };
-    let urgent = Call { urgency: Urgency::Critical, ..from(2, now) };
-    waiting(router.offer(now, &low, &mut rng));
-    let second = waiting(router.offer(now, &urgent, &mut rng));
+    let (mut router, now, targets) = busy_router(&mut rng);
+    let low = Call { urgency: Urgency::Low, ..call_from(1, now) };
+    let urgent = Call { urgency: Urgency::Critical, ..call_from(2, now) };
+    expect_waiting(router.offer(now, &low, &mut rng));
+    let second = expect_waiting(router.offer(now, &urgent, &mut rng));
 
-    let grants = router.finish(now, targets[0].try_id, answered(7), &mut rng);
+    let decisions = router.finish(now, targets[0].try_id, report_with_answer(7), &mut rng);
 
-    assert_eq!(sent_tickets(&grants), [second]);
+    assert_eq!(sent_tickets(&decisions), [second]);
 }
 
 #[test]
-fn a_request_whose_turn_cannot_come_is_given_up_before_its_deadline() {
+fn a_queued_request_that_cannot_be_served_in_time_is_rejected_before_its_deadline() {
     let mut rng = rng();
-    let (mut router, now, _) = busy(&mut rng);
-    let ticket = waiting(router.offer(now, &call(now), &mut rng));
+    let (mut router, now, _) = busy_router(&mut rng);
+    let ticket = expect_waiting(router.offer(now, &call(now), &mut rng));
 
-    let grants = router.tick(now + Duration::from_millis(1_000), &mut rng);
+    let decisions = router.tick(now + Duration::from_millis(1_000), &mut rng);
 
-    assert!(matches!(grants[..], [QueueDecision::Reject(given_up, _)] if given_up == ticket));
+    assert!(matches!(decisions[..], [QueueDecision::Reject(given_up, _)] if given_up == ticket));
 }
 
 #[test]
-fn a_caller_that_leaves_gives_its_place_up() {
+fn a_cancelled_request_is_removed_from_the_queue() {
     let mut rng = rng();
-    let (mut router, now, targets) = busy(&mut rng);
-    let ticket = waiting(router.offer(now, &call(now), &mut rng));
+    let (mut router, now, targets) = busy_router(&mut rng);
+    let ticket = expect_waiting(router.offer(now, &call(now), &mut rng));
 
     router.cancel_waiting(ticket);
-    let grants = router.finish(now, targets[0].try_id, answered(7), &mut rng);
+    let decisions = router.finish(now, targets[0].try_id, report_with_answer(7), &mut rng);
 
-    assert!(grants.is_empty());
+    assert!(decisions.is_empty());
 }
