--- a/daisy-routing/tests/keys.rs
+++ b/daisy-routing/tests/keys.rs
@@ -1,8 +1,8 @@
-//! At most once: homes of keys, fences, handovers, and schedules of faults.
+//! At-most-once execution: homes of keys, fences, handovers, and random sequences of faults.
 
-#[path = "keys/home.rs"]
-mod home;
-#[path = "keys/schedule.rs"]
-mod schedule;
-#[path = "keys/world.rs"]
-mod world;
+#[path = "keys/random_faults.rs"]
+mod random_faults;
+#[path = "keys/simulation.rs"]
+mod simulation;
+#[path = "keys/single_fault.rs"]
+mod single_fault;
--- a/daisy-routing/tests/keys/world.rs
+++ b/daisy-routing/tests/keys/simulation.rs
@@ -1,5 +1,5 @@
-//! Entry VMs of three data centres with a network that loses, delays and cuts, and callers that
-//! number their attempts.
+//! Simulation of entry VMs in three data centres, of a network that loses, delays and cuts
+//! messages, and of callers that number their attempts.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 
 /// The retry window of the tests.
 pub const WINDOW: Duration = Duration::from_secs(20);
-/// One step of a world.
+/// Duration of one simulation step.
 pub const STEP: Duration = Duration::from_millis(100);
-/// Silence after which an entry VM is taken for dead, as in the default settings.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Time without a heartbeat after which an entry VM is treated as lost, as in the default settings.
+const LOST_AFTER: Duration = Duration::from_secs(2);
 /// How long a claim may run.
-const HOLD: Duration = Duration::from_secs(3);
-/// How long an answer is waited for.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of a query.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
 pub struct Node {
@@ -27,12 +27,12 @@
     pub alive: bool,
     pub frozen: bool,
     pub leaving: bool,
-    heard: SortedMap<VmId, Instant>,
+    last_heartbeats: SortedMap<VmId, Instant>,
     listed: Vec<(DcId, VmId)>,
 }
 
-/// The attempt that waits for an answer, and which of its questions it answers.
-struct Waiter {
+/// The attempt that waits for an answer, and the index of the query that the answer belongs to.
+struct PendingQuery {
     attempt: usize,
     question: usize,
     claim: ClaimId,
@@ -42,7 +42,7 @@
     from: VmId,
     to: VmId,
     query: KeyQuery,
-    waiter: Option<Waiter>,
+    pending_query: Option<PendingQuery>,
     sent: Instant,
 }
 
@@ -58,13 +58,13 @@
     claim: ClaimId,
     repeated: bool,
     phase: Phase,
-    asked: Instant,
+    asked_at: Instant,
     answers: Vec<Option<KeyAnswer>>,
     expected: usize,
-    begun: Instant,
+    started_at: Instant,
 }
 
-/// How an attempt ended, for tests that look at one.
+/// How an attempt ended, for tests that check a single attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ended {
     Ran,
@@ -72,21 +72,21 @@
     Stopped,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Instant,
     pub nodes: Vec<Node>,
-    /// The platform's list, with the time at which a dead VM leaves it.
-    list: Vec<(DcId, VmId, Option<Instant>)>,
-    net: Vec<Message>,
+    /// The platform's VM list, with the time at which a killed VM is removed from it.
+    vm_list: Vec<(DcId, VmId, Option<Instant>)>,
+    network: Vec<Message>,
     attempts: Vec<Attempt>,
     pub ended: Vec<Ended>,
     pub runs: SortedMap<KeyId, u32>,
     pub cuts: Vec<(VmId, VmId)>,
     pub rng: fastrand::Rng,
-    /// Of a hundred messages, so many are lost.
-    pub loss: u8,
-    /// Of a hundred messages in flight, so many arrive in a step.
-    pub speed: u8,
+    /// Percentage of messages that are lost.
+    pub loss_percent: u8,
+    /// Percentage of messages in flight that arrive in each step.
+    pub delivery_percent: u8,
     next_vm: u32,
 }
 
@@ -94,36 +94,37 @@
     KeyId { service: Name::new("quote").unwrap(), key: format!("order-{number}").into() }
 }
 
-impl World {
-    /// `per_dc` entry VMs in each of three data centres, long enough there to vouch.
-    pub fn new(seed: u64, per_dc: u32) -> World {
-        let mut world = World {
+impl Simulation {
+    /// Creates a simulation with `per_dc` entry VMs in each of three data centres, which have run
+    /// long enough for a complete history.
+    pub fn new(seed: u64, per_dc: u32) -> Simulation {
+        let mut sim = Simulation {
             now: Instant::default(),
             nodes: Vec::new(),
-            list: Vec::new(),
-            net: Vec::new(),
+            vm_list: Vec::new(),
+            network: Vec::new(),
             attempts: Vec::new(),
             ended: Vec::new(),
             runs: SortedMap::new(),
             cuts: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
-            loss: 0,
-            speed: 100,
+            loss_percent: 0,
+            delivery_percent: 100,
             next_vm: 0,
         };
         for dc in 0..3 {
             for _ in 0..per_dc {
-                world.join(DcId(dc));
+                sim.join(DcId(dc));
             }
         }
-        world.pass(WINDOW + Duration::from_secs(10));
-        world
+        sim.advance(WINDOW + Duration::from_secs(10));
+        sim
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.step();
+            self.advance_one_step();
         }
     }
 
@@ -138,10 +139,10 @@
             alive: true,
             frozen: false,
             leaving: false,
-            heard: SortedMap::new(),
+            last_heartbeats: SortedMap::new(),
             listed: Vec::new(),
         });
-        self.list.push((dc, vm, None));
+        self.vm_list.push((dc, vm, None));
         vm
     }
 
@@ -152,17 +153,18 @@
     pub fn kill(&mut self, vm: VmId) {
         let unlisted = self.now + Duration::from_secs(self.rng.u64(1..6));
         self.node(vm).alive = false;
-        self.unlist(vm, unlisted);
+        self.schedule_unlisting(vm, unlisted);
     }
 
-    fn unlist(&mut self, vm: VmId, at: Instant) {
-        if let Some(entry) = self.list.iter_mut().find(|(_, other, _)| *other == vm) {
+    fn schedule_unlisting(&mut self, vm: VmId, at: Instant) {
+        if let Some(entry) = self.vm_list.iter_mut().find(|(_, other, _)| *other == vm) {
             entry.2 = Some(at);
         }
     }
 
-    /// A planned stop: keys handed over, then the end once the messages had time to arrive.
-    pub fn leave(&mut self, vm: VmId) {
+    /// Starts a planned stop: the keys are handed over. The test ends the entry VM once the messages
+    /// have had time to arrive.
+    pub fn stop_planned(&mut self, vm: VmId) {
         let now = self.now;
         let node = self.node(vm);
         node.leaving = true;
@@ -170,8 +172,8 @@
         self.send_all(vm, handovers);
     }
 
-    /// A caller sends an attempt to the entry VM `at`.
-    pub fn call(&mut self, at: VmId, key: KeyId, repeated: bool) -> usize {
+    /// Sends an attempt of a caller to the entry VM `at`; returns its index.
+    pub fn send_attempt(&mut self, at: VmId, key: KeyId, repeated: bool) -> usize {
         let claim = ClaimId(self.rng.u64(..));
         self.attempts.push(Attempt {
             at,
@@ -179,67 +181,70 @@
             claim,
             repeated,
             phase: Phase::Home,
-            asked: self.now,
+            asked_at: self.now,
             answers: Vec::new(),
             expected: 1,
-            begun: self.now,
+            started_at: self.now,
         });
         self.ended.push(Ended::Stopped);
         let id = self.attempts.len() - 1;
-        self.ask_home(id);
+        self.query_home(id);
         id
     }
 
-    /// The home of `key` in `dc`, as a node that is well sees it.
+    /// Returns the home of `key` in `dc` as a healthy node sees it.
     pub fn home(&mut self, dc: DcId, key: &KeyId) -> VmId {
         let at = self.nodes.iter().find(|node| node.dc == dc && node.alive && !node.frozen);
         at.unwrap().table.candidate_homes(dc, key)[0]
     }
 
-    pub fn runs_of(&self, key: &KeyId) -> u32 {
+    pub fn run_count(&self, key: &KeyId) -> u32 {
         self.runs.get(key).copied().unwrap_or(0)
     }
 
-    pub fn step(&mut self) {
+    pub fn advance_one_step(&mut self) {
         self.now = self.now + STEP;
         let now = self.now;
-        self.list.retain(|(_, _, gone)| gone.is_none_or(|at| now < at));
-        self.heartbeats();
-        self.views();
+        self.vm_list.retain(|(_, _, gone)| gone.is_none_or(|at| now < at));
+        self.exchange_heartbeats();
+        self.update_views();
         self.deliver();
-        self.timeouts();
+        self.apply_timeouts();
     }
 
     fn is_cut(&self, a: VmId, b: VmId) -> bool {
         self.cuts.contains(&(a, b)) || self.cuts.contains(&(b, a))
     }
 
-    fn heartbeats(&mut self) {
+    fn exchange_heartbeats(&mut self) {
         let up: Vec<VmId> =
             self.nodes.iter().filter(|n| n.alive && !n.frozen).map(|n| n.vm).collect();
         for from in &up {
             for to in &up {
                 if from != to && !self.is_cut(*from, *to) {
                     let now = self.now;
-                    self.node(*to).heard.insert(*from, now);
+                    self.node(*to).last_heartbeats.insert(*from, now);
                 }
             }
         }
     }
 
-    /// Each node reads the list about once a second and judges liveness by its own ear.
-    fn views(&mut self) {
+    /// Lets each node read the VM list about once a second and judge liveness by the heartbeats
+    /// that it has received.
+    fn update_views(&mut self) {
         let now = self.now;
-        let list: Vec<(DcId, VmId)> = self.list.iter().map(|(dc, vm, _)| (*dc, *vm)).collect();
+        let vm_list: Vec<(DcId, VmId)> =
+            self.vm_list.iter().map(|(dc, vm, _)| (*dc, *vm)).collect();
         let mut handovers = Vec::new();
         for node in self.nodes.iter_mut().filter(|node| node.alive && !node.frozen) {
             if node.listed.is_empty() || self.rng.u8(..10) == 0 {
-                node.listed = list.clone();
+                node.listed = vm_list.clone();
             }
-            let heard = |vm: &VmId| {
-                *vm == node.vm || node.heard.get(vm).is_some_and(|at| now.since(*at) < SILENCE)
+            let is_live = |vm: &VmId| {
+                *vm == node.vm
+                    || node.last_heartbeats.get(vm).is_some_and(|at| now.since(*at) < LOST_AFTER)
             };
-            let live = node.listed.iter().filter(|(_, vm)| heard(vm)).copied().collect();
+            let live = node.listed.iter().filter(|(_, vm)| is_live(vm)).copied().collect();
             let routes = routes(node.dc, live, node.listed.clone());
             let from = node.vm;
             for message in node.table.set_routes(now, &routes) {
@@ -257,52 +262,52 @@
         }
     }
 
-    fn send(&mut self, from: VmId, to: VmId, query: KeyQuery, waiter: Option<Waiter>) {
-        self.net.push(Message { from, to, query, waiter, sent: self.now });
+    fn send(&mut self, from: VmId, to: VmId, query: KeyQuery, pending_query: Option<PendingQuery>) {
+        self.network.push(Message { from, to, query, pending_query, sent: self.now });
     }
 
     fn deliver(&mut self) {
-        let mut waiting = std::mem::take(&mut self.net);
+        let mut waiting = std::mem::take(&mut self.network);
         while !waiting.is_empty() {
             let message = waiting.swap_remove(self.rng.usize(..waiting.len()));
             let local = message.from == message.to;
-            if !local && self.rng.u8(..100) >= self.speed {
-                self.net.push(message);
+            if !local && self.rng.u8(..100) >= self.delivery_percent {
+                self.network.push(message);
                 continue;
             }
             let old = self.now.since(message.sent) > Duration::from_secs(5);
-            let lost = !local && (old || self.rng.u8(..100) < self.loss);
+            let lost = !local && (old || self.rng.u8(..100) < self.loss_percent);
             if !lost && !self.is_cut(message.from, message.to) {
-                self.arrive(message);
+                self.receive(message);
             }
         }
     }
 
-    fn arrive(&mut self, message: Message) {
-        let Message { from, to, query, waiter, sent } = message;
+    fn receive(&mut self, message: Message) {
+        let Message { from, to, query, pending_query, sent } = message;
         let now = self.now;
         let Some(node) = self.nodes.iter_mut().find(|node| node.vm == to) else { return };
         if !node.alive {
             return;
         }
         if node.frozen {
-            self.net.push(Message { from, to, query, waiter, sent });
+            self.network.push(Message { from, to, query, pending_query, sent });
             return;
         }
         let answer = node.table.handle(now, from, query);
-        // The answer may be lost after its effect.
-        if from != to && self.rng.u8(..100) < self.loss {
+        // The answer may be lost after the query has taken effect.
+        if from != to && self.rng.u8(..100) < self.loss_percent {
             return;
         }
-        if let Some(waiter) = waiter {
-            self.answered(waiter, answer);
+        if let Some(pending_query) = pending_query {
+            self.record_answer(pending_query, answer);
         }
     }
 
-    fn answered(&mut self, waiter: Waiter, answer: KeyAnswer) {
-        let Waiter { attempt: id, question, claim } = waiter;
+    fn record_answer(&mut self, pending_query: PendingQuery, answer: KeyAnswer) {
+        let PendingQuery { attempt: id, question, claim } = pending_query;
         let attempt = &mut self.attempts[id];
-        // An answer to a wish that was given up reaches nobody.
+        // An answer to a claim that was given up is ignored.
         if attempt.claim != claim {
             return;
         }
@@ -318,24 +323,24 @@
         attempt.answers[slot] = Some(answer);
         let complete = attempt.answers.iter().all(Option::is_some);
         if complete {
-            self.decide(id);
+            self.take_next_step(id);
         }
     }
 
-    fn timeouts(&mut self) {
+    fn apply_timeouts(&mut self) {
         for id in 0..self.attempts.len() {
             let at = self.attempts[id].at;
             let node = self.node(at);
             let up = node.alive && !node.frozen;
             let attempt = &self.attempts[id];
-            let late = self.now.since(attempt.asked) >= TIMEOUT;
-            if up && late && !matches!(attempt.phase, Phase::Done) {
-                self.decide(id);
+            let is_timed_out = self.now.since(attempt.asked_at) >= TIMEOUT;
+            if up && is_timed_out && !matches!(attempt.phase, Phase::Done) {
+                self.take_next_step(id);
             }
         }
     }
 
-    fn decide(&mut self, id: usize) {
+    fn take_next_step(&mut self, id: usize) {
         let attempt = &mut self.attempts[id];
         let answers = std::mem::take(&mut attempt.answers);
         let step = match attempt.phase {
@@ -345,18 +350,18 @@
             Phase::Others => next_step_after_other_dcs(answers, attempt.repeated),
             Phase::Done => return,
         };
-        let too_late = self.now.since(attempt.begun) >= HOLD;
+        let too_late = self.now.since(attempt.started_at) >= CLAIM_TIMEOUT;
         match step {
-            // The deadline is looked at right before the request is sent.
+            // The deadline is checked right before the request is sent.
             KeyStep::Run if !too_late => self.run(id),
-            KeyStep::QueryOtherDcs if !too_late => self.ask_others(id),
+            KeyStep::QueryOtherDcs if !too_late => self.query_other_dcs(id),
             KeyStep::Replay(answer) => self.end(id, Ended::Replayed, ClaimEnd::Answered(answer)),
             KeyStep::Wait(_) if !too_late => {
                 if matches!(self.attempts[id].phase, Phase::Others) {
                     self.finish(id, ClaimEnd::NotRun);
                     self.attempts[id].claim = ClaimId(self.rng.u64(..));
                 }
-                self.ask_home(id);
+                self.query_home(id);
             }
             _ => self.end(id, Ended::Stopped, ClaimEnd::NotRun),
         }
@@ -387,11 +392,11 @@
         }
     }
 
-    fn ask_home(&mut self, id: usize) {
+    fn query_home(&mut self, id: usize) {
         let now = self.now;
         let attempt = &mut self.attempts[id];
         attempt.phase = Phase::Home;
-        attempt.asked = now;
+        attempt.asked_at = now;
         attempt.answers = vec![None];
         let Attempt { at, ref key, claim, repeated, .. } = *attempt;
         let query = KeyQuery::Claim {
@@ -399,17 +404,17 @@
             request_digest: 0,
             claim,
             repeated,
-            claim_timeout: HOLD,
+            claim_timeout: CLAIM_TIMEOUT,
         };
         let key = key.clone();
         let node = self.node(at);
         let dc = node.dc;
         if let Some(home) = node.table.candidate_homes(dc, &key).first().copied() {
-            self.send(at, home, query, Some(Waiter { attempt: id, question: 0, claim }));
+            self.send(at, home, query, Some(PendingQuery { attempt: id, question: 0, claim }));
         }
     }
 
-    fn ask_others(&mut self, id: usize) {
+    fn query_other_dcs(&mut self, id: usize) {
         let now = self.now;
         let Attempt { at, ref key, claim, .. } = self.attempts[id];
         let key = key.clone();
@@ -421,11 +426,11 @@
             .collect();
         let attempt = &mut self.attempts[id];
         attempt.phase = Phase::Others;
-        attempt.asked = now;
+        attempt.asked_at = now;
         attempt.expected = candidate_homes.len();
         attempt.answers = vec![None; candidate_homes.len()];
         if candidate_homes.is_empty() {
-            return self.decide(id);
+            return self.take_next_step(id);
         }
         for (question, home) in candidate_homes.into_iter().enumerate() {
             let query = KeyQuery::Fence { key: key.clone(), request_digest: 0 };
@@ -434,7 +439,7 @@
                     at,
                     home,
                     query,
-                    Some(Waiter { attempt: id, question: question + 1, claim }),
+                    Some(PendingQuery { attempt: id, question: question + 1, claim }),
                 );
             }
         }
