--- a/daisy-routing/src/router.rs
+++ b/daisy-routing/src/router.rs
@@ -87,8 +87,7 @@
             return reject(RejectReason::Deadline, service.retry_after(now, rng));
         }
         let rank = rank(service.priority, call.urgency);
-        let pending =
-            PendingSend { key, call, ticket: None, max_distance: max_distance, exclude: &[] };
+        let pending = PendingSend { key, call, ticket: None, max_distance, exclude: &[] };
         if !self.queue.has_waiting_at_or_above(key, rank)
             && let Some(target) = self.try_send(now, pending, rng)
         {
--- a/daisy-routing/tests/keys/random_faults.rs
+++ b/daisy-routing/tests/keys/random_faults.rs
@@ -41,7 +41,8 @@
     CutPair,
     CutDc,
     Heal,
-    NoFault,
+    /// No fault.
+    Skip,
 }
 
 impl Arbitrary for Fault {
@@ -58,7 +59,7 @@
             Fault::CutDc,
             Fault::Heal,
             Fault::Heal,
-            Fault::NoFault,
+            Fault::Skip,
         ];
         *g.choose(&faults).unwrap()
     }
@@ -135,7 +136,7 @@
     for step in 0..STEPS_PER_RUN {
         if step % 5 == 0 {
             let fault =
-                if bool::arbitrary(&mut g) { Fault::NoFault } else { Fault::arbitrary(&mut g) };
+                if bool::arbitrary(&mut g) { Fault::Skip } else { Fault::arbitrary(&mut g) };
             apply_fault(&mut sim, fault);
         }
         stop_leaving_nodes(&mut sim);
