--- a/daisy-entry/src/proxy/answer.rs
+++ b/daisy-entry/src/proxy/answer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_routing::{KeyStop, Reason, Refusal};
+use daisy_routing::{KeyDenial, RejectReason, Rejection};
 use daisy_wire::headers;
 use http::{HeaderValue, Response, StatusCode, header::RETRY_AFTER};
 
@@ -60,17 +60,17 @@
     }
 
     /// Why a keyed request does not run in this attempt.
-    pub(super) fn from_key(stop: KeyStop, not_run: bool) -> Failure {
+    pub(super) fn from_key(stop: KeyDenial, not_run: bool) -> Failure {
         let outcome = if not_run { Outcome::NotRun } else { Outcome::Unknown };
         let (status, reason) = match stop {
-            KeyStop::Unknown => (StatusCode::CONFLICT, "key-unknown"),
-            KeyStop::Running => (StatusCode::CONFLICT, "key-in-progress"),
-            KeyStop::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, "key-reused"),
-            KeyStop::Full => (StatusCode::SERVICE_UNAVAILABLE, "keys-full"),
-            KeyStop::Settling => (StatusCode::SERVICE_UNAVAILABLE, "key-home-settling"),
-            KeyStop::Unreachable => (StatusCode::SERVICE_UNAVAILABLE, "key-home-unreachable"),
+            KeyDenial::Unknown => (StatusCode::CONFLICT, "key-unknown"),
+            KeyDenial::Running => (StatusCode::CONFLICT, "key-in-progress"),
+            KeyDenial::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, "key-reused"),
+            KeyDenial::Full => (StatusCode::SERVICE_UNAVAILABLE, "keys-full"),
+            KeyDenial::Settling => (StatusCode::SERVICE_UNAVAILABLE, "key-home-settling"),
+            KeyDenial::Unreachable => (StatusCode::SERVICE_UNAVAILABLE, "key-home-unreachable"),
         };
-        let final_word = matches!(stop, KeyStop::Unknown | KeyStop::Mismatch);
+        let final_word = matches!(stop, KeyDenial::Unknown | KeyDenial::Mismatch);
         let retry_after = (!final_word).then_some(KEY_RETRY);
         Failure { retry_after, ..Failure::new(status, outcome, reason) }
     }
@@ -99,17 +99,17 @@
     }
 }
 
-impl From<Refusal> for Failure {
-    fn from(refusal: Refusal) -> Failure {
-        let Refusal { reason, retry_after } = refusal;
+impl From<Rejection> for Failure {
+    fn from(rejection: Rejection) -> Failure {
+        let Rejection { reason, retry_after } = rejection;
         match reason {
-            Reason::UnknownService => {
+            RejectReason::UnknownService => {
                 Failure::new(StatusCode::NOT_FOUND, Outcome::NotRun, "unknown-service")
             }
-            Reason::NoBackend => Failure::later(Outcome::NotRun, "no-backend", retry_after),
-            Reason::Deadline => Failure::later(Outcome::NotRun, "deadline", retry_after),
-            Reason::Overload => Failure::later(Outcome::NotRun, "overload", retry_after),
-            Reason::Draining => Failure::later(Outcome::NotRun, "draining", retry_after),
+            RejectReason::NoBackend => Failure::later(Outcome::NotRun, "no-backend", retry_after),
+            RejectReason::Deadline => Failure::later(Outcome::NotRun, "deadline", retry_after),
+            RejectReason::Overload => Failure::later(Outcome::NotRun, "overload", retry_after),
+            RejectReason::Draining => Failure::later(Outcome::NotRun, "draining", retry_after),
         }
     }
 }
--- /dev/null
+++ b/daisy-routing/src/key_step.rs
@@ -0,0 +1,104 @@
+//! The next step of a keyed request, decided from the answers of the homes of its key.
+
+use crate::{KeyAnswer, StoredAnswer};
+
+/// The next step of a keyed request.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum KeyStep {
+    /// The request may run.
+    Run,
+    /// The homes of the key in the other data centres must be queried first.
+    QueryOtherDcs,
+    /// The request has run before; return this stored answer.
+    Replay(StoredAnswer),
+    /// Another attempt is running, or a home is not available yet: query again after a short delay.
+    Wait(KeyDenial),
+    /// The request must not run.
+    Stop(KeyDenial),
+}
+
+/// Why a keyed request does not run in this attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum KeyDenial {
+    /// It is not known whether an earlier attempt ran.
+    Unknown,
+    /// An earlier attempt is still running.
+    Running,
+    /// The key was already used for a different request.
+    Mismatch,
+    /// The home stores as many keys as its limit allows.
+    Full,
+    /// The entry VM became the home only recently and does not grant claims yet.
+    Settling,
+    /// The home did not answer.
+    Unreachable,
+}
+
+impl KeyDenial {
+    /// Returns whether the caller's request is proven not to have run.
+    ///
+    /// Prevents a caller from sending an order under a new key after it has already run: for a
+    /// repeated attempt, the outcome of this attempt proves nothing, because an earlier attempt may
+    /// have run.
+    pub fn proves_not_run(self, repeated: bool) -> bool {
+        let not_run = matches!(
+            self,
+            KeyDenial::Mismatch | KeyDenial::Full | KeyDenial::Settling | KeyDenial::Unreachable
+        );
+        not_run && !repeated
+    }
+}
+
+/// Returns the next step after the answer of the home in the local data centre; `None` means that
+/// it did not answer.
+pub fn next_step_after_home(answer: Option<KeyAnswer>, repeated: bool) -> KeyStep {
+    match answer {
+        Some(KeyAnswer::Granted) if repeated => KeyStep::QueryOtherDcs,
+        Some(KeyAnswer::Conditional) => KeyStep::QueryOtherDcs,
+        Some(KeyAnswer::Granted) => KeyStep::Run,
+        Some(KeyAnswer::Answered(answer)) => KeyStep::Replay(answer),
+        Some(KeyAnswer::Running) => KeyStep::Wait(KeyDenial::Running),
+        Some(KeyAnswer::Mismatch) => KeyStep::Stop(KeyDenial::Mismatch),
+        Some(KeyAnswer::Full) => KeyStep::Stop(KeyDenial::Full),
+        Some(KeyAnswer::Settling | KeyAnswer::NotHome) => KeyStep::Wait(KeyDenial::Settling),
+        Some(
+            KeyAnswer::Unknown
+            | KeyAnswer::Fenced
+            | KeyAnswer::AlreadyFenced
+            | KeyAnswer::Acknowledged,
+        ) => KeyStep::Stop(KeyDenial::Unknown),
+        None => KeyStep::Wait(KeyDenial::Unreachable),
+    }
+}
+
+/// Returns the next step after the answers of the homes in the other data centres, one answer for
+/// each data centre.
+///
+/// Prevents a request from running in two data centres: it runs only if every other data centre has
+/// confirmed that the request has not run there and never will. A data centre that does not answer
+/// may have run it.
+///
+/// For a first attempt whose local home has an incomplete history, a fence that existed before is
+/// no such confirmation: a repeated attempt may have set that fence and then run in this data
+/// centre. If there is no other data centre, there is no confirmation for such a first attempt
+/// either.
+pub fn next_step_after_other_dcs(answers: Vec<Option<KeyAnswer>>, repeated: bool) -> KeyStep {
+    if answers.is_empty() && !repeated {
+        return KeyStep::Stop(KeyDenial::Unknown);
+    }
+    let mut step = KeyStep::Run;
+    for answer in answers {
+        let next = match answer {
+            Some(KeyAnswer::Fenced) => KeyStep::Run,
+            Some(KeyAnswer::AlreadyFenced) if repeated => KeyStep::Run,
+            Some(KeyAnswer::Answered(answer)) => return KeyStep::Replay(answer),
+            Some(KeyAnswer::Running) => KeyStep::Wait(KeyDenial::Running),
+            Some(KeyAnswer::Mismatch) => KeyStep::Stop(KeyDenial::Mismatch),
+            _ => KeyStep::Stop(KeyDenial::Unknown),
+        };
+        if step == KeyStep::Run || matches!(next, KeyStep::Stop(_)) {
+            step = if next == KeyStep::Run { step } else { next };
+        }
+    }
+    step
+}
--- /dev/null
+++ b/daisy-routing/src/keys/history.rs
@@ -0,0 +1,186 @@
+//! Whether the history of a home is complete.
+//!
+//! A home that has not seen a key says so only if no other entry VM can have granted it within the
+//! retry window: this process has run all the time and was not frozen, and every other entry VM of
+//! the data centre is in contact or has handed its keys over.
+
+use std::time::Duration;
+
+use daisy_model::{Instant, VmId};
+
+use crate::keys::membership::Membership;
+
+/// A pause between two observations that is treated as a freeze. Far shorter than the time after
+/// which peers treat a silent entry VM as lost (2 s), so that they cannot have replaced this one
+/// unnoticed.
+const MAX_OBSERVATION_GAP: Duration = Duration::from_millis(500);
+/// How long a new home waits for the keys of entry VMs that started earlier. Longer than peers need
+/// to learn of it from the VM list (about 1 s) and to treat it as missing (2 s).
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+
+/// Summary of its own history that an entry VM sends with its handover.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct HistorySummary {
+    /// Whether its history is complete for the whole retry window.
+    pub(super) complete_in_window: bool,
+    /// Whether the only gap in its history is the time before its own start.
+    pub(super) only_gap_is_before_start: bool,
+    /// Whether it is stopping.
+    pub(super) leaving: bool,
+}
+
+/// The home's knowledge of the gaps in its own history.
+#[derive(Debug)]
+pub(super) struct History {
+    /// The time since which the history has no gap; `None` if it has none at all.
+    gap_free_since: Option<Instant>,
+    /// Whether the only gap is the time before the start of this process.
+    only_gap_is_before_start: bool,
+    /// Whether a listed entry VM currently does not answer.
+    any_member_missing: bool,
+    last_observed: Instant,
+    /// The time of the first update after the VM list was read.
+    first_view_at: Option<Instant>,
+    /// Entry VMs that started earlier and have not handed over yet.
+    awaiting_handover: Vec<VmId>,
+    /// Entry VMs that have handed over.
+    handover_sources: Vec<VmId>,
+    /// Whether the history of one of them was complete for the whole retry window.
+    has_complete_source: bool,
+    /// Whether the only gap in the history of all of them was the time before their own start.
+    all_sources_new: bool,
+    /// Members at the last update, without this one.
+    last_members: Vec<VmId>,
+    /// Entry VMs that have handed over and are stopping.
+    departed: Vec<VmId>,
+}
+
+impl History {
+    /// Creates the history of a process that starts at `now`.
+    pub(super) fn new(now: Instant) -> History {
+        History {
+            gap_free_since: Some(now),
+            only_gap_is_before_start: true,
+            any_member_missing: false,
+            last_observed: now,
+            first_view_at: None,
+            awaiting_handover: Vec::new(),
+            handover_sources: Vec::new(),
+            has_complete_source: false,
+            all_sources_new: true,
+            last_members: Vec::new(),
+            departed: Vec::new(),
+        }
+    }
+
+    /// Records the time of an observation. Detects a freeze of this process by the gap between two
+    /// observations: its peers may have treated it as lost and another entry VM may have become the
+    /// home, which this one does not know when it resumes.
+    pub(super) fn observe_time(&mut self, now: Instant) {
+        if now.since(self.last_observed) > MAX_OBSERVATION_GAP {
+            self.record_gap(now);
+        }
+        self.last_observed = self.last_observed.max(now);
+    }
+
+    /// Applies a new membership, in which `joined` are the entry VMs that are new.
+    pub(super) fn update_members(
+        &mut self,
+        now: Instant,
+        me: VmId,
+        membership: &Membership,
+        joined: &[VmId],
+    ) {
+        let members = membership.peers(me);
+        if self.first_view_at.is_none() && membership.is_vm_list_read() {
+            self.first_view_at = Some(now);
+            // Entry VMs that saw this one before it had read the VM list may already have handed
+            // over.
+            self.awaiting_handover = membership.listed(me);
+            self.awaiting_handover.retain(|vm| !self.handover_sources.contains(vm));
+        }
+        let lost = |vm: &&VmId| !members.contains(vm) && !self.departed.contains(vm);
+        let any_lost = self.last_members.iter().any(|vm| lost(&vm));
+        let any_member_missing = membership.is_member_missing(now, me);
+        let listed = membership.listed(me);
+        self.handover_sources.retain(|vm| listed.contains(vm));
+        let any_unlisted = self.awaiting_handover.iter().any(|vm| !listed.contains(vm));
+        self.awaiting_handover.retain(|vm| listed.contains(vm));
+        // Detects a partition within the data centre: the other side may have made another entry VM
+        // the home, which continues to grant claims there. Also detects an entry VM that started
+        // earlier and died without a handover: what it had granted is known to nobody, including
+        // entry VMs that do not know of its death yet and treat their history as complete.
+        if any_lost || any_unlisted || any_member_missing || self.any_member_missing {
+            self.record_gap(now);
+        }
+        self.any_member_missing = any_member_missing;
+        self.departed.retain(|vm| !joined.contains(vm) && membership.is_listed_or_live(*vm));
+        self.last_members = members;
+        self.complete_after_handovers();
+    }
+
+    /// Records that `from` has handed over all keys that it has for this home.
+    pub(super) fn record_handover(&mut self, now: Instant, from: VmId, summary: HistorySummary) {
+        let HistorySummary { complete_in_window, only_gap_is_before_start, leaving } = summary;
+        self.awaiting_handover.retain(|vm| *vm != from);
+        self.handover_sources.push(from);
+        self.has_complete_source |= complete_in_window;
+        self.all_sources_new &= only_gap_is_before_start;
+        self.departed.retain(|vm| *vm != from);
+        if leaving {
+            self.departed.push(from);
+            // An entry VM whose only gap is before its own start cannot have granted anything in
+            // that time.
+            if !complete_in_window && !only_gap_is_before_start {
+                self.record_gap(now);
+            }
+        }
+        self.complete_after_handovers();
+    }
+
+    /// Returns whether claims may be granted: the entry VMs that started earlier have handed over,
+    /// or have had enough time to learn of this home.
+    pub(super) fn is_settled(&self, now: Instant) -> bool {
+        let waited = self.first_view_at.is_some_and(|at| now.since(at) >= SETTLE_TIME);
+        self.first_view_at.is_some() && (self.awaiting_handover.is_empty() || waited)
+    }
+
+    /// Returns whether the history has no gap within `retry_window`.
+    pub(super) fn is_complete(&self, now: Instant, retry_window: Duration) -> bool {
+        !self.any_member_missing
+            && self.gap_free_since.is_none_or(|at| now.since(at) >= retry_window)
+    }
+
+    /// Returns whether the only gap is the time before the start of this process.
+    pub(super) fn only_gap_is_before_start(&self) -> bool {
+        self.only_gap_is_before_start
+    }
+
+    /// Returns whether every entry VM of the data centre has just started, so that none can hold a
+    /// request that was sent earlier: callers close the connection of an attempt before they repeat
+    /// it.
+    pub(super) fn is_cold_start(&self) -> bool {
+        self.only_gap_is_before_start
+            && self.all_sources_new
+            && self.first_view_at.is_some()
+            && self.awaiting_handover.is_empty()
+    }
+
+    /// Marks the history of a new process as complete once all earlier entry VMs have handed over
+    /// and one of them has a complete history.
+    fn complete_after_handovers(&mut self) {
+        if self.only_gap_is_before_start
+            && self.has_complete_source
+            && self.first_view_at.is_some()
+            && self.awaiting_handover.is_empty()
+        {
+            self.gap_free_since = None;
+            self.only_gap_is_before_start = false;
+        }
+    }
+
+    fn record_gap(&mut self, now: Instant) {
+        self.gap_free_since = Some(now);
+        self.only_gap_is_before_start = false;
+    }
+}
--- a/daisy-routing/src/lib.rs
+++ b/daisy-routing/src/lib.rs
@@ -1,18 +1,20 @@
-//! Which backend server answers a request: admission, limits, retries, at most once, drain.
+//! Chooses the backend server for each request: admission, concurrency limits, retries,
+//! at-most-once execution and drain.
 //!
-//! Decisions only; `daisy-entry` carries them out.
+//! This crate only takes decisions; `daisy-entry` carries them out.
 
 #![deny(missing_docs, unsafe_code)]
 
-mod attempt;
 mod budget;
 mod call;
 mod choose;
 mod digest;
+mod health;
 mod key;
+mod key_step;
 mod keys;
-mod learn;
 mod measure;
+mod outcome;
 mod queue;
 mod retry;
 mod router;
@@ -21,18 +23,21 @@
 mod service;
 pub mod share;
 mod slab;
-mod standing;
 mod update;
 
 pub use crate::{
-    attempt::{KeyStep, KeyStop, after_home, after_others},
-    call::{Call, CallerId, Grant, Offer, Reason, Refusal, Target, Ticket, TryId, Urgency},
+    call::{
+        Admission, Call, CallerId, QueueDecision, RejectReason, Rejection, Target, Ticket, TryId,
+        Urgency,
+    },
     digest::{digest, weight},
     key::{
-        ClaimEnd, ClaimId, ClaimKind, HandedKey, KeyAnswer, KeyId, KeyQuery, KeyState, StoredAnswer,
+        ClaimEnd, ClaimId, ClaimKind, KeyAnswer, KeyId, KeyQuery, KeyState, StoredAnswer,
+        TransferredKey,
     },
+    key_step::{KeyDenial, KeyStep, next_step_after_home, next_step_after_other_dcs},
     keys::{KeyLimits, KeyTable},
-    learn::{Report, TryEnd},
+    outcome::{TryOutcome, TryReport},
     router::Router,
     routes::{Backend, Routes, Service},
 };
--- a/daisy-routing/src/queue.rs
+++ b/daisy-routing/src/queue.rs
@@ -1,4 +1,4 @@
-//! The short queue of requests that wait for a slot.
+//! The short queue of requests that wait for a free slot.
 
 use std::cmp::Reverse;
 
@@ -6,48 +6,50 @@
 
 use crate::{Call, CallerId, Ticket, Urgency, service::ServiceKey};
 
-/// Requests that wait at one time, of all services together.
-pub(crate) const MAX_WAITING: usize = 1_024;
+/// Maximum number of waiting requests, over all services.
+pub(crate) const MAX_QUEUED: usize = 1_024;
 
-/// Who goes first: the service's priority, then the caller's word.
+/// The rank of a request: the priority of its service, then the urgency that its caller declares.
 ///
-/// The caller's word only ranks requests of equally important services: no caller can make a
-/// delayable service's request go before a critical one's.
+/// The declared urgency only ranks requests of services of the same priority: no caller can make a
+/// request of a delayable service precede one of a critical service.
 pub(crate) type Rank = (Priority, Urgency);
 
-/// Where a request stands: higher ranks first, then the caller that had least, then by arrival.
-type Place = (Reverse<Rank>, u64, Ticket);
+/// The sort key of a waiting request: higher ranks first, then the lower start tag (the caller that
+/// has been served least), then the order of arrival.
+type QueueOrder = (Reverse<Rank>, u64, Ticket);
 
-/// A request that waits.
+/// A request that waits in the queue.
 #[derive(Debug, Clone)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub(crate) ticket: Ticket,
     pub(crate) service: ServiceKey,
     pub(crate) rank: Rank,
     pub(crate) call: Call,
-    pub(crate) since: Instant,
-    turn: u64,
+    pub(crate) queued_at: Instant,
+    start_tag: u64,
 }
 
-impl Waiting {
-    fn place(&self) -> Place {
-        (Reverse(self.rank), self.turn, self.ticket)
+impl QueuedRequest {
+    fn order(&self) -> QueueOrder {
+        (Reverse(self.rank), self.start_tag, self.ticket)
     }
 }
 
-/// Requests that wait, in the order in which they go.
+/// Waiting requests in the order in which they are served.
 ///
-/// Fair between callers by start-time fair queueing: each request of a caller takes the turn after
-/// the caller's last one, and a caller that was idle starts at the turn being served.
+/// Fair between callers by start-time fair queueing: each request of a caller gets the start tag
+/// after that of the caller's previous request, and a caller that was idle starts at the current
+/// virtual time.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    waiting: Vec<Waiting>,
-    served: u64,
-    last_turns: SortedMap<(Rank, CallerId), u64>,
+    waiting: Vec<QueuedRequest>,
+    virtual_time: u64,
+    last_start_tags: SortedMap<(Rank, CallerId), u64>,
 }
 
 impl Queue {
-    /// Puts a request in.
+    /// Adds a request.
     pub(crate) fn push(
         &mut self,
         ticket: Ticket,
@@ -56,61 +58,61 @@
         call: Call,
         now: Instant,
     ) {
-        let last = self.last_turns.get_or_insert_with((rank, call.caller), || 0);
-        *last = (*last).max(self.served) + 1;
-        let turn = *last;
-        let waiting = Waiting { ticket, service, rank, call, since: now, turn };
-        let at = self.waiting.partition_point(|other| other.place() < waiting.place());
+        let last = self.last_start_tags.get_or_insert_with((rank, call.caller), || 0);
+        *last = (*last).max(self.virtual_time) + 1;
+        let start_tag = *last;
+        let waiting = QueuedRequest { ticket, service, rank, call, queued_at: now, start_tag };
+        let at = self.waiting.partition_point(|other| other.order() < waiting.order());
         self.waiting.insert(at, waiting);
     }
 
-    /// Whether a request of `rank` for `service` would wait behind another.
-    pub(crate) fn has_ahead(&self, service: ServiceKey, rank: Rank) -> bool {
+    /// Returns whether a request of `rank` for `service` would wait behind another one.
+    pub(crate) fn has_waiting_at_or_above(&self, service: ServiceKey, rank: Rank) -> bool {
         self.waiting.iter().any(|other| other.service == service && other.rank >= rank)
     }
 
-    /// Whether anything waits for `service`.
-    pub(crate) fn has(&self, service: ServiceKey) -> bool {
+    /// Returns whether any request for `service` is waiting.
+    pub(crate) fn has_waiting(&self, service: ServiceKey) -> bool {
         self.waiting.iter().any(|other| other.service == service)
     }
 
-    /// The request at `index` in the order of going.
-    pub(crate) fn get(&self, index: usize) -> Option<&Waiting> {
+    /// Returns the request at `index` in serving order.
+    pub(crate) fn get(&self, index: usize) -> Option<&QueuedRequest> {
         self.waiting.get(index)
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests in the order of going.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    /// Returns the waiting requests in serving order.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.waiting.iter()
     }
 
-    /// Takes the request at `index` out because its turn has come.
-    pub(crate) fn serve(&mut self, index: usize) -> Waiting {
+    /// Removes the request at `index` because it is served, and advances the virtual time.
+    pub(crate) fn take_served(&mut self, index: usize) -> QueuedRequest {
         let waiting = self.remove(index);
-        self.served = self.served.max(waiting.turn);
+        self.virtual_time = self.virtual_time.max(waiting.start_tag);
         waiting
     }
 
-    /// Takes the request at `index` out because it is given up.
-    pub(crate) fn remove(&mut self, index: usize) -> Waiting {
+    /// Removes the request at `index` without serving it.
+    pub(crate) fn remove(&mut self, index: usize) -> QueuedRequest {
         let waiting = self.waiting.remove(index);
         if self.waiting.is_empty() {
-            self.last_turns = SortedMap::new();
-            self.served = 0;
-        } else if self.last_turns.len() > 2 * MAX_WAITING {
-            let served = self.served;
-            self.last_turns.retain(|_, turn| *turn > served);
+            self.last_start_tags = SortedMap::new();
+            self.virtual_time = 0;
+        } else if self.last_start_tags.len() > 2 * MAX_QUEUED {
+            let virtual_time = self.virtual_time;
+            self.last_start_tags.retain(|_, start_tag| *start_tag > virtual_time);
         }
         waiting
     }
 
-    /// Takes a request out by its ticket.
-    pub(crate) fn try_forget(&mut self, ticket: Ticket) -> Option<Waiting> {
+    /// Removes a request by its ticket.
+    pub(crate) fn try_remove_ticket(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
         let index = self.waiting.iter().position(|other| other.ticket == ticket)?;
         Some(self.remove(index))
     }
--- a/daisy-routing/src/retry.rs
+++ b/daisy-routing/src/retry.rs
@@ -1,4 +1,4 @@
-//! Second tries: after a failure, or beside a first one that takes long.
+//! Second tries of a request: retries after a failure and hedges beside a slow first try.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 
 use crate::{
     Call, Router, Target,
-    router::Placing,
+    router::PendingSend,
     server::Distance,
     service::{ServiceKey, ServiceState},
 };
 
 impl Router {
-    /// A second try of a request whose first one failed; `None` when it must not have one.
+    /// Chooses the target of a second try after a failed one; `None` if none is allowed.
     ///
-    /// `tried` are the backend servers that it has been at. Only for requests that are idempotent
-    /// or proven not to have run.
+    /// `tried` are the backend servers that have already been tried. Must be called only for
+    /// requests that are idempotent or proven not to have run.
     pub fn retry(
         &mut self,
         now: Instant,
@@ -23,18 +23,23 @@
         tried: &[VmId],
         rng: &mut fastrand::Rng,
     ) -> Option<Target> {
-        let key = self.try_service(&call.service)?;
-        let farthest = self.reach(now, key, call);
-        self.try_again(now, Placing { key, call, ticket: None, farthest, exclude: tried }, rng)
+        let key = self.find_service(&call.service)?;
+        let max_distance = self.max_distance(now, key, call);
+        self.try_again(
+            now,
+            PendingSend { key, call, ticket: None, max_distance, exclude: tried },
+            rng,
+        )
     }
 
-    /// After how long a request deserves a second try beside its first; `None` for never.
+    /// Returns after how long a second try may be sent beside the first; `None` for never.
     pub fn hedge_after(&self, call: &Call) -> Option<Duration> {
-        let service = self.services.get(self.try_service(&call.service)?)?;
+        let service = self.services.get(self.find_service(&call.service)?)?;
         if call.idempotent { service.hedge_after() } else { None }
     }
 
-    /// A second try beside the first, in the own region only; `None` when it must not have one.
+    /// Chooses the target of a second try beside the first, in the local region only; `None` if
+    /// none is allowed.
     pub fn hedge(
         &mut self,
         now: Instant,
@@ -45,35 +50,39 @@
         if !call.idempotent {
             return None;
         }
-        let key = self.try_service(&call.service)?;
-        let farthest = Distance::Near;
-        self.try_again(now, Placing { key, call, ticket: None, farthest, exclude: tried }, rng)
+        let key = self.find_service(&call.service)?;
+        let max_distance = Distance::Near;
+        self.try_again(
+            now,
+            PendingSend { key, call, ticket: None, max_distance, exclude: tried },
+            rng,
+        )
     }
 
-    /// Guards against retries that keep an overload alive, which shows as a service that stays
-    /// slow long after its fault has gone: tries beyond the first are a share of recent successes,
-    /// and there are none while a first try waits.
+    /// Prevents retries from sustaining an overload, which shows as a service that stays slow long
+    /// after the fault that caused it has ended: further tries are limited to a share of recent
+    /// successes, and none are made while a first try is waiting.
     fn try_again(
         &mut self,
         now: Instant,
-        placing: Placing<'_>,
+        pending: PendingSend<'_>,
         rng: &mut fastrand::Rng,
     ) -> Option<Target> {
-        let in_time = placing.call.deadline.since(now) > self.typical_of(placing.key)?;
-        if !in_time || self.queue.has(placing.key) {
+        let in_time = pending.call.deadline.since(now) > self.typical_latency_of(pending.key)?;
+        if !in_time || self.queue.has_waiting(pending.key) {
             return None;
         }
-        if !self.services.get_mut(placing.key)?.retries.try_spend() {
+        if !self.services.get_mut(pending.key)?.retry_budget.try_spend() {
             return None;
         }
-        let target = self.try_send(now, placing, rng);
+        let target = self.try_send(now, pending, rng);
         if target.is_none() {
-            self.services.get_mut(placing.key)?.retries.give_back();
+            self.services.get_mut(pending.key)?.retry_budget.refund();
         }
         target
     }
 
-    fn typical_of(&self, key: ServiceKey) -> Option<Duration> {
-        self.services.get(key).map(ServiceState::typical)
+    fn typical_latency_of(&self, key: ServiceKey) -> Option<Duration> {
+        self.services.get(key).map(ServiceState::typical_latency)
     }
 }
