--- a/daisy-measure/src/overload.rs
+++ b/daisy-measure/src/overload.rs
@@ -11,7 +11,7 @@
 mod report;
 mod worker;
 
-use daisy_workflow::{Packing, Rules};
+use daisy_workflow::{Packing, PlacementRules};
 
 use self::drive::Drive;
 
@@ -40,12 +40,12 @@
 }
 
 /// The rules that are compared, and whether one worker has the room of all.
-fn variants() -> [(&'static str, Rules, bool); 5] {
-    let kept = Rules::default();
-    let before = Rules { defragments: false, ..kept };
+fn variants() -> [(&'static str, PlacementRules, bool); 5] {
+    let kept = PlacementRules::default();
+    let before = PlacementRules { defragments: false, ..kept };
     [
-        ("first_fit", Rules { packing: Packing::FirstFit, ..before }, false),
-        ("worst_fit", Rules { packing: Packing::WorstFit, ..before }, false),
+        ("first_fit", PlacementRules { packing: Packing::FirstFit, ..before }, false),
+        ("worst_fit", PlacementRules { packing: Packing::WorstFit, ..before }, false),
         ("best_fit", before, false),
         ("kept", kept, false),
         ("bound", before, true),
--- a/daisy-measure/src/overload/drive.rs
+++ b/daisy-measure/src/overload/drive.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Action, Batch, Claimed, Event, JobId, JobKind, JobState, Layout, Ledger, Owner, Queue, Queues,
-    Record, Rules, Service, Settings, ShardId, Start, TaskId, WorkerKey,
+    Action, Batch, Event, JobId, JobKind, JobState, Layout, Ledger, Owner, OwnershipStart,
+    PlacementRules, Queue, Queues, Record, Service, Settings, ShardId, Start, TaskId, WorkerKey,
 };
 
 use super::{
@@ -49,7 +49,7 @@
 
 impl Drive {
     /// A fleet under the load of a seed; one worker that has the room of all if `whole`.
-    pub fn new(args: &Args, seed: u64, rules: Rules, whole: bool) -> Drive {
+    pub fn new(args: &Args, seed: u64, rules: PlacementRules, whole: bool) -> Drive {
         let (workers, seconds) = (args.workers, args.seconds);
         let mut rng = fastrand::Rng::with_seed(seed);
         let mix = if args.filling { Mix::FILLING } else { Mix::draw(&mut rng) };
@@ -144,7 +144,7 @@
         for (own, shard) in self.layout.all().zip(&mut self.shards) {
             let others = loads.iter().filter(|(id, _)| *id != own).copied();
             shard.owner.step(now, Event::Loads(others.collect()));
-            shard.owner.step(now, Event::Reached { sent_at: now });
+            shard.owner.step(now, Event::HeartbeatStored { sent_at: now });
             for (from, seen) in self.layout.all().zip(&seen) {
                 if from != own && !seen.is_empty() {
                     shard.owner.step(now, Event::Observed(seen.clone()));
@@ -159,7 +159,7 @@
         for worker in &mut shard.workers {
             worker.pass(now, STEP);
             if let Some((key, answer)) = worker.try_answer(now) {
-                shard.owner.step(now, Event::Held(key, Some(answer)));
+                shard.owner.step(now, Event::HoldAnswered(key, Some(answer)));
             }
         }
         if turn.is_multiple_of(TELL) || turn == 1 {
@@ -234,7 +234,7 @@
         let now = self.now;
         for shard in &self.shards {
             let sum = shard.owner.summary(now);
-            self.report.waiting_lasting += sum.waiting_lasting;
+            self.report.waiting_long_running += sum.waiting_long_running;
             self.report.waiting_once += sum.waiting;
             self.report.unusable_cpu += sum.unusable_cpu;
             self.report.free_cpu += sum.free_cpu;
@@ -262,7 +262,7 @@
 }
 
 impl Shard {
-    fn new(shard: ShardId, layout: Layout, rules: Rules) -> Shard {
+    fn new(shard: ShardId, layout: Layout, rules: PlacementRules) -> Shard {
         let settings = Settings {
             lease: Duration::from_secs(5),
             lease_max: Duration::from_secs(10),
@@ -271,7 +271,7 @@
             rules,
         };
         let now = Instant::from_millis(0);
-        let claimed = Claimed { at: now, alone: true, epoch: 1, after: 0 };
+        let claimed = OwnershipStart { at: now, predecessors_ended: true, epoch: 1, after: 0 };
         let owner = Owner::new(now, 0, settings, Ledger::default(), queues(), claimed);
         Shard {
             owner,
--- a/daisy-measure/src/overload/report.rs
+++ b/daisy-measure/src/overload/report.rs
@@ -21,7 +21,7 @@
     first: SortedMap<JobId, Instant>,
     /// Sums over the samples of the measured part.
     pub samples: usize,
-    pub waiting_lasting: usize,
+    pub waiting_long_running: usize,
     pub waiting_once: usize,
     pub free_cpu: u64,
     pub unusable_cpu: u64,
@@ -39,7 +39,7 @@
             Note::JobEnded { job, .. } => {
                 self.ended.get_or_insert_with(*job, || now);
             }
-            Note::Moves { .. } => self.moved += 1,
+            Note::TaskMoving { .. } => self.moved += 1,
             _ => {}
         }
     }
@@ -73,7 +73,7 @@
             self.best_effort.in_time(),
             self.best_effort.of_use(0.0, 1.0),
             each(self.waiting_once as f64),
-            each(self.waiting_lasting as f64),
+            each(self.waiting_long_running as f64),
             each(self.free_cpu as f64 / 1_000.0),
             each(self.unusable_cpu as f64 / 1_000.0),
             self.over as f64 / self.serving.max(1) as f64,
--- a/daisy-measure/src/overload/worker.rs
+++ b/daisy-measure/src/overload/worker.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources};
 use daisy_workflow::{
-    Ended, HoldAnswer, Listed, OrderReply, Outcome, Refusal, Running, Start, StepSpec, TaskId,
-    WorkerKey,
+    ActiveRun, EndedRun, HoldAnswer, OrderReply, Outcome, Refusal, Start, StepSpec, TaskId,
+    WorkerKey, WorkerListing,
 };
 
 use super::load::{TARGET_MS, disturbs};
@@ -50,7 +50,7 @@
     pub name: String,
     pub capacity: Resources,
     runs: Vec<Run>,
-    ends: Vec<Ended>,
+    ends: Vec<EndedRun>,
     number: u64,
     hold: Option<Hold>,
     phase: f64,
@@ -62,17 +62,17 @@
         Worker { name, capacity, runs, ends, number: 0, hold: None, phase }
     }
 
-    pub fn listing(&self) -> Listed {
-        Listed {
+    pub fn listing(&self) -> WorkerListing {
+        WorkerListing {
             id: self.name.as_str().into(),
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
             service: "shop".into(),
             ready: true,
             capacity: self.capacity,
             labels: Vec::new(),
-            born_ms: 1,
+            started_at_ms: 1,
             cold_ms: 0,
-            leaves_ms: None,
+            min_remaining_ms: None,
         }
     }
 
@@ -95,7 +95,7 @@
         for (task, run, outcome, done_ms) in ended {
             self.number += 1;
             let checkpoint = format!("{done_ms}");
-            self.ends.push(Ended { number: self.number, task, run, outcome, checkpoint });
+            self.ends.push(EndedRun { number: self.number, task, run, outcome, checkpoint });
         }
     }
 
@@ -139,7 +139,7 @@
         let clock_ms = now.0 / 1_000;
         let used = self.used().try_add(step.counted());
         if used.is_none_or(|it| !it.fits(self.capacity)) {
-            return OrderReply::Refused(Refusal::Room);
+            return OrderReply::Refused(Refusal::DoesNotFit);
         }
         let done_ms = start.checkpoint.parse().unwrap_or_default();
         self.runs.push(Run {
@@ -186,10 +186,10 @@
         self.hold = None;
         let running = self.runs.iter().map(|it| self.running(now, it)).collect();
         let ended = self.ends.clone();
-        Some((hold.key, HoldAnswer { clock_ms: now.0 / 1_000, born_ms: 1, running, ended }))
+        Some((hold.key, HoldAnswer { clock_ms: now.0 / 1_000, started_at_ms: 1, running, ended }))
     }
 
-    fn running(&self, now: Instant, it: &Run) -> Running {
+    fn running(&self, now: Instant, it: &Run) -> ActiveRun {
         let at_work = now.since(it.began) >= STARTUP;
         let percent = match it.step.long_running {
             true if at_work => 100,
@@ -200,7 +200,7 @@
             0 => (f64::from(it.step.need.cpu_milli) * it.pace * self.pace()) as u32,
             _ => (f64::from(TARGET_MS) / self.headroom(now, it).max(0.1)) as u32,
         };
-        Running { task: it.task, run: it.run, checkpoint: String::new(), percent, load }
+        ActiveRun { task: it.task, run: it.run, checkpoint: String::new(), percent, load }
     }
 
     fn used(&self) -> Resources {
--- a/daisy-node/src/elect.rs
+++ b/daisy-node/src/elect.rs
@@ -390,7 +390,11 @@
             told,
         };
         let why = ownership.run(ledger, jobs).await;
-        log::info!("event=owner_ended shard={} epoch={epoch} cause=\"{}\"", shard.0, why.words());
+        log::info!(
+            "event=owner_ended shard={} epoch={epoch} cause=\"{}\"",
+            shard.0,
+            why.description()
+        );
         self.elect.metrics.owner("ended");
         let now = clock::now();
         self.ended_epoch = epoch;
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -11,8 +11,8 @@
 use daisy_model::{Instant, SortedMap};
 use daisy_platform::{Guard, Topic, WorkerCalls};
 use daisy_workflow::{
-    Action, Claim, Claimed, Event, JobId, Lateness, Layout, Ledger, Owner, Record, Rules, Settings,
-    ShardId, Sign, Telling, Told, Uncertain, WorkerKey, encode,
+    Action, Claim, Event, JobId, Lateness, Layout, Ledger, Owner, OwnershipStart, PlacementRules,
+    Record, Settings, ShardId, Sign, Telling, Told, UnconfirmedRun, WorkerKey, encode,
 };
 use tokio::{
     sync::{mpsc, watch},
@@ -66,7 +66,7 @@
 }
 
 impl Ended {
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Ended::FencedByLog => "the log has seen a higher epoch",
             Ended::FencedByWorker => "a worker has seen a higher epoch",
@@ -132,15 +132,15 @@
             observed_at: now,
             lateness: Lateness::new(now, TICK),
             reported_at: now,
-            uncertain: Vec::new(),
+            unconfirmed_runs: Vec::new(),
             ownership: self,
         };
-        let why = running.serve(rx, appended).await;
+        let cause = running.serve(rx, appended).await;
         following.iter().for_each(|it| it.abort());
         let Ownership { elect, shard, .. } = &running.ownership;
         elect.shared.lock().end_owner(*shard);
         elect.metrics.shard(*shard, 0, 0);
-        why
+        cause
     }
 
     /// An owner that knows all that the log of its shard says, and hears of all that comes after.
@@ -154,11 +154,11 @@
         let mut known = self.elect.shared.lock();
         let layout = known.directory.layout().unwrap_or(Layout { shards: 1 });
         let lease_max = self.elect.settings.lease_max;
-        let rules = Rules::default();
+        let rules = PlacementRules::default();
         let settings = Settings { lease, lease_max, shard: self.shard, layout, rules };
-        let claimed = Claimed {
+        let claimed = OwnershipStart {
             at: self.claimed_at,
-            alone: self.claim.settled,
+            predecessors_ended: self.claim.settled,
             epoch: self.epoch,
             after: self.after,
         };
@@ -191,7 +191,7 @@
     lateness: Lateness,
     reported_at: Instant,
     /// Runs whose fate was not known at the last report.
-    uncertain: Vec<Uncertain>,
+    unconfirmed_runs: Vec<UnconfirmedRun>,
 }
 
 impl Running {
@@ -284,7 +284,7 @@
             self.ownership.epoch,
             it.jobs,
             it.waiting,
-            it.waiting_lasting,
+            it.waiting_long_running,
             it.waiting_best_effort,
             it.runs,
             it.workers,
@@ -292,15 +292,15 @@
             it.silent,
             it.free_cpu,
             it.unusable_cpu,
-            it.largest_room,
-            it.largest_room_in_time,
-            it.least_lasting,
+            it.largest_free_cpu,
+            it.largest_future_free_cpu,
+            it.smallest_waiting_cpu,
             it.longest_wait.as_millis(),
-            it.uncertain,
-            it.uncertain_for.as_millis()
+            it.unconfirmed_runs,
+            it.unconfirmed_for.as_millis()
         );
         self.report_uncertain(now);
-        if let Some(it) = self.owner.try_longest_wait(now) {
+        if let Some(it) = self.owner.longest_waiting_task(now) {
             log::info!(
                 "event=longest_wait id={} task={} shard={} waited_ms={} cpu={} memory_mib={} \
                  unusable={} lack_processors={} lack_memory={} crowded={} kept={} lack_nothing={}",
@@ -310,12 +310,12 @@
                 it.waited.as_millis(),
                 it.need.cpu_milli,
                 it.need.memory_mib,
-                it.unusable,
-                it.processors,
-                it.memory,
-                it.crowded,
-                it.kept,
-                it.nothing
+                it.ineligible,
+                it.short_of_cpu,
+                it.short_of_memory,
+                it.at_step_limit,
+                it.reserved,
+                it.suitable
             );
         }
         self.ownership.elect.metrics.shard(self.ownership.shard, it.jobs, it.usable);
@@ -323,11 +323,12 @@
 
     /// Logs each run of a task that last whose fate is not known, once for each cause.
     fn report_uncertain(&mut self, now: Instant) {
-        let uncertain = self.owner.uncertain(now);
-        for it in &uncertain {
-            let told =
-                |known: &Uncertain| (known.task, known.run, known.why) == (it.task, it.run, it.why);
-            if self.uncertain.iter().any(told) {
+        let unconfirmed_runs = self.owner.unconfirmed_runs(now);
+        for it in &unconfirmed_runs {
+            let told = |known: &UnconfirmedRun| {
+                (known.task, known.run, known.cause) == (it.task, it.run, it.cause)
+            };
+            if self.unconfirmed_runs.iter().any(told) {
                 continue;
             }
             log::info!(
@@ -338,10 +339,10 @@
                 self.ownership.shard.0,
                 it.worker,
                 it.left.as_millis(),
-                it.why.words()
+                it.cause.description()
             );
         }
-        self.uncertain = uncertain;
+        self.unconfirmed_runs = unconfirmed_runs;
     }
 
     fn call(&self, key: WorkerKey, action: Action) {
@@ -415,7 +416,7 @@
         const CURRENT: Duration = Duration::from_millis(800);
         let claim = Claim {
             released,
-            settled: self.ownership.claim.settled || self.owner.is_settled(now),
+            settled: self.ownership.claim.settled || self.owner.are_predecessor_leases_over(now),
             ..self.ownership.claim.clone()
         };
         let shard = self.ownership.shard;
@@ -428,7 +429,7 @@
     /// Whether callers can know of all jobs that are handed on.
     fn all_told(&self) -> bool {
         let known = self.ownership.elect.shared.lock();
-        self.telling.all_told(&known.directory, self.owner.handed_on())
+        self.telling.all_told(&known.directory, self.owner.delegated_away())
     }
 
     fn guard(&self, seq: u64) -> Guard {
@@ -457,7 +458,7 @@
             }
             Some(Append::States(sent_at)) => {
                 self.telling_now = false;
-                Event::Reached { sent_at }
+                Event::HeartbeatStored { sent_at }
             }
             Some(Append::Fenced) | None => return false,
         };
@@ -486,7 +487,7 @@
     }
 
     /// Gives the shard up: what is under way is finished, then anybody may claim at once.
-    async fn release(&mut self, mut appended: mpsc::Receiver<Append>, why: Ended) -> Ended {
+    async fn release(&mut self, mut appended: mpsc::Receiver<Append>, cause: Ended) -> Ended {
         while self.appending || self.telling_now {
             let it = appended.recv().await;
             if !self.taken(it) {
@@ -501,7 +502,7 @@
         records.push(Record::Sign(Box::new(sign)));
         self.send_states(records);
         appended.recv().await;
-        why
+        cause
     }
 }
 
--- a/daisy-node/src/own/calls.rs
+++ b/daisy-node/src/own/calls.rs
@@ -51,11 +51,11 @@
 
     async fn hold(&self, to: &Target, order: HoldOrder) -> Event {
         match self.calls.hold(&to.id, to.address, order, ORDER_TIMEOUT).await {
-            Ok(answer) => Event::Held(to.key, Some(answer)),
+            Ok(answer) => Event::HoldAnswered(to.key, Some(answer)),
             Err(HoldError::Fenced) => Event::Fenced(to.key),
             Err(HoldError::NoAnswer(why)) => {
                 log::debug!("event=hold_failed worker={} cause=\"{why}\"", to.id);
-                Event::Held(to.key, None)
+                Event::HoldAnswered(to.key, None)
             }
         }
     }
@@ -79,7 +79,7 @@
             task.job,
             to.id,
             reply_words(reply),
-            cause.words()
+            cause.description()
         );
         Event::Stopped(to.key, task, run, reply)
     }
--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::SortedMap;
 use daisy_platform::{Store, Topic, worker};
-use daisy_workflow::{Event, Listed, Record, ShardId};
+use daisy_workflow::{Event, Record, ShardId, WorkerListing};
 use tokio::{sync::mpsc, time::sleep};
 
 use super::SHARE_EVERY;
@@ -49,7 +49,7 @@
     let layout = shared.lock().directory.layout();
     let here = |id: &str| layout.is_some_and(|it| it.of_worker(&id.into()) == shard);
     let mut tail = Tail::new(store, Topic::Workers);
-    let mut listed: SortedMap<String, Arc<Listed>> = SortedMap::new();
+    let mut listed: SortedMap<String, Arc<WorkerListing>> = SortedMap::new();
     let mut unreadable = SortedMap::new();
     while !events.is_closed() {
         let fresh = tail.next().is_none();
@@ -76,8 +76,8 @@
             }
         }
         let event = match changed {
-            true => Event::Workers(listed.iter().map(|(_, it)| Listed::clone(it)).collect()),
-            false => Event::ListRead,
+            true => Event::Workers(listed.iter().map(|(_, it)| WorkerListing::clone(it)).collect()),
+            false => Event::ListUnchanged,
         };
         if events.send(event).is_err() {
             return;
--- a/daisy-node/src/own/notes.rs
+++ b/daisy-node/src/own/notes.rs
@@ -7,25 +7,25 @@
 /// Writes the line of a decision of the owner of `shard`, and counts it.
 pub(super) fn write(note: &Note, shard: ShardId, metrics: &Metrics) {
     match note {
-        Note::JobEnded { job, how, kind, age, objective } => {
+        Note::JobEnded { job, outcome, kind, age, objective } => {
             log::info!(
-                "event=job_ended id={job} outcome={how} kind={} age_ms={} objective_ms={}",
+                "event=job_ended id={job} outcome={outcome} kind={} age_ms={} objective_ms={}",
                 kind.word(),
                 age.as_millis(),
                 objective.as_millis()
             );
         }
-        Note::Waits { job, step, tasks, cause, backlog } => {
-            let cause = cause.words();
+        Note::StepWaiting { job, step, tasks, cause, backlog } => {
+            let cause = cause.description();
             log::info!(
                 "event=waits id={job} step={step} tasks={tasks} backlog={backlog} cause=\"{cause}\""
             );
         }
-        Note::Delegated { job, to } => {
+        Note::JobDelegated { job, to } => {
             let from = shard.0;
             log::info!("event=delegated id={job} shard={from} to={}", to.0);
         }
-        Note::HandedOver { task, hop, to } => {
+        Note::TaskTransferred { task, hop, to } => {
             let (id, from) = (task.job, shard.0);
             log::info!(
                 "event=handed_over id={id} task={task} hop={hop} shard={from} to={} \
@@ -33,9 +33,11 @@
                 to.0
             );
         }
-        Note::Moves { task, worker, room, need } => {
+        Note::TaskMoving { task, worker, free_cpu, needed_cpu } => {
             let id = task.job;
-            log::info!("event=moves id={id} task={task} worker={worker} room={room} need={need}");
+            log::info!(
+                "event=moves id={id} task={task} worker={worker} room={free_cpu} need={needed_cpu}"
+            );
         }
         Note::RunEnded { task, run, worker, outcome, saved } => {
             let outcome = outcome_words(*outcome);
@@ -46,15 +48,15 @@
                  saved={saved}"
             );
         }
-        Note::RunLost { task, run, worker, why } => {
+        Note::RunLost { task, run, worker, cause } => {
             metrics.lost();
             let id = task.job;
             log::warn!(
-                "event=run_lost id={id} task={task} run={run} worker={worker} cause=\"{why}\""
+                "event=run_lost id={id} task={task} run={run} worker={worker} cause=\"{cause}\""
             );
         }
-        Note::Worker { worker, is, why } => {
-            log::info!("event=worker worker={worker} is={is} cause=\"{why}\"");
+        Note::Worker { worker, state, cause } => {
+            log::info!("event=worker worker={worker} is={state} cause=\"{cause}\"");
         }
     }
 }
@@ -64,8 +66,8 @@
         Outcome::Done => "done",
         Outcome::Failed => "failed",
         Outcome::Stopped => "stopped",
-        Outcome::Lapsed => "lapsed",
+        Outcome::LeaseExpired => "lapsed",
         Outcome::Broken => "broken",
-        Outcome::Alone => "alone",
+        Outcome::GangIncomplete => "alone",
     }
 }
--- a/daisy-workflow/src/lib.rs
+++ b/daisy-workflow/src/lib.rs
@@ -38,9 +38,10 @@
     lateness::Lateness,
     ledger::{Fold, Job, JobState, Ledger},
     owner::{
-        Action, Batch, Claimed, Doubt, Ended, Event, HoldAnswer, Lacks, Listed, Note, OrderReply,
-        Outcome, Owner, Packing, Refusal, Rules, Running, Settings, Start, StopCause, Summary,
-        Uncertain, WaitCause, Witness, Witnesses, Worker, WorkerKey,
+        Action, ActiveRun, Batch, EndedRun, Event, HoldAnswer, Note, OrderReply, Outcome, Owner,
+        OwnershipStart, Packing, PlacementRules, PlacementShortfall, Refusal, Settings, Start,
+        StopCause, Summary, UnconfirmedCause, UnconfirmedRun, WaitCause, Witness, Witnesses,
+        Worker, WorkerKey, WorkerListing,
     },
     patience::Patience,
     progress::{Copy, Phase, Progress, TaskState},
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -21,7 +21,7 @@
 mod room;
 mod succession;
 mod summary;
-mod uncertain;
+mod unconfirmed_runs;
 mod watch;
 mod worker;
 
@@ -37,14 +37,14 @@
     worker::{Assignment, Sent, Stop},
 };
 pub use self::{
-    lacks::Lacks,
+    lacks::PlacementShortfall,
     message::{
-        Action, Batch, Ended, Event, HoldAnswer, Listed, Note, OrderReply, Outcome, Refusal,
-        Running, Start, StopCause, WaitCause,
+        Action, ActiveRun, Batch, EndedRun, Event, HoldAnswer, Note, OrderReply, Outcome, Refusal,
+        Start, StopCause, WaitCause, WorkerListing,
     },
-    succession::{Claimed, Witness, Witnesses},
+    succession::{OwnershipStart, Witness, Witnesses},
     summary::Summary,
-    uncertain::{Doubt, Uncertain},
+    unconfirmed_runs::{UnconfirmedCause, UnconfirmedRun},
     worker::{Worker, WorkerKey},
 };
 use crate::{
@@ -64,21 +64,21 @@
     /// All shards.
     pub layout: Layout,
     /// How room is found.
-    pub rules: Rules,
+    pub rules: PlacementRules,
 }
 
 /// How room is found for tasks that reserve it; each part can be compared with others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rules {
+pub struct PlacementRules {
     /// Which of several workers takes a task.
     pub packing: Packing,
     /// Whether tasks that last are moved where others find no room.
     pub defragments: bool,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules { packing: Packing::BestFit, defragments: true }
+impl Default for PlacementRules {
+    fn default() -> PlacementRules {
+        PlacementRules { packing: Packing::BestFit, defragments: true }
     }
 }
 
@@ -149,7 +149,7 @@
     /// When what starts was last decided.
     planned_at: Instant,
     /// Workers that were kept for more urgent tasks then.
-    kept: Vec<Kept>,
+    reservations: Vec<Kept>,
     /// Sizes for which the last decision found no room.
     short: Vec<Resources>,
     /// Tasks that are stopped on one worker to start on another.
@@ -190,7 +190,7 @@
         settings: Settings,
         ledger: Ledger,
         queues: Arc<Queues>,
-        claimed: Claimed,
+        claimed: OwnershipStart,
     ) -> Owner {
         let succession = Succession::new(now, claimed, ledger.witnesses());
         let interference = Interference::inherit(now, ledger.learnt());
@@ -220,7 +220,7 @@
             waits_since: SortedMap::new(),
             delegated_at: now,
             planned_at: now - PLAN_EVERY,
-            kept: Vec::new(),
+            reservations: Vec::new(),
             short: Vec::new(),
             moves: Vec::new(),
             defragmented_at: now,
@@ -266,14 +266,14 @@
                 self.list_read_at = now;
                 self.listed(now, &listed);
             }
-            Event::ListRead => self.list_read_at = now,
+            Event::ListUnchanged => self.list_read_at = now,
             Event::Queues(queues) => {
                 if queues.version >= self.queues.version {
                     self.queues = queues;
                     self.plan_due = true;
                 }
             }
-            Event::Held(worker, answer) => self.held(now, worker, answer),
+            Event::HoldAnswered(worker, answer) => self.held(now, worker, answer),
             Event::Fenced(_) => self.actions.push(Action::StepDown),
             Event::Started(worker, task, run, reply) => {
                 self.started(now, worker, task, run, reply);
@@ -285,7 +285,7 @@
                 self.paced(worker, task, run, percent, reply);
             }
             Event::Appended => self.appended(now),
-            Event::Reached { sent_at } => self.reached(now, sent_at),
+            Event::HeartbeatStored { sent_at } => self.reached(now, sent_at),
             Event::Loads(loads) => self.others.update(loads),
             Event::Observed(seen) => {
                 seen.iter().for_each(|it| self.interference.add_observations(now, it));
@@ -341,7 +341,7 @@
         }
         records.extend(self.succession.try_record());
         let seen = self.workers.iter().filter(|(_, it)| it.cursor_seen > it.cursor_durable);
-        let cursors = seen.map(|(key, it)| (key, it.born_ms, it.cursor_seen)).collect();
+        let cursors = seen.map(|(key, it)| (key, it.started_at_ms, it.cursor_seen)).collect();
         let starts = std::mem::take(&mut self.recording);
         self.in_flight = Some(InFlight { began: now, starts, cursors, states, delegated, handed });
         Some(Batch { records })
@@ -363,7 +363,7 @@
     }
 
     /// Jobs that were handed on whole, of which the shards that run them tell.
-    pub fn handed_on(&self) -> impl Iterator<Item = JobId> {
+    pub fn delegated_away(&self) -> impl Iterator<Item = JobId> {
         self.ledger.jobs().filter(|(_, it)| it.delegated.is_some()).map(|(id, _)| id)
     }
 
@@ -381,10 +381,10 @@
         Some(state)
     }
 
-    fn note_worker(&mut self, key: WorkerKey, is: &'static str, why: &'static str) {
+    fn note_worker(&mut self, key: WorkerKey, state: &'static str, cause: &'static str) {
         if let Some(worker) = self.workers.get(key) {
             let worker = worker.id.clone();
-            self.actions.push(Action::Note(Note::Worker { worker, is, why }));
+            self.actions.push(Action::Note(Note::Worker { worker, state, cause }));
         }
     }
 }
--- a/daisy-workflow/src/owner/defragment.rs
+++ b/daisy-workflow/src/owner/defragment.rs
@@ -123,8 +123,13 @@
         let Some(it) = worker.find(task, run) else { return };
         it.stop_at(now, StopCause::Moved);
         self.moves.push(Move { task, to, need: choice.need, until: now + PLACE_KEPT });
-        let (room, need) = (room.cpu_milli, need.cpu_milli);
-        self.actions.push(Action::Note(Note::Moves { task, worker: id, room, need }));
+        let (free_cpu, needed_cpu) = (room.cpu_milli, need.cpu_milli);
+        self.actions.push(Action::Note(Note::TaskMoving {
+            task,
+            worker: id,
+            free_cpu,
+            needed_cpu,
+        }));
     }
 
     /// The move that makes room for `need` at the least cost, if one does.
@@ -174,7 +179,7 @@
                 && self.usable(now, it)
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
                 && !is_crowded(step, it, run.task)
-                && !self.kept.iter().any(|kept| kept.worker == *key)
+                && !self.reservations.iter().any(|reservations| reservations.worker == *key)
                 && !self.is_part_of_move(*key)
         });
         let cost = |it: &Worker| {
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -138,7 +138,7 @@
         }
         self.active.remove(&id);
         self.delegating.push(id);
-        self.actions.push(Action::Note(Note::Delegated { job: id, to }));
+        self.actions.push(Action::Note(Note::JobDelegated { job: id, to }));
     }
 
     /// Jobs and tasks that found no room when they came may find it elsewhere by now.
--- a/daisy-workflow/src/owner/ends.rs
+++ b/daisy-workflow/src/owner/ends.rs
@@ -6,7 +6,7 @@
 
 use super::{
     Owner,
-    message::{Action, Ended, Note, Outcome, StopCause},
+    message::{Action, EndedRun, Note, Outcome, StopCause},
     worker::{Sent, Stop, Worker, WorkerKey},
 };
 use crate::{JobId, Phase, TaskId};
@@ -17,13 +17,13 @@
 /// Failures further apart are not in a row: tasks that last seldom end, and may fail at any time.
 const IN_A_ROW: Duration = Duration::from_secs(3);
 impl Owner {
-    pub(super) fn ended(&mut self, now: Instant, key: WorkerKey, it: Ended) {
+    pub(super) fn ended(&mut self, now: Instant, key: WorkerKey, it: EndedRun) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.cursor_seen = worker.cursor_seen.max(it.number);
         let id = worker.id.clone();
         worker.remove(it.task, it.run);
         self.plan_due = true;
-        let Ended { task, run, outcome, .. } = it;
+        let EndedRun { task, run, outcome, .. } = it;
         let saved = !it.checkpoint.is_empty();
         self.actions.push(Action::Note(Note::RunEnded { task, run, worker: id, outcome, saved }));
         let failed_elsewhere = self.failed_before(task);
@@ -111,9 +111,9 @@
         let kind = job.spec.kind();
         let view = self.active.get(&id);
         let (since, due) = view.map_or((now, now), |it| (it.since, it.objective));
-        let how = if phase == Phase::Completed { "completed" } else { "failed" };
+        let outcome = if phase == Phase::Completed { "completed" } else { "failed" };
         let (age, objective) = (now.since(since), due.since(since));
-        self.actions.push(Action::Note(Note::JobEnded { job: id, how, kind, age, objective }));
+        self.actions.push(Action::Note(Note::JobEnded { job: id, outcome, kind, age, objective }));
         self.stop_copies(now, StopCause::JobOver, |it| it.job == id);
     }
 
--- a/daisy-workflow/src/owner/hand_over.rs
+++ b/daisy-workflow/src/owner/hand_over.rs
@@ -97,7 +97,7 @@
         job.progress.begun = true;
         self.dirty.push(task.job);
         self.handed.push(task);
-        self.actions.push(Action::Note(Note::HandedOver { task, hop: number, to }));
+        self.actions.push(Action::Note(Note::TaskTransferred { task, hop: number, to }));
     }
 
     /// Records of tasks that are handed on and of which nothing is recorded yet.
--- a/daisy-workflow/src/owner/hold.rs
+++ b/daisy-workflow/src/owner/hold.rs
@@ -6,14 +6,14 @@
 
 use super::{
     Owner, Settings,
-    message::{Action, HoldAnswer, Listed, Note, Running, StopCause},
+    message::{Action, ActiveRun, HoldAnswer, Note, StopCause, WorkerListing},
     worker::{LateOrder, Sent, Stop, Worker, WorkerKey},
 };
 use crate::{TaskId, WorkerId};
 
 impl Owner {
     /// Takes the platform's list in.
-    pub(super) fn listed(&mut self, now: Instant, listed: &[Listed]) {
+    pub(super) fn listed(&mut self, now: Instant, listed: &[WorkerListing]) {
         let named: SortedMap<WorkerId, ()> = listed.iter().map(|it| (it.id.clone(), ())).collect();
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
@@ -33,7 +33,7 @@
         self.renew_due(now);
     }
 
-    fn newly_listed(&mut self, now: Instant, listed: &Listed) {
+    fn newly_listed(&mut self, now: Instant, listed: &WorkerListing) {
         let mut worker = Worker::new(now, listed);
         if self.succession.names_earlier(&worker) {
             worker.reborn_at = Some(now);
@@ -72,13 +72,13 @@
         }
     }
 
-    fn relisted(&mut self, now: Instant, key: WorkerKey, listed: &Listed) {
+    fn relisted(&mut self, now: Instant, key: WorkerKey, listed: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         // The list lags: an incarnation that began before the one that answered is history.
-        if listed.born_ms < worker.born_ms {
+        if listed.started_at_ms < worker.started_at_ms {
             return;
         }
-        let reborn = listed.born_ms > worker.born_ms;
+        let reborn = listed.started_at_ms > worker.started_at_ms;
         let was_listed = std::mem::replace(&mut worker.listed, true);
         worker.address = listed.address;
         worker.service = listed.service.clone();
@@ -90,7 +90,7 @@
         worker.leaves_at = match listed.ready {
             true => None,
             false => {
-                let left = Duration::from_millis(listed.leaves_ms.unwrap_or_default());
+                let left = Duration::from_millis(listed.min_remaining_ms.unwrap_or_default());
                 Some(now + left)
             }
         };
@@ -99,7 +99,7 @@
             self.note_worker(key, "listed", "the platform's list names it again");
         }
         if reborn {
-            self.reborn(now, key, listed.born_ms, "the list names a later start");
+            self.reborn(now, key, listed.started_at_ms, "the list names a later start");
         }
         if was_ready && !listed.ready {
             self.note_worker(key, "draining", "its entry says so");
@@ -107,9 +107,9 @@
     }
 
     /// Another incarnation answers under the same id: nothing of before runs there.
-    fn reborn(&mut self, now: Instant, key: WorkerKey, born_ms: u64, why: &'static str) {
+    fn reborn(&mut self, now: Instant, key: WorkerKey, started_at_ms: u64, cause: &'static str) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        worker.born_ms = born_ms;
+        worker.started_at_ms = started_at_ms;
         worker.clock = None;
         worker.deadline_ms = 0;
         worker.fenced = false;
@@ -141,7 +141,7 @@
         for (task, run) in lost {
             self.lose(key, task, run, "its worker started anew");
         }
-        self.note_worker(key, "reborn", why);
+        self.note_worker(key, "reborn", cause);
         self.send_stops(now);
     }
 
@@ -164,12 +164,12 @@
     }
 
     /// Gives a run up that is surely not running any more.
-    pub(super) fn lose(&mut self, key: WorkerKey, task: TaskId, run: u32, why: &'static str) {
+    pub(super) fn lose(&mut self, key: WorkerKey, task: TaskId, run: u32, cause: &'static str) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         let id = worker.id.clone();
         let Some(it) = worker.remove(task, run) else { return };
         self.drop_copy(task, run, &it.checkpoint);
-        self.actions.push(Action::Note(Note::RunLost { task, run, worker: id, why }));
+        self.actions.push(Action::Note(Note::RunLost { task, run, worker: id, cause }));
     }
 
     /// Takes a copy out of a task's record.
@@ -195,11 +195,11 @@
             }
             return;
         };
-        if answer.born_ms < worker.born_ms {
+        if answer.started_at_ms < worker.started_at_ms {
             return;
         }
-        if answer.born_ms > worker.born_ms {
-            self.reborn(now, key, answer.born_ms, "its answer names a later start");
+        if answer.started_at_ms > worker.started_at_ms {
+            self.reborn(now, key, answer.started_at_ms, "its answer names a later start");
         }
         self.greeted(now, key, &answer);
         let seen = self.workers.get(key).map_or(0, |it| it.cursor_seen);
@@ -220,8 +220,8 @@
             self.plan_due = true;
             self.actions.push(Action::Note(Note::Worker {
                 worker: worker.id.clone(),
-                is: "reached",
-                why: "a renewal was answered again",
+                state: "reached",
+                cause: "a renewal was answered again",
             }));
         }
         worker.clock = Some((answer.clock_ms, now));
@@ -240,7 +240,7 @@
     }
 
     /// Compares what runs on a worker with what should.
-    fn running(&mut self, now: Instant, key: WorkerKey, running: &[Running]) {
+    fn running(&mut self, now: Instant, key: WorkerKey, running: &[ActiveRun]) {
         let mut unknown = Vec::new();
         let Some(worker) = self.workers.get_mut(key) else { return };
         for it in running {
@@ -303,7 +303,7 @@
 }
 
 /// Runs that should be on a worker and that its lists show to be gone.
-fn absent(worker: &mut Worker, running: &[Running]) -> Vec<(TaskId, u32)> {
+fn absent(worker: &mut Worker, running: &[ActiveRun]) -> Vec<(TaskId, u32)> {
     /// Renewals in a row after which a run that was there counts as gone.
     const ABSENT_MAX: u8 = 2;
     let sent_at = worker.hold_sent_at;
--- a/daisy-workflow/src/owner/lacks.rs
+++ b/daisy-workflow/src/owner/lacks.rs
@@ -10,7 +10,7 @@
 /// A task that waits, and how many workers lack what it needs; each counts once, by the first that it
 /// lacks in the order of the fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lacks {
+pub struct PlacementShortfall {
     /// The task.
     pub task: TaskId,
     /// How long it has waited.
@@ -18,61 +18,68 @@
     /// What it needs.
     pub need: Resources,
     /// Workers that take no new tasks, or are of another service or kind.
-    pub unusable: usize,
+    pub ineligible: usize,
     /// Workers without the processors, or accelerators.
-    pub processors: usize,
+    pub short_of_cpu: usize,
     /// Workers with the processors, and without the memory.
-    pub memory: usize,
+    pub short_of_memory: usize,
     /// Workers that have as many tasks of its step as may be on one.
-    pub crowded: usize,
+    pub at_step_limit: usize,
     /// Workers that are kept for others.
-    pub kept: usize,
+    pub reserved: usize,
     /// Workers that lack nothing.
-    pub nothing: usize,
+    pub suitable: usize,
 }
 
 impl Owner {
     /// The waiting task that lasts and has waited longest of those for which a worker has the
     /// processors, or of all if there is none; and what the workers lack for it.
-    pub fn try_longest_wait(&self, now: Instant) -> Option<Lacks> {
+    pub fn longest_waiting_task(&self, now: Instant) -> Option<PlacementShortfall> {
         let waits = self.waits_since.iter();
         let lacks = waits.filter_map(|(task, since)| self.try_lacks(now, *task, now.since(*since)));
-        lacks.max_by_key(|it| (it.memory + it.crowded + it.kept + it.nothing > 0, it.waited))
+        lacks.max_by_key(|it| {
+            (it.short_of_memory + it.at_step_limit + it.reserved + it.suitable > 0, it.waited)
+        })
     }
 
-    fn try_lacks(&self, now: Instant, task: TaskId, waited: Duration) -> Option<Lacks> {
+    fn try_lacks(
+        &self,
+        now: Instant,
+        task: TaskId,
+        waited: Duration,
+    ) -> Option<PlacementShortfall> {
         let job = self.ledger.job(task.job)?;
         let step = job.spec.steps.get(usize::from(task.step))?;
         let service = self.service(&job.spec);
         let need = step.counted();
-        let mut lacks = Lacks {
+        let mut lacks = PlacementShortfall {
             task,
             waited,
             need,
-            unusable: 0,
-            processors: 0,
-            memory: 0,
-            crowded: 0,
-            kept: 0,
-            nothing: 0,
+            ineligible: 0,
+            short_of_cpu: 0,
+            short_of_memory: 0,
+            at_step_limit: 0,
+            reserved: 0,
+            suitable: 0,
         };
         for (key, it) in self.workers.iter().filter(|(_, it)| it.listed) {
             let free = it.free();
             let label = step.required_label.as_ref().is_none_or(|label| it.has_label(label));
-            let processors =
+            let short_of_cpu =
                 need.cpu_milli <= free.cpu_milli && need.accelerators <= free.accelerators;
             let count = if !(it.service == service && label && self.takes_lasting(now, it)) {
-                &mut lacks.unusable
-            } else if !processors {
-                &mut lacks.processors
+                &mut lacks.ineligible
+            } else if !short_of_cpu {
+                &mut lacks.short_of_cpu
             } else if !need.fits(free) {
-                &mut lacks.memory
+                &mut lacks.short_of_memory
             } else if is_crowded(step, it, task) {
-                &mut lacks.crowded
-            } else if self.kept.iter().any(|it| it.worker == key) {
-                &mut lacks.kept
+                &mut lacks.at_step_limit
+            } else if self.reservations.iter().any(|it| it.worker == key) {
+                &mut lacks.reserved
             } else {
-                &mut lacks.nothing
+                &mut lacks.suitable
             };
             *count += 1;
         }
--- a/daisy-workflow/src/owner/message.rs
+++ b/daisy-workflow/src/owner/message.rs
@@ -10,7 +10,7 @@
 
 /// A worker in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct WorkerListing {
     /// Its id.
     pub id: WorkerId,
     /// Where it takes calls.
@@ -24,16 +24,16 @@
     /// Its kind and its rack.
     pub labels: Vec<Arc<str>>,
     /// When this incarnation started, in milliseconds since 1970 of its own clock.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
     /// How much longer it is slow after its start, in milliseconds.
     pub cold_ms: u64,
     /// The least time until it leaves, in milliseconds, while it drains.
-    pub leaves_ms: Option<u64>,
+    pub min_remaining_ms: Option<u64>,
 }
 
 /// A run that a worker lists as running.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Running {
+pub struct ActiveRun {
     /// The task.
     pub task: TaskId,
     /// The number of the start.
@@ -56,16 +56,16 @@
     /// It was told to stop.
     Stopped,
     /// The worker's lease ran out.
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended.
     Broken,
     /// It waited too long for the others of its gang.
-    Alone,
+    GangIncomplete,
 }
 
 /// A run that a worker lists as ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedRun {
     /// Numbers the ends of a worker's incarnation, from 1.
     pub number: u64,
     /// The task.
@@ -84,11 +84,11 @@
     /// The worker's clock in milliseconds.
     pub clock_ms: u64,
     /// Which incarnation answers.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
     /// All that runs there.
-    pub running: Vec<Running>,
+    pub running: Vec<ActiveRun>,
     /// Ends that were not acknowledged.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<EndedRun>,
 }
 
 /// Why a worker did not do what it was told.
@@ -97,17 +97,17 @@
     /// It has seen a higher epoch.
     Fenced,
     /// The run is not above one that was stopped or ended there.
-    Old,
+    StaleRun,
     /// The lease had run out when the order arrived.
     Late,
     /// It does not fit.
-    Room,
+    DoesNotFit,
     /// The ticket is missing or has expired.
     Ticket,
     /// The worker is unhealthy and did nothing.
     Unhealthy,
     /// Another incarnation answered.
-    OtherInstance,
+    OtherIncarnation,
     /// The worker does not understand the order.
     Malformed,
 }
@@ -149,13 +149,13 @@
     /// A record of a submission or a cancellation.
     Record(Record),
     /// The platform's whole list of workers.
-    Workers(Vec<Listed>),
+    Workers(Vec<WorkerListing>),
     /// The platform's list of workers was read and has not changed.
-    ListRead,
+    ListUnchanged,
     /// A version of the configuration.
     Queues(Arc<Queues>),
     /// The answer to [`Action::Hold`]; `None` if none came.
-    Held(WorkerKey, Option<HoldAnswer>),
+    HoldAnswered(WorkerKey, Option<HoldAnswer>),
     /// A worker refused a renewal because of a higher epoch.
     Fenced(WorkerKey),
     /// The answer to [`Action::Start`].
@@ -167,7 +167,7 @@
     /// The last [`Batch`] is in the log.
     Appended,
     /// The log took a sign of life that was sent at this time.
-    Reached {
+    HeartbeatStored {
         /// When it was first sent.
         sent_at: Instant,
     },
@@ -207,7 +207,7 @@
 
 impl StopCause {
     /// The cause in words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             StopCause::JobOver => "its job is over",
             StopCause::Done => "another copy is done",
@@ -226,16 +226,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitCause {
     /// No worker has room for what it reserves.
-    Room,
+    Capacity,
     /// It could work at full pace beside the tasks of no worker.
     Headroom,
 }
 
 impl WaitCause {
     /// The cause in words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            WaitCause::Room => "no worker has room",
+            WaitCause::Capacity => "no worker has room",
             WaitCause::Headroom => "no worker can give it full pace",
         }
     }
@@ -277,7 +277,7 @@
         /// The job.
         job: JobId,
         /// `completed` or `failed`.
-        how: &'static str,
+        outcome: &'static str,
         /// What kind of job it was.
         kind: JobKind,
         /// Time since it was accepted, as far as the owner knows.
@@ -286,7 +286,7 @@
         objective: Duration,
     },
     /// A step whose turn has come finds no room; told once.
-    Waits {
+    StepWaiting {
         /// The job.
         job: JobId,
         /// The step.
@@ -299,14 +299,14 @@
         backlog: usize,
     },
     /// A job is handed to another shard.
-    Delegated {
+    JobDelegated {
         /// The job.
         job: JobId,
         /// The shard that runs it.
         to: ShardId,
     },
     /// A task that found no room here is handed to another shard.
-    HandedOver {
+    TaskTransferred {
         /// The task.
         task: TaskId,
         /// The number of its hand-over.
@@ -315,15 +315,15 @@
         to: ShardId,
     },
     /// A task that lasts is to start anew elsewhere, so that its worker's room becomes one piece.
-    Moves {
+    TaskMoving {
         /// The task.
         task: TaskId,
         /// Where it was.
         worker: WorkerId,
         /// The room that will be free there, in thousandths of a core.
-        room: u32,
+        free_cpu: u32,
         /// What waits for it needs as much.
-        need: u32,
+        needed_cpu: u32,
     },
     /// A run ended.
     RunEnded {
@@ -347,16 +347,16 @@
         /// Where.
         worker: WorkerId,
         /// Why it cannot be running any more.
-        why: &'static str,
+        cause: &'static str,
     },
     /// What is believed of a worker changed.
     Worker {
         /// The worker.
         worker: WorkerId,
         /// The new belief.
-        is: &'static str,
+        state: &'static str,
         /// What decided it.
-        why: &'static str,
+        cause: &'static str,
     },
 }
 
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -36,9 +36,9 @@
         self.states.extend(states);
         delegated.into_iter().for_each(|id| self.forward(id));
         handed.into_iter().for_each(|task| self.forward_task(task));
-        for (key, born_ms, number) in cursors {
+        for (key, started_at_ms, number) in cursors {
             if let Some(worker) = self.workers.get_mut(key)
-                && worker.born_ms == born_ms
+                && worker.started_at_ms == started_at_ms
             {
                 worker.cursor_durable = worker.cursor_durable.max(number);
             }
@@ -142,18 +142,18 @@
             }
             OrderReply::Refused(Refusal::Fenced) => self.actions.push(Action::StepDown),
             // An earlier sending was carried out and has ended by now: the list will say how.
-            OrderReply::Refused(Refusal::Old) if it.maybe_late => it.sent = Sent::There(now),
-            OrderReply::Refused(why) => self.refused(now, key, task, run, why),
+            OrderReply::Refused(Refusal::StaleRun) if it.maybe_late => it.sent = Sent::There(now),
+            OrderReply::Refused(cause) => self.refused(now, key, task, run, cause),
         }
     }
 
-    fn refused(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, why: Refusal) {
-        let pause = match why {
+    fn refused(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, cause: Refusal) {
+        let pause = match cause {
             Refusal::Unhealthy => SHUN_UNHEALTHY,
             _ => SHUN_REFUSING,
         };
         self.shun(now, key, pause);
-        self.note_worker(key, "shunned", refusal_words(why));
+        self.note_worker(key, "shunned", refusal_words(cause));
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
         // An earlier sending may still be carried out: a stop that is answered shuts it out.
         match it.maybe_late {
@@ -199,7 +199,7 @@
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
         it.stop = match reply {
             OrderReply::Done { .. } => Stop::Done(now),
-            OrderReply::Refused(Refusal::Old | Refusal::Late) => Stop::Done(now),
+            OrderReply::Refused(Refusal::StaleRun | Refusal::Late) => Stop::Done(now),
             OrderReply::Refused(Refusal::Fenced) => {
                 self.actions.push(Action::StepDown);
                 return;
@@ -236,15 +236,15 @@
     }
 }
 
-fn refusal_words(why: Refusal) -> &'static str {
-    match why {
+fn refusal_words(cause: Refusal) -> &'static str {
+    match cause {
         Refusal::Fenced => "it has seen a higher epoch",
-        Refusal::Old => "it has ended a later run of a task",
+        Refusal::StaleRun => "it has ended a later run of a task",
         Refusal::Late => "a start came after its lease",
-        Refusal::Room => "a start did not fit",
+        Refusal::DoesNotFit => "a start did not fit",
         Refusal::Ticket => "a start had no valid ticket",
         Refusal::Unhealthy => "it says that it is unhealthy",
-        Refusal::OtherInstance => "another incarnation answered",
+        Refusal::OtherIncarnation => "another incarnation answered",
         Refusal::Malformed => "it does not understand a start",
     }
 }
--- a/daisy-workflow/src/owner/pace.rs
+++ b/daisy-workflow/src/owner/pace.rs
@@ -106,7 +106,8 @@
         }
         let service = worker.service.clone();
         self.weigh_all();
-        let options = Place { rack: None, taken: &[], any_pace: false, kept: &self.kept };
+        let options =
+            Place { rack: None, taken: &[], any_pace: false, reservations: &self.reservations };
         let to = self.try_place(now, &service, step, task, options);
         if to.is_some_and(|to| to != key)
             && let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run))
--- a/daisy-workflow/src/owner/place.rs
+++ b/daisy-workflow/src/owner/place.rs
@@ -44,7 +44,7 @@
     /// Whether a best-effort task may be placed where it would be held back.
     pub any_pace: bool,
     /// Workers that are kept for more urgent tasks.
-    pub kept: &'a [Kept],
+    pub reservations: &'a [Kept],
 }
 
 /// A worker that is kept for a task without room until what runs there leaves it enough.
@@ -65,7 +65,7 @@
         task: TaskId,
         options: Place<'_>,
     ) -> Option<WorkerKey> {
-        let Place { rack, taken, any_pace, kept } = options;
+        let Place { rack, taken, any_pace, reservations } = options;
         let image = step.image.as_ref().and_then(|it| self.interference.try_best_effort(it));
         let mut best: Option<(i64, WorkerKey)> = None;
         for (key, it) in self.workers.iter() {
@@ -77,7 +77,9 @@
                 && takes
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
                 && rack.is_none_or(|rack| it.has_label(rack))
-                && kept.iter().all(|kept| kept.worker != key || spares(step, it, kept.need))
+                && reservations.iter().all(|reservations| {
+                    reservations.worker != key || spares(step, it, reservations.need)
+                })
                 && fits(now, step, it, key, taken)
                 && !crowded(step, it, key, task, taken);
             if !can {
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -60,7 +60,7 @@
 /// What one pass over all jobs has found so far.
 #[derive(Debug, Default)]
 struct Round {
-    kept: Vec<Kept>,
+    reservations: Vec<Kept>,
     /// Best-effort tasks for which there is no room.
     full: Vec<Full>,
 }
@@ -103,13 +103,13 @@
     pub(super) fn plan(&mut self, now: Instant) {
         self.weigh_all();
         self.short.clear();
-        let mut round = Round { kept: self.kept_for_moves(), ..Round::default() };
+        let mut round = Round { reservations: self.kept_for_moves(), ..Round::default() };
         for id in self.by_urgency(now) {
             for ready in self.ready_steps(now, id) {
                 self.place_step(now, ready, &mut round);
             }
         }
-        self.kept = round.kept;
+        self.reservations = round.reservations;
     }
 
     /// Sums up anew the workers on which something was started or has ended.
@@ -128,11 +128,17 @@
 
     /// A worker that is kept for a task without room, so that what ends there leaves it enough in
     /// time: else smaller tasks take each gap as it comes, and a large one never starts.
-    fn try_keep(&self, now: Instant, ready: Ready, step: &StepSpec, kept: &[Kept]) -> Option<Kept> {
+    fn try_keep(
+        &self,
+        now: Instant,
+        ready: Ready,
+        step: &StepSpec,
+        reservations: &[Kept],
+    ) -> Option<Kept> {
         let view = self.active.get(&ready.job)?;
         let tail = view.tails_ms.get(usize::from(ready.step)).copied().unwrap_or_default();
         let pressed = now + Duration::from_millis(tail) + KEEP_SLACK > view.objective;
-        if step.best_effort || kept.len() >= self.kept_max() {
+        if step.best_effort || reservations.len() >= self.kept_max() {
             return None;
         }
         if !step.long_running && (!pressed || now > view.objective) {
@@ -142,7 +148,7 @@
         let candidates = self.workers.iter().filter(|(key, it)| {
             it.service == service
                 && self.usable(now, it)
-                && kept.iter().all(|kept| kept.worker != *key)
+                && reservations.iter().all(|reservations| reservations.worker != *key)
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
                 && step.counted().fits(it.room_in_time())
                 && !is_crowded(step, it, task_id(ready, 0))
@@ -253,7 +259,7 @@
             .collect();
         if step.gang {
             if waiting.len() == tasks.len() {
-                self.place_gang(now, ready, &spec, step, &round.kept);
+                self.place_gang(now, ready, &spec, step, &round.reservations);
             }
             return;
         }
@@ -265,15 +271,23 @@
         let count = waiting.len();
         for (at, index) in waiting.into_iter().enumerate() {
             let task = task_id(ready, index);
-            let options = Place { rack: None, taken: &[], any_pace: false, kept: &round.kept };
+            let options = Place {
+                rack: None,
+                taken: &[],
+                any_pace: false,
+                reservations: &round.reservations,
+            };
             let place = self
                 .try_moved_to(now, step, task)
                 .or_else(|| self.try_place(now, &service, step, task, options));
             let Some(key) = place else {
                 self.add_short(step);
                 for _ in at..count {
-                    let Some(kept) = self.try_keep(now, ready, step, &round.kept) else { break };
-                    round.kept.push(kept);
+                    let Some(reservations) = self.try_keep(now, ready, step, &round.reservations)
+                    else {
+                        break;
+                    };
+                    round.reservations.push(reservations);
                 }
                 round.add_full(&service, step);
                 self.note_wait(ready, step, count - at);
@@ -292,9 +306,9 @@
             return;
         }
         view.told_waiting.push(ready.step);
-        let cause = if step.best_effort { WaitCause::Headroom } else { WaitCause::Room };
+        let cause = if step.best_effort { WaitCause::Headroom } else { WaitCause::Capacity };
         let Ready { job, step, .. } = ready;
-        self.actions.push(Action::Note(Note::Waits { job, step, tasks, cause, backlog }));
+        self.actions.push(Action::Note(Note::StepWaiting { job, step, tasks, cause, backlog }));
     }
 
     /// Starts all members of a gang, or none.
@@ -304,16 +318,18 @@
         ready: Ready,
         spec: &JobSpec,
         step: &StepSpec,
-        kept: &[Kept],
+        reservations: &[Kept],
     ) {
         let service = self.service(spec);
         let found = match step.same_rack {
             true => self
                 .racks(&service)
                 .into_iter()
-                .find_map(|rack| self.try_place_all(now, &service, step, ready, Some(&rack), kept))
-                .or_else(|| self.try_place_all(now, &service, step, ready, None, kept)),
-            false => self.try_place_all(now, &service, step, ready, None, kept),
+                .find_map(|rack| {
+                    self.try_place_all(now, &service, step, ready, Some(&rack), reservations)
+                })
+                .or_else(|| self.try_place_all(now, &service, step, ready, None, reservations)),
+            false => self.try_place_all(now, &service, step, ready, None, reservations),
         };
         let Some(keys) = found else { return };
         let members = 0..step.count;
@@ -330,12 +346,12 @@
         step: &StepSpec,
         ready: Ready,
         rack: Option<&str>,
-        kept: &[Kept],
+        reservations: &[Kept],
     ) -> Option<Vec<WorkerKey>> {
         let mut taken: Vec<(WorkerKey, Resources)> = Vec::new();
         for index in 0..step.count {
             let task = task_id(ready, index);
-            let options = Place { rack, taken: &taken, any_pace: true, kept };
+            let options = Place { rack, taken: &taken, any_pace: true, reservations };
             let key = self.try_place(now, service, step, task, options)?;
             taken.push((key, step.counted()));
         }
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -31,7 +31,7 @@
 pub struct Witnesses {
     /// The epoch of the last owner that heeds them, as all between it and the one that named them do.
     /// An owner of a build that knows of none is not among these.
-    pub heeded_by: u64,
+    pub accepted_by_epoch: u64,
     /// The workers, in order.
     pub workers: Vec<Witness>,
 }
@@ -42,16 +42,16 @@
     /// The worker.
     pub worker: WorkerId,
     /// When the incarnation started that counts: a later one has forgotten which owners called it.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
 }
 
 /// When an owner began.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Claimed {
+pub struct OwnershipStart {
     /// A time before its claim was sent.
     pub at: Instant,
     /// No owner before it can renew anything any more.
-    pub alone: bool,
+    pub predecessors_ended: bool,
     /// Its epoch, and that of the claim before.
     pub epoch: u64,
     /// See [`epoch`](Claimed::epoch).
@@ -81,9 +81,9 @@
 }
 
 impl Succession {
-    pub(super) fn new(now: Instant, claimed: Claimed, known: &Witnesses) -> Succession {
+    pub(super) fn new(now: Instant, claimed: OwnershipStart, known: &Witnesses) -> Succession {
         // Where not all owners before heed them, they say nothing.
-        let heeded = known.heeded_by == claimed.after;
+        let heeded = known.accepted_by_epoch == claimed.after;
         let witnesses = if heeded { known.workers.clone() } else { Vec::new() };
         let next = (!witnesses.is_empty()).then(|| witnesses.clone());
         Succession {
@@ -91,7 +91,7 @@
             appended_at: claimed.at,
             fenced_at: None,
             outvoted_at: None,
-            settled_at: claimed.alone.then_some(now),
+            settled_at: claimed.predecessors_ended.then_some(now),
             witnesses,
             next,
             recording: None,
@@ -117,7 +117,7 @@
     /// Whether the witnesses name an earlier incarnation of a worker.
     pub(super) fn names_earlier(&self, worker: &Worker) -> bool {
         let at = self.witnesses.binary_search_by(|it| it.worker.cmp(&worker.id));
-        at.is_ok_and(|at| self.witnesses[at].born_ms < worker.born_ms)
+        at.is_ok_and(|at| self.witnesses[at].started_at_ms < worker.started_at_ms)
     }
 
     /// Whether witnesses are to be recorded.
@@ -129,7 +129,7 @@
     pub(super) fn try_record(&mut self) -> Option<Record> {
         let next = self.next.take()?;
         self.recording = Some(next.clone());
-        Some(Record::Witnesses(Witnesses { heeded_by: self.epoch, workers: next }))
+        Some(Record::Witnesses(Witnesses { accepted_by_epoch: self.epoch, workers: next }))
     }
 
     /// The batch under way is in the log.
@@ -164,7 +164,8 @@
     /// Whether more than half of the witnesses have answered of late.
     fn most_answer(&self, witnesses: &[Witness], now: Instant) -> bool {
         let answers = self.count_answered(witnesses, |worker, it| {
-            worker.born_ms == it.born_ms && now.since(worker.answered_since) < ANSWER_COUNTS
+            worker.started_at_ms == it.started_at_ms
+                && now.since(worker.answered_since) < ANSWER_COUNTS
         });
         answers * 2 > witnesses.len()
     }
@@ -228,7 +229,7 @@
 
     /// Whether no owner before this one can renew anything, and what they renewed has run out by any
     /// worker's clock.
-    pub fn is_settled(&self, now: Instant) -> bool {
+    pub fn are_predecessor_leases_over(&self, now: Instant) -> bool {
         let longest = self.settings.lease_max + self.settings.lease_max / 10;
         self.succession.settled_at.is_some_and(|it| now >= it + longest)
     }
@@ -244,8 +245,9 @@
             return;
         }
         let stands = self.workers.iter().filter(|(_, it)| it.listed && it.fenced);
-        let mut next: Vec<Witness> =
-            stands.map(|(_, it)| Witness { worker: it.id.clone(), born_ms: it.born_ms }).collect();
+        let mut next: Vec<Witness> = stands
+            .map(|(_, it)| Witness { worker: it.id.clone(), started_at_ms: it.started_at_ms })
+            .collect();
         next.sort_unstable_by(|a, b| a.worker.cmp(&b.worker));
         let it = &mut self.succession;
         it.review_at = now + REVIEW_EVERY;
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -14,10 +14,10 @@
     pub jobs: usize,
     /// Tasks whose turn has come and that are nowhere: those that are to last, those that use what
     /// others leave, and all others.
-    pub waiting_lasting: usize,
-    /// See [`waiting_lasting`](Summary::waiting_lasting).
+    pub waiting_long_running: usize,
+    /// See [`waiting_long_running`](Summary::waiting_lasting).
     pub waiting_best_effort: usize,
-    /// See [`waiting_lasting`](Summary::waiting_lasting).
+    /// See [`waiting_long_running`](Summary::waiting_lasting).
     pub waiting: usize,
     /// Runs that may be on a worker.
     pub runs: usize,
@@ -28,19 +28,19 @@
     /// Workers that do not answer and may still run something.
     pub silent: usize,
     /// Runs of tasks that last and whose fate is not known.
-    pub uncertain: usize,
+    pub unconfirmed_runs: usize,
     /// How long until the last of them counts as over.
-    pub uncertain_for: Duration,
+    pub unconfirmed_for: Duration,
     /// Processor time that is free on usable workers, in thousandths of a core.
     pub free_cpu: u64,
     /// The part of it in pieces too small for a task of the mean size that ends by itself.
     pub unusable_cpu: u64,
     /// The most of it on one worker.
-    pub largest_room: u32,
+    pub largest_free_cpu: u32,
     /// The most of it on one worker once all has ended that ends by itself.
-    pub largest_room_in_time: u32,
+    pub largest_future_free_cpu: u32,
     /// The least that any waiting task needs that is to last, in thousandths of a core; 0 for none.
-    pub least_lasting: u32,
+    pub smallest_waiting_cpu: u32,
     /// How long the first of the waiting tasks that are to last has waited.
     pub longest_wait: Duration,
 }
@@ -57,12 +57,12 @@
                 sum.usable += 1;
                 let room = worker.free().cpu_milli;
                 sum.free_cpu += u64::from(room);
-                sum.largest_room = sum.largest_room.max(room);
+                sum.largest_free_cpu = sum.largest_free_cpu.max(room);
                 if room < self.typical_cpu {
                     sum.unusable_cpu += u64::from(room);
                 }
-                sum.largest_room_in_time =
-                    sum.largest_room_in_time.max(worker.room_in_time().cpu_milli);
+                sum.largest_future_free_cpu =
+                    sum.largest_future_free_cpu.max(worker.room_in_time().cpu_milli);
             }
         }
         for (id, _) in self.active.iter() {
@@ -77,22 +77,22 @@
                 let count = count.count();
                 if step.long_running && count > 0 {
                     let need = step.counted().cpu_milli;
-                    sum.least_lasting = match sum.least_lasting {
+                    sum.smallest_waiting_cpu = match sum.smallest_waiting_cpu {
                         0 => need,
                         least => least.min(need),
                     };
                 }
                 let sum = match (step.long_running, step.best_effort) {
-                    (true, _) => &mut sum.waiting_lasting,
+                    (true, _) => &mut sum.waiting_long_running,
                     (false, true) => &mut sum.waiting_best_effort,
                     (false, false) => &mut sum.waiting,
                 };
                 *sum += count;
             }
         }
-        let uncertain = self.uncertain(now);
-        sum.uncertain = uncertain.len();
-        sum.uncertain_for = uncertain.iter().map(|it| it.left).max().unwrap_or_default();
+        let unconfirmed_runs = self.unconfirmed_runs(now);
+        sum.unconfirmed_runs = unconfirmed_runs.len();
+        sum.unconfirmed_for = unconfirmed_runs.iter().map(|it| it.left).max().unwrap_or_default();
         let waits = self.waits_since.iter().map(|(_, since)| now.since(*since));
         sum.longest_wait = waits.max().unwrap_or_default();
         sum
--- a/daisy-workflow/src/owner/uncertain.rs
+++ b/daisy-workflow/src/owner/unconfirmed_runs.rs
@@ -13,7 +13,7 @@
 
 /// Why the fate of a run is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Doubt {
+pub enum UnconfirmedCause {
     /// Its worker has answered this owner, and does so no more.
     Silent,
     /// Its worker has never answered this owner; one before it may have renewed its lease.
@@ -22,15 +22,15 @@
     NotListed,
 }
 
-impl Doubt {
+impl UnconfirmedCause {
     /// In a few words, for a log line.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Doubt::Silent => "its worker is silent, and its lease may not be over",
-            Doubt::NeverReached => {
+            UnconfirmedCause::Silent => "its worker is silent, and its lease may not be over",
+            UnconfirmedCause::NeverReached => {
                 "its worker has not answered this owner, and one before may have renewed its lease"
             }
-            Doubt::NotListed => {
+            UnconfirmedCause::NotListed => {
                 "the list does not name its worker, and an owner before may have renewed its lease"
             }
         }
@@ -39,7 +39,7 @@
 
 /// A run that is neither known to be at work nor to be over, so that its task cannot start elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Uncertain {
+pub struct UnconfirmedRun {
     /// The task.
     pub task: TaskId,
     /// The number of the start.
@@ -47,35 +47,35 @@
     /// Where it may be.
     pub worker: WorkerId,
     /// Why that is not known.
-    pub why: Doubt,
+    pub cause: UnconfirmedCause,
     /// How long until it counts as over.
     pub left: Duration,
 }
 
 impl Owner {
     /// Runs of tasks that last and whose fate is not known.
-    pub fn uncertain(&self, now: Instant) -> Vec<Uncertain> {
+    pub fn unconfirmed_runs(&self, now: Instant) -> Vec<UnconfirmedRun> {
         let mut found = Vec::new();
         for (_, worker) in self.workers.iter() {
-            let Some(why) = doubt(worker) else { continue };
+            let Some(cause) = doubt(worker) else { continue };
             let over_at = self.try_over_at(worker).unwrap_or_else(|| self.inherited_until(now));
             let left = over_at.since(now);
             let lasting = worker.tasks.iter().filter(|it| it.lasts && it.sent != Sent::Recording);
-            found.extend(lasting.map(|it| Uncertain {
+            found.extend(lasting.map(|it| UnconfirmedRun {
                 task: it.task,
                 run: it.run,
                 worker: worker.id.clone(),
-                why,
+                cause,
                 left,
             }));
         }
         let left = self.inherited_until(now).since(now);
         let lasting = self.orphans.iter().filter(|it| self.lasts(it.task));
-        found.extend(lasting.map(|it| Uncertain {
+        found.extend(lasting.map(|it| UnconfirmedRun {
             task: it.task,
             run: it.run,
             worker: it.worker.clone(),
-            why: Doubt::NotListed,
+            cause: UnconfirmedCause::NotListed,
             left,
         }));
         found
@@ -102,10 +102,10 @@
 }
 
 /// Why the fate of what runs on a worker is not known, if it is not.
-fn doubt(worker: &Worker) -> Option<Doubt> {
+fn doubt(worker: &Worker) -> Option<UnconfirmedCause> {
     match (worker.clock, worker.hold_failures > 0 || !worker.listed) {
-        (None, _) => Some(Doubt::NeverReached),
-        (Some(_), true) => Some(Doubt::Silent),
+        (None, _) => Some(UnconfirmedCause::NeverReached),
+        (Some(_), true) => Some(UnconfirmedCause::Silent),
         (Some(_), false) => None,
     }
 }
--- a/daisy-workflow/src/owner/watch.rs
+++ b/daisy-workflow/src/owner/watch.rs
@@ -109,12 +109,12 @@
     }
 
     /// Leaves a worker alone for a while.
-    pub(super) fn suspect(&mut self, now: Instant, key: WorkerKey, why: &'static str) {
+    pub(super) fn suspect(&mut self, now: Instant, key: WorkerKey, cause: &'static str) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         let known = worker.suspected_until > now;
         worker.suspected_until = now + SUSPECTED_FOR;
         if !known {
-            self.note_worker(key, "shunned", why);
+            self.note_worker(key, "shunned", cause);
         }
     }
 
--- a/daisy-workflow/src/owner/worker.rs
+++ b/daisy-workflow/src/owner/worker.rs
@@ -9,7 +9,7 @@
     message::StopCause,
     room::{self, Pressed},
 };
-use crate::{Listed, TaskId, WorkerId};
+use crate::{TaskId, WorkerId, WorkerListing};
 
 /// A worker's clock may run this much slower than the owner's, in thousandths: the platform's
 /// contract allows 2 %.
@@ -130,7 +130,7 @@
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) capacity: Resources,
     pub(crate) used: Resources,
-    pub(crate) born_ms: u64,
+    pub(crate) started_at_ms: u64,
     /// Whether the platform's list names it.
     pub(crate) listed: bool,
     pub(crate) ready: bool,
@@ -186,7 +186,7 @@
 }
 
 impl Worker {
-    pub(crate) fn new(now: Instant, listed: &Listed) -> Worker {
+    pub(crate) fn new(now: Instant, listed: &WorkerListing) -> Worker {
         Worker {
             id: listed.id.clone(),
             address: listed.address,
@@ -194,7 +194,7 @@
             labels: listed.labels.clone(),
             capacity: listed.capacity,
             used: Resources::ZERO,
-            born_ms: listed.born_ms,
+            started_at_ms: listed.started_at_ms,
             listed: true,
             ready: listed.ready,
             leaves_at: None,
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -198,25 +198,28 @@
 
 #[derive(Debug, Encode, Decode)]
 pub(super) struct WitnessesWire {
-    heeded_by: u64,
+    accepted_by_epoch: u64,
     /// Worker, start of its incarnation in milliseconds since 1970.
     workers: Vec<(String, u64)>,
 }
 
 impl From<&Witnesses> for WitnessesWire {
     fn from(witnesses: &Witnesses) -> WitnessesWire {
-        let workers = witnesses.workers.iter().map(|it| (it.worker.0.to_string(), it.born_ms));
-        WitnessesWire { heeded_by: witnesses.heeded_by, workers: workers.collect() }
+        let workers =
+            witnesses.workers.iter().map(|it| (it.worker.0.to_string(), it.started_at_ms));
+        WitnessesWire { accepted_by_epoch: witnesses.accepted_by_epoch, workers: workers.collect() }
     }
 }
 
 impl From<WitnessesWire> for Witnesses {
     fn from(wire: WitnessesWire) -> Witnesses {
-        let witness =
-            |(worker, born_ms): (String, u64)| Witness { worker: worker.as_str().into(), born_ms };
+        let witness = |(worker, started_at_ms): (String, u64)| Witness {
+            worker: worker.as_str().into(),
+            started_at_ms,
+        };
         let mut workers: Vec<Witness> = wire.workers.into_iter().map(witness).collect();
         workers.sort_unstable_by(|a, b| a.worker.cmp(&b.worker));
-        Witnesses { heeded_by: wire.heeded_by, workers }
+        Witnesses { accepted_by_epoch: wire.accepted_by_epoch, workers }
     }
 }
 
--- a/daisy-workflow/tests/delegate.rs
+++ b/daisy-workflow/tests/delegate.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, SortedMap};
 use daisy_workflow::{
-    Action, Claimed, Copy, Demand, Event, JobId, JobSpec, JobState, Layout, Ledger, Load, Others,
-    Owner, Progress, Record, Rules, Settings, ShardId,
+    Action, Copy, Demand, Event, JobId, JobSpec, JobState, Layout, Ledger, Load, Others, Owner,
+    OwnershipStart, PlacementRules, Progress, Record, Settings, ShardId,
 };
 use std::time::Duration;
 use util::{CORE, FakeWorker, best_effort, job, lasting, step};
@@ -37,9 +37,9 @@
         lease_max: Duration::from_secs(10),
         shard: OWN,
         layout: LAYOUT,
-        rules: Rules::default(),
+        rules: PlacementRules::default(),
     };
-    let claimed = Claimed { at: at(1_000), alone: true, epoch: 1, after: 0 };
+    let claimed = OwnershipStart { at: at(1_000), predecessors_ended: true, epoch: 1, after: 0 };
     Owner::new(at(1_000), 0, settings, ledger, util::queues(), claimed)
 }
 
@@ -49,7 +49,7 @@
     for action in owner.act(now) {
         let Action::Hold { worker: key, deadline_ms, cursor, .. } = action else { continue };
         let answer = worker.hold(now, 1, deadline_ms, cursor);
-        owner.step(now, Event::Held(key, answer.and_then(Result::ok)));
+        owner.step(now, Event::HoldAnswered(key, answer.and_then(Result::ok)));
     }
 }
 
@@ -124,7 +124,7 @@
     let mut owner = owner(ledger);
 
     assert_eq!(owner.take_states(), [(stays, JobState::Queued)]);
-    assert_eq!(owner.handed_on().collect::<Vec<_>>(), [goes]);
+    assert_eq!(owner.delegated_away().collect::<Vec<_>>(), [goes]);
 }
 
 /// A shard has just changed its owner, who has not read the list of workers yet. It must not hand all
@@ -225,8 +225,8 @@
 
     let batch = owner.try_batch(at(1_020));
 
-    let handed_on = |it: &Record| matches!(it, Record::Delegated(..));
-    assert!(!batch.is_some_and(|it| it.records.iter().any(handed_on)));
+    let delegated_away = |it: &Record| matches!(it, Record::Delegated(..));
+    assert!(!batch.is_some_and(|it| it.records.iter().any(delegated_away)));
 }
 
 #[test]
--- a/daisy-workflow/tests/owner.rs
+++ b/daisy-workflow/tests/owner.rs
@@ -88,7 +88,7 @@
     assert_eq!(early, 8);
     assert!(moved);
     assert_eq!(world.worker("w1").ends.len(), 4);
-    assert!(world.worker("w1").ends.iter().all(|it| it.outcome == Outcome::Lapsed));
+    assert!(world.worker("w1").ends.iter().all(|it| it.outcome == Outcome::LeaseExpired));
 }
 
 /// The owner dies right after it has sent orders. The next one finds their records in the log,
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -78,8 +78,8 @@
             }],
         ),
         Record::Witnesses(Witnesses {
-            heeded_by: 9,
-            workers: vec![Witness { worker: "w1".into(), born_ms: 1_700_000_000_000 }],
+            accepted_by_epoch: 9,
+            workers: vec![Witness { worker: "w1".into(), started_at_ms: 1_700_000_000_000 }],
         }),
         Record::Learnt(vec![Disturbance {
             serving: "s".into(),
--- a/daisy-workflow/tests/util/partition.rs
+++ b/daisy-workflow/tests/util/partition.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::Instant;
 use daisy_workflow::{
-    Action, Batch, Event, JobId, JobSpec, Layout, Ledger, Listed, Owner, Record, ShardId, Start,
-    TaskId, Witnesses, WorkerKey,
+    Action, Batch, Event, JobId, JobSpec, Layout, Ledger, Owner, Record, ShardId, Start, TaskId,
+    Witnesses, WorkerKey, WorkerListing,
 };
 
 use super::{
@@ -135,7 +135,7 @@
     /// The epoch of the newest sign of life, and when it was taken. Signs are fenced by signs alone, as
     /// they are in a partition of their own.
     signed: (u64, Instant),
-    entries: Vec<(Instant, Listed)>,
+    entries: Vec<(Instant, WorkerListing)>,
     calls: Vec<Call>,
     watched: Vec<Watched>,
     /// Runs that began, and ends as done that count.
@@ -419,7 +419,8 @@
             let known = self.entries.iter().position(|(_, it)| it.id == listing.id);
             let due = known.is_none_or(|it| {
                 let (written_at, entry) = &self.entries[it];
-                now.since(*written_at) >= ENTRY_EVERY || entry.born_ms != listing.born_ms
+                now.since(*written_at) >= ENTRY_EVERY
+                    || entry.started_at_ms != listing.started_at_ms
             });
             if due && !self.is_down(at) && self.passes(Node::Worker(at), Node::Store) {
                 self.entries.retain(|(_, it)| it.id != listing.id);
@@ -557,9 +558,10 @@
             None => {
                 self.signed = (process.epoch, self.now);
                 if process.epoch == claimed.epoch {
-                    claimed.settled = process.settled || process.owner.is_settled(self.now);
+                    claimed.settled =
+                        process.settled || process.owner.are_predecessor_leases_over(self.now);
                 }
-                Event::Reached { sent_at: *sent_at }
+                Event::HeartbeatStored { sent_at: *sent_at }
             }
         }
     }
@@ -654,5 +656,5 @@
 }
 
 fn is_of_log(event: &Event) -> bool {
-    matches!(event, Event::Appended | Event::Reached { .. } | Event::Fenced(LOG))
+    matches!(event, Event::Appended | Event::HeartbeatStored { .. } | Event::Fenced(LOG))
 }
--- a/daisy-workflow/tests/util/worker.rs
+++ b/daisy-workflow/tests/util/worker.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources};
 use daisy_workflow::{
-    Action, Ended, Event, HoldAnswer, Listed, OrderReply, Outcome, Refusal, Running, Start, TaskId,
-    WorkerKey,
+    Action, ActiveRun, EndedRun, Event, HoldAnswer, OrderReply, Outcome, Refusal, Start, TaskId,
+    WorkerKey, WorkerListing,
 };
 
 use super::{LEASE_MAX, STEP};
@@ -53,7 +53,7 @@
     pub name: String,
     pub capacity: Resources,
     pub labels: Vec<String>,
-    pub born_ms: u64,
+    pub started_at_ms: u64,
     pub offset: u64,
     pub zero_ms: u64,
     pub slow_permille: u64,
@@ -63,7 +63,7 @@
     pub fence: u64,
     pub deadline: u64,
     pub runs: Vec<FakeRun>,
-    pub ends: Vec<Ended>,
+    pub ends: Vec<EndedRun>,
     pub number: u64,
     /// Ends as done that were neither acknowledged nor made void by the end of the lease: their
     /// numbers, their tasks, and when.
@@ -96,7 +96,7 @@
 pub fn unanswered(action: Action) -> Option<Event> {
     let reply = OrderReply::Unknown;
     Some(match action {
-        Action::Hold { worker, .. } => Event::Held(worker, None),
+        Action::Hold { worker, .. } => Event::HoldAnswered(worker, None),
         Action::Start(key, start) => Event::Started(key, start.task, start.run, reply),
         Action::Stop(key, task, run, _) => Event::Stopped(key, task, run, reply),
         Action::Pace(key, task, run, percent) => Event::Paced(key, task, run, percent, reply),
@@ -110,7 +110,7 @@
             name: name.to_owned(),
             capacity: Resources { cpu_milli: cores * 1_000, memory_mib: 64_000, accelerators: 0 },
             labels: vec!["a".to_owned(), "r1".to_owned()],
-            born_ms: 1,
+            started_at_ms: 1,
             offset: 5_000,
             zero_ms: 0,
             slow_permille: 0,
@@ -132,17 +132,17 @@
         }
     }
 
-    pub fn listing(&self) -> Listed {
-        Listed {
+    pub fn listing(&self) -> WorkerListing {
+        WorkerListing {
             id: self.name.as_str().into(),
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
             service: "shop".into(),
             ready: self.ready,
             capacity: self.capacity,
             labels: self.labels.iter().map(|it| it.as_str().into()).collect(),
-            born_ms: self.born_ms,
+            started_at_ms: self.started_at_ms,
             cold_ms: 0,
-            leaves_ms: (!self.ready).then_some(2_500),
+            min_remaining_ms: (!self.ready).then_some(2_500),
         }
     }
 
@@ -167,9 +167,9 @@
         Some(match action {
             Action::Hold { worker: key, deadline_ms, cursor, wait } => {
                 match self.hold(now, epoch, deadline_ms, cursor) {
-                    None => (Duration::from_millis(300), Event::Held(key, None)),
+                    None => (Duration::from_millis(300), Event::HoldAnswered(key, None)),
                     Some(Err(())) => (STEP, Event::Fenced(key)),
-                    Some(Ok(answer)) => (wait.max(STEP), Event::Held(key, Some(answer))),
+                    Some(Ok(answer)) => (wait.max(STEP), Event::HoldAnswered(key, Some(answer))),
                 }
             }
             Action::Start(key, start) => {
@@ -206,7 +206,7 @@
         if clock > self.deadline {
             self.done.clear();
             for run in std::mem::take(&mut self.runs) {
-                self.end(&run, Outcome::Lapsed);
+                self.end(&run, Outcome::LeaseExpired);
             }
         }
         let passed = clock - self.passed_at.clamp(1, clock);
@@ -240,7 +240,7 @@
     fn end(&mut self, run: &FakeRun, outcome: Outcome) {
         self.number += 1;
         self.shut.push((run.task, run.run));
-        self.ends.push(Ended {
+        self.ends.push(EndedRun {
             number: self.number,
             task: run.task,
             run: run.run,
@@ -274,7 +274,7 @@
             return OrderReply::Done { clock_ms: clock };
         }
         if self.shut.iter().any(|(task, run)| *task == start.task && start.run <= *run) {
-            return OrderReply::Refused(Refusal::Old);
+            return OrderReply::Refused(Refusal::StaleRun);
         }
         if start.deadline_ms < clock {
             return OrderReply::Refused(Refusal::Late);
@@ -344,7 +344,7 @@
             _ if it.work_ms >= LASTS_MS => 100,
             _ => (it.done_ms * 100.0 / it.work_ms.max(1) as f64).min(100.0) as u8,
         };
-        let running = self.runs.iter().map(|it| Running {
+        let running = self.runs.iter().map(|it| ActiveRun {
             task: it.task,
             run: it.run,
             checkpoint: String::new(),
@@ -354,7 +354,7 @@
         let running = running.collect();
         Some(Ok(HoldAnswer {
             clock_ms: clock,
-            born_ms: self.born_ms,
+            started_at_ms: self.started_at_ms,
             running,
             ended: self.ends.clone(),
         }))
@@ -364,14 +364,14 @@
     pub fn restart(&mut self, now: Instant) {
         let name = self.name.clone();
         let fresh = FakeWorker::new(&name, self.capacity.cpu_milli / 1_000);
-        let born_ms = now.0 / 1_000 + 1;
+        let started_at_ms = now.0 / 1_000 + 1;
         let (labels, late) = (self.labels.clone(), std::mem::take(&mut self.late));
         // Its clock begins anew, and orders on their way still arrive, though not before the owner
         // has had the time for a call: one that is carried out at the very start, under an epoch
         // that the new incarnation has not seen replaced, nobody could shut out.
         let at = now.0 / 1_000 + fresh.offset + 300;
         let late = late.into_iter().map(|(_, epoch, start, work)| (at, epoch, start, work));
-        *self = FakeWorker { born_ms, labels, late: late.collect(), ..fresh };
+        *self = FakeWorker { started_at_ms, labels, late: late.collect(), ..fresh };
     }
 }
 
--- a/daisy-workflow/tests/util/world.rs
+++ b/daisy-workflow/tests/util/world.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::Instant;
 use daisy_workflow::{
-    Action, Batch, Claimed, Event, JobId, JobSpec, JobState, Layout, Ledger, Owner, Record, Rules,
-    Settings, ShardId, Start, TaskId, WorkerKey,
+    Action, Batch, Event, JobId, JobSpec, JobState, Layout, Ledger, Owner, OwnershipStart,
+    PlacementRules, Record, Settings, ShardId, Start, TaskId, WorkerKey,
 };
 
 use super::{
@@ -183,7 +183,7 @@
         }
         // Signs of life show that the log takes what is written.
         if self.log_up && now.0.is_multiple_of(SIGN_EVERY_US) {
-            self.owner.step(now, Event::Reached { sent_at: now });
+            self.owner.step(now, Event::HeartbeatStored { sent_at: now });
         }
         self.owner.step(now, Event::Tick);
         for action in self.owner.act(now) {
@@ -295,8 +295,9 @@
         lease_max: LEASE_MAX,
         shard,
         layout,
-        rules: Rules::default(),
+        rules: PlacementRules::default(),
     };
-    let claimed = Claimed { at: now, alone: predecessor_gone, epoch, after: epoch - 1 };
+    let claimed =
+        OwnershipStart { at: now, predecessors_ended: predecessor_gone, epoch, after: epoch - 1 };
     Owner::new(now, 0, settings, ledger, super::queues(), claimed)
 }
