--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -5,24 +5,24 @@
 //! the log. Workers refuse orders of a lower epoch than they have seen; an owner starts nothing
 //! on a worker that has not answered under its own.
 
+mod best_effort;
 mod defragment;
 mod delegate;
-mod ends;
-mod hand_over;
-mod hold;
 mod intake;
 mod interference;
-mod lacks;
 mod message;
 mod orders;
 mod pace;
-mod place;
+mod placement;
 mod plan;
-mod room;
+mod renewal;
+mod run_ends;
+mod shortfall;
 mod succession;
 mod summary;
+mod tick;
+mod transfer;
 mod unconfirmed_runs;
-mod watch;
 mod worker;
 
 use std::{sync::Arc, time::Duration};
@@ -30,18 +30,18 @@
 use daisy_model::{Arena, Instant, Resources, SortedMap};
 
 use self::{
-    defragment::Move,
+    defragment::Relocation,
     interference::Interference,
-    place::Kept,
+    placement::Reservation,
     succession::Succession,
-    worker::{Assignment, Sent, Stop},
+    worker::{Assignment, StartState, StopState},
 };
 pub use self::{
-    lacks::PlacementShortfall,
     message::{
         Action, ActiveRun, Batch, EndedRun, Event, HoldAnswer, Note, OrderReply, Outcome, Refusal,
         Start, StopCause, WaitCause, WorkerListing,
     },
+    shortfall::PlacementShortfall,
     succession::{OwnershipStart, Witness, Witnesses},
     summary::Summary,
     unconfirmed_runs::{UnconfirmedCause, UnconfirmedRun},
@@ -103,7 +103,7 @@
     /// Estimated time from each step's start to the job's end, in milliseconds.
     pub tails_ms: Vec<u64>,
     /// Steps of which it was told that they wait for room.
-    pub told_waiting: Vec<u16>,
+    pub logged_waiting: Vec<u16>,
 }
 
 /// The owner.
@@ -123,11 +123,11 @@
     /// Jobs that are handed on whole and of which that is not recorded yet.
     delegating: Vec<JobId>,
     /// Starts that wait for their record.
-    recording: Vec<(WorkerKey, TaskId, u32)>,
+    unrecorded_starts: Vec<(WorkerKey, TaskId, u32)>,
     in_flight: Option<InFlight>,
     interference: Interference,
     /// When what was learnt was last recorded.
-    learnt_at: Instant,
+    interference_recorded_at: Instant,
     /// Copies recorded by an earlier owner on workers that the list does not name.
     orphans: Vec<Orphan>,
     /// Who may renew leases besides.
@@ -141,22 +141,22 @@
     states: Vec<(JobId, JobState)>,
     others: Others,
     /// Tasks that are handed on and of which nothing is recorded yet.
-    handed: Vec<TaskId>,
+    transferring: Vec<TaskId>,
     /// Since when tasks that last have found no room here.
-    waits_since: SortedMap<TaskId, Instant>,
+    waiting_since: SortedMap<TaskId, Instant>,
     /// When jobs that wait were last looked at for a better shard.
-    delegated_at: Instant,
+    rebalanced_at: Instant,
     /// When what starts was last decided.
     planned_at: Instant,
     /// Workers that were kept for more urgent tasks then.
-    reservations: Vec<Kept>,
+    reservations: Vec<Reservation>,
     /// Sizes for which the last decision found no room.
-    short: Vec<Resources>,
+    unplaced_sizes: Vec<Resources>,
     /// Tasks that are stopped on one worker to start on another.
-    moves: Vec<Move>,
+    relocations: Vec<Relocation>,
     defragmented_at: Instant,
     /// The running mean of what a task needs that ends by itself, in thousandths of a core.
-    typical_cpu: u32,
+    mean_task_cpu: u32,
 }
 
 /// A recorded run on a worker that is not known.
@@ -179,7 +179,7 @@
     states: Vec<(JobId, JobState)>,
     /// Jobs and tasks that are handed to other shards once this is recorded.
     delegated: Vec<JobId>,
-    handed: Vec<TaskId>,
+    transferring: Vec<TaskId>,
 }
 
 impl Owner {
@@ -204,10 +204,10 @@
             active: SortedMap::new(),
             dirty: Vec::new(),
             delegating: Vec::new(),
-            recording: Vec::new(),
+            unrecorded_starts: Vec::new(),
             in_flight: None,
             interference,
-            learnt_at: now,
+            interference_recorded_at: now,
             orphans: Vec::new(),
             succession,
             began_at: now,
@@ -216,15 +216,15 @@
             actions: Vec::new(),
             states: Vec::new(),
             others: Others::default(),
-            handed: Vec::new(),
-            waits_since: SortedMap::new(),
-            delegated_at: now,
-            planned_at: now - PLAN_EVERY,
+            transferring: Vec::new(),
+            waiting_since: SortedMap::new(),
+            rebalanced_at: now,
+            planned_at: now - PLAN_INTERVAL,
             reservations: Vec::new(),
-            short: Vec::new(),
-            moves: Vec::new(),
+            unplaced_sizes: Vec::new(),
+            relocations: Vec::new(),
             defragmented_at: now,
-            typical_cpu: 0,
+            mean_task_cpu: 0,
         };
         let own = owner.ledger.jobs().filter(|(_, it)| !it.is_part());
         owner.states = own.map(|(id, job)| (id, job.state())).collect();
@@ -247,12 +247,12 @@
 
     /// Takes over a job as an earlier owner recorded it.
     fn inherit_job(&mut self, now: Instant, id: JobId) {
-        self.open(now, id);
+        self.activate(now, id);
         let Some(job) = self.ledger.job(id) else { return };
         let copies = recorded_copies(id, job);
         for (worker, task, run) in copies {
             match self.by_id.get(&worker).copied() {
-                Some(key) => self.adopt(now, key, task, run, Sent::Inherited),
+                Some(key) => self.adopt(now, key, task, run, StartState::Inherited),
                 None => self.orphans.push(Orphan { worker, task, run }),
             }
         }
@@ -264,7 +264,7 @@
             Event::Record(record) => self.record(now, record),
             Event::Workers(listed) => {
                 self.list_read_at = now;
-                self.listed(now, &listed);
+                self.workers_listed(now, &listed);
             }
             Event::ListUnchanged => self.list_read_at = now,
             Event::Queues(queues) => {
@@ -273,7 +273,7 @@
                     self.plan_due = true;
                 }
             }
-            Event::HoldAnswered(worker, answer) => self.held(now, worker, answer),
+            Event::HoldAnswered(worker, answer) => self.hold_answered(now, worker, answer),
             Event::Fenced(_) => self.actions.push(Action::StepDown),
             Event::Started(worker, task, run, reply) => {
                 self.started(now, worker, task, run, reply);
@@ -282,21 +282,21 @@
                 self.stopped(now, worker, task, run, reply);
             }
             Event::Paced(worker, task, run, percent, reply) => {
-                self.paced(worker, task, run, percent, reply);
+                self.pace_answered(worker, task, run, percent, reply);
             }
             Event::Appended => self.appended(now),
-            Event::HeartbeatStored { sent_at } => self.reached(now, sent_at),
+            Event::HeartbeatStored { sent_at } => self.heartbeat_stored(now, sent_at),
             Event::Loads(loads) => self.others.update(loads),
             Event::Observed(seen) => {
                 seen.iter().for_each(|it| self.interference.add_observations(now, it));
             }
-            Event::Tick => self.watch(now),
+            Event::Tick => self.tick(now),
         }
     }
 
     /// Decides what starts now, and gives all that is to be done.
     pub fn act(&mut self, now: Instant) -> Vec<Action> {
-        if self.plan_due && now.since(self.planned_at) >= PLAN_EVERY {
+        if self.plan_due && now.since(self.planned_at) >= PLAN_INTERVAL {
             self.plan_due = false;
             self.planned_at = now;
             self.plan(now);
@@ -306,8 +306,9 @@
 
     /// Whether there are records to be appended.
     pub fn has_batch(&self) -> bool {
-        let nothing =
-            self.dirty.is_empty() && self.delegating.is_empty() && self.recording.is_empty();
+        let nothing = self.dirty.is_empty()
+            && self.delegating.is_empty()
+            && self.unrecorded_starts.is_empty();
         self.in_flight.is_none() && (!nothing || self.succession.has_record())
     }
 
@@ -333,17 +334,18 @@
                 states.push((id, job.state()));
             }
         }
-        let handed = std::mem::take(&mut self.handed);
-        records.extend(self.handed_records(&handed));
-        if now.since(self.learnt_at) >= LEARNT_EVERY {
-            self.learnt_at = now;
+        let transferring = std::mem::take(&mut self.transferring);
+        records.extend(self.transfer_records(&transferring));
+        if now.since(self.interference_recorded_at) >= INTERFERENCE_RECORD_INTERVAL {
+            self.interference_recorded_at = now;
             records.push(Record::Learnt(self.interference.pairs()));
         }
         records.extend(self.succession.try_record());
         let seen = self.workers.iter().filter(|(_, it)| it.cursor_seen > it.cursor_durable);
         let cursors = seen.map(|(key, it)| (key, it.started_at_ms, it.cursor_seen)).collect();
-        let starts = std::mem::take(&mut self.recording);
-        self.in_flight = Some(InFlight { began: now, starts, cursors, states, delegated, handed });
+        let starts = std::mem::take(&mut self.unrecorded_starts);
+        self.in_flight =
+            Some(InFlight { began: now, starts, cursors, states, delegated, transferring });
         Some(Batch { records })
     }
 
@@ -409,14 +411,14 @@
 }
 
 /// Between records of what was learnt, so that a new owner need not begin anew: about 1 KB each.
-const LEARNT_EVERY: Duration = Duration::from_secs(2);
+const INTERFERENCE_RECORD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Between decisions on what starts: each looks at all jobs and workers, and on a busy owner
 /// hundreds of events a second call for one.
-const PLAN_EVERY: Duration = Duration::from_millis(20);
+const PLAN_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Headroom that a serving task counts with until its first report.
-const NEW_HEADROOM: f64 = 2.7;
+const INITIAL_HEADROOM: f64 = 2.7;
 
 /// An assignment that begins now.
 fn assignment(
@@ -434,21 +436,21 @@
     Assignment {
         task,
         run,
-        counted: step.counted(),
+        allocation: step.counted(),
         best_effort_cpu: if step.best_effort { step.need.cpu_milli } else { 0 },
         image,
         target_ms: step.target_ms,
-        lasts: step.long_running,
-        sent: Sent::Recording,
+        is_long_running: step.long_running,
+        start_state: StartState::Recording,
         listed: false,
-        maybe_late: false,
-        tries: 0,
-        stop: Stop::No,
+        may_be_delayed: false,
+        start_attempts: 0,
+        stop_state: StopState::NotRequested,
         stop_cause: StopCause::Unknown,
-        absent: 0,
+        missed_lists: 0,
         checkpoint: String::new(),
         percent: 0,
-        moved_at: now,
+        progressed_at: now,
         began_at: now,
         load: 0,
         pace: Some(100),
@@ -456,7 +458,7 @@
         paced_at: Instant::default(),
         slowed_at: now,
         mean_headroom: None,
-        over_since: None,
-        own_headroom: NEW_HEADROOM,
+        target_missed_since: None,
+        own_headroom: INITIAL_HEADROOM,
     }
 }
--- a/daisy-workflow/src/owner/room.rs
+++ b/daisy-workflow/src/owner/best_effort.rs
@@ -16,50 +16,50 @@
 pub(super) const HEADROOM_MIN: f64 = 1.5;
 /// Headroom that a serving task is to keep from those that hardly disturb it: many such together
 /// can make the difference.
-pub(super) const HEADROOM_TIGHT: f64 = 1.15;
+pub(super) const HEADROOM_MIN_LOW_INTERFERENCE: f64 = 1.15;
 /// Headroom taken from which a best-effort task counts as one that disturbs.
-pub(super) const PRESS_MIN: f64 = 0.12;
+pub(super) const HIGH_INTERFERENCE_MIN: f64 = 0.12;
 /// Headroom that the swings of a serving task's own load may take while a best-effort task that
 /// disturbs it runs beside it for some two seconds.
-const SWING: f64 = 0.6;
+const LOAD_SWING_HEADROOM: f64 = 0.6;
 /// How much more than the idle processors of a worker its best-effort tasks may ask for, as most
 /// use less than that.
-const ASKED_PER_IDLE: f64 = 1.1;
+const MAX_DEMAND_PER_IDLE_CPU: f64 = 1.1;
 /// The share at which a task may be started where no best-effort task is: waiting for a better
 /// place might take forever.
-const PACE_ALONE: f64 = 0.3;
+const MIN_PACE_ALONE: f64 = 0.3;
 
 /// Serving tasks of one image on a worker, as the best-effort tasks beside them press on each.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Pressed {
+pub(crate) struct InterferenceLoad {
     pub image: Option<ImageKey>,
     /// The least headroom of any of them without best-effort tasks beside it.
     pub own_headroom: f64,
     /// Headroom that the best-effort tasks which disturb them take at full pace.
-    pub strong: f64,
+    pub high: f64,
     /// Headroom that the other best-effort tasks take at full pace.
-    pub weak: f64,
+    pub low: f64,
 }
 
 /// The serving images of a worker.
-pub(super) fn pressed(learnt: &Interference, worker: &Worker) -> Vec<Pressed> {
-    let mut all: Vec<Pressed> = Vec::new();
+pub(super) fn interference_loads(learnt: &Interference, worker: &Worker) -> Vec<InterferenceLoad> {
+    let mut all: Vec<InterferenceLoad> = Vec::new();
     for it in worker.tasks.iter().filter(|it| it.target_ms > 0) {
         match all.iter_mut().find(|known| known.image == it.image) {
             Some(known) => known.own_headroom = known.own_headroom.min(it.own_headroom),
-            None => all.push(Pressed {
+            None => all.push(InterferenceLoad {
                 image: it.image,
                 own_headroom: it.own_headroom,
-                strong: 0.0,
-                weak: 0.0,
+                high: 0.0,
+                low: 0.0,
             }),
         }
     }
     for serving in &mut all {
         for it in worker.tasks.iter().filter(|it| it.best_effort_cpu > 0) {
-            match press(learnt, worker, serving.image, it) {
-                press if press >= PRESS_MIN => serving.strong += press,
-                press => serving.weak += press,
+            match headroom_cost(learnt, worker, serving.image, it) {
+                cost if cost >= HIGH_INTERFERENCE_MIN => serving.high += cost,
+                cost => serving.low += cost,
             }
         }
     }
@@ -67,20 +67,20 @@
 }
 
 /// The share of a worker's processors that a best-effort task takes at full pace.
-pub(super) fn full_share(worker: &Worker, cpu_milli: u32) -> f64 {
+pub(super) fn full_pace_share(worker: &Worker, cpu_milli: u32) -> f64 {
     /// Of what tasks ask for, they use this much in the mean.
     const TYPICAL_USE: f64 = 0.8;
     f64::from(cpu_milli) * TYPICAL_USE / f64::from(worker.capacity.cpu_milli.max(1))
 }
 
 /// The headroom that a best-effort task at full pace takes from a serving task of `image`.
-pub(super) fn press(
+pub(super) fn headroom_cost(
     learnt: &Interference,
     worker: &Worker,
     image: Option<ImageKey>,
     it: &Assignment,
 ) -> f64 {
-    learnt.weight(image, it.image) * full_share(worker, it.best_effort_cpu)
+    learnt.weight(image, it.image) * full_pace_share(worker, it.best_effort_cpu)
 }
 
 /// Processor time that is left for best-effort tasks, in thousandths of a core.
@@ -88,8 +88,8 @@
     /// Serving tasks use about half of what they reserve.
     const SERVING_USE_PERCENT: u32 = 55;
     let used = |it: &Assignment| match it.target_ms {
-        0 => it.counted.cpu_milli,
-        _ => it.counted.cpu_milli / 100 * SERVING_USE_PERCENT,
+        0 => it.allocation.cpu_milli,
+        _ => it.allocation.cpu_milli / 100 * SERVING_USE_PERCENT,
     };
     worker.capacity.cpu_milli.saturating_sub(worker.tasks.iter().map(used).sum())
 }
@@ -103,9 +103,9 @@
     image: Option<ImageKey>,
 ) -> f64 {
     let asked = worker.best_effort_cpu() + step.need.cpu_milli;
-    let idle = f64::from(idle_cpu(worker)) * ASKED_PER_IDLE;
-    let share = full_share(worker, step.need.cpu_milli);
-    let beside = worker.pressed.iter().map(|it| {
+    let idle = f64::from(idle_cpu(worker)) * MAX_DEMAND_PER_IDLE_CPU;
+    let share = full_pace_share(worker, step.need.cpu_milli);
+    let beside = worker.interference_loads.iter().map(|it| {
         let more = learnt.weight(it.image, image) * share;
         pace_beside(it, more)
     });
@@ -113,18 +113,18 @@
 }
 
 /// The same for serving tasks of one image, each of which the task would take `more` headroom from.
-fn pace_beside(it: &Pressed, more: f64) -> f64 {
+fn pace_beside(it: &InterferenceLoad, more: f64) -> f64 {
     let spare = it.own_headroom - HEADROOM_MIN;
-    if more >= PRESS_MIN {
-        return (spare - SWING).max(0.0) / (it.strong + it.weak + more);
+    if more >= HIGH_INTERFERENCE_MIN {
+        return (spare - LOAD_SWING_HEADROOM).max(0.0) / (it.high + it.low + more);
     }
     // Those that disturb are held back first, so only what they keep counts.
-    let strong = it.strong.min((spare - it.weak).max(0.0));
-    let room = it.own_headroom - strong - HEADROOM_TIGHT;
-    room.max(0.0) / (it.weak + more).max(f64::MIN_POSITIVE)
+    let high = it.high.min((spare - it.low).max(0.0));
+    let spare_for_low = it.own_headroom - high - HEADROOM_MIN_LOW_INTERFERENCE;
+    spare_for_low.max(0.0) / (it.low + more).max(f64::MIN_POSITIVE)
 }
 
 /// Whether a best-effort task that could work at `pace` is to be started on a worker.
 pub(super) fn admits(worker: &Worker, pace: f64) -> bool {
-    pace >= 1.0 || worker.best_effort_cpu() == 0 && pace >= PACE_ALONE
+    pace >= 1.0 || worker.best_effort_cpu() == 0 && pace >= MIN_PACE_ALONE
 }
--- a/daisy-workflow/src/owner/defragment.rs
+++ b/daisy-workflow/src/owner/defragment.rs
@@ -13,30 +13,30 @@
 use super::{
     Owner,
     message::{Action, Note, StopCause},
-    place::{Kept, is_crowded},
-    worker::{Assignment, Sent, Stop, Worker, WorkerKey},
+    placement::{Reservation, is_at_step_limit},
+    worker::{Assignment, StartState, StopState, Worker, WorkerKey},
 };
 use crate::{StepSpec, TaskId};
 
 /// Between looks for tasks to move: a stop takes about as long.
-const LOOK_EVERY: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Moves that begin in one look, and the part of all workers that they may concern at one time.
-const BEGIN_MAX: usize = 3;
-const SHARE: usize = 12;
+const MAX_STARTED_PER_CHECK: usize = 3;
+const WORKERS_PER_RELOCATION: usize = 12;
 /// How long the place of a task that moves is kept.
-const PLACE_KEPT: Duration = Duration::from_millis(1_500);
+const RESERVATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a task that lasts stays at least: it was placed by what was known then.
-const STAYS: Duration = Duration::from_secs(3);
+const MIN_RUN_TIME: Duration = Duration::from_secs(3);
 /// Without a batch in the log for this long, nothing is stopped that could not be started again.
-const LOG_RECENT: Duration = Duration::from_millis(600);
+const MAX_APPEND_AGE: Duration = Duration::from_millis(600);
 /// Sizes that found no room, of which as many are looked after at one time.
-const SHORT_MAX: usize = 4;
+const MAX_UNPLACED_SIZES: usize = 4;
 /// What another serving image on a worker costs, in thousandths of its processors.
 const COST_OTHER_IMAGE: u32 = 40;
 
 /// A task that is stopped on one worker to start on another.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Move {
+pub(super) struct Relocation {
     task: TaskId,
     to: WorkerKey,
     need: Resources,
@@ -45,7 +45,7 @@
 
 /// A move that could be made.
 #[derive(Debug, Clone, Copy)]
-struct Choice {
+struct RelocationChoice {
     /// Lower is better.
     cost: u32,
     task: TaskId,
@@ -59,70 +59,80 @@
 
 impl Owner {
     /// Notes that no worker has room for a task of `step`.
-    pub(super) fn add_short(&mut self, step: &StepSpec) {
+    pub(super) fn add_unplaced_size(&mut self, step: &StepSpec) {
         let need = step.counted();
         let plain = !step.best_effort && !step.gang && step.required_label.is_none();
-        if plain && self.short.len() < SHORT_MAX && !self.short.contains(&need) {
-            self.short.push(need);
+        if plain
+            && self.unplaced_sizes.len() < MAX_UNPLACED_SIZES
+            && !self.unplaced_sizes.contains(&need)
+        {
+            self.unplaced_sizes.push(need);
         }
     }
 
     /// Workers whose room is kept for tasks that move.
-    pub(super) fn kept_for_moves(&self) -> Vec<Kept> {
-        self.moves.iter().map(|it| Kept { worker: it.to, need: it.need }).collect()
+    pub(super) fn relocation_reservations(&self) -> Vec<Reservation> {
+        self.relocations.iter().map(|it| Reservation { worker: it.to, need: it.need }).collect()
     }
 
     /// The worker that a task moves to, if it still has the room.
-    pub(super) fn try_moved_to(
+    pub(super) fn relocation_target(
         &self,
         now: Instant,
         step: &StepSpec,
         task: TaskId,
     ) -> Option<WorkerKey> {
-        let it = self.moves.iter().find(|it| it.task == task)?;
+        let it = self.relocations.iter().find(|it| it.task == task)?;
         let worker = self.workers.get(it.to)?;
-        let takes = self.takes_lasting(now, worker)
+        let takes = self.accepts_long_running(now, worker)
             && step.counted().fits(worker.free())
-            && !is_crowded(step, worker, task);
+            && !is_at_step_limit(step, worker, task);
         takes.then_some(it.to)
     }
 
     /// A task has been placed: if it was to move, it has.
-    pub(super) fn end_move(&mut self, task: TaskId) {
-        self.moves.retain(|it| it.task != task);
+    pub(super) fn end_relocation(&mut self, task: TaskId) {
+        self.relocations.retain(|it| it.task != task);
     }
 
     /// Moves tasks that last, where others find no room and would then.
     pub(super) fn defragment(&mut self, now: Instant) {
-        self.moves.retain(|it| it.until > now);
-        if now.since(self.defragmented_at) < LOOK_EVERY || !self.may_move(now) {
+        self.relocations.retain(|it| it.until > now);
+        if now.since(self.defragmented_at) < CHECK_INTERVAL || !self.may_relocate(now) {
             return;
         }
         self.defragmented_at = now;
         let mut begun = 0;
-        for need in std::mem::take(&mut self.short) {
-            while begun < BEGIN_MAX && self.moves.len() <= self.workers.len() / SHARE {
-                let Some(choice) = self.try_choose(now, need) else { break };
-                self.begin_move(now, choice, need);
+        for need in std::mem::take(&mut self.unplaced_sizes) {
+            while begun < MAX_STARTED_PER_CHECK
+                && self.relocations.len() <= self.workers.len() / WORKERS_PER_RELOCATION
+            {
+                let Some(choice) = self.cheapest_relocation(now, need) else { break };
+                self.begin_relocation(now, choice, need);
                 begun += 1;
             }
         }
     }
 
-    fn may_move(&self, now: Instant) -> bool {
+    fn may_relocate(&self, now: Instant) -> bool {
         self.settings.rules.defragments
-            && !self.short.is_empty()
-            && now.since(self.began_at) >= STAYS
-            && self.succession.silent_for(now) <= LOG_RECENT
+            && !self.unplaced_sizes.is_empty()
+            && now.since(self.began_at) >= MIN_RUN_TIME
+            && self.succession.since_last_append(now) <= MAX_APPEND_AGE
     }
 
-    fn begin_move(&mut self, now: Instant, choice: Choice, need: Resources) {
-        let Choice { task, run, from, to, room, .. } = choice;
+    fn begin_relocation(&mut self, now: Instant, choice: RelocationChoice, need: Resources) {
+        let RelocationChoice { task, run, from, to, room, .. } = choice;
         let Some(worker) = self.workers.get_mut(from) else { return };
         let id = worker.id.clone();
         let Some(it) = worker.find(task, run) else { return };
-        it.stop_at(now, StopCause::Moved);
-        self.moves.push(Move { task, to, need: choice.need, until: now + PLACE_KEPT });
+        it.request_stop(now, StopCause::Moved);
+        self.relocations.push(Relocation {
+            task,
+            to,
+            need: choice.need,
+            until: now + RESERVATION_TIMEOUT,
+        });
         let (free_cpu, needed_cpu) = (room.cpu_milli, need.cpu_milli);
         self.actions.push(Action::Note(Note::TaskMoving {
             task,
@@ -133,22 +143,22 @@
     }
 
     /// The move that makes room for `need` at the least cost, if one does.
-    fn try_choose(&self, now: Instant, need: Resources) -> Option<Choice> {
-        let mut best: Option<Choice> = None;
+    fn cheapest_relocation(&self, now: Instant, need: Resources) -> Option<RelocationChoice> {
+        let mut best: Option<RelocationChoice> = None;
         for (from, worker) in self.workers.iter() {
             let free = worker.free();
-            if !self.usable(now, worker) || self.is_part_of_move(from) || need.fits(free) {
+            if !self.is_usable(now, worker) || self.is_in_relocation(from) || need.fits(free) {
                 continue;
             }
             for it in worker.tasks.iter().filter(|it| may_leave(now, it)) {
-                let Some(room) = free.try_add(it.counted).filter(|it| need.fits(*it)) else {
+                let Some(room) = free.try_add(it.allocation).filter(|it| need.fits(*it)) else {
                     continue;
                 };
-                let Some((cost, to)) = self.try_place_beside(now, from, it) else { continue };
+                let Some((cost, to)) = self.cheapest_target(now, from, it) else { continue };
                 let better = best.is_none_or(|best| cost < best.cost);
-                if better && self.is_spared(it) {
-                    let (task, run, need) = (it.task, it.run, it.counted);
-                    best = Some(Choice { cost, task, run, from, to, need, room });
+                if better && self.are_siblings_running(it) {
+                    let (task, run, need) = (it.task, it.run, it.allocation);
+                    best = Some(RelocationChoice { cost, task, run, from, to, need, room });
                 }
             }
         }
@@ -156,42 +166,43 @@
     }
 
     /// Whether a worker gives or gets a task by a move under way.
-    fn is_part_of_move(&self, key: WorkerKey) -> bool {
+    fn is_in_relocation(&self, key: WorkerKey) -> bool {
         let gives = |it: &Worker| it.tasks.iter().any(|it| it.stop_cause == StopCause::Moved);
-        self.moves.iter().any(|it| it.to == key) || self.workers.get(key).is_some_and(gives)
+        self.relocations.iter().any(|it| it.to == key) || self.workers.get(key).is_some_and(gives)
     }
 
     /// The worker on which a run leaves least beside it, and what that costs in thousandths of its
     /// processors.
-    fn try_place_beside(
+    fn cheapest_target(
         &self,
         now: Instant,
         from: WorkerKey,
         run: &Assignment,
     ) -> Option<(u32, WorkerKey)> {
         let spec = &self.ledger.job(run.task.job)?.spec;
-        let step = spec.step_of(run.task).filter(|it| may_move_alone(it))?;
+        let step = spec.step_of(run.task).filter(|it| allows_relocation(it))?;
         let service = self.service(spec);
         let candidates = self.workers.iter().filter(|(key, it)| {
             *key != from
                 && it.service == service
-                && run.counted.fits(it.free())
-                && self.usable(now, it)
+                && run.allocation.fits(it.free())
+                && self.is_usable(now, it)
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
-                && !is_crowded(step, it, run.task)
-                && !self.reservations.iter().any(|reservations| reservations.worker == *key)
-                && !self.is_part_of_move(*key)
+                && !is_at_step_limit(step, it, run.task)
+                && !self.reservations.iter().any(|reservation| reservation.worker == *key)
+                && !self.is_in_relocation(*key)
         });
         let cost = |it: &Worker| {
-            let left = it.free().cpu_milli - run.counted.cpu_milli;
-            let others = it.pressed.iter().filter(|it| it.image != run.image).count() as u32;
+            let left = it.free().cpu_milli - run.allocation.cpu_milli;
+            let others =
+                it.interference_loads.iter().filter(|it| it.image != run.image).count() as u32;
             left / (it.capacity.cpu_milli / 1_000).max(1) + others * COST_OTHER_IMAGE
         };
         candidates.map(|(key, it)| (cost(it), key)).min()
     }
 
     /// Whether all other tasks of a run's step are at work, as far as this shard knows.
-    fn is_spared(&self, run: &Assignment) -> bool {
+    fn are_siblings_running(&self, run: &Assignment) -> bool {
         let Some(job) = self.ledger.job(run.task.job) else { return false };
         let steps = job.progress.occurrences.get(run.task.occurrence as usize);
         let Some(tasks) = steps.and_then(|it| it.get(usize::from(run.task.step))) else {
@@ -207,15 +218,18 @@
 }
 
 /// Whether one task of a step may be away: the others of a gang would end with it.
-fn may_move_alone(step: &StepSpec) -> bool {
+fn allows_relocation(step: &StepSpec) -> bool {
     !step.gang && step.data_rack.is_none() && step.max_unavailable != Some(0)
 }
 
 /// Whether a run is known to be there and at work.
 fn is_at_work(it: &Assignment) -> bool {
-    matches!(it.sent, Sent::There(_)) && it.listed && it.stop == Stop::No && it.percent >= 100
+    matches!(it.start_state, StartState::Confirmed(_))
+        && it.listed
+        && it.stop_state == StopState::NotRequested
+        && it.percent >= 100
 }
 
 fn may_leave(now: Instant, it: &Assignment) -> bool {
-    it.lasts && is_at_work(it) && now.since(it.began_at) >= STAYS
+    it.is_long_running && is_at_work(it) && now.since(it.began_at) >= MIN_RUN_TIME
 }
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -12,60 +12,63 @@
 use super::{
     Owner,
     message::{Action, Note},
-    place::is_crowded,
+    placement::is_at_step_limit,
     worker::Worker,
 };
 use crate::{Demand, Job, JobId, JobState, Load, PIECES, Record, StepSpec, TaskId, TaskState};
 
 /// How long a new owner may take to learn of its workers: a read of the list on a slow platform.
-pub(super) const KNOWS_WORKERS_AFTER: Duration = Duration::from_secs(3);
+pub(super) const WORKER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
 /// Between looks at jobs that wait without a start.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Owner {
     /// What the shard has, what is asked of it, and what room it has left for others.
     pub fn load(&self, now: Instant) -> Load {
         let mut load = self.demand(now);
-        load.set_pieces(self.pieces(now));
+        load.set_pieces(self.free_blocks(now));
         load
     }
 
     /// What is left of each worker for tasks that last once all others have ended and those of
     /// this shard that wait have found their place, the largest first.
-    fn pieces(&self, now: Instant) -> Vec<Resources> {
-        let (rooms, _) = self.rooms_in_time(now);
-        let pieces: Vec<Resources> = rooms.into_iter().map(|(_, room)| room).collect();
-        largest_first(pieces)
+    fn free_blocks(&self, now: Instant) -> Vec<Resources> {
+        let (capacities, _) = self.eventual_free_capacity(now);
+        let blocks: Vec<Resources> = capacities.into_iter().map(|(_, room)| room).collect();
+        largest_first(blocks)
     }
 
     /// What is left of each worker for tasks that last once all others have ended and those that wait
     /// have found their place, and those that find one.
-    pub(super) fn rooms_in_time(&self, now: Instant) -> (Vec<(&Worker, Resources)>, Vec<TaskId>) {
-        let takers = self.workers.iter().filter(|(_, it)| self.takes_lasting(now, it));
-        let mut rooms: Vec<(&Worker, Resources)> =
-            takers.map(|(_, it)| (it, it.room_in_time())).collect();
+    pub(super) fn eventual_free_capacity(
+        &self,
+        now: Instant,
+    ) -> (Vec<(&Worker, Resources)>, Vec<TaskId>) {
+        let takers = self.workers.iter().filter(|(_, it)| self.accepts_long_running(now, it));
+        let mut capacities: Vec<(&Worker, Resources)> =
+            takers.map(|(_, it)| (it, it.eventual_free())).collect();
         let mut placed = Vec::new();
-        for (task, _) in self.waits_since.iter() {
+        for (task, _) in self.waiting_since.iter() {
             let Some(job) = self.ledger.job(task.job) else { continue };
             let Some(step) = job.spec.step_of(*task) else { continue };
             let service = self.service(&job.spec);
-            let fitting = rooms.iter_mut().filter(|(worker, room)| {
+            let fitting = capacities.iter_mut().filter(|(worker, room)| {
                 worker.service == service
                     && step.required_label.as_ref().is_none_or(|label| worker.has_label(label))
                     && step.counted().fits(*room)
-                    && !is_crowded(step, worker, *task)
+                    && !is_at_step_limit(step, worker, *task)
             });
             if let Some((_, room)) = fitting.min_by_key(|(_, room)| room.cpu_milli) {
                 *room = room.try_sub(step.counted()).unwrap_or(Resources::ZERO);
                 placed.push(*task);
             }
         }
-        (rooms, placed)
+        (capacities, placed)
     }
 
     /// Whether a task of `step` is bound to this shard: it needs a label, which shards do not tell of,
     /// and a worker here has it.
-    pub(super) fn is_bound(&self, step: &StepSpec) -> bool {
+    pub(super) fn is_bound_to_shard(&self, step: &StepSpec) -> bool {
         let Some(label) = &step.required_label else { return false };
         self.workers.iter().any(|(_, it)| it.listed && it.has_label(label))
     }
@@ -73,8 +76,8 @@
     /// What the shard has, and what is asked of it.
     fn demand(&self, now: Instant) -> Load {
         let mut load = Load::default();
-        let has_room = |it: &Worker| it.listed && it.ready && it.hold_failures == 0;
-        for (_, worker) in self.workers.iter().filter(|(_, it)| has_room(it)) {
+        let is_reachable = |it: &Worker| it.listed && it.ready && it.hold_failures == 0;
+        for (_, worker) in self.workers.iter().filter(|(_, it)| is_reachable(it)) {
             load.capacity += u64::from(worker.capacity.cpu_milli);
         }
         for (id, _) in self.active.iter() {
@@ -122,13 +125,13 @@
         if job.state() != JobState::Queued || job.delegated.is_some() {
             return;
         }
-        if job.spec.steps.iter().any(|it| self.is_bound(it)) {
+        if job.spec.steps.iter().any(|it| self.is_bound_to_shard(it)) {
             return;
         }
         let demand = Demand::of(&job.spec);
         let own = self.demand(now);
         // A new owner that has not read the list yet seems to have no room at all.
-        if own.capacity == 0 && now.since(self.began_at) < KNOWS_WORKERS_AFTER {
+        if own.capacity == 0 && now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
         let Some(to) = self.others.try_better(now, own, demand) else { return };
@@ -142,12 +145,12 @@
     }
 
     /// Jobs and tasks that found no room when they came may find it elsewhere by now.
-    pub(super) fn look_for_room(&mut self, now: Instant) {
-        if now.since(self.delegated_at) < LOOK_EVERY {
+    pub(super) fn rebalance(&mut self, now: Instant) {
+        if now.since(self.rebalanced_at) < CHECK_INTERVAL {
             return;
         }
-        self.delegated_at = now;
-        self.update_waits(now);
+        self.rebalanced_at = now;
+        self.update_waiting_since(now);
         if self.settings.layout.shards < 2 {
             return;
         }
@@ -157,7 +160,7 @@
         for id in waiting {
             self.try_delegate(now, id);
         }
-        self.hand_over_waiting(now);
+        self.transfer_waiting_tasks(now);
     }
 
     /// Writes a job, and its cancellation, to the shard that it was handed to.
@@ -195,10 +198,10 @@
 
 /// Pieces in the order in which they are told: those that hold most, by the scarcest of what they
 /// have, and among the first some of those with accelerators.
-fn largest_first(mut pieces: Vec<Resources>) -> Vec<Resources> {
+fn largest_first(mut blocks: Vec<Resources>) -> Vec<Resources> {
     /// Pieces with accelerators that come before all others.
     const WITH_ACCELERATORS: usize = PIECES / 4;
-    let most = pieces.iter().fold(Resources::ZERO, |most, it| Resources {
+    let most = blocks.iter().fold(Resources::ZERO, |most, it| Resources {
         cpu_milli: most.cpu_milli.max(it.cpu_milli),
         memory_mib: most.memory_mib.max(it.memory_mib),
         accelerators: 0,
@@ -208,10 +211,10 @@
         let cpu = permille(it.cpu_milli, most.cpu_milli);
         cpu.min(permille(it.memory_mib, most.memory_mib))
     };
-    pieces.sort_by_key(|it| std::cmp::Reverse(scarcest(it)));
+    blocks.sort_by_key(|it| std::cmp::Reverse(scarcest(it)));
     let mut first = Vec::new();
-    let mut others = Vec::with_capacity(pieces.len());
-    for it in pieces {
+    let mut others = Vec::with_capacity(blocks.len());
+    for it in blocks {
         match it.accelerators > 0 && first.len() < WITH_ACCELERATORS {
             true => first.push(it),
             false => others.push(it),
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -7,7 +7,7 @@
 use super::{
     JobView, Owner,
     message::StopCause,
-    worker::{Sent, Stop, WorkerKey},
+    worker::{StartState, StopState, WorkerKey},
 };
 use crate::{Fold, Job, JobId, JobSpec, JobState, Phase, Record};
 
@@ -18,7 +18,7 @@
                 self.submitted(now, id);
             }
             Fold::Cancelled(id) => {
-                self.tell_state(id);
+                self.publish_state(id);
                 self.forward_cancel(id);
                 self.cancel(now, id);
             }
@@ -44,10 +44,10 @@
             return;
         }
         let is_new = job_is_new(job);
-        self.tell_state(id);
+        self.publish_state(id);
         match is_new {
             true => {
-                self.open(now, id);
+                self.activate(now, id);
                 self.try_delegate(now, id);
             }
             // Tasks of it that were handed here may run already.
@@ -56,7 +56,7 @@
         }
     }
 
-    fn tell_state(&mut self, id: JobId) {
+    fn publish_state(&mut self, id: JobId) {
         // What is begun but not recorded yet is told with its record.
         let job = self.ledger.job(id).filter(|it| !it.partial);
         let state = job.map(|it| match it.state() {
@@ -66,7 +66,7 @@
         self.states.extend(state.map(|it| (id, it)));
     }
 
-    pub(super) fn open(&mut self, now: Instant, id: JobId) {
+    pub(super) fn activate(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         let spec = &job.spec;
         // The accepting VM's clock may be off, so it only dates jobs that are older than this
@@ -82,10 +82,10 @@
             since,
             objective: since + Duration::from_millis(objective),
             tails_ms: spec.tails_ms(),
-            told_waiting: Vec::new(),
+            logged_waiting: Vec::new(),
         };
         let cancelled = job.cancelled;
-        self.typical_cpu = typical_cpu(self.typical_cpu, spec);
+        self.mean_task_cpu = mean_task_cpu(self.mean_task_cpu, spec);
         self.active.insert(id, view);
         if cancelled {
             self.cancel(now, id);
@@ -98,8 +98,10 @@
             let Some(worker) = self.workers.get_mut(WorkerKey(at as u32)) else { continue };
             for it in worker.tasks.iter_mut().filter(|it| it.task.job == id) {
                 left = true;
-                if it.stop == Stop::No && it.sent != Sent::Recording {
-                    it.stop_at(now, StopCause::JobOver);
+                if it.stop_state == StopState::NotRequested
+                    && it.start_state != StartState::Recording
+                {
+                    it.request_stop(now, StopCause::JobOver);
                 }
             }
         }
@@ -111,7 +113,7 @@
 }
 
 /// The running mean of what a task needs that ends by itself, with a job more.
-fn typical_cpu(mean: u32, spec: &JobSpec) -> u32 {
+fn mean_task_cpu(mean: u32, spec: &JobSpec) -> u32 {
     /// Steps after which an older one counts for little.
     const STEPS: u32 = 16;
     let once = spec.steps.iter().filter(|it| !it.best_effort && !it.long_running);
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -25,7 +25,7 @@
 /// The same for what an earlier owner had learnt.
 const INHERITED_STRENGTH: f64 = 0.03;
 /// Passes of the fit; the next report goes on from where the last fit ended.
-const PASSES: usize = 4;
+const SOLVER_PASSES: usize = 4;
 
 /// The number of an image, either among those of serving tasks or among those of best-effort tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -78,7 +78,7 @@
     /// What each weight is drawn to, and how firmly.
     priors: Vec<(f64, f64)>,
     /// Sums of this owner's reports that were not given to other owners yet.
-    fresh: Sums,
+    unshared: Sums,
     at: Instant,
 }
 
@@ -108,7 +108,7 @@
             answers: Vec::new(),
             weights: Vec::new(),
             priors: Vec::new(),
-            fresh: Sums::default(),
+            unshared: Sums::default(),
             at: now,
         }
     }
@@ -126,7 +126,7 @@
         self.priors.resize(len, (PRIOR_WEIGHT, PRIOR_STRENGTH));
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn decay(&mut self, now: Instant) {
         let keep = 0.5f64.powf(now.since(self.at).as_secs_f64() / HALF_LIFE_S);
         self.at = now;
         self.answers.iter_mut().for_each(|it| *it *= keep);
@@ -157,7 +157,7 @@
 
     /// Coordinate descent: each weight in turn takes its best value at or above zero.
     fn solve(&mut self) {
-        for _ in 0..PASSES {
+        for _ in 0..SOLVER_PASSES {
             for i in 0..self.weights.len() {
                 let row = &self.products[i];
                 let others: f64 = row.iter().zip(&self.weights).map(|(a, w)| a * w).sum();
@@ -196,11 +196,11 @@
 
     /// How many images of best-effort tasks take less than `most` headroom from each serving task of
     /// `images`, if they use all of a worker's processors.
-    pub fn harmless(&self, images: &[ImageKey], most: f64) -> u32 {
+    pub fn count_harmless(&self, images: &[ImageKey], most: f64) -> u32 {
         let all = (0..self.best_effort.len()).map(|it| ImageKey(it as u16));
-        let harmless =
+        let count_harmless =
             |other: &ImageKey| images.iter().all(|it| self.weight(Some(*it), Some(*other)) < most);
-        all.filter(harmless).count() as u32
+        all.filter(count_harmless).count() as u32
     }
 
     /// What an earlier owner had learnt, to go on from.
@@ -245,9 +245,9 @@
         let len = self.best_effort.len();
         let fit = &mut self.fits[image.index()];
         fit.grow(len);
-        fit.forget(now);
+        fit.decay(now);
         fit.add(&x, loss);
-        fit.fresh.add(&x, loss);
+        fit.unshared.add(&x, loss);
         fit.solve();
     }
 
@@ -257,14 +257,14 @@
         let name = |at: usize| names[at].clone();
         let mut taken = Vec::new();
         for (serving, key) in self.serving.0.iter() {
-            let fresh = std::mem::take(&mut self.fits[key.index()].fresh);
-            if fresh.answers.is_empty() {
+            let unshared = std::mem::take(&mut self.fits[key.index()].unshared);
+            if unshared.answers.is_empty() {
                 continue;
             }
-            let products = fresh.products.iter();
+            let products = unshared.products.iter();
             taken.push(Observations {
                 serving: serving.clone(),
-                answers: fresh.answers.iter().map(|(at, it)| (name(*at), *it as f32)).collect(),
+                answers: unshared.answers.iter().map(|(at, it)| (name(*at), *it as f32)).collect(),
                 products: products.map(|((i, j), it)| (name(*i), name(*j), *it as f32)).collect(),
             });
         }
@@ -288,7 +288,7 @@
         let len = self.best_effort.len();
         let fit = &mut self.fits[key.index()];
         fit.grow(len);
-        fit.forget(now);
+        fit.decay(now);
         fit.add_sums(&sums);
         fit.solve();
     }
--- a/daisy-workflow/src/owner/message.rs
+++ b/daisy-workflow/src/owner/message.rs
@@ -198,7 +198,7 @@
     /// Its worker leaves before it would end.
     Draining,
     /// Its order may yet be carried out, by a worker that has refused it or started anew.
-    MaybeLate,
+    PossiblyDelayed,
     /// The worker's lists do not name it, though it was started.
     Absent,
     /// This owner has not started it, or has given it up.
@@ -215,7 +215,7 @@
             StopCause::Moved => "others need its worker's room in one piece",
             StopCause::Stuck => "no progress",
             StopCause::Draining => "its worker leaves",
-            StopCause::MaybeLate => "its order may be carried out late",
+            StopCause::PossiblyDelayed => "its order may be carried out late",
             StopCause::Absent => "its worker does not list it",
             StopCause::Unknown => "not of this owner",
         }
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -7,35 +7,35 @@
 use super::{
     InFlight, Owner,
     message::{Action, OrderReply, Refusal, Start, StopCause},
-    worker::{LateOrder, Sent, Stop, WorkerKey},
+    worker::{DelayedStart, StartState, StopState, WorkerKey},
 };
 use crate::{JobState, TaskId};
 
 /// Before an unanswered start is sent again: it is idempotent, and a worker that lost one order
 /// mostly takes the next.
-const RESEND_START: Duration = Duration::from_millis(100);
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Before an unanswered stop is sent again.
-const RESEND_STOP: Duration = Duration::from_millis(200);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// How long after it was sent an order may still be carried out: the platform's contract names
 /// 12 s.
-pub(super) const LATE_MAX: Duration = Duration::from_secs(13);
+pub(super) const MAX_ORDER_DELAY: Duration = Duration::from_secs(13);
 /// How long a worker gets no new work after an order went unanswered.
-const SHUN_SILENT: Duration = Duration::from_millis(700);
+const EXCLUSION_NO_ANSWER: Duration = Duration::from_millis(700);
 /// How long a worker gets no new work after it refused some.
-const SHUN_REFUSING: Duration = Duration::from_millis(500);
+const EXCLUSION_REFUSED: Duration = Duration::from_millis(500);
 /// The same, where it says that it is unhealthy.
-const SHUN_UNHEALTHY: Duration = Duration::from_secs(2);
+const EXCLUSION_UNHEALTHY: Duration = Duration::from_secs(2);
 
 impl Owner {
     /// The batch under way is in the log: its starts may go out, its ends are acknowledged.
     pub(super) fn appended(&mut self, now: Instant) {
         let Some(it) = self.in_flight.take() else { return };
-        self.succession.taken(it.began);
-        self.succession.recorded();
-        let InFlight { began: _, starts, cursors, states, delegated, handed } = it;
+        self.succession.append_accepted(it.began);
+        self.succession.witnesses_recorded();
+        let InFlight { began: _, starts, cursors, states, delegated, transferring } = it;
         self.states.extend(states);
         delegated.into_iter().for_each(|id| self.forward(id));
-        handed.into_iter().for_each(|task| self.forward_task(task));
+        transferring.into_iter().for_each(|task| self.forward_task(task));
         for (key, started_at_ms, number) in cursors {
             if let Some(worker) = self.workers.get_mut(key)
                 && worker.started_at_ms == started_at_ms
@@ -59,11 +59,11 @@
         let state = &steps[task.occurrence as usize][usize::from(task.step)][task.index as usize];
         let checkpoint = state.checkpoint.clone();
         let Some(worker) = self.workers.get_mut(key) else { return };
-        let Some(sent) = worker.find(task, run).map(|it| it.sent) else { return };
+        let Some(start_state) = worker.find(task, run).map(|it| it.start_state) else { return };
         // Its worker may have changed while the record was under way.
         let answers = worker.fenced && worker.hold_failures == 0;
         let takes = answers && worker.used.fits(worker.capacity);
-        let can = takes || sent != Sent::Recording;
+        let can = takes || start_state != StartState::Recording;
         let lease_end = if wanted && can { worker.lease_end(now, lease) } else { None };
         let Some(it) = worker.find(task, run) else { return };
         let Some(deadline_ms) = lease_end else {
@@ -72,10 +72,10 @@
             self.unassign(key, task, run);
             return;
         };
-        it.sent = Sent::InFlight;
-        it.tries += 1;
+        it.start_state = StartState::InFlight;
+        it.start_attempts += 1;
         it.began_at = now;
-        it.moved_at = now;
+        it.progressed_at = now;
         it.checkpoint.clone_from(&checkpoint);
         let start = Start { task, run, text, deadline_ms, checkpoint };
         self.actions.push(Action::Start(key, start));
@@ -119,56 +119,62 @@
         let Some(it) = worker.find(task, run) else { return };
         match reply {
             OrderReply::Done { .. } => {
-                it.sent = Sent::There(now);
+                it.start_state = StartState::Confirmed(now);
                 if it.best_effort_cpu > 0 {
                     self.pace(now, key);
                 }
             }
             OrderReply::Unknown => {
-                it.maybe_late = true;
-                it.sent = Sent::Unanswered(now + RESEND_START * it.tries.min(8));
-                let (counted, until) = (it.counted, now + LATE_MAX);
-                worker.late_orders.retain(|it| it.until > now && (it.task, it.run) != (task, run));
-                worker.late_orders.push(LateOrder { task, run, counted, until });
-                self.shun(now, key, SHUN_SILENT);
+                it.may_be_delayed = true;
+                it.start_state =
+                    StartState::Unanswered(now + START_RETRY_INTERVAL * it.start_attempts.min(8));
+                let (allocation, until) = (it.allocation, now + MAX_ORDER_DELAY);
+                worker
+                    .delayed_starts
+                    .retain(|it| it.until > now && (it.task, it.run) != (task, run));
+                worker.delayed_starts.push(DelayedStart { task, run, allocation, until });
+                self.exclude(now, key, EXCLUSION_NO_ANSWER);
             }
-            OrderReply::NotSent if it.maybe_late => {
-                it.sent = Sent::Unanswered(now + RESEND_START * it.tries.min(8));
-                self.shun(now, key, SHUN_SILENT);
+            OrderReply::NotSent if it.may_be_delayed => {
+                it.start_state =
+                    StartState::Unanswered(now + START_RETRY_INTERVAL * it.start_attempts.min(8));
+                self.exclude(now, key, EXCLUSION_NO_ANSWER);
             }
             OrderReply::NotSent => {
-                self.shun(now, key, SHUN_SILENT);
+                self.exclude(now, key, EXCLUSION_NO_ANSWER);
                 self.unassign(key, task, run);
             }
             OrderReply::Refused(Refusal::Fenced) => self.actions.push(Action::StepDown),
             // An earlier sending was carried out and has ended by now: the list will say how.
-            OrderReply::Refused(Refusal::StaleRun) if it.maybe_late => it.sent = Sent::There(now),
+            OrderReply::Refused(Refusal::StaleRun) if it.may_be_delayed => {
+                it.start_state = StartState::Confirmed(now)
+            }
             OrderReply::Refused(cause) => self.refused(now, key, task, run, cause),
         }
     }
 
     fn refused(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, cause: Refusal) {
         let pause = match cause {
-            Refusal::Unhealthy => SHUN_UNHEALTHY,
-            _ => SHUN_REFUSING,
+            Refusal::Unhealthy => EXCLUSION_UNHEALTHY,
+            _ => EXCLUSION_REFUSED,
         };
-        self.shun(now, key, pause);
+        self.exclude(now, key, pause);
         self.note_worker(key, "shunned", refusal_words(cause));
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
         // An earlier sending may still be carried out: a stop that is answered shuts it out.
-        match it.maybe_late {
+        match it.may_be_delayed {
             true => {
-                it.sent = Sent::Unanswered(now + RESEND_START);
-                it.stop_at(now, StopCause::MaybeLate);
+                it.start_state = StartState::Unanswered(now + START_RETRY_INTERVAL);
+                it.request_stop(now, StopCause::PossiblyDelayed);
                 self.send_stops(now);
             }
             false => self.unassign(key, task, run),
         }
     }
 
-    pub(super) fn shun(&mut self, now: Instant, key: WorkerKey, pause: Duration) {
+    pub(super) fn exclude(&mut self, now: Instant, key: WorkerKey, pause: Duration) {
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.shunned_until = worker.shunned_until.max(now + pause);
+            worker.excluded_until = worker.excluded_until.max(now + pause);
         }
     }
 
@@ -178,10 +184,10 @@
             let key = WorkerKey(at as u32);
             let Some(worker) = self.workers.get_mut(key) else { continue };
             for it in &mut worker.tasks {
-                if let Stop::Due(at) = it.stop
+                if let StopState::Due(at) = it.stop_state
                     && at <= now
                 {
-                    it.stop = Stop::InFlight;
+                    it.stop_state = StopState::InFlight;
                     self.actions.push(Action::Stop(key, it.task, it.run, it.stop_cause));
                 }
             }
@@ -197,15 +203,15 @@
         reply: OrderReply,
     ) {
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
-        it.stop = match reply {
-            OrderReply::Done { .. } => Stop::Done(now),
-            OrderReply::Refused(Refusal::StaleRun | Refusal::Late) => Stop::Done(now),
+        it.stop_state = match reply {
+            OrderReply::Done { .. } => StopState::Done(now),
+            OrderReply::Refused(Refusal::StaleRun | Refusal::Late) => StopState::Done(now),
             OrderReply::Refused(Refusal::Fenced) => {
                 self.actions.push(Action::StepDown);
                 return;
             }
             OrderReply::Refused(_) | OrderReply::NotSent | OrderReply::Unknown => {
-                Stop::Due(now + RESEND_STOP)
+                StopState::Due(now + STOP_RETRY_INTERVAL)
             }
         };
     }
@@ -218,11 +224,11 @@
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
             let Some(worker) = self.workers.get(key) else { continue };
-            let due = |sent: Sent| matches!(sent, Sent::Unanswered(at) if at <= now);
+            let due = |start_state: StartState| matches!(start_state, StartState::Unanswered(at) if at <= now);
             let due: Vec<_> = worker
                 .tasks
                 .iter()
-                .filter(|it| it.stop == Stop::No && due(it.sent))
+                .filter(|it| it.stop_state == StopState::NotRequested && due(it.start_state))
                 .map(|it| (it.task, it.run))
                 .collect();
             // While a worker is silent nothing is granted, so that its leases run out.
--- a/daisy-workflow/src/owner/place.rs
+++ b/daisy-workflow/src/owner/placement.rs
@@ -4,8 +4,8 @@
 
 use super::{
     Owner,
+    best_effort::{admits, full_pace_share, headroom_cost, idle_cpu, pace_with},
     interference::ImageKey,
-    room::{admits, full_share, idle_cpu, pace_with, press},
     worker::{Assignment, Worker, WorkerKey},
 };
 use crate::{Packing, StepSpec, TaskId};
@@ -16,40 +16,40 @@
 const COST_RECENT_FAILURE: i64 = 1_500;
 const COST_FAR_FROM_DATA: i64 = 10_000;
 const COST_HEADROOM: f64 = 4_000.0;
-const COST_PACED: f64 = 8_000.0;
+const COST_BELOW_FULL_PACE: f64 = 8_000.0;
 /// For each unit of headroom that a placement takes, and that it leaves a serving task short of
-/// [`HEADROOM_EASY`].
-const COST_TAKEN: f64 = 2_000.0;
-const COST_SHORT: f64 = 2_500.0;
+/// [`COMFORTABLE_HEADROOM`].
+const COST_HEADROOM_TAKEN: f64 = 2_000.0;
+const COST_HEADROOM_SHORT: f64 = 2_500.0;
 /// For each image that could work on a worker without harm: tasks that can go anywhere leave such
 /// workers to those that cannot.
-const COST_OPEN: i64 = 120;
+const COST_HARMLESS_IMAGE: i64 = 120;
 /// Headroom below which a serving task's own swings of load soon meet the target.
-const HEADROOM_EASY: f64 = 1.7;
+const COMFORTABLE_HEADROOM: f64 = 1.7;
 /// For each serving task of another image: a worker that serves few images leaves room for more
 /// kinds of best-effort tasks.
 const COST_OTHER_IMAGE: i64 = 1_000;
 /// For each thousandth of a worker's processors that best-effort tasks would lack.
-const COST_SLOWED: i64 = 4;
-const COST_COLD: i64 = 3_000;
+const COST_CPU_SHORTAGE: i64 = 4;
+const COST_SLOW_START: i64 = 3_000;
 const COST_SUSPECTED: i64 = 1_000_000;
 
 /// What binds a placement besides the step itself.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Place<'a> {
+pub(super) struct PlacementOptions<'a> {
     /// The rack that the worker must be on.
     pub rack: Option<&'a str>,
     /// Placements of the same gang that are not made yet.
-    pub taken: &'a [(WorkerKey, Resources)],
+    pub tentative: &'a [(WorkerKey, Resources)],
     /// Whether a best-effort task may be placed where it would be held back.
-    pub any_pace: bool,
+    pub allow_throttled: bool,
     /// Workers that are kept for more urgent tasks.
-    pub reservations: &'a [Kept],
+    pub reservations: &'a [Reservation],
 }
 
 /// A worker that is kept for a task without room until what runs there leaves it enough.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Kept {
+pub(super) struct Reservation {
     pub worker: WorkerKey,
     /// What the task needs.
     pub need: Resources,
@@ -63,35 +63,35 @@
         service: &str,
         step: &StepSpec,
         task: TaskId,
-        options: Place<'_>,
+        options: PlacementOptions<'_>,
     ) -> Option<WorkerKey> {
-        let Place { rack, taken, any_pace, reservations } = options;
+        let PlacementOptions { rack, tentative, allow_throttled, reservations } = options;
         let image = step.image.as_ref().and_then(|it| self.interference.try_best_effort(it));
         let mut best: Option<(i64, WorkerKey)> = None;
         for (key, it) in self.workers.iter() {
             let takes = match step.long_running {
-                true => self.takes_lasting(now, it),
-                false => self.usable(now, it),
+                true => self.accepts_long_running(now, it),
+                false => self.is_usable(now, it),
             };
             let can = &*it.service == service
                 && takes
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
                 && rack.is_none_or(|rack| it.has_label(rack))
-                && reservations.iter().all(|reservations| {
-                    reservations.worker != key || spares(step, it, reservations.need)
+                && reservations.iter().all(|reservation| {
+                    reservation.worker != key || leaves_reservation(step, it, reservation.need)
                 })
-                && fits(now, step, it, key, taken)
-                && !crowded(step, it, key, task, taken);
+                && fits(now, step, it, key, tentative)
+                && !is_at_step_limit_with(step, it, key, task, tentative);
             if !can {
                 continue;
             }
             let mut cost = cost(now, step, it, task) + self.cost_packing(step, it);
             if step.best_effort {
                 let pace = pace_with(&self.interference, it, step, image);
-                if !any_pace && !admits(it, pace) {
+                if !allow_throttled && !admits(it, pace) {
                     continue;
                 }
-                cost += self.cost_beside(step, it, image, pace);
+                cost += self.cost_best_effort(step, it, image, pace);
             } else if step.target_ms > 0 {
                 cost += self.cost_serving(step, it);
             }
@@ -115,7 +115,7 @@
 
     /// What a best-effort task costs that could work at `pace`: first where nobody's tail suffers,
     /// then where the others leave most.
-    fn cost_beside(
+    fn cost_best_effort(
         &self,
         step: &StepSpec,
         worker: &Worker,
@@ -124,23 +124,24 @@
     ) -> i64 {
         let asked = worker.best_effort_cpu() + step.need.cpu_milli;
         let lacking = asked.saturating_sub(idle_cpu(worker));
-        ((1.0 - pace) * COST_PACED) as i64
-            + self.cost_disturbed(step, worker, image)
-            + i64::from(worker.open_to) * COST_OPEN
-            + permille(worker, lacking) * COST_SLOWED
+        ((1.0 - pace) * COST_BELOW_FULL_PACE) as i64
+            + self.cost_interference(step, worker, image)
+            + i64::from(worker.harmless_images) * COST_HARMLESS_IMAGE
+            + permille(worker, lacking) * COST_CPU_SHORTAGE
             + permille(worker, worker.best_effort_cpu())
     }
 
     /// What a best-effort task costs the worker's serving tasks, though all could work at full pace
     /// now: loads swing, and most images find a worker where they disturb nobody.
-    fn cost_disturbed(&self, step: &StepSpec, worker: &Worker, image: Option<ImageKey>) -> i64 {
-        let share = full_share(worker, step.need.cpu_milli);
+    fn cost_interference(&self, step: &StepSpec, worker: &Worker, image: Option<ImageKey>) -> i64 {
+        let share = full_pace_share(worker, step.need.cpu_milli);
         let mut worst = 0.0f64;
-        for it in &worker.pressed {
+        for it in &worker.interference_loads {
             let taken = self.interference.weight(it.image, image) * share;
-            let left = it.own_headroom - it.strong - it.weak - taken;
-            let short = (HEADROOM_EASY - left).clamp(0.0, 2.0);
-            worst = worst.max(taken.min(2.0) * COST_TAKEN + short * COST_SHORT);
+            let left = it.own_headroom - it.high - it.low - taken;
+            let shortfall = (COMFORTABLE_HEADROOM - left).clamp(0.0, 2.0);
+            worst =
+                worst.max(taken.min(2.0) * COST_HEADROOM_TAKEN + shortfall * COST_HEADROOM_SHORT);
         }
         worst as i64
     }
@@ -152,8 +153,9 @@
         let other = |it: &&Assignment| it.target_ms > 0 && it.image != image;
         let others = worker.tasks.iter().filter(other).count() as i64;
         let best_effort = worker.tasks.iter().filter(|it| it.best_effort_cpu > 0);
-        let press: f64 = best_effort.map(|it| press(&self.interference, worker, image, it)).sum();
-        others * COST_OTHER_IMAGE + (press.min(4.0) * COST_HEADROOM) as i64
+        let total: f64 =
+            best_effort.map(|it| headroom_cost(&self.interference, worker, image, it)).sum();
+        others * COST_OTHER_IMAGE + (total.min(4.0) * COST_HEADROOM) as i64
     }
 }
 
@@ -162,12 +164,12 @@
     step: &StepSpec,
     worker: &Worker,
     key: WorkerKey,
-    taken: &[(WorkerKey, Resources)],
+    tentative: &[(WorkerKey, Resources)],
 ) -> bool {
     let mut need = step.counted();
-    let late = worker.late(now);
-    let others = taken.iter().filter(|(it, _)| *it == key).map(|(_, more)| more);
-    for more in others.chain([&late]) {
+    let delayed = worker.delayed_start_demand(now);
+    let others = tentative.iter().filter(|(it, _)| *it == key).map(|(_, more)| more);
+    for more in others.chain([&delayed]) {
         match need.try_add(*more) {
             Some(sum) => need = sum,
             None => return false,
@@ -178,18 +180,18 @@
 
 /// Whether a task of `step` leaves a kept worker what it is kept for: best-effort tasks take no
 /// processors from others, but memory.
-fn spares(step: &StepSpec, worker: &Worker, need: Resources) -> bool {
+fn leaves_reservation(step: &StepSpec, worker: &Worker, need: Resources) -> bool {
     let both = Resources { cpu_milli: 0, ..need }.try_add(step.counted());
     step.best_effort && both.is_some_and(|it| it.fits(worker.free()))
 }
 
 /// Whether the worker already has as many tasks of the step as may be on one.
-fn crowded(
+fn is_at_step_limit_with(
     step: &StepSpec,
     worker: &Worker,
     key: WorkerKey,
     task: TaskId,
-    taken: &[(WorkerKey, Resources)],
+    tentative: &[(WorkerKey, Resources)],
 ) -> bool {
     if step.max_per_worker == 0 {
         return false;
@@ -197,13 +199,13 @@
     let same =
         |it: TaskId| it.job == task.job && it.occurrence == task.occurrence && it.step == task.step;
     let here = worker.tasks.iter().filter(|it| same(it.task)).count();
-    let more = taken.iter().filter(|(it, _)| *it == key).count();
+    let more = tentative.iter().filter(|(it, _)| *it == key).count();
     here + more >= step.max_per_worker as usize
 }
 
 /// Whether the worker already has as many tasks of the step of `task` as may be on one.
-pub(super) fn is_crowded(step: &StepSpec, worker: &Worker, task: TaskId) -> bool {
-    crowded(step, worker, WorkerKey(u32::MAX), task, &[])
+pub(super) fn is_at_step_limit(step: &StepSpec, worker: &Worker, task: TaskId) -> bool {
+    is_at_step_limit_with(step, worker, WorkerKey(u32::MAX), task, &[])
 }
 
 /// What binds all kinds of tasks; lower is better.
@@ -221,8 +223,8 @@
     if worker.suspected_until > now {
         cost += COST_SUSPECTED;
     }
-    if worker.cold_until > now {
-        cost += COST_COLD;
+    if worker.slow_start_until > now {
+        cost += COST_SLOW_START;
     }
     cost
 }
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -7,32 +7,32 @@
 use super::{
     JobView, Owner,
     message::{Action, Note, WaitCause},
-    place::{Kept, Place, is_crowded},
+    placement::{PlacementOptions, Reservation, is_at_step_limit},
     worker::WorkerKey,
 };
 use crate::{Copy, Job, JobId, JobKind, JobSpec, JobState, StepSpec, TaskId, TaskState};
 
 /// Copies of one task at a time, where its step allows copies.
-const COPIES_MAX: usize = 2;
+const MAX_COPIES: usize = 2;
 
 /// A quick job with less time left than this beside its work may keep a worker free.
-const KEEP_SLACK: Duration = Duration::from_millis(1_000);
+const RESERVATION_SLACK: Duration = Duration::from_millis(1_000);
 
 /// How long a job that lasts leaves room to those that can be in time, on a full fleet. Its tasks stay for
 /// minutes, and must not wait for longer where others of a second's length come and go.
-const YIELDS: Duration = Duration::from_millis(1_500);
+const LONG_RUNNING_YIELD: Duration = Duration::from_millis(1_500);
 
 /// What a job can still come to; the first goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Standing {
+enum Urgency {
     /// Its tasks are to run all the time: each moment without them counts.
-    Lasts,
+    LongRunning,
     /// It can be in time.
     InTime,
     /// It will be late, and is still of use then.
     Late,
     /// The same as the first, and it has just come: what ends by itself soon leaves its room to it.
-    LastsSoon,
+    NewLongRunning,
     /// It is of little use to anybody, but was accepted.
     TooLate,
 }
@@ -40,59 +40,60 @@
 /// The standing of a job with `chain_ms` of work before it. A job that cannot be in time any more
 /// does not hold up those that can: in an overload, the earliest deadline first would make all of
 /// them late by a little.
-fn standing(now: Instant, view: &JobView, chain_ms: u64) -> Standing {
+fn urgency(now: Instant, view: &JobView, chain_ms: u64) -> Urgency {
     /// Results are of use up to three times the objective, as the operators' contract has it.
-    const OF_USE: u32 = 3;
+    const USEFUL_FACTOR: u32 = 3;
     let allowed = view.objective.since(view.since);
     match now + Duration::from_millis(chain_ms) {
-        it if it <= view.objective => Standing::InTime,
-        it if it <= view.since + allowed * OF_USE => Standing::Late,
-        _ => Standing::TooLate,
+        it if it <= view.objective => Urgency::InTime,
+        it if it <= view.since + allowed * USEFUL_FACTOR => Urgency::Late,
+        _ => Urgency::TooLate,
     }
 }
 
 /// Whether a job that lasts still leaves room to others. Tasks of it that came from another shard have
 /// done so there.
 fn yields(now: Instant, view: &JobView, job: &Job) -> bool {
-    now.since(view.since) < YIELDS && !job.is_part()
+    now.since(view.since) < LONG_RUNNING_YIELD && !job.is_part()
 }
 
 /// What one pass over all jobs has found so far.
 #[derive(Debug, Default)]
-struct Round {
-    reservations: Vec<Kept>,
+struct PlanPass {
+    reservations: Vec<Reservation>,
     /// Best-effort tasks for which there is no room.
-    full: Vec<Full>,
+    unplaceable: Vec<UnplaceableTask>,
 }
 
 /// Best-effort tasks of one image that find no room, and all that need as much or more.
 #[derive(Debug)]
-struct Full {
+struct UnplaceableTask {
     service: Arc<str>,
     image: Option<Arc<str>>,
     need: Resources,
 }
 
-impl Round {
+impl PlanPass {
     /// Whether a task of `step` surely finds no room, as one like it has found none.
-    fn is_full(&self, service: &Arc<str>, step: &StepSpec) -> bool {
-        let covers =
-            |it: &Full| it.service == *service && it.image == step.image && it.need.fits(step.need);
-        step.best_effort && self.full.iter().any(covers)
+    fn is_unplaceable(&self, service: &Arc<str>, step: &StepSpec) -> bool {
+        let covers = |it: &UnplaceableTask| {
+            it.service == *service && it.image == step.image && it.need.fits(step.need)
+        };
+        step.best_effort && self.unplaceable.iter().any(covers)
     }
 
-    fn add_full(&mut self, service: &Arc<str>, step: &StepSpec) {
+    fn add_unplaceable(&mut self, service: &Arc<str>, step: &StepSpec) {
         // What binds the step alone says nothing of others.
         if step.best_effort && step.required_label.is_none() && step.max_per_worker == 0 {
             let (service, image) = (service.clone(), step.image.clone());
-            self.full.push(Full { service, image, need: step.need });
+            self.unplaceable.push(UnplaceableTask { service, image, need: step.need });
         }
     }
 }
 
 /// A step whose turn has come.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Ready {
+pub(super) struct ReadyStep {
     pub job: JobId,
     pub occurrence: u32,
     pub step: u16,
@@ -101,60 +102,61 @@
 impl Owner {
     /// Starts what can be started, the most urgent first.
     pub(super) fn plan(&mut self, now: Instant) {
-        self.weigh_all();
-        self.short.clear();
-        let mut round = Round { reservations: self.kept_for_moves(), ..Round::default() };
+        self.update_all_interference();
+        self.unplaced_sizes.clear();
+        let mut pass =
+            PlanPass { reservations: self.relocation_reservations(), ..PlanPass::default() };
         for id in self.by_urgency(now) {
             for ready in self.ready_steps(now, id) {
-                self.place_step(now, ready, &mut round);
+                self.place_step(now, ready, &mut pass);
             }
         }
-        self.reservations = round.reservations;
+        self.reservations = pass.reservations;
     }
 
     /// Sums up anew the workers on which something was started or has ended.
-    pub(super) fn weigh_all(&mut self) {
-        for (_, worker) in self.workers.iter_mut().filter(|(_, it)| !it.is_weighed) {
-            worker.weigh(&self.interference);
+    pub(super) fn update_all_interference(&mut self) {
+        for (_, worker) in self.workers.iter_mut().filter(|(_, it)| !it.is_interference_current) {
+            worker.update_interference(&self.interference);
         }
     }
 
     /// Workers that are kept at one time at most.
-    pub(super) fn kept_max(&self) -> usize {
+    pub(super) fn max_reservations(&self) -> usize {
         /// The part of all workers.
-        const KEPT_SHARE: usize = 8;
-        self.workers.len() / KEPT_SHARE + 1
+        const WORKERS_PER_RESERVATION: usize = 8;
+        self.workers.len() / WORKERS_PER_RESERVATION + 1
     }
 
     /// A worker that is kept for a task without room, so that what ends there leaves it enough in
     /// time: else smaller tasks take each gap as it comes, and a large one never starts.
-    fn try_keep(
+    fn try_reserve(
         &self,
         now: Instant,
-        ready: Ready,
+        ready: ReadyStep,
         step: &StepSpec,
-        reservations: &[Kept],
-    ) -> Option<Kept> {
+        reservations: &[Reservation],
+    ) -> Option<Reservation> {
         let view = self.active.get(&ready.job)?;
         let tail = view.tails_ms.get(usize::from(ready.step)).copied().unwrap_or_default();
-        let pressed = now + Duration::from_millis(tail) + KEEP_SLACK > view.objective;
-        if step.best_effort || reservations.len() >= self.kept_max() {
+        let is_urgent = now + Duration::from_millis(tail) + RESERVATION_SLACK > view.objective;
+        if step.best_effort || reservations.len() >= self.max_reservations() {
             return None;
         }
-        if !step.long_running && (!pressed || now > view.objective) {
+        if !step.long_running && (!is_urgent || now > view.objective) {
             return None;
         }
         let service = self.ledger.job(ready.job).map(|it| self.service(&it.spec))?;
         let candidates = self.workers.iter().filter(|(key, it)| {
             it.service == service
-                && self.usable(now, it)
-                && reservations.iter().all(|reservations| reservations.worker != *key)
+                && self.is_usable(now, it)
+                && reservations.iter().all(|reservation| reservation.worker != *key)
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
-                && step.counted().fits(it.room_in_time())
-                && !is_crowded(step, it, task_id(ready, 0))
+                && step.counted().fits(it.eventual_free())
+                && !is_at_step_limit(step, it, task_id(ready, 0))
         });
         let best = candidates.max_by_key(|(key, it)| (it.free().cpu_milli, *key));
-        best.map(|(worker, _)| Kept { worker, need: step.counted() })
+        best.map(|(worker, _)| Reservation { worker, need: step.counted() })
     }
 
     /// Jobs that are not ended: first those whose tasks are to run all the time, as each moment
@@ -167,20 +169,20 @@
             .iter()
             .filter_map(|(id, view)| {
                 let job = self.ledger.job(*id)?;
-                let open = matches!(job.state(), JobState::Queued | JobState::Running);
-                if !open {
+                let is_open = matches!(job.state(), JobState::Queued | JobState::Running);
+                if !is_open {
                     return None;
                 }
-                let chain = self.chain_left(*id, view);
+                let chain = self.remaining_chain_ms(*id, view);
                 let latest = view.objective.0.saturating_sub(chain * 1_000);
-                let standing = match (job.spec.kind(), standing(now, view, chain)) {
-                    (JobKind::Lasting, _) if yields(now, view, job) => Standing::LastsSoon,
-                    (JobKind::Lasting, _) => Standing::Lasts,
+                let urgency = match (job.spec.kind(), urgency(now, view, chain)) {
+                    (JobKind::Lasting, _) if yields(now, view, job) => Urgency::NewLongRunning,
+                    (JobKind::Lasting, _) => Urgency::LongRunning,
                     // A wide job cannot be in time where rooms are few, but of use.
-                    (JobKind::Once, Standing::Late) if job.progress.begun => Standing::InTime,
+                    (JobKind::Once, Urgency::Late) if job.progress.begun => Urgency::InTime,
                     (_, it) => it,
                 };
-                Some(((standing, job.spec.terms.priority, job.left_permille(), latest), *id))
+                Some(((urgency, job.spec.terms.priority, job.left_permille(), latest), *id))
             })
             .collect();
         jobs.sort_unstable();
@@ -189,16 +191,16 @@
 
     /// The estimated length of the longest chain of steps that are not done, in milliseconds, over
     /// the first occurrence that is not.
-    fn chain_left(&self, id: JobId, view: &JobView) -> u64 {
+    fn remaining_chain_ms(&self, id: JobId, view: &JobView) -> u64 {
         let Some(job) = self.ledger.job(id) else { return 0 };
-        let open = |steps: &&Vec<Vec<TaskState>>| steps.iter().flatten().any(|it| !it.done);
-        let Some(steps) = job.progress.occurrences.iter().find(open) else { return 0 };
+        let is_open = |steps: &&Vec<Vec<TaskState>>| steps.iter().flatten().any(|it| !it.done);
+        let Some(steps) = job.progress.occurrences.iter().find(is_open) else { return 0 };
         let left = steps.iter().zip(&view.tails_ms).filter(|(it, _)| it.iter().any(|it| !it.done));
         left.map(|(_, tail)| *tail).max().unwrap_or_default()
     }
 
     /// Steps of a job with waiting tasks whose dependencies are done.
-    pub(super) fn ready_steps(&self, now: Instant, id: JobId) -> Vec<Ready> {
+    pub(super) fn ready_steps(&self, now: Instant, id: JobId) -> Vec<ReadyStep> {
         let Some(job) = self.ledger.job(id) else { return Vec::new() };
         let spec = &job.spec;
         let mut ready = Vec::new();
@@ -210,7 +212,7 @@
                 let done = |it: &u16| steps[usize::from(*it)].iter().all(|it| it.done);
                 let waiting = tasks.iter().any(|it| self.wants_copy(&spec.steps[s], it));
                 if waiting && spec.steps[s].depends_on.iter().all(done) {
-                    ready.push(Ready { job: id, occurrence: k as u32, step: s as u16 });
+                    ready.push(ReadyStep { job: id, occurrence: k as u32, step: s as u16 });
                 }
             }
         }
@@ -238,16 +240,16 @@
         }
         step.speculative
             && !step.gang
-            && state.copies.len() < COPIES_MAX
-            && state.copies.iter().all(|it| self.is_silent(it))
+            && state.copies.len() < MAX_COPIES
+            && state.copies.iter().all(|it| self.is_unreachable(it))
     }
 
-    fn is_silent(&self, copy: &Copy) -> bool {
+    fn is_unreachable(&self, copy: &Copy) -> bool {
         let worker = self.by_id.get(&copy.worker).and_then(|key| self.workers.get(*key));
         worker.is_none_or(|it| it.hold_failures > 0 || !it.listed)
     }
 
-    fn place_step(&mut self, now: Instant, ready: Ready, round: &mut Round) {
+    fn place_step(&mut self, now: Instant, ready: ReadyStep, pass: &mut PlanPass) {
         let Some(job) = self.ledger.job(ready.job) else { return };
         let spec = job.spec.clone();
         let step = &spec.steps[usize::from(ready.step)];
@@ -259,38 +261,38 @@
             .collect();
         if step.gang {
             if waiting.len() == tasks.len() {
-                self.place_gang(now, ready, &spec, step, &round.reservations);
+                self.place_gang(now, ready, &spec, step, &pass.reservations);
             }
             return;
         }
         let service = self.service(&spec);
-        if round.is_full(&service, step) {
-            self.note_wait(ready, step, waiting.len());
+        if pass.is_unplaceable(&service, step) {
+            self.note_waiting_step(ready, step, waiting.len());
             return;
         }
         let count = waiting.len();
         for (at, index) in waiting.into_iter().enumerate() {
             let task = task_id(ready, index);
-            let options = Place {
+            let options = PlacementOptions {
                 rack: None,
-                taken: &[],
-                any_pace: false,
-                reservations: &round.reservations,
+                tentative: &[],
+                allow_throttled: false,
+                reservations: &pass.reservations,
             };
             let place = self
-                .try_moved_to(now, step, task)
+                .relocation_target(now, step, task)
                 .or_else(|| self.try_place(now, &service, step, task, options));
             let Some(key) = place else {
-                self.add_short(step);
+                self.add_unplaced_size(step);
                 for _ in at..count {
-                    let Some(reservations) = self.try_keep(now, ready, step, &round.reservations)
+                    let Some(reservation) = self.try_reserve(now, ready, step, &pass.reservations)
                     else {
                         break;
                     };
-                    round.reservations.push(reservations);
+                    pass.reservations.push(reservation);
                 }
-                round.add_full(&service, step);
-                self.note_wait(ready, step, count - at);
+                pass.add_unplaceable(&service, step);
+                self.note_waiting_step(ready, step, count - at);
                 break;
             };
             let run = self.next_run(task);
@@ -299,15 +301,15 @@
     }
 
     /// Tells once of each step that it waits, and for what.
-    fn note_wait(&mut self, ready: Ready, step: &StepSpec, tasks: usize) {
+    fn note_waiting_step(&mut self, ready: ReadyStep, step: &StepSpec, tasks: usize) {
         let backlog = self.active.len();
         let Some(view) = self.active.get_mut(&ready.job) else { return };
-        if view.told_waiting.contains(&ready.step) {
+        if view.logged_waiting.contains(&ready.step) {
             return;
         }
-        view.told_waiting.push(ready.step);
+        view.logged_waiting.push(ready.step);
         let cause = if step.best_effort { WaitCause::Headroom } else { WaitCause::Capacity };
-        let Ready { job, step, .. } = ready;
+        let ReadyStep { job, step, .. } = ready;
         self.actions.push(Action::Note(Note::StepWaiting { job, step, tasks, cause, backlog }));
     }
 
@@ -315,10 +317,10 @@
     fn place_gang(
         &mut self,
         now: Instant,
-        ready: Ready,
+        ready: ReadyStep,
         spec: &JobSpec,
         step: &StepSpec,
-        reservations: &[Kept],
+        reservations: &[Reservation],
     ) {
         let service = self.service(spec);
         let found = match step.same_rack {
@@ -344,14 +346,15 @@
         now: Instant,
         service: &str,
         step: &StepSpec,
-        ready: Ready,
+        ready: ReadyStep,
         rack: Option<&str>,
-        reservations: &[Kept],
+        reservations: &[Reservation],
     ) -> Option<Vec<WorkerKey>> {
         let mut taken: Vec<(WorkerKey, Resources)> = Vec::new();
         for index in 0..step.count {
             let task = task_id(ready, index);
-            let options = Place { rack, taken: &taken, any_pace: true, reservations };
+            let options =
+                PlacementOptions { rack, tentative: &taken, allow_throttled: true, reservations };
             let key = self.try_place(now, service, step, task, options)?;
             taken.push((key, step.counted()));
         }
@@ -384,7 +387,7 @@
         let it = super::assignment(now, &mut self.interference, task, run, step);
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.add(it);
-        worker.weigh(&self.interference);
+        worker.update_interference(&self.interference);
         let id = worker.id.clone();
         let Some(state) = self.task_mut(task) else { return };
         state.runs = run;
@@ -392,8 +395,8 @@
         if let Some(job) = self.ledger.job_mut(task.job) {
             job.progress.begun = true;
         }
-        self.recording.push((key, task, run));
-        self.end_move(task);
+        self.unrecorded_starts.push((key, task, run));
+        self.end_relocation(task);
     }
 
     /// How long until the next occurrence of any job is due.
@@ -407,6 +410,6 @@
     }
 }
 
-fn task_id(ready: Ready, index: u32) -> TaskId {
+fn task_id(ready: ReadyStep, index: u32) -> TaskId {
     TaskId { job: ready.job, occurrence: ready.occurrence, step: ready.step, index }
 }
--- a/daisy-workflow/src/owner/ends.rs
+++ b/daisy-workflow/src/owner/run_ends.rs
@@ -7,15 +7,15 @@
 use super::{
     Owner,
     message::{Action, EndedRun, Note, Outcome, StopCause},
-    worker::{Sent, Stop, Worker, WorkerKey},
+    worker::{StartState, StopState, Worker, WorkerKey},
 };
 use crate::{JobId, Phase, TaskId};
 
 /// Runs in a row that fail on a worker, none of whose tasks failed elsewhere, after which it gets
 /// no more work for a while.
-const FAILURES_MAX: u32 = 2;
+const MAX_CONSECUTIVE_FAILURES: u32 = 2;
 /// Failures further apart are not in a row: tasks that last seldom end, and may fail at any time.
-const IN_A_ROW: Duration = Duration::from_secs(3);
+const FAILURE_WINDOW: Duration = Duration::from_secs(3);
 impl Owner {
     pub(super) fn ended(&mut self, now: Instant, key: WorkerKey, it: EndedRun) {
         let Some(worker) = self.workers.get_mut(key) else { return };
@@ -38,7 +38,7 @@
             Outcome::Failed if known => self.failed(now, key, task, run, failed_elsewhere),
             _ => {}
         }
-        self.close_if_over(task.job);
+        self.remove_if_ended(task.job);
     }
 
     fn done(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
@@ -71,15 +71,16 @@
             false => tasks[task.index as usize].failures += 1,
         }
         let failures = tasks[task.index as usize].failures;
-        let lasts = step.long_running;
+        let is_long_running = step.long_running;
         let attempts = job.spec.terms.max_attempts.max(1);
         if failures >= attempts && !step.long_running && job.progress.phase == Phase::Active {
             self.end_job(now, task.job, Phase::Failed);
         }
         // A task that lasts may have no other place, and be started here again and again.
-        let again = lasts && self.workers.get(key).is_some_and(|it| fails_lately(now, it));
+        let again =
+            is_long_running && self.workers.get(key).is_some_and(|it| has_recent_failure(now, it));
         if !elsewhere || again {
-            self.blame(now, key);
+            self.count_failure(now, key);
         }
     }
 
@@ -92,14 +93,14 @@
         tasks.is_none_or(|it| it.iter().any(|it| it.failures > 0))
     }
 
-    fn blame(&mut self, now: Instant, key: WorkerKey) {
+    fn count_failure(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        if !fails_lately(now, worker) {
+        if !has_recent_failure(now, worker) {
             worker.failures = 0;
         }
         worker.failures += 1;
         worker.failed_at = now;
-        if worker.failures >= FAILURES_MAX {
+        if worker.failures >= MAX_CONSECUTIVE_FAILURES {
             self.suspect(now, key, "its runs fail one after the other");
         }
     }
@@ -127,8 +128,10 @@
         for at in 0..self.workers.len() {
             let Some(worker) = self.workers.get_mut(WorkerKey(at as u32)) else { continue };
             for it in worker.tasks.iter_mut().filter(|it| which(it.task)) {
-                if it.stop == Stop::No && it.sent != Sent::Recording {
-                    it.stop_at(now, cause);
+                if it.stop_state == StopState::NotRequested
+                    && it.start_state != StartState::Recording
+                {
+                    it.request_stop(now, cause);
                 }
             }
         }
@@ -136,7 +139,7 @@
     }
 
     /// Forgets a job that is over once none of its runs can be anywhere.
-    pub(super) fn close_if_over(&mut self, id: JobId) {
+    pub(super) fn remove_if_ended(&mut self, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         if job.progress.phase == Phase::Active && !job.cancelled {
             return;
@@ -149,6 +152,6 @@
 }
 
 /// Whether a run that was blamed on the worker failed a short while ago, and none has succeeded since.
-fn fails_lately(now: Instant, worker: &Worker) -> bool {
-    worker.failures > 0 && now.since(worker.failed_at) <= IN_A_ROW
+fn has_recent_failure(now: Instant, worker: &Worker) -> bool {
+    worker.failures > 0 && now.since(worker.failed_at) <= FAILURE_WINDOW
 }
--- a/daisy-workflow/src/owner/lacks.rs
+++ b/daisy-workflow/src/owner/shortfall.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::{Instant, Resources};
 
-use super::{Owner, place::is_crowded};
+use super::{Owner, placement::is_at_step_limit};
 use crate::TaskId;
 
 /// A task that waits, and how many workers lack what it needs; each counts once, by the first that it
@@ -35,7 +35,7 @@
     /// The waiting task that lasts and has waited longest of those for which a worker has the
     /// processors, or of all if there is none; and what the workers lack for it.
     pub fn longest_waiting_task(&self, now: Instant) -> Option<PlacementShortfall> {
-        let waits = self.waits_since.iter();
+        let waits = self.waiting_since.iter();
         let lacks = waits.filter_map(|(task, since)| self.try_lacks(now, *task, now.since(*since)));
         lacks.max_by_key(|it| {
             (it.short_of_memory + it.at_step_limit + it.reserved + it.suitable > 0, it.waited)
@@ -68,13 +68,13 @@
             let label = step.required_label.as_ref().is_none_or(|label| it.has_label(label));
             let short_of_cpu =
                 need.cpu_milli <= free.cpu_milli && need.accelerators <= free.accelerators;
-            let count = if !(it.service == service && label && self.takes_lasting(now, it)) {
+            let count = if !(it.service == service && label && self.accepts_long_running(now, it)) {
                 &mut lacks.ineligible
             } else if !short_of_cpu {
                 &mut lacks.short_of_cpu
             } else if !need.fits(free) {
                 &mut lacks.short_of_memory
-            } else if is_crowded(step, it, task) {
+            } else if is_at_step_limit(step, it, task) {
                 &mut lacks.at_step_limit
             } else if self.reservations.iter().any(|it| it.worker == key) {
                 &mut lacks.reserved
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -53,16 +53,16 @@
             sum.runs += worker.tasks.len();
             sum.workers += usize::from(worker.listed);
             sum.silent += usize::from(worker.hold_failures > 0 && !worker.tasks.is_empty());
-            if self.usable(now, worker) {
+            if self.is_usable(now, worker) {
                 sum.usable += 1;
-                let room = worker.free().cpu_milli;
-                sum.free_cpu += u64::from(room);
-                sum.largest_free_cpu = sum.largest_free_cpu.max(room);
-                if room < self.typical_cpu {
-                    sum.unusable_cpu += u64::from(room);
+                let free = worker.free().cpu_milli;
+                sum.free_cpu += u64::from(free);
+                sum.largest_free_cpu = sum.largest_free_cpu.max(free);
+                if free < self.mean_task_cpu {
+                    sum.unusable_cpu += u64::from(free);
                 }
                 sum.largest_future_free_cpu =
-                    sum.largest_future_free_cpu.max(worker.room_in_time().cpu_milli);
+                    sum.largest_future_free_cpu.max(worker.eventual_free().cpu_milli);
             }
         }
         for (id, _) in self.active.iter() {
@@ -93,7 +93,7 @@
         let unconfirmed_runs = self.unconfirmed_runs(now);
         sum.unconfirmed_runs = unconfirmed_runs.len();
         sum.unconfirmed_for = unconfirmed_runs.iter().map(|it| it.left).max().unwrap_or_default();
-        let waits = self.waits_since.iter().map(|(_, since)| now.since(*since));
+        let waits = self.waiting_since.iter().map(|(_, since)| now.since(*since));
         sum.longest_wait = waits.max().unwrap_or_default();
         sum
     }
--- a/daisy-workflow/src/owner/hand_over.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -10,54 +10,54 @@
 
 use super::{
     Owner,
-    delegate::KNOWS_WORKERS_AFTER,
+    delegate::WORKER_DISCOVERY_TIME,
     message::{Action, Note},
 };
 use crate::{Demand, Handover, Hop, Job, JobId, JobState, Record, StepSpec, TaskId};
 
 /// How long a task waits for room in its shard before it is handed on.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+const TRANSFER_DELAY: Duration = Duration::from_millis(1_000);
 /// The same, for one that was without a run for longer than that already, as its worker was out of reach.
-const PATIENCE_DISPLACED: Duration = Duration::from_millis(100);
+const TRANSFER_DELAY_DISPLACED: Duration = Duration::from_millis(100);
 /// Hops after which the patience does not grow any more.
-const PATIENT_HOPS: u32 = 4;
+const MAX_BACKOFF_HOPS: u32 = 4;
 
 impl Owner {
     /// Hands on tasks that last and have long found no room here.
-    pub(super) fn hand_over_waiting(&mut self, now: Instant) {
-        if now.since(self.began_at) < KNOWS_WORKERS_AFTER {
+    pub(super) fn transfer_waiting_tasks(&mut self, now: Instant) {
+        if now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
         // A worker is kept for these: elsewhere they would wait anew.
-        let (_, mut staying) = self.rooms_in_time(now);
-        staying.truncate(self.kept_max());
-        let waits = self.waits_since.iter().filter(|(task, _)| !staying.contains(task));
-        let due = waits.filter(|(task, since)| now.since(**since) >= self.patience(**task));
+        let (_, mut staying) = self.eventual_free_capacity(now);
+        staying.truncate(self.max_reservations());
+        let waits = self.waiting_since.iter().filter(|(task, _)| !staying.contains(task));
+        let due = waits.filter(|(task, since)| now.since(**since) >= self.transfer_delay(**task));
         let due: Vec<TaskId> = due.map(|(task, _)| *task).collect();
-        due.into_iter().for_each(|task| self.try_hand_over(now, task));
+        due.into_iter().for_each(|task| self.try_transfer(now, task));
     }
 
     /// How long a task waits for room in its shard before it is handed on. Of labels, shards do not
     /// tell: a task that needs one could go round among shards that cannot run it.
-    fn patience(&self, task: TaskId) -> Duration {
-        let Some(job) = self.ledger.job(task.job) else { return PATIENCE };
+    fn transfer_delay(&self, task: TaskId) -> Duration {
+        let Some(job) = self.ledger.job(task.job) else { return TRANSFER_DELAY };
         let labelled = job.spec.step_of(task).is_some_and(|it| it.required_label.is_some());
         let hops = job.moved.get(&task).filter(|_| labelled).map_or(0, |it| it.hop);
-        PATIENCE * 2u32.pow(hops.min(PATIENT_HOPS))
+        TRANSFER_DELAY * 2u32.pow(hops.min(MAX_BACKOFF_HOPS))
     }
 
     /// Notes that a task has waited already while the fate of its run was not known.
-    pub(super) fn displaced(&mut self, now: Instant, task: TaskId) {
-        let since = now - (PATIENCE - PATIENCE_DISPLACED);
-        self.waits_since.insert(task, since);
+    pub(super) fn note_displaced(&mut self, now: Instant, task: TaskId) {
+        let since = now - (TRANSFER_DELAY - TRANSFER_DELAY_DISPLACED);
+        self.waiting_since.insert(task, since);
     }
 
     /// Notes since when tasks that last have waited.
-    pub(super) fn update_waits(&mut self, now: Instant) {
+    pub(super) fn update_waiting_since(&mut self, now: Instant) {
         let waiting = self.waiting_tasks(now);
-        self.waits_since.retain(|task, _| waiting.binary_search(task).is_ok());
+        self.waiting_since.retain(|task, _| waiting.binary_search(task).is_ok());
         for task in waiting {
-            self.waits_since.get_or_insert_with(task, || now);
+            self.waiting_since.get_or_insert_with(task, || now);
         }
     }
 
@@ -78,10 +78,10 @@
         waiting
     }
 
-    fn try_hand_over(&mut self, now: Instant, task: TaskId) {
+    fn try_transfer(&mut self, now: Instant, task: TaskId) {
         let own = self.settings.shard;
         let step = self.ledger.job(task.job).and_then(|it| it.spec.step_of(task));
-        if step.is_some_and(|it| self.is_bound(it)) {
+        if step.is_some_and(|it| self.is_bound_to_shard(it)) {
             return;
         }
         let Some(job) = self.ledger.job_mut(task.job) else { return };
@@ -96,17 +96,17 @@
         job.move_task(task, Hop { number, to }.into());
         job.progress.begun = true;
         self.dirty.push(task.job);
-        self.handed.push(task);
+        self.transferring.push(task);
         self.actions.push(Action::Note(Note::TaskTransferred { task, hop: number, to }));
     }
 
     /// Records of tasks that are handed on and of which nothing is recorded yet.
-    pub(super) fn handed_records(&self, handed: &[TaskId]) -> Vec<Record> {
+    pub(super) fn transfer_records(&self, transferring: &[TaskId]) -> Vec<Record> {
         let hop = |task: &TaskId| {
             let moved = self.ledger.job(task.job)?.moved.get(task)?;
             Some(Record::TaskHandedOn(*task, Hop { number: moved.hop, to: moved.to? }))
         };
-        handed.iter().filter_map(hop).collect()
+        transferring.iter().filter_map(hop).collect()
     }
 
     /// Writes a task to the shard that it was handed to; with its job's cancellation, if there is one.
@@ -129,11 +129,11 @@
 
     /// A new owner does not know what the one before has written.
     pub(super) fn forward_all_tasks(&mut self) {
-        let handed = |(_, job): (JobId, &Job)| {
+        let transferred = |(_, job): (JobId, &Job)| {
             let away = job.moved.iter().filter(|(_, it)| it.to.is_some());
             away.map(|(task, _)| *task).collect::<Vec<_>>()
         };
-        let tasks: Vec<TaskId> = self.ledger.jobs().flat_map(handed).collect();
+        let tasks: Vec<TaskId> = self.ledger.jobs().flat_map(transferred).collect();
         tasks.into_iter().for_each(|it| self.forward_task(it));
     }
 
--- a/daisy-workflow/src/owner/unconfirmed_runs.rs
+++ b/daisy-workflow/src/owner/unconfirmed_runs.rs
@@ -6,8 +6,8 @@
 
 use super::{
     Owner,
-    orders::LATE_MAX,
-    worker::{Sent, Worker},
+    orders::MAX_ORDER_DELAY,
+    worker::{StartState, Worker},
 };
 use crate::{TaskId, WorkerId};
 
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnconfirmedCause {
     /// Its worker has answered this owner, and does so no more.
-    Silent,
+    Unresponsive,
     /// Its worker has never answered this owner; one before it may have renewed its lease.
-    NeverReached,
+    NeverAnswered,
     /// The list of workers does not name it, so that nobody can be asked.
     NotListed,
 }
@@ -26,8 +26,8 @@
     /// In a few words, for a log line.
     pub fn description(self) -> &'static str {
         match self {
-            UnconfirmedCause::Silent => "its worker is silent, and its lease may not be over",
-            UnconfirmedCause::NeverReached => {
+            UnconfirmedCause::Unresponsive => "its worker is silent, and its lease may not be over",
+            UnconfirmedCause::NeverAnswered => {
                 "its worker has not answered this owner, and one before may have renewed its lease"
             }
             UnconfirmedCause::NotListed => {
@@ -57,10 +57,14 @@
     pub fn unconfirmed_runs(&self, now: Instant) -> Vec<UnconfirmedRun> {
         let mut found = Vec::new();
         for (_, worker) in self.workers.iter() {
-            let Some(cause) = doubt(worker) else { continue };
-            let over_at = self.try_over_at(worker).unwrap_or_else(|| self.inherited_until(now));
+            let Some(cause) = unconfirmed_cause(worker) else { continue };
+            let over_at =
+                self.runs_over_at(worker).unwrap_or_else(|| self.latest_inherited_leases_end(now));
             let left = over_at.since(now);
-            let lasting = worker.tasks.iter().filter(|it| it.lasts && it.sent != Sent::Recording);
+            let lasting = worker
+                .tasks
+                .iter()
+                .filter(|it| it.is_long_running && it.start_state != StartState::Recording);
             found.extend(lasting.map(|it| UnconfirmedRun {
                 task: it.task,
                 run: it.run,
@@ -69,8 +73,8 @@
                 left,
             }));
         }
-        let left = self.inherited_until(now).since(now);
-        let lasting = self.orphans.iter().filter(|it| self.lasts(it.task));
+        let left = self.latest_inherited_leases_end(now).since(now);
+        let lasting = self.orphans.iter().filter(|it| self.is_long_running(it.task));
         found.extend(lasting.map(|it| UnconfirmedRun {
             task: it.task,
             run: it.run,
@@ -82,19 +86,19 @@
     }
 
     /// When all runs on a worker that is silent are over, if that is known.
-    pub(super) fn try_over_at(&self, worker: &Worker) -> Option<Instant> {
-        let over_at = worker.lease_over_at().or_else(|| self.late_over_at(worker));
-        over_at.or_else(|| self.try_inherited_until())
+    pub(super) fn runs_over_at(&self, worker: &Worker) -> Option<Instant> {
+        let over_at = worker.leases_over_at().or_else(|| self.delayed_starts_over_at(worker));
+        over_at.or_else(|| self.inherited_leases_end())
     }
 
     /// When all is over that orders for an earlier incarnation may bring about at a worker that has not
     /// answered since it started anew: they name times far ahead of its clock.
-    fn late_over_at(&self, worker: &Worker) -> Option<Instant> {
+    fn delayed_starts_over_at(&self, worker: &Worker) -> Option<Instant> {
         let longest = self.settings.lease_max + self.settings.lease_max / 10;
-        worker.reborn_at.map(|it| it + LATE_MAX + longest)
+        worker.restarted_at.map(|it| it + MAX_ORDER_DELAY + longest)
     }
 
-    fn lasts(&self, task: TaskId) -> bool {
+    fn is_long_running(&self, task: TaskId) -> bool {
         let step =
             self.ledger.job(task.job).and_then(|it| it.spec.steps.get(usize::from(task.step)));
         step.is_some_and(|it| it.long_running)
@@ -102,10 +106,10 @@
 }
 
 /// Why the fate of what runs on a worker is not known, if it is not.
-fn doubt(worker: &Worker) -> Option<UnconfirmedCause> {
+fn unconfirmed_cause(worker: &Worker) -> Option<UnconfirmedCause> {
     match (worker.clock, worker.hold_failures > 0 || !worker.listed) {
-        (None, _) => Some(UnconfirmedCause::NeverReached),
-        (Some(_), true) => Some(UnconfirmedCause::Silent),
+        (None, _) => Some(UnconfirmedCause::NeverAnswered),
+        (Some(_), true) => Some(UnconfirmedCause::Unresponsive),
         (Some(_), false) => None,
     }
 }
--- a/daisy-workflow/src/owner/worker.rs
+++ b/daisy-workflow/src/owner/worker.rs
@@ -5,19 +5,19 @@
 use daisy_model::{Instant, Key, Resources};
 
 use super::{
+    best_effort::{self, InterferenceLoad},
     interference::{ImageKey, Interference},
     message::StopCause,
-    room::{self, Pressed},
 };
 use crate::{TaskId, WorkerId, WorkerListing};
 
 /// A worker's clock may run this much slower than the owner's, in thousandths: the platform's
 /// contract allows 2 %.
-const CLOCK_SLOW_PERMILLE: u64 = 20;
+const MAX_CLOCK_DRIFT_PERMILLE: u64 = 20;
 /// Answers of one incarnation that overtake each other differ by less than this: no call lasts as long.
-const OVERTAKEN_MS: u64 = 2_000;
+const MAX_REORDERING_MS: u64 = 2_000;
 /// How long after an answer a worker is taken not to have started anew since.
-const KNOWN_FOR: Duration = Duration::from_millis(150);
+const ANSWER_VALIDITY: Duration = Duration::from_millis(150);
 /// Added before a lease counts as over, for the time that the worker takes to end its tasks.
 const EXPIRY_MARGIN_MS: u64 = 150;
 
@@ -37,7 +37,7 @@
 
 /// How far an order to start has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Sent {
+pub(crate) enum StartState {
     /// Its record is not in the log yet.
     Recording,
     /// On its way.
@@ -45,16 +45,16 @@
     /// No answer came; it may be carried out late, and is sent again at this time.
     Unanswered(Instant),
     /// The worker has said at this time that it is there.
-    There(Instant),
+    Confirmed(Instant),
     /// An earlier owner recorded it; whether it is there is not known yet.
     Inherited,
 }
 
 /// How far an order to stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Stop {
+pub(crate) enum StopState {
     /// Not asked for.
-    No,
+    NotRequested,
     /// To be sent at this time, and sent again until it is answered.
     Due(Instant),
     /// On its way.
@@ -69,7 +69,7 @@
     pub task: TaskId,
     pub run: u32,
     /// What counts against the capacity.
-    pub counted: Resources,
+    pub allocation: Resources,
     /// Processor time that a best-effort task can use, in thousandths of a core.
     pub best_effort_cpu: u32,
     /// The number of its image among those of serving or of best-effort tasks.
@@ -77,22 +77,22 @@
     /// Tail latency of a serving task that must not be exceeded; 0 for a task that serves nobody.
     pub target_ms: u32,
     /// Whether it runs until its job is cancelled.
-    pub lasts: bool,
-    pub sent: Sent,
+    pub is_long_running: bool,
+    pub start_state: StartState,
     /// Whether a list of the worker's present incarnation named it.
     pub listed: bool,
     /// Whether an order to start it went unanswered: it may be carried out late.
-    pub maybe_late: bool,
-    pub tries: u32,
-    pub stop: Stop,
+    pub may_be_delayed: bool,
+    pub start_attempts: u32,
+    pub stop_state: StopState,
     /// Why it is to be stopped, once it is.
     pub stop_cause: StopCause,
     /// Renewals in a row, sent after the start was answered, that list the run nowhere.
-    pub absent: u8,
+    pub missed_lists: u8,
     pub checkpoint: String,
     pub percent: u8,
     /// When `percent` last rose.
-    pub moved_at: Instant,
+    pub progressed_at: Instant,
     pub began_at: Instant,
     pub load: u32,
     /// The share that was last ordered, in percent; `None` for a run that an earlier owner paced.
@@ -105,16 +105,16 @@
     /// best-effort tasks beside it.
     pub mean_headroom: Option<f64>,
     /// Of a serving task, since when it misses its target.
-    pub over_since: Option<Instant>,
+    pub target_missed_since: Option<Instant>,
     pub own_headroom: f64,
 }
 
 /// An order to start that went unanswered.
 #[derive(Debug, Clone)]
-pub(crate) struct LateOrder {
+pub(crate) struct DelayedStart {
     pub task: TaskId,
     pub run: u32,
-    pub counted: Resources,
+    pub allocation: Resources,
     /// Until when it may still be carried out.
     pub until: Instant,
 }
@@ -136,7 +136,7 @@
     pub(crate) ready: bool,
     /// When it was first seen to drain, and the least time that was left then.
     pub(crate) leaves_at: Option<Instant>,
-    pub(crate) cold_until: Instant,
+    pub(crate) slow_start_until: Instant,
     pub(crate) tasks: Vec<Assignment>,
     /// The worker's clock in milliseconds, and when it was read.
     pub(crate) clock: Option<(u64, Instant)>,
@@ -147,23 +147,23 @@
     pub(crate) fenced: bool,
     /// When it was noticed that it had started anew: orders for the incarnation before may still reach
     /// it.
-    pub(crate) reborn_at: Option<Instant>,
-    pub(crate) holding: bool,
-    pub(crate) held_at: Instant,
+    pub(crate) restarted_at: Option<Instant>,
+    pub(crate) hold_in_flight: bool,
+    pub(crate) hold_answered_at: Instant,
     pub(crate) hold_sent_at: Instant,
     /// When the renewal was sent that was last answered.
-    pub(crate) answered_since: Instant,
+    pub(crate) answered_hold_sent_at: Instant,
     pub(crate) hold_failures: u32,
     /// The highest end that was taken in, and the highest whose record is in the log.
     pub(crate) cursor_seen: u64,
     pub(crate) cursor_durable: u64,
     /// Orders to start that went unanswered and may still be carried out, each run once.
-    pub(crate) late_orders: Vec<LateOrder>,
+    pub(crate) delayed_starts: Vec<DelayedStart>,
     pub(crate) failures: u32,
     /// When the last of them came.
     pub(crate) failed_at: Instant,
     /// Until when it takes no new tasks.
-    pub(crate) shunned_until: Instant,
+    pub(crate) excluded_until: Instant,
     /// Until when it is left to tasks that last and find no other place, as what ran on it failed or
     /// stood still.
     pub(crate) suspected_until: Instant,
@@ -171,16 +171,16 @@
     pub(crate) reported_at: Instant,
     pub(crate) mean_used: Vec<(ImageKey, f64)>,
     /// Images of best-effort tasks that disturb no serving task here.
-    pub(crate) open_to: u32,
-    /// Its serving images; summed anew once `is_weighed` is false.
-    pub(crate) pressed: Vec<Pressed>,
-    pub(crate) is_weighed: bool,
+    pub(crate) harmless_images: u32,
+    /// Its serving images; summed anew once `is_interference_current` is false.
+    pub(crate) interference_loads: Vec<InterferenceLoad>,
+    pub(crate) is_interference_current: bool,
 }
 
 impl Assignment {
     /// Has the run stopped at `at`.
-    pub(crate) fn stop_at(&mut self, at: Instant, cause: StopCause) {
-        self.stop = Stop::Due(at);
+    pub(crate) fn request_stop(&mut self, at: Instant, cause: StopCause) {
+        self.stop_state = StopState::Due(at);
         self.stop_cause = cause;
     }
 }
@@ -198,47 +198,47 @@
             listed: true,
             ready: listed.ready,
             leaves_at: None,
-            cold_until: now + Duration::from_millis(listed.cold_ms),
+            slow_start_until: now + Duration::from_millis(listed.cold_ms),
             tasks: Vec::new(),
             clock: None,
             deadline_ms: 0,
             fenced: false,
-            reborn_at: None,
-            holding: false,
-            held_at: Instant::default(),
+            restarted_at: None,
+            hold_in_flight: false,
+            hold_answered_at: Instant::default(),
             hold_sent_at: Instant::default(),
-            answered_since: Instant::default(),
+            answered_hold_sent_at: Instant::default(),
             hold_failures: 0,
             cursor_seen: 0,
             cursor_durable: 0,
-            late_orders: Vec::new(),
+            delayed_starts: Vec::new(),
             failures: 0,
             failed_at: Instant::default(),
-            shunned_until: Instant::default(),
+            excluded_until: Instant::default(),
             suspected_until: Instant::default(),
             reported_at: Instant::default(),
             mean_used: Vec::new(),
-            open_to: 0,
-            pressed: Vec::new(),
-            is_weighed: true,
+            harmless_images: 0,
+            interference_loads: Vec::new(),
+            is_interference_current: true,
         }
     }
 
     /// The least that the worker's clock can show now, in milliseconds.
-    fn clock_at_least(&self, now: Instant) -> Option<u64> {
+    fn min_clock_ms(&self, now: Instant) -> Option<u64> {
         let (clock, at) = self.clock?;
         let passed = now.since(at).as_millis() as u64;
-        Some(clock + passed - passed * CLOCK_SLOW_PERMILLE / 1_000)
+        Some(clock + passed - passed * MAX_CLOCK_DRIFT_PERMILLE / 1_000)
     }
 
     /// Whether an answer shows the clock of a later incarnation, which begins anew.
     pub(crate) fn is_clock_reset(&self, clock_ms: u64) -> bool {
-        self.clock.is_some_and(|(known, _)| clock_ms + OVERTAKEN_MS < known)
+        self.clock.is_some_and(|(known, _)| clock_ms + MAX_REORDERING_MS < known)
     }
 
     /// The end of a lease that begins now, on the worker's clock.
     pub(crate) fn lease_end(&mut self, now: Instant, lease: Duration) -> Option<u64> {
-        let end = self.clock_at_least(now)? + lease.as_millis() as u64;
+        let end = self.min_clock_ms(now)? + lease.as_millis() as u64;
         self.deadline_ms = self.deadline_ms.max(end);
         // Not the latest end that it may have been granted: the next owner allows for one lease.
         Some(end)
@@ -246,10 +246,10 @@
 
     /// When every lease that was ever sent has surely run out on the worker's own clock, if that was
     /// ever read.
-    pub(crate) fn lease_over_at(&self) -> Option<Instant> {
+    pub(crate) fn leases_over_at(&self) -> Option<Instant> {
         let (clock, at) = self.clock?;
         let left = (self.deadline_ms + EXPIRY_MARGIN_MS + 1).saturating_sub(clock);
-        Some(at + Duration::from_millis(left * 1_000 / (1_000 - CLOCK_SLOW_PERMILLE) + 1))
+        Some(at + Duration::from_millis(left * 1_000 / (1_000 - MAX_CLOCK_DRIFT_PERMILLE) + 1))
     }
 
     pub(crate) fn free(&self) -> Resources {
@@ -258,20 +258,21 @@
 
     /// What late orders of runs that have ended would take, had the worker started anew since its last
     /// answer: it then carries them out once more.
-    pub(crate) fn late(&self, now: Instant) -> Resources {
-        if self.clock.is_some_and(|(_, at)| now.since(at) <= KNOWN_FOR) {
+    pub(crate) fn delayed_start_demand(&self, now: Instant) -> Resources {
+        if self.clock.is_some_and(|(_, at)| now.since(at) <= ANSWER_VALIDITY) {
             return Resources::ZERO;
         }
-        let here = |it: &LateOrder| self.tasks.iter().any(|t| t.task == it.task && t.run == it.run);
-        let late = self.late_orders.iter().filter(|it| it.until > now && !here(it));
-        late.fold(Resources::ZERO, |sum, it| sum.try_add(it.counted).unwrap_or(self.capacity))
+        let here =
+            |it: &DelayedStart| self.tasks.iter().any(|t| t.task == it.task && t.run == it.run);
+        let delayed = self.delayed_starts.iter().filter(|it| it.until > now && !here(it));
+        delayed.fold(Resources::ZERO, |sum, it| sum.try_add(it.allocation).unwrap_or(self.capacity))
     }
 
     /// What is free once all has ended that ends by itself.
-    pub(crate) fn room_in_time(&self) -> Resources {
-        let lasting = self.tasks.iter().filter(|it| it.lasts);
+    pub(crate) fn eventual_free(&self) -> Resources {
+        let lasting = self.tasks.iter().filter(|it| it.is_long_running);
         let taken = lasting
-            .fold(Resources::ZERO, |sum, it| sum.try_add(it.counted).unwrap_or(self.capacity));
+            .fold(Resources::ZERO, |sum, it| sum.try_add(it.allocation).unwrap_or(self.capacity));
         self.capacity.try_sub(taken).unwrap_or(Resources::ZERO)
     }
 
@@ -280,19 +281,19 @@
     }
 
     pub(crate) fn add(&mut self, it: Assignment) {
-        self.used = self.used.try_add(it.counted).unwrap_or(self.capacity);
+        self.used = self.used.try_add(it.allocation).unwrap_or(self.capacity);
         self.tasks.push(it);
-        self.is_weighed = false;
+        self.is_interference_current = false;
     }
 
     pub(crate) fn remove(&mut self, task: TaskId, run: u32) -> Option<Assignment> {
         let at = self.tasks.iter().position(|it| it.task == task && it.run == run)?;
         let it = self.tasks.swap_remove(at);
-        self.is_weighed = false;
+        self.is_interference_current = false;
         // Summed anew: with a capacity that shrank, a difference could go below zero.
         self.used = Resources::ZERO;
         for it in &self.tasks {
-            self.used = self.used.try_add(it.counted).unwrap_or(self.capacity);
+            self.used = self.used.try_add(it.allocation).unwrap_or(self.capacity);
         }
         Some(it)
     }
@@ -303,9 +304,9 @@
     }
 
     /// Sums up anew how its best-effort tasks press on those that serve.
-    pub(crate) fn weigh(&mut self, learnt: &Interference) {
-        self.pressed = room::pressed(learnt, self);
-        self.is_weighed = true;
+    pub(crate) fn update_interference(&mut self, learnt: &Interference) {
+        self.interference_loads = best_effort::interference_loads(learnt, self);
+        self.is_interference_current = true;
     }
 
     /// Processor time that best-effort tasks here could use, in thousandths of a core.
