--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -1,9 +1,9 @@
-//! The owner of the workers: decides what starts where, under one epoch.
+//! The owner of a shard's workers: decides what starts where, under one epoch.
 //!
 //! A start is recorded in the log before its order is sent, so that the next owner knows every
-//! worker that a task may be on. An end is acknowledged to its worker only when its record is in
-//! the log. Workers refuse orders of a lower epoch than they have seen; an owner starts nothing
-//! on a worker that has not answered under its own.
+//! worker that a task may be on. A worker's report that a run has ended is acknowledged only when
+//! its record is in the log. Workers reject orders of a lower epoch than the highest that they have
+//! seen; an owner starts nothing on a worker that has not answered under the owner's own epoch.
 
 mod best_effort;
 mod defragment;
@@ -52,27 +52,28 @@
     TaskId, WorkerId,
 };
 
-/// Figures of the platform that an owner goes by.
+/// Settings of an owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// How long a worker's tasks go on without a renewal.
+    /// How long a worker's tasks continue to run without a lease renewal.
     pub lease: Duration,
-    /// The longest lease that a worker grants, whatever it is asked for.
+    /// The longest lease that a worker grants, whatever an order asks for.
     pub lease_max: Duration,
     /// The owner's shard.
     pub shard: ShardId,
     /// All shards.
     pub layout: Layout,
-    /// How room is found.
+    /// How tasks are placed on workers.
     pub rules: PlacementRules,
 }
 
-/// How room is found for tasks that reserve it; each part can be compared with others.
+/// How workers are chosen for tasks that reserve capacity; each rule can be compared with
+/// alternatives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementRules {
-    /// Which of several workers takes a task.
+    /// Which of several workers with enough capacity gets a task.
     pub packing: Packing,
-    /// Whether tasks that last are moved where others find no room.
+    /// Whether long-running tasks are moved to make space for tasks that fit on no worker.
     pub defragments: bool,
 }
 
@@ -82,31 +83,32 @@
     }
 }
 
-/// Which of several workers with room takes a task, as far as the room decides.
+/// Which of several workers with enough free capacity gets a task, as far as capacity decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Packing {
-    /// The first.
+    /// The first worker.
     FirstFit,
-    /// The one with least room: small tasks fill small gaps, and large ones find large gaps.
+    /// The worker with the least free capacity: small tasks fill small gaps, and large ones find
+    /// large gaps.
     BestFit,
-    /// The one with most room.
+    /// The worker with the most free capacity.
     WorstFit,
 }
 
-/// What the owner keeps of a job besides its record.
+/// What the owner holds about a job besides its record.
 #[derive(Debug, Clone)]
 pub(crate) struct JobView {
     /// When the job was accepted, on this process's clock.
-    pub since: Instant,
-    /// When it should be completed.
+    pub accepted_at: Instant,
+    /// When the job should be completed.
     pub objective: Instant,
     /// Estimated time from each step's start to the job's end, in milliseconds.
     pub tails_ms: Vec<u64>,
-    /// Steps of which it was told that they wait for room.
+    /// Steps for which it was already logged that they wait for capacity.
     pub logged_waiting: Vec<u16>,
 }
 
-/// The owner.
+/// The owner of a shard: a state machine that takes [`Event`]s and returns [`Action`]s.
 #[derive(Debug)]
 pub struct Owner {
     settings: Settings,
@@ -116,50 +118,51 @@
     by_id: SortedMap<WorkerId, WorkerKey>,
     /// When the platform's list of workers was last read.
     list_read_at: Instant,
-    /// Jobs that are not ended.
+    /// Jobs that have not ended.
     active: SortedMap<JobId, JobView>,
-    /// Jobs whose records are to be written.
+    /// Jobs whose progress has to be recorded.
     dirty: Vec<JobId>,
-    /// Jobs that are handed on whole and of which that is not recorded yet.
+    /// Jobs that are delegated as a whole, while the delegation is not recorded yet.
     delegating: Vec<JobId>,
-    /// Starts that wait for their record.
+    /// Starts whose record is not in the log yet.
     unrecorded_starts: Vec<(WorkerKey, TaskId, u32)>,
     in_flight: Option<InFlight>,
     interference: Interference,
-    /// When what was learnt was last recorded.
+    /// When the learned interference was last recorded.
     interference_recorded_at: Instant,
-    /// Copies recorded by an earlier owner on workers that the list does not name.
+    /// Runs recorded by an earlier owner on workers that the platform's list does not name.
     orphans: Vec<Orphan>,
-    /// Who may renew leases besides.
+    /// Tracks whether this owner, or an earlier one, may renew leases.
     succession: Succession,
-    /// When this owner began, and the wall clock then, in milliseconds since 1970.
+    /// When this owner started, and the wall clock at that time, in milliseconds since 1970.
     began_at: Instant,
     began_wall_ms: u64,
     plan_due: bool,
     actions: Vec<Action>,
-    /// States of jobs that stand in the log and that callers are to be told.
+    /// States of jobs that are stored in the log and have to be published to callers.
     states: Vec<(JobId, JobState)>,
     others: Others,
-    /// Tasks that are handed on and of which nothing is recorded yet.
+    /// Tasks that are transferred to other shards, while the transfer is not recorded yet.
     transferring: Vec<TaskId>,
-    /// Since when tasks that last have found no room here.
+    /// Since when long-running tasks have waited for capacity in this shard.
     waiting_since: SortedMap<TaskId, Instant>,
-    /// When jobs that wait were last looked at for a better shard.
+    /// When waiting jobs and tasks were last checked for a better shard.
     rebalanced_at: Instant,
-    /// When what starts was last decided.
+    /// When the last planning pass ran.
     planned_at: Instant,
-    /// Workers that were kept for more urgent tasks then.
+    /// Workers that this pass reserved for more urgent tasks.
     reservations: Vec<Reservation>,
-    /// Sizes for which the last decision found no room.
+    /// Sizes of tasks that the last pass could not place.
     unplaced_sizes: Vec<Resources>,
-    /// Tasks that are stopped on one worker to start on another.
+    /// Long-running tasks that are stopped on one worker to start on another.
     relocations: Vec<Relocation>,
     defragmented_at: Instant,
-    /// The running mean of what a task needs that ends by itself, in thousandths of a core.
+    /// The running mean of the processor time that a finite task reserves, in thousandths of a
+    /// core.
     mean_task_cpu: u32,
 }
 
-/// A recorded run on a worker that is not known.
+/// A recorded run on a worker that this owner does not know.
 #[derive(Debug, Clone)]
 struct Orphan {
     worker: WorkerId,
@@ -167,23 +170,24 @@
     run: u32,
 }
 
-/// A batch that is being appended.
+/// A batch that is being appended to the log.
 #[derive(Debug)]
 struct InFlight {
-    /// When it was given out to be sent.
+    /// When the batch was created.
     began: Instant,
     starts: Vec<(WorkerKey, TaskId, u32)>,
-    /// Ends that its records cover: worker, incarnation, number.
+    /// Ended runs that the batch records: worker, incarnation, number of the end.
     cursors: Vec<(WorkerKey, u64, u64)>,
-    /// States of jobs as its records tell them.
+    /// States of jobs as the batch records them.
     states: Vec<(JobId, JobState)>,
-    /// Jobs and tasks that are handed to other shards once this is recorded.
+    /// Jobs and tasks to be written to other shards once the batch is stored.
     delegated: Vec<JobId>,
     transferring: Vec<TaskId>,
 }
 
 impl Owner {
-    /// An owner that begins with what `ledger` says; `wall_ms` is the present time since 1970.
+    /// Creates an owner that starts from `ledger`; `wall_ms` is the current time in milliseconds
+    /// since 1970.
     pub fn new(
         now: Instant,
         wall_ms: u64,
@@ -234,7 +238,7 @@
         owner
     }
 
-    /// Takes over what an earlier owner recorded.
+    /// Takes over the active jobs that an earlier owner recorded.
     fn inherit(&mut self, now: Instant) {
         let jobs: Vec<JobId> = self
             .ledger
@@ -245,7 +249,7 @@
         jobs.into_iter().for_each(|id| self.inherit_job(now, id));
     }
 
-    /// Takes over a job as an earlier owner recorded it.
+    /// Takes over one job as an earlier owner recorded it.
     fn inherit_job(&mut self, now: Instant, id: JobId) {
         self.activate(now, id);
         let Some(job) = self.ledger.job(id) else { return };
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Takes an event in.
+    /// Processes an event.
     pub fn step(&mut self, now: Instant, event: Event) {
         match event {
             Event::Record(record) => self.record(now, record),
@@ -294,7 +298,8 @@
         }
     }
 
-    /// Decides what starts now, and gives all that is to be done.
+    /// Decides what starts now, at most every 20 ms, and returns all actions that
+    /// have accumulated.
     pub fn act(&mut self, now: Instant) -> Vec<Action> {
         if self.plan_due && now.since(self.planned_at) >= PLAN_INTERVAL {
             self.plan_due = false;
@@ -304,7 +309,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether there are records to be appended.
+    /// Whether there are records to append and no batch is being appended.
     pub fn has_batch(&self) -> bool {
         let nothing = self.dirty.is_empty()
             && self.delegating.is_empty()
@@ -312,7 +317,8 @@
         self.in_flight.is_none() && (!nothing || self.succession.has_record())
     }
 
-    /// Records to be appended next, unless a batch is under way or there are none.
+    /// Returns the records to append next, or `None` while a batch is being appended or if there
+    /// are none.
     pub fn try_batch(&mut self, now: Instant) -> Option<Batch> {
         if !self.has_batch() {
             return None;
@@ -329,7 +335,7 @@
         for id in changed {
             let Some(job) = ledger.job(id) else { continue };
             records.push(Record::Progress(id, job.progress.clone()));
-            // What a part of a job comes to is no state of the job.
+            // The state of a job's part in this shard is not the state of the job.
             if !job.is_part() {
                 states.push((id, job.state()));
             }
@@ -349,32 +355,33 @@
         Some(Batch { records })
     }
 
-    /// States of jobs that have come to stand in the log since the last call, the newest last.
+    /// Returns the states of jobs that were stored in the log since the last call, the newest last.
     pub fn take_states(&mut self) -> Vec<(JobId, JobState)> {
         std::mem::take(&mut self.states)
     }
 
-    /// What was learnt of images since the last call, for the owners of other shards.
+    /// Returns the interference sums collected since the last call, for the owners of other shards.
     pub fn take_observations(&mut self) -> Vec<Observations> {
         self.interference.take_observations()
     }
 
-    /// By queue, the jobs without a time of which no task was started.
+    /// Counts, by queue, the untimed jobs of which no task was started.
     pub fn pending(&self) -> Vec<(String, u32)> {
         self.ledger.pending()
     }
 
-    /// Jobs that were handed on whole, of which the shards that run them tell.
+    /// Returns the jobs that were delegated as a whole; the shards that run them publish their
+    /// states.
     pub fn delegated_away(&self) -> impl Iterator<Item = JobId> {
         self.ledger.jobs().filter(|(_, it)| it.delegated.is_some()).map(|(id, _)| id)
     }
 
-    /// A worker of this owner.
+    /// Returns a worker of this owner.
     pub fn worker(&self, key: WorkerKey) -> Option<&Worker> {
         self.workers.get(key)
     }
 
-    /// The state of a task, to change; the job is written anew.
+    /// Returns the state of a task to be changed, and marks its job to be recorded again.
     fn task_mut(&mut self, task: TaskId) -> Option<&mut crate::TaskState> {
         let job = self.ledger.job_mut(task.job)?;
         let steps = job.progress.occurrences.get_mut(task.occurrence as usize)?;
@@ -391,7 +398,7 @@
     }
 }
 
-/// Runs of a job that its record says may be on a worker.
+/// Lists the runs of a job that may be on a worker according to its record.
 fn recorded_copies(id: JobId, job: &Job) -> Vec<(WorkerId, TaskId, u32)> {
     let mut copies = Vec::new();
     for (occurrence, steps) in (0u32..).zip(&job.progress.occurrences) {
@@ -405,22 +412,23 @@
     copies
 }
 
-/// Whether this shard runs a job, or tasks of it.
+/// Whether this shard runs a job, or single tasks of it.
 fn runs_here(job: &Job) -> bool {
     job.delegated.is_none() || job.has_tasks_that_came()
 }
 
-/// Between records of what was learnt, so that a new owner need not begin anew: about 1 KB each.
+/// Interval between records of the learned interference, about 1 KB each, from which a new owner
+/// continues.
 const INTERFERENCE_RECORD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Between decisions on what starts: each looks at all jobs and workers, and on a busy owner
-/// hundreds of events a second call for one.
+/// Minimum interval between planning passes: each goes through all jobs and workers, and on a busy
+/// owner hundreds of events per second request one.
 const PLAN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Headroom that a serving task counts with until its first report.
+/// Headroom assumed for a serving task until its first report.
 const INITIAL_HEADROOM: f64 = 2.7;
 
-/// An assignment that begins now.
+/// Creates the assignment of a run that starts now.
 fn assignment(
     now: Instant,
     learnt: &mut Interference,
--- a/daisy-workflow/src/owner/best_effort.rs
+++ b/daisy-workflow/src/owner/best_effort.rs
@@ -1,9 +1,10 @@
-//! Where a best-effort task can work: idle processors, and headroom that serving tasks can spare.
+//! Where a best-effort task can run: idle processors, and the headroom that serving tasks can
+//! spare.
 //!
-//! The load that this answers: more best-effort work than the serving tasks leave room for. Started
-//! all the same, each task would get a part of what it needs, and nearly all jobs would be late.
-//! So a task starts only where it and those already there can work at full pace; the others
-//! wait in the order of urgency, where they take nothing from anybody.
+//! This handles the case of more best-effort work than the serving tasks leave capacity for. If all
+//! of it were started, each task would get a part of what it needs, and nearly all jobs would be
+//! late. So a task starts only where it and the tasks already there can run at full pace. The
+//! others wait in the order of their urgency and take no capacity from any task.
 
 use super::{
     interference::{ImageKey, Interference},
@@ -11,37 +12,38 @@
 };
 use crate::StepSpec;
 
-/// Headroom (target divided by tail latency) that a serving task is to keep beside tasks that
-/// disturb it: reports are rough and half a second old.
+/// Headroom (target divided by tail latency) to preserve for a serving task beside tasks with high
+/// interference: reports are imprecise and half a second old.
 pub(super) const HEADROOM_MIN: f64 = 1.5;
-/// Headroom that a serving task is to keep from those that hardly disturb it: many such together
-/// can make the difference.
+/// Headroom to preserve for a serving task beside tasks with low interference: many of them
+/// together can matter.
 pub(super) const HEADROOM_MIN_LOW_INTERFERENCE: f64 = 1.15;
-/// Headroom taken from which a best-effort task counts as one that disturbs.
+/// Headroom taken by a best-effort task from which on its interference is treated as high.
 pub(super) const HIGH_INTERFERENCE_MIN: f64 = 0.12;
-/// Headroom that the swings of a serving task's own load may take while a best-effort task that
-/// disturbs it runs beside it for some two seconds.
+/// Headroom that fluctuations of a serving task's own load may take while a best-effort task with
+/// high interference runs beside it for about two seconds.
 const LOAD_SWING_HEADROOM: f64 = 0.6;
-/// How much more than the idle processors of a worker its best-effort tasks may ask for, as most
-/// use less than that.
+/// How much processor time best-effort tasks may ask for, relative to a worker's idle processors:
+/// most use less than they ask for.
 const MAX_DEMAND_PER_IDLE_CPU: f64 = 1.1;
-/// The share at which a task may be started where no best-effort task is: waiting for a better
-/// place might take forever.
+/// The share at which a task may start on a worker without other best-effort tasks: it could
+/// otherwise wait for a better worker for ever.
 const MIN_PACE_ALONE: f64 = 0.3;
 
-/// Serving tasks of one image on a worker, as the best-effort tasks beside them press on each.
+/// The serving tasks of one image on a worker, and how much the best-effort tasks beside them
+/// interfere with each.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct InterferenceLoad {
     pub image: Option<ImageKey>,
-    /// The least headroom of any of them without best-effort tasks beside it.
+    /// The least headroom of these tasks, without best-effort tasks beside them.
     pub own_headroom: f64,
-    /// Headroom that the best-effort tasks which disturb them take at full pace.
+    /// Headroom that best-effort tasks with high interference take at full pace.
     pub high: f64,
-    /// Headroom that the other best-effort tasks take at full pace.
+    /// Headroom that best-effort tasks with low interference take at full pace.
     pub low: f64,
 }
 
-/// The serving images of a worker.
+/// Computes the interference load of each serving image on a worker.
 pub(super) fn interference_loads(learnt: &Interference, worker: &Worker) -> Vec<InterferenceLoad> {
     let mut all: Vec<InterferenceLoad> = Vec::new();
     for it in worker.tasks.iter().filter(|it| it.target_ms > 0) {
@@ -66,14 +68,14 @@
     all
 }
 
-/// The share of a worker's processors that a best-effort task takes at full pace.
+/// Returns the share of a worker's processors that a best-effort task uses at full pace.
 pub(super) fn full_pace_share(worker: &Worker, cpu_milli: u32) -> f64 {
-    /// Of what tasks ask for, they use this much in the mean.
+    /// Average part of the requested processor time that tasks use.
     const TYPICAL_USE: f64 = 0.8;
     f64::from(cpu_milli) * TYPICAL_USE / f64::from(worker.capacity.cpu_milli.max(1))
 }
 
-/// The headroom that a best-effort task at full pace takes from a serving task of `image`.
+/// Returns the headroom that a best-effort task at full pace takes from a serving task of `image`.
 pub(super) fn headroom_cost(
     learnt: &Interference,
     worker: &Worker,
@@ -83,7 +85,7 @@
     learnt.weight(image, it.image) * full_pace_share(worker, it.best_effort_cpu)
 }
 
-/// Processor time that is left for best-effort tasks, in thousandths of a core.
+/// Returns the processor time that is left for best-effort tasks, in thousandths of a core.
 pub(super) fn idle_cpu(worker: &Worker) -> u32 {
     /// Serving tasks use about half of what they reserve.
     const SERVING_USE_PERCENT: u32 = 55;
@@ -94,8 +96,8 @@
     worker.capacity.cpu_milli.saturating_sub(worker.tasks.iter().map(used).sum())
 }
 
-/// The share of its processor time at which one more best-effort task of `step` could work on a
-/// worker without taking too much from those that are there, 0 to 1.
+/// Returns the share of its processor time, from 0 to 1, at which one more best-effort task of
+/// `step` could run on a worker without taking too much from the tasks already there.
 pub(super) fn pace_with(
     learnt: &Interference,
     worker: &Worker,
@@ -112,19 +114,20 @@
     beside.fold((idle / f64::from(asked.max(1))).min(1.0), f64::min)
 }
 
-/// The same for serving tasks of one image, each of which the task would take `more` headroom from.
+/// Returns that share as limited by the serving tasks of one image, from each of which the task
+/// would take `more` headroom.
 fn pace_beside(it: &InterferenceLoad, more: f64) -> f64 {
     let spare = it.own_headroom - HEADROOM_MIN;
     if more >= HIGH_INTERFERENCE_MIN {
         return (spare - LOAD_SWING_HEADROOM).max(0.0) / (it.high + it.low + more);
     }
-    // Those that disturb are held back first, so only what they keep counts.
+    // Tasks with high interference are throttled first, so only what they keep then counts.
     let high = it.high.min((spare - it.low).max(0.0));
     let spare_for_low = it.own_headroom - high - HEADROOM_MIN_LOW_INTERFERENCE;
     spare_for_low.max(0.0) / (it.low + more).max(f64::MIN_POSITIVE)
 }
 
-/// Whether a best-effort task that could work at `pace` is to be started on a worker.
+/// Whether a best-effort task that could run at `pace` is to be started on a worker.
 pub(super) fn admits(worker: &Worker, pace: f64) -> bool {
     pace >= 1.0 || worker.best_effort_cpu() == 0 && pace >= MIN_PACE_ALONE
 }
--- a/daisy-workflow/src/owner/defragment.rs
+++ b/daisy-workflow/src/owner/defragment.rs
@@ -1,10 +1,10 @@
-//! Moving tasks that last, so that the room which they leave is in pieces of use.
+//! Moves long-running tasks so that free capacity is contiguous on one worker.
 //!
-//! The load that this answers: workers are nearly full of tasks that last, each with a piece left that
-//! is too small for any task that waits, though together these pieces would hold them all. A task that
-//! lasts goes to a worker whose piece just holds it, and what it leaves is one with the piece beside
-//! it. It is away for about a second then; so tasks are moved only while others find no room, few at a
-//! time, and one of a step.
+//! This handles the case of workers nearly full of long-running tasks, each with a free block too
+//! small for any waiting task, though the blocks together would suffice. A long-running task is
+//! moved to a worker whose free block just fits it; the capacity it leaves joins the free block of
+//! its old worker. The task is not running for about a second meanwhile. So tasks are moved only
+//! while others cannot be placed, few at a time, and only one of a step.
 
 use std::time::Duration;
 
@@ -18,20 +18,22 @@
 };
 use crate::{StepSpec, TaskId};
 
-/// Between looks for tasks to move: a stop takes about as long.
+/// Interval between checks for tasks to move: stopping a task takes about as long.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// Moves that begin in one look, and the part of all workers that they may concern at one time.
+/// Relocations started per check, and the number of workers per relocation under way.
 const MAX_STARTED_PER_CHECK: usize = 3;
 const WORKERS_PER_RELOCATION: usize = 12;
-/// How long the place of a task that moves is kept.
+/// How long capacity is reserved for a task that is being moved.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a task that lasts stays at least: it was placed by what was known then.
+/// Minimum time that a long-running task runs before it is moved, since its placement used what was
+/// known then; also the minimum age of an owner that moves tasks.
 const MIN_RUN_TIME: Duration = Duration::from_secs(3);
-/// Without a batch in the log for this long, nothing is stopped that could not be started again.
+/// If the newest stored append is older than this, no task is stopped: it could not be started
+/// again.
 const MAX_APPEND_AGE: Duration = Duration::from_millis(600);
-/// Sizes that found no room, of which as many are looked after at one time.
+/// Maximum number of sizes that cannot be placed and are handled at a time.
 const MAX_UNPLACED_SIZES: usize = 4;
-/// What another serving image on a worker costs, in thousandths of its processors.
+/// Cost of each other serving image on the target worker, in thousandths of its processors.
 const COST_OTHER_IMAGE: u32 = 40;
 
 /// A task that is stopped on one worker to start on another.
@@ -43,22 +45,22 @@
     until: Instant,
 }
 
-/// A move that could be made.
+/// A relocation that could be made.
 #[derive(Debug, Clone, Copy)]
 struct RelocationChoice {
-    /// Lower is better.
+    /// Cost of the relocation; lower is better.
     cost: u32,
     task: TaskId,
     run: u32,
     from: WorkerKey,
     to: WorkerKey,
     need: Resources,
-    /// What is free on the worker that the task leaves.
-    room: Resources,
+    /// Free capacity of the worker that the task leaves, after the relocation.
+    free_after: Resources,
 }
 
 impl Owner {
-    /// Notes that no worker has room for a task of `step`.
+    /// Remembers that no worker has capacity for a task of `step`.
     pub(super) fn add_unplaced_size(&mut self, step: &StepSpec) {
         let need = step.counted();
         let plain = !step.best_effort && !step.gang && step.required_label.is_none();
@@ -70,12 +72,12 @@
         }
     }
 
-    /// Workers whose room is kept for tasks that move.
+    /// Returns the capacity reserved for tasks that are being moved.
     pub(super) fn relocation_reservations(&self) -> Vec<Reservation> {
         self.relocations.iter().map(|it| Reservation { worker: it.to, need: it.need }).collect()
     }
 
-    /// The worker that a task moves to, if it still has the room.
+    /// Returns the worker that a task is being moved to, if the task still fits there.
     pub(super) fn relocation_target(
         &self,
         now: Instant,
@@ -90,12 +92,12 @@
         takes.then_some(it.to)
     }
 
-    /// A task has been placed: if it was to move, it has.
+    /// Ends the relocation of a task that has been placed.
     pub(super) fn end_relocation(&mut self, task: TaskId) {
         self.relocations.retain(|it| it.task != task);
     }
 
-    /// Moves tasks that last, where others find no room and would then.
+    /// Moves long-running tasks to make space for sizes that could not be placed.
     pub(super) fn defragment(&mut self, now: Instant) {
         self.relocations.retain(|it| it.until > now);
         if now.since(self.defragmented_at) < CHECK_INTERVAL || !self.may_relocate(now) {
@@ -122,7 +124,7 @@
     }
 
     fn begin_relocation(&mut self, now: Instant, choice: RelocationChoice, need: Resources) {
-        let RelocationChoice { task, run, from, to, room, .. } = choice;
+        let RelocationChoice { task, run, from, to, free_after, .. } = choice;
         let Some(worker) = self.workers.get_mut(from) else { return };
         let id = worker.id.clone();
         let Some(it) = worker.find(task, run) else { return };
@@ -133,7 +135,7 @@
             need: choice.need,
             until: now + RESERVATION_TIMEOUT,
         });
-        let (free_cpu, needed_cpu) = (room.cpu_milli, need.cpu_milli);
+        let (free_cpu, needed_cpu) = (free_after.cpu_milli, need.cpu_milli);
         self.actions.push(Action::Note(Note::TaskMoving {
             task,
             worker: id,
@@ -142,7 +144,7 @@
         }));
     }
 
-    /// The move that makes room for `need` at the least cost, if one does.
+    /// Returns the cheapest relocation that frees enough capacity for `need`.
     fn cheapest_relocation(&self, now: Instant, need: Resources) -> Option<RelocationChoice> {
         let mut best: Option<RelocationChoice> = None;
         for (from, worker) in self.workers.iter() {
@@ -151,28 +153,30 @@
                 continue;
             }
             for it in worker.tasks.iter().filter(|it| may_leave(now, it)) {
-                let Some(room) = free.try_add(it.allocation).filter(|it| need.fits(*it)) else {
+                let Some(free_after) = free.try_add(it.allocation).filter(|it| need.fits(*it))
+                else {
                     continue;
                 };
                 let Some((cost, to)) = self.cheapest_target(now, from, it) else { continue };
                 let better = best.is_none_or(|best| cost < best.cost);
                 if better && self.are_siblings_running(it) {
                     let (task, run, need) = (it.task, it.run, it.allocation);
-                    best = Some(RelocationChoice { cost, task, run, from, to, need, room });
+                    best = Some(RelocationChoice { cost, task, run, from, to, need, free_after });
                 }
             }
         }
         best
     }
 
-    /// Whether a worker gives or gets a task by a move under way.
+    /// Whether a relocation takes a task from a worker or to it.
     fn is_in_relocation(&self, key: WorkerKey) -> bool {
-        let gives = |it: &Worker| it.tasks.iter().any(|it| it.stop_cause == StopCause::Moved);
-        self.relocations.iter().any(|it| it.to == key) || self.workers.get(key).is_some_and(gives)
+        let loses_task = |it: &Worker| it.tasks.iter().any(|it| it.stop_cause == StopCause::Moved);
+        self.relocations.iter().any(|it| it.to == key)
+            || self.workers.get(key).is_some_and(loses_task)
     }
 
-    /// The worker on which a run leaves least beside it, and what that costs in thousandths of its
-    /// processors.
+    /// Returns the worker on which a run leaves the least capacity free, with the cost in
+    /// thousandths of that worker's processors.
     fn cheapest_target(
         &self,
         now: Instant,
@@ -201,7 +205,7 @@
         candidates.map(|(key, it)| (cost(it), key)).min()
     }
 
-    /// Whether all other tasks of a run's step are at work, as far as this shard knows.
+    /// Whether all tasks of a run's step are running and ready, as far as this shard knows.
     fn are_siblings_running(&self, run: &Assignment) -> bool {
         let Some(job) = self.ledger.job(run.task.job) else { return false };
         let steps = job.progress.occurrences.get(run.task.occurrence as usize);
@@ -217,12 +221,13 @@
     }
 }
 
-/// Whether one task of a step may be away: the others of a gang would end with it.
+/// Whether one task of a step may be stopped by itself: the other members of a gang would end with
+/// it.
 fn allows_relocation(step: &StepSpec) -> bool {
     !step.gang && step.data_rack.is_none() && step.max_unavailable != Some(0)
 }
 
-/// Whether a run is known to be there and at work.
+/// Whether a run is confirmed, running and ready.
 fn is_at_work(it: &Assignment) -> bool {
     matches!(it.start_state, StartState::Confirmed(_))
         && it.listed
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -1,9 +1,9 @@
-//! Handing jobs to shards with more room.
+//! Delegates whole jobs to shards with more free capacity.
 //!
-//! The owner of a job's own shard decides, once, and before any task of it was started. It records
-//! the decision and only then writes the job to the other shard's submissions; from the record on
-//! it never runs the job itself. Writing the job there twice has no second effect, so the next
-//! owner does it again for all jobs that the other shard has not told of.
+//! The owner of a job's own shard decides, once, before any task of the job was started. It records
+//! the decision and only then writes the job to the other shard's submissions; from then on it
+//! never runs the job itself. Writing the job twice has no additional effect, so the next owner
+//! writes again all jobs for which the other shard has published no state.
 
 use std::time::Duration;
 
@@ -17,29 +17,31 @@
 };
 use crate::{Demand, Job, JobId, JobState, Load, PIECES, Record, StepSpec, TaskId, TaskState};
 
-/// How long a new owner may take to learn of its workers: a read of the list on a slow platform.
+/// How long a new owner may take to learn its workers: the time to read the list from a slow
+/// platform.
 pub(super) const WORKER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
-/// Between looks at jobs that wait without a start.
+/// Interval between checks of waiting jobs that have not started.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Owner {
-    /// What the shard has, what is asked of it, and what room it has left for others.
+    /// Returns the shard's capacity, the demand on it, and its free blocks for the tasks of other
+    /// shards.
     pub fn load(&self, now: Instant) -> Load {
         let mut load = self.demand(now);
         load.set_pieces(self.free_blocks(now));
         load
     }
 
-    /// What is left of each worker for tasks that last once all others have ended and those of
-    /// this shard that wait have found their place, the largest first.
+    /// Returns the free block of each worker for long-running tasks, after all finite tasks have
+    /// ended and this shard's waiting long-running tasks are placed; the largest first.
     fn free_blocks(&self, now: Instant) -> Vec<Resources> {
         let (capacities, _) = self.eventual_free_capacity(now);
-        let blocks: Vec<Resources> = capacities.into_iter().map(|(_, room)| room).collect();
+        let blocks: Vec<Resources> = capacities.into_iter().map(|(_, free)| free).collect();
         largest_first(blocks)
     }
 
-    /// What is left of each worker for tasks that last once all others have ended and those that wait
-    /// have found their place, and those that find one.
+    /// Returns the capacity that is left on each worker for long-running tasks, after all finite
+    /// tasks have ended and this shard's waiting ones are placed; and the waiting tasks that fit.
     pub(super) fn eventual_free_capacity(
         &self,
         now: Instant,
@@ -52,28 +54,28 @@
             let Some(job) = self.ledger.job(task.job) else { continue };
             let Some(step) = job.spec.step_of(*task) else { continue };
             let service = self.service(&job.spec);
-            let fitting = capacities.iter_mut().filter(|(worker, room)| {
+            let fitting = capacities.iter_mut().filter(|(worker, free)| {
                 worker.service == service
                     && step.required_label.as_ref().is_none_or(|label| worker.has_label(label))
-                    && step.counted().fits(*room)
+                    && step.counted().fits(*free)
                     && !is_at_step_limit(step, worker, *task)
             });
-            if let Some((_, room)) = fitting.min_by_key(|(_, room)| room.cpu_milli) {
-                *room = room.try_sub(step.counted()).unwrap_or(Resources::ZERO);
+            if let Some((_, free)) = fitting.min_by_key(|(_, free)| free.cpu_milli) {
+                *free = free.try_sub(step.counted()).unwrap_or(Resources::ZERO);
                 placed.push(*task);
             }
         }
         (capacities, placed)
     }
 
-    /// Whether a task of `step` is bound to this shard: it needs a label, which shards do not tell of,
-    /// and a worker here has it.
+    /// Whether a task of `step` must stay in this shard: it needs a label, which shards do not
+    /// publish, and a worker of this shard has it.
     pub(super) fn is_bound_to_shard(&self, step: &StepSpec) -> bool {
         let Some(label) = &step.required_label else { return false };
         self.workers.iter().any(|(_, it)| it.listed && it.has_label(label))
     }
 
-    /// What the shard has, and what is asked of it.
+    /// Returns the shard's capacity and the demand on it.
     fn demand(&self, now: Instant) -> Load {
         let mut load = Load::default();
         let is_reachable = |it: &Worker| it.listed && it.ready && it.hold_failures == 0;
@@ -86,8 +88,8 @@
         load
     }
 
-    /// Adds what a job asks for now: its tasks that run, and those that wait in steps whose turn
-    /// has come.
+    /// Adds a job's current demand: its running tasks, and the waiting ones of steps that are ready
+    /// or long-running.
     fn add_job(&self, now: Instant, id: JobId, load: &mut Load) {
         let Some(job) = self.ledger.job(id) else { return };
         if !matches!(job.state(), JobState::Queued | JobState::Running) {
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Hands a job to another shard if that has more room, unless it has begun or came from
-    /// another shard.
+    /// Delegates a job to another shard that has more capacity, unless the job has begun or came
+    /// from another shard.
     pub(super) fn try_delegate(&mut self, now: Instant, id: JobId) {
         if self.settings.layout.shards < 2 || self.settings.layout.of_job(id) != self.settings.shard
         {
@@ -130,7 +132,7 @@
         }
         let demand = Demand::of(&job.spec);
         let own = self.demand(now);
-        // A new owner that has not read the list yet seems to have no room at all.
+        // A new owner that has not read the list of workers yet would appear to have no capacity.
         if own.capacity == 0 && now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
@@ -144,7 +146,7 @@
         self.actions.push(Action::Note(Note::JobDelegated { job: id, to }));
     }
 
-    /// Jobs and tasks that found no room when they came may find it elsewhere by now.
+    /// Checks whether jobs and tasks that could not be placed here fit in another shard by now.
     pub(super) fn rebalance(&mut self, now: Instant) {
         if now.since(self.rebalanced_at) < CHECK_INTERVAL {
             return;
@@ -163,7 +165,7 @@
         self.transfer_waiting_tasks(now);
     }
 
-    /// Writes a job, and its cancellation, to the shard that it was handed to.
+    /// Writes a job, and its cancellation if there is one, to the shard that it was delegated to.
     pub(super) fn forward(&mut self, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         let Some(to) = job.delegated else { return };
@@ -175,7 +177,8 @@
         }
     }
 
-    /// A new owner does not know what the one before has written.
+    /// Writes all delegated jobs again: a new owner does not know which ones its predecessor has
+    /// written.
     pub(super) fn forward_all(&mut self) {
         let delegated = self.ledger.jobs().filter(|(_, it)| it.delegated.is_some());
         let ids: Vec<JobId> = delegated.map(|(id, _)| id).collect();
@@ -183,7 +186,8 @@
     }
 
     pub(super) fn forward_cancel(&mut self, id: JobId) {
-        // Before the decision is recorded, the job itself was not written either: both follow then.
+        // While the delegation is not recorded, the job was not written to the other shard either;
+        // both are written once it is.
         if let Some(to) = self.ledger.job(id).and_then(|it| it.delegated)
             && !self.delegating.contains(&id)
             && self.in_flight.as_ref().is_none_or(|it| !it.delegated.contains(&id))
@@ -196,10 +200,10 @@
     }
 }
 
-/// Pieces in the order in which they are told: those that hold most, by the scarcest of what they
-/// have, and among the first some of those with accelerators.
+/// Sorts free blocks by publishing order: the largest first, by the scarcer of processors and
+/// memory; some blocks with accelerators precede all others.
 fn largest_first(mut blocks: Vec<Resources>) -> Vec<Resources> {
-    /// Pieces with accelerators that come before all others.
+    /// Maximum number of blocks with accelerators that precede all others.
     const WITH_ACCELERATORS: usize = PIECES / 4;
     let most = blocks.iter().fold(Resources::ZERO, |most, it| Resources {
         cpu_milli: most.cpu_milli.max(it.cpu_milli),
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -1,4 +1,4 @@
-//! Jobs that are read, and their cancellations.
+//! Processes submissions and cancellations of jobs.
 
 use std::time::Duration;
 
@@ -28,11 +28,11 @@
         self.plan_due = true;
     }
 
-    /// A job is read that was not known.
+    /// Processes a submission of a job that was not known.
     ///
-    /// Submissions and progress are read independently, so an earlier owner may have begun the job
-    /// or handed it on, between this owner's reads of the two. Taken for a new one, it would run
-    /// here and in the shard that it was handed to, or twice here.
+    /// Submissions and progress are read independently, so an earlier owner may have started or
+    /// delegated the job between this owner's reads of the two. If it were treated as new, it would
+    /// run both here and in the shard that it was delegated to, or twice here.
     fn submitted(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         if job.delegated.is_some() {
@@ -50,14 +50,14 @@
                 self.activate(now, id);
                 self.try_delegate(now, id);
             }
-            // Tasks of it that were handed here may run already.
+            // Tasks of the job that were transferred to this shard may be running already.
             false if self.active.contains_key(&id) => {}
             false => self.inherit_job(now, id),
         }
     }
 
     fn publish_state(&mut self, id: JobId) {
-        // What is begun but not recorded yet is told with its record.
+        // The start of a job that is not recorded yet is published with its record.
         let job = self.ledger.job(id).filter(|it| !it.partial);
         let state = job.map(|it| match it.state() {
             JobState::Cancelled => JobState::Cancelled,
@@ -69,18 +69,18 @@
     pub(super) fn activate(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         let spec = &job.spec;
-        // The accepting VM's clock may be off, so it only dates jobs that are older than this
-        // owner, and never into the future.
+        // The clock of the VM that accepted the job may be wrong, so it only determines the age of
+        // jobs that are older than this owner, and never as a time in the future.
         let age_ms = self.began_wall_ms.saturating_sub(spec.accepted_ms).min(120_000);
-        let since = match now == self.began_at {
+        let accepted_at = match now == self.began_at {
             true => now - Duration::from_millis(age_ms),
             false => now,
         };
         let chain = spec.chain_ms() * u64::from(spec.terms.slack_permille) / 1_000;
         let objective = chain + u64::from(spec.terms.target_latency_ms);
         let view = JobView {
-            since,
-            objective: since + Duration::from_millis(objective),
+            accepted_at,
+            objective: accepted_at + Duration::from_millis(objective),
             tails_ms: spec.tails_ms(),
             logged_waiting: Vec::new(),
         };
@@ -112,9 +112,9 @@
     }
 }
 
-/// The running mean of what a task needs that ends by itself, with a job more.
+/// Returns the running mean of the processor time that a finite task reserves, with one more job.
 fn mean_task_cpu(mean: u32, spec: &JobSpec) -> u32 {
-    /// Steps after which an older one counts for little.
+    /// Number of steps after which an older one has little weight.
     const STEPS: u32 = 16;
     let once = spec.steps.iter().filter(|it| !it.best_effort && !it.long_running);
     once.map(|it| it.need.cpu_milli).fold(mean, |mean, cpu| match mean {
@@ -123,7 +123,7 @@
     })
 }
 
-/// Whether no owner has recorded anything of a job.
+/// Whether no owner has recorded any progress of a job.
 fn job_is_new(job: &Job) -> bool {
     job.progress.phase == Phase::Active && !job.progress.begun
 }
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -1,11 +1,12 @@
-//! How much best-effort tasks of one image slow serving tasks of another, learnt from what
-//! workers report.
+//! Estimates how much best-effort tasks of one image slow serving tasks of another, from workers'
+//! reports.
 //!
-//! A serving task is a queue: its tail latency grows as 1 / (1 - load - disturbance). So its
-//! *headroom*, the target divided by the tail, falls in proportion to the processor time that
-//! best-effort tasks use beside it. For each pair of images the factor is fitted to reports by
-//! least squares, none below zero. A serving task's own load swings over many seconds; it is taken
-//! out by comparing each report with the running means of the same worker's reports before.
+//! A serving task is modelled as a queue: its tail latency grows as 1 / (1 - load - interference).
+//! So its *headroom*, the target divided by the tail latency, falls in proportion to the processor
+//! time that best-effort tasks use beside it. The factor for each pair of images is fitted to the
+//! reports by non-negative least squares. A serving task's own load fluctuates over many seconds;
+//! it is eliminated by comparing each report with the running means of the same worker's earlier
+//! reports.
 
 use std::sync::Arc;
 
@@ -13,21 +14,21 @@
 
 use crate::{Disturbance, Observations};
 
-/// Reports older than this count for half: the amounts change within seconds, and a worker
-/// reports about twice a second.
+/// Age in seconds at which a report counts for half: interference changes within seconds, and a
+/// worker reports about twice a second.
 const HALF_LIFE_S: f64 = 10.0;
-/// The factor that a pair begins with, between those of pairs that disturb each other and of pairs that
-/// do not: unknown images are tried a few to a worker.
+/// Initial factor of a pair, between those of pairs with high and with low interference: tasks of
+/// unknown images are tried, a few per worker.
 const PRIOR_WEIGHT: f64 = 2.5;
-/// How firmly it is held to, in squared shares of a worker: some five reports of a start or an
-/// end of a task on a twentieth of a worker outweigh it.
+/// Weight of the initial factor, in squared shares of a worker: about five reports of a task on a
+/// twentieth of a worker that starts or ends outweigh it.
 const PRIOR_STRENGTH: f64 = 0.006;
-/// The same for what an earlier owner had learnt.
+/// Weight of a factor that an earlier owner had learned.
 const INHERITED_STRENGTH: f64 = 0.03;
-/// Passes of the fit; the next report goes on from where the last fit ended.
+/// Iterations per fit; the next report continues from the last result.
 const SOLVER_PASSES: usize = 4;
 
-/// The number of an image, either among those of serving tasks or among those of best-effort tasks.
+/// Key of an image, either among those of serving tasks or among those of best-effort tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ImageKey(u16);
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// Numbers given to images in the order in which they were first seen.
+/// Keys of images, numbered in the order in which they were first seen.
 #[derive(Debug, Clone, Default)]
 struct Images(SortedMap<Arc<str>, ImageKey>);
 
@@ -51,7 +52,7 @@
         *self.0.get_or_insert_with(image.clone(), || next)
     }
 
-    /// All images by their numbers.
+    /// Returns all images in the order of their keys.
     fn names(&self) -> Vec<Arc<str>> {
         let mut names: Vec<_> = self.0.iter().map(|(it, key)| (key.0, it.clone())).collect();
         names.sort_unstable();
@@ -59,31 +60,31 @@
     }
 }
 
-/// What was learnt of all pairs of images.
+/// The learned interference of all pairs of images.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Interference {
     best_effort: Images,
     serving: Images,
-    /// By the number of the serving image.
+    /// Fits by the key of the serving image.
     fits: Vec<Fit>,
 }
 
-/// Weighted sums of one serving image's reports, and the weights fitted to them. Positions are
-/// images of best-effort tasks.
+/// Weighted sums over one serving image's reports, and the weights fitted to them, indexed by the
+/// keys of best-effort images.
 #[derive(Debug, Clone)]
 struct Fit {
     products: Vec<Vec<f64>>,
     answers: Vec<f64>,
     weights: Vec<f64>,
-    /// What each weight is drawn to, and how firmly.
+    /// Prior value of each weight, and the strength of that prior.
     priors: Vec<(f64, f64)>,
-    /// Sums of this owner's reports that were not given to other owners yet.
+    /// Sums of this owner's reports that were not yet shared with other owners.
     unshared: Sums,
     at: Instant,
 }
 
-/// Sums of reports: for each pair of images products of what they used, for each image the products
-/// with the headroom lost.
+/// Sums over reports: for each pair of images the products of their usage, for each image the
+/// products of its usage and the headroom lost.
 #[derive(Debug, Clone, Default)]
 struct Sums {
     products: SortedMap<(usize, usize), f64>,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Adds another owner's sums; images by their numbers here.
+    /// Adds another owner's sums; images are given by their keys in this owner.
     fn add_sums(&mut self, sums: &Sums) {
         for (i, it) in sums.answers.iter() {
             self.answers[*i] += it;
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Coordinate descent: each weight in turn takes its best value at or above zero.
+    /// Coordinate descent: sets each weight in turn to its best value that is not negative.
     fn solve(&mut self) {
         for _ in 0..SOLVER_PASSES {
             for i in 0..self.weights.len() {
@@ -170,7 +171,7 @@
 }
 
 impl Interference {
-    /// The number of an image of serving tasks.
+    /// Returns the key of an image of serving tasks, and adds the image if it is new.
     pub fn serving_key(&mut self, now: Instant, image: &Arc<str>) -> ImageKey {
         let key = self.serving.key(image);
         if key.index() == self.fits.len() {
@@ -179,23 +180,23 @@
         key
     }
 
-    /// The number of an image of best-effort tasks.
+    /// Returns the key of an image of best-effort tasks, and adds the image if it is new.
     pub fn best_effort_key(&mut self, image: &Arc<str>) -> ImageKey {
         self.best_effort.key(image)
     }
 
-    /// The number of an image of serving tasks, if one was seen.
+    /// Returns the key of an image of serving tasks, if it is known.
     pub fn try_serving(&self, image: &Arc<str>) -> Option<ImageKey> {
         self.serving.0.get(image).copied()
     }
 
-    /// The number of an image of best-effort tasks, if one was seen.
+    /// Returns the key of an image of best-effort tasks, if it is known.
     pub fn try_best_effort(&self, image: &Arc<str>) -> Option<ImageKey> {
         self.best_effort.0.get(image).copied()
     }
 
-    /// How many images of best-effort tasks take less than `most` headroom from each serving task of
-    /// `images`, if they use all of a worker's processors.
+    /// Counts the best-effort images that, using all of a worker's processors, take less than
+    /// `most` headroom from each serving image of `images`.
     pub fn count_harmless(&self, images: &[ImageKey], most: f64) -> u32 {
         let all = (0..self.best_effort.len()).map(|it| ImageKey(it as u16));
         let count_harmless =
@@ -203,7 +204,7 @@
         all.filter(count_harmless).count() as u32
     }
 
-    /// What an earlier owner had learnt, to go on from.
+    /// Creates an estimate that continues from what an earlier owner had learned.
     pub fn inherit(now: Instant, pairs: &[Disturbance]) -> Interference {
         let mut learnt = Interference::default();
         for pair in pairs {
@@ -219,7 +220,7 @@
         learnt
     }
 
-    /// All that was learnt.
+    /// Returns the factors of all pairs.
     pub fn pairs(&self) -> Vec<Disturbance> {
         let mut pairs = Vec::new();
         for (serving, key) in self.serving.0.iter() {
@@ -237,9 +238,9 @@
         pairs
     }
 
-    /// Takes a report in: a serving task of `image` had `loss` less headroom than in the mean of
-    /// the reports before, while best-effort tasks of these images used so much more of its
-    /// worker's processors.
+    /// Processes a report: a serving task of `image` had `loss` less headroom than the mean of
+    /// earlier reports, while the best-effort images in `more` used that much more of the worker's
+    /// processors than in the mean.
     pub fn learn(&mut self, now: Instant, image: ImageKey, loss: f64, more: &[(ImageKey, f64)]) {
         let x: Vec<(usize, f64)> = more.iter().map(|(it, share)| (it.index(), *share)).collect();
         let len = self.best_effort.len();
@@ -251,7 +252,7 @@
         fit.solve();
     }
 
-    /// What this owner has learnt since the last call, for the owners of other shards.
+    /// Returns the sums collected since the last call, for the owners of other shards.
     pub fn take_observations(&mut self) -> Vec<Observations> {
         let names = self.best_effort.names();
         let name = |at: usize| names[at].clone();
@@ -271,10 +272,11 @@
         taken
     }
 
-    /// Takes in what another owner has learnt.
+    /// Adds the sums of another owner.
     ///
-    /// A pair of images meets on few workers of one shard: from its own reports alone, an owner of a
-    /// fifth of the workers knows a pair a fifth as well, and the amounts change within seconds.
+    /// A pair of images occurs on few workers of one shard. From its own reports alone, an owner of
+    /// a fifth of the workers would have a fifth of the information on a pair, and interference
+    /// changes within seconds.
     pub fn add_observations(&mut self, now: Instant, seen: &Observations) {
         let mut sums = Sums::default();
         for (image, it) in &seen.answers {
@@ -293,8 +295,9 @@
         fit.solve();
     }
 
-    /// The headroom that best-effort tasks of image `other`, using all of a worker's processors,
-    /// would take from a serving task of `image`; that of an unknown pair for tasks without image.
+    /// Returns the headroom that best-effort tasks of image `other`, using all of a worker's
+    /// processors, would take from a serving task of `image`; the prior for unknown pairs and tasks
+    /// without an image.
     pub fn weight(&self, image: Option<ImageKey>, other: Option<ImageKey>) -> f64 {
         let fit = image.and_then(|it| self.fits.get(it.index()));
         let known = fit.zip(other).and_then(|(fit, at)| fit.weights.get(at.index()));
--- a/daisy-workflow/src/owner/message.rs
+++ b/daisy-workflow/src/owner/message.rs
@@ -1,4 +1,4 @@
-//! What an owner is told, and what it wants done.
+//! Events that an owner receives, and actions that it requests.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,26 +8,26 @@
     JobId, JobKind, Load, Observations, Queues, Record, ShardId, TaskId, WorkerId, owner::WorkerKey,
 };
 
-/// A worker in the platform's list.
+/// A worker in the platform's list of workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerListing {
-    /// Its id.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Where it takes calls.
+    /// Address at which the worker accepts calls.
     pub address: SocketAddr,
-    /// The service that it belongs to.
+    /// Service that the worker belongs to.
     pub service: Arc<str>,
-    /// Whether it takes new tasks; `false` while it drains.
+    /// Whether the worker accepts new tasks; `false` while it drains.
     pub ready: bool,
-    /// What it holds.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// The worker's kind and rack.
     pub labels: Vec<Arc<str>>,
-    /// When this incarnation started, in milliseconds since 1970 of its own clock.
+    /// When this incarnation started, in milliseconds since 1970 by the worker's own clock.
     pub started_at_ms: u64,
-    /// How much longer it is slow after its start, in milliseconds.
+    /// How much longer the worker is slow after its start, in milliseconds.
     pub cold_ms: u64,
-    /// The least time until it leaves, in milliseconds, while it drains.
+    /// The minimum time until the worker exits, in milliseconds, while it drains.
     pub min_remaining_ms: Option<u64>,
 }
 
@@ -36,41 +36,42 @@
 pub struct ActiveRun {
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// Number of the run among the task's starts.
     pub run: u32,
     /// The newest checkpoint; empty for none.
     pub checkpoint: String,
-    /// How much of the work is done; of a task that lasts, 100 when it is at work.
+    /// How much of the work is done, in percent; for a long-running task, 100 once it is ready.
     pub percent: u8,
-    /// Of a serving task its tail latency in milliseconds, of another the processor time in use.
+    /// For a serving task, its tail latency in milliseconds; for other tasks, the processor time in
+    /// use in thousandths of a core.
     pub load: u32,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It did all its work.
+    /// The task completed all its work.
     Done,
-    /// It failed, by its own or its worker's fault.
+    /// The run failed, through its own fault or its worker's.
     Failed,
-    /// It was told to stop.
+    /// The run was stopped by an order.
     Stopped,
     /// The worker's lease ran out.
     LeaseExpired,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// It waited too long for the others of its gang.
+    /// The run waited too long for the other members of its gang.
     GangIncomplete,
 }
 
 /// A run that a worker lists as ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Numbers the ends of a worker's incarnation, from 1.
+    /// Number of the end among those of the worker's incarnation, from 1.
     pub number: u64,
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// Number of the run among the task's starts.
     pub run: u32,
     /// How it ended.
     pub outcome: Outcome,
@@ -78,33 +79,34 @@
     pub checkpoint: String,
 }
 
-/// A worker's answer to a renewal.
+/// A worker's answer to a lease renewal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HoldAnswer {
     /// The worker's clock in milliseconds.
     pub clock_ms: u64,
-    /// Which incarnation answers.
+    /// Start time of the incarnation that answers, in milliseconds since 1970.
     pub started_at_ms: u64,
-    /// All that runs there.
+    /// All runs on the worker.
     pub running: Vec<ActiveRun>,
-    /// Ends that were not acknowledged.
+    /// Ended runs that were not acknowledged yet.
     pub ended: Vec<EndedRun>,
 }
 
-/// Why a worker did not do what it was told.
+/// Why a worker rejected an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a higher epoch.
+    /// The worker has seen a higher epoch.
     Fenced,
-    /// The run is not above one that was stopped or ended there.
+    /// The run's number is not above that of a run of the task which was stopped or ended on the
+    /// worker.
     StaleRun,
-    /// The lease had run out when the order arrived.
+    /// The lease had expired when the order arrived.
     Late,
-    /// It does not fit.
+    /// The task does not fit into the worker's free capacity.
     DoesNotFit,
     /// The ticket is missing or has expired.
     Ticket,
-    /// The worker is unhealthy and did nothing.
+    /// The worker is unhealthy and did not carry the order out.
     Unhealthy,
     /// Another incarnation answered.
     OtherIncarnation,
@@ -115,16 +117,16 @@
 /// The answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It was done, or had been.
+    /// The order was carried out, now or earlier.
     Done {
         /// The worker's clock in milliseconds.
         clock_ms: u64,
     },
-    /// It was not done.
+    /// The worker rejected the order.
     Refused(Refusal),
-    /// Nothing was sent.
+    /// The order was not sent.
     NotSent,
-    /// No answer came: it may be done, also later.
+    /// No answer came: the order may have been carried out, or be carried out later.
     Unknown,
 }
 
@@ -133,30 +135,30 @@
 pub struct Start {
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// Number of the run among the task's starts.
     pub run: u32,
-    /// Handed to the task.
+    /// Text passed to the task.
     pub text: Arc<str>,
     /// The lease's end on the worker's clock, in milliseconds.
     pub deadline_ms: u64,
-    /// Where to resume; empty for the beginning.
+    /// Checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: String,
 }
 
-/// What an owner is told.
+/// An event that an owner processes.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A record of a submission or a cancellation.
     Record(Record),
-    /// The platform's whole list of workers.
+    /// The platform's complete list of workers.
     Workers(Vec<WorkerListing>),
     /// The platform's list of workers was read and has not changed.
     ListUnchanged,
-    /// A version of the configuration.
+    /// A new version of the queue configuration.
     Queues(Arc<Queues>),
-    /// The answer to [`Action::Hold`]; `None` if none came.
+    /// The answer to [`Action::Hold`]; `None` if there was none.
     HoldAnswered(WorkerKey, Option<HoldAnswer>),
-    /// A worker refused a renewal because of a higher epoch.
+    /// A worker rejected a renewal because it has seen a higher epoch.
     Fenced(WorkerKey),
     /// The answer to [`Action::Start`].
     Started(WorkerKey, TaskId, u32, OrderReply),
@@ -164,203 +166,206 @@
     Stopped(WorkerKey, TaskId, u32, OrderReply),
     /// The answer to [`Action::Pace`].
     Paced(WorkerKey, TaskId, u32, u8, OrderReply),
-    /// The last [`Batch`] is in the log.
+    /// The last [`Batch`] was stored in the log.
     Appended,
-    /// The log took a sign of life that was sent at this time.
+    /// The log stored a heartbeat of this owner.
     HeartbeatStored {
-        /// When it was first sent.
+        /// When the heartbeat was first sent.
         sent_at: Instant,
     },
-    /// What the owners of other shards last said.
+    /// The loads that the owners of other shards last published.
     Loads(SortedMap<ShardId, Load>),
-    /// What the owner of another shard has learnt.
+    /// Interference sums from the owner of another shard.
     Observed(Vec<Observations>),
-    /// Time went by.
+    /// Time has passed.
     Tick,
 }
 
-/// Why a run is told to stop.
+/// Why a run is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopCause {
-    /// Its job is cancelled or over.
+    /// The job was cancelled or has ended.
     JobOver,
-    /// Another copy of the task has done the work.
+    /// Another copy of the task has completed.
     Done,
-    /// It is held back for serving tasks here, and can work at full pace elsewhere.
+    /// The run is throttled in favour of serving tasks on its worker, and could run at full pace
+    /// elsewhere.
     HeldBack {
-        /// The share of its processor time that it has here, in percent.
+        /// The share of its processor time that the run has on this worker, in percent.
         percent: u8,
     },
-    /// It starts anew elsewhere, so that others find room here.
+    /// The task is started again elsewhere, so that another task fits on this worker.
     Moved,
-    /// It makes no progress.
+    /// The run makes no progress.
     Stuck,
-    /// Its worker leaves before it would end.
+    /// The worker exits before the run would end.
     Draining,
-    /// Its order may yet be carried out, by a worker that has refused it or started anew.
+    /// The start order may still be carried out, after the worker rejected it once or restarted.
     PossiblyDelayed,
-    /// The worker's lists do not name it, though it was started.
+    /// The worker's lists do not contain the run, though it was started.
     Absent,
-    /// This owner has not started it, or has given it up.
+    /// The run was not started by this owner, or was given up by it.
     Unknown,
 }
 
 impl StopCause {
-    /// The cause in words.
+    /// Returns the cause as text for a log line.
     pub fn description(self) -> &'static str {
         match self {
             StopCause::JobOver => "its job is over",
             StopCause::Done => "another copy is done",
-            StopCause::HeldBack { .. } => "held back here, room elsewhere",
-            StopCause::Moved => "others need its worker's room in one piece",
+            StopCause::HeldBack { .. } => "throttled here, can run at full pace elsewhere",
+            StopCause::Moved => "moved to make space for another task",
             StopCause::Stuck => "no progress",
-            StopCause::Draining => "its worker leaves",
+            StopCause::Draining => "its worker drains",
             StopCause::PossiblyDelayed => "its order may be carried out late",
             StopCause::Absent => "its worker does not list it",
-            StopCause::Unknown => "not of this owner",
+            StopCause::Unknown => "unknown to this owner",
         }
     }
 }
 
-/// Why a task waits whose turn has come.
+/// Why a ready task waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitCause {
-    /// No worker has room for what it reserves.
+    /// No worker has enough free capacity for what the task reserves.
     Capacity,
-    /// It could work at full pace beside the tasks of no worker.
+    /// On no worker could the task run at full pace beside the tasks that are there.
     Headroom,
 }
 
 impl WaitCause {
-    /// The cause in words.
+    /// Returns the cause as text for a log line.
     pub fn description(self) -> &'static str {
         match self {
-            WaitCause::Capacity => "no worker has room",
-            WaitCause::Headroom => "no worker can give it full pace",
+            WaitCause::Capacity => "no worker has enough free capacity",
+            WaitCause::Headroom => "no worker can run it at full pace",
         }
     }
 }
 
-/// What is to be done.
+/// An action that the owner requests from its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Renew a worker's lease, acknowledge ends, and read its lists.
+    /// Renew a worker's lease, acknowledge ended runs, and read the worker's lists.
     Hold {
         /// The worker.
         worker: WorkerKey,
-        /// The lease's end on the worker's clock, in milliseconds; `None` to read only.
+        /// The lease's end on the worker's clock, in milliseconds; `None` to only read the lists.
         deadline_ms: Option<u64>,
-        /// Ends up to this number are forgotten.
+        /// The worker may forget ended runs up to this number.
         cursor: u64,
-        /// How long the worker waits for an end before it answers.
+        /// How long the worker waits for a run to end before it answers.
         wait: Duration,
     },
     /// Start a task.
     Start(WorkerKey, Start),
     /// Stop a run.
     Stop(WorkerKey, TaskId, u32, StopCause),
-    /// Let a run work at this share of its processor time, in percent.
+    /// Limit a run to this share of its processor time, in percent.
     Pace(WorkerKey, TaskId, u32, u8),
-    /// Append this record of a job to another shard's submissions, again until the log has it.
+    /// Append this record of a job to another shard's submissions; retried until the log has stored
+    /// it.
     Forward(ShardId, Record),
-    /// Somebody else owns the workers now.
+    /// Another owner has replaced this one.
     StepDown,
-    /// Say something in the log of events.
+    /// Write an event to the process's log.
     Note(Note),
 }
 
-/// A decision worth a line in the log.
+/// A decision that is written to the process's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Note {
-    /// A job ended for good.
+    /// A job completed or failed.
     JobEnded {
         /// The job.
         job: JobId,
         /// `completed` or `failed`.
         outcome: &'static str,
-        /// What kind of job it was.
+        /// Kind of the job.
         kind: JobKind,
-        /// Time since it was accepted, as far as the owner knows.
+        /// Time since the job was accepted, as far as the owner knows.
         age: Duration,
-        /// Time in which it should have ended.
+        /// Time within which the job should have ended.
         objective: Duration,
     },
-    /// A step whose turn has come finds no room; told once.
+    /// A ready step cannot be placed; logged once per step.
     StepWaiting {
         /// The job.
         job: JobId,
         /// The step.
         step: u16,
-        /// Tasks of it that wait.
+        /// Number of its tasks that wait.
         tasks: usize,
-        /// What it lacks.
+        /// Why they wait.
         cause: WaitCause,
-        /// Jobs that are not ended.
+        /// Number of jobs that have not ended.
         backlog: usize,
     },
-    /// A job is handed to another shard.
+    /// A job is delegated to another shard.
     JobDelegated {
         /// The job.
         job: JobId,
         /// The shard that runs it.
         to: ShardId,
     },
-    /// A task that found no room here is handed to another shard.
+    /// A long-running task that fits on no worker of this shard is transferred to another one.
     TaskTransferred {
         /// The task.
         task: TaskId,
-        /// The number of its hand-over.
+        /// Number of the transfer among those of this task.
         hop: u32,
         /// The shard that runs it.
         to: ShardId,
     },
-    /// A task that lasts is to start anew elsewhere, so that its worker's room becomes one piece.
+    /// A long-running task is stopped and starts again elsewhere, so that the free capacity of its
+    /// worker suffices for another task.
     TaskMoving {
         /// The task.
         task: TaskId,
-        /// Where it was.
+        /// The worker that the task leaves.
         worker: WorkerId,
-        /// The room that will be free there, in thousandths of a core.
+        /// Processor time that will be free there, in thousandths of a core.
         free_cpu: u32,
-        /// What waits for it needs as much.
+        /// Processor time that the waiting task reserves, in thousandths of a core.
         needed_cpu: u32,
     },
     /// A run ended.
     RunEnded {
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// Number of the run among the task's starts.
         run: u32,
-        /// Where.
+        /// The worker that it ran on.
         worker: WorkerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Whether what it did is saved, so that its next run goes on from there.
+        /// Whether there is a checkpoint from which the next run continues.
         saved: bool,
     },
-    /// A run is given up without word from its worker.
+    /// A run is given up without a report from its worker.
     RunLost {
         /// The task.
         task: TaskId,
-        /// The number of the start.
+        /// Number of the run among the task's starts.
         run: u32,
-        /// Where.
+        /// The worker that it was on.
         worker: WorkerId,
         /// Why it cannot be running any more.
         cause: &'static str,
     },
-    /// What is believed of a worker changed.
+    /// The state of a worker, as the owner sees it, changed.
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// The new belief.
+        /// The new state.
         state: &'static str,
-        /// What decided it.
+        /// Why the state changed.
         cause: &'static str,
     },
 }
 
-/// Records to be appended together.
+/// Records that are appended together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
     /// The records.
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: starts and stops, and the answers to them.
+//! Orders to start and stop runs, and their answers.
 
 use std::time::Duration;
 
@@ -11,23 +11,24 @@
 };
 use crate::{JobState, TaskId};
 
-/// Before an unanswered start is sent again: it is idempotent, and a worker that lost one order
-/// mostly takes the next.
+/// Interval before an unanswered start is sent again: starts are idempotent, and a worker that
+/// missed one order usually receives the next.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Before an unanswered stop is sent again.
+/// Interval before an unanswered stop is sent again.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long after it was sent an order may still be carried out: the platform's contract names
-/// 12 s.
+/// How long after it was sent an order may still be carried out: the platform's contract allows 12
+/// s.
 pub(super) const MAX_ORDER_DELAY: Duration = Duration::from_secs(13);
-/// How long a worker gets no new work after an order went unanswered.
+/// How long a worker gets no new tasks after it left an order unanswered.
 const EXCLUSION_NO_ANSWER: Duration = Duration::from_millis(700);
-/// How long a worker gets no new work after it refused some.
+/// How long a worker gets no new tasks after it rejected an order.
 const EXCLUSION_REFUSED: Duration = Duration::from_millis(500);
-/// The same, where it says that it is unhealthy.
+/// How long a worker gets no new tasks after it rejected an order because it is unhealthy.
 const EXCLUSION_UNHEALTHY: Duration = Duration::from_secs(2);
 
 impl Owner {
-    /// The batch under way is in the log: its starts may go out, its ends are acknowledged.
+    /// Processes that the current batch was stored: its starts are sent, its ended runs
+    /// acknowledged.
     pub(super) fn appended(&mut self, now: Instant) {
         let Some(it) = self.in_flight.take() else { return };
         self.succession.append_accepted(it.began);
@@ -51,7 +52,8 @@
 
     fn start(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32) {
         let lease = self.settings.lease;
-        // A record that took long to be told of may stand behind those of another owner.
+        // If the confirmation of the record was slow, another owner's records may precede it in the
+        // log.
         let wanted = self.is_wanted(task) && self.may_renew(now);
         let Some(job) = self.ledger.job(task.job) else { return };
         let text = job.spec.text.clone();
@@ -60,15 +62,15 @@
         let checkpoint = state.checkpoint.clone();
         let Some(worker) = self.workers.get_mut(key) else { return };
         let Some(start_state) = worker.find(task, run).map(|it| it.start_state) else { return };
-        // Its worker may have changed while the record was under way.
+        // The worker may have changed while the record was being stored.
         let answers = worker.fenced && worker.hold_failures == 0;
         let takes = answers && worker.used.fits(worker.capacity);
         let can = takes || start_state != StartState::Recording;
         let lease_end = if wanted && can { worker.lease_end(now, lease) } else { None };
         let Some(it) = worker.find(task, run) else { return };
         let Some(deadline_ms) = lease_end else {
-            // Not wanted any more, no room, or its worker is silent or has just started anew: nothing
-            // was sent.
+            // The task is not wanted any more, does not fit, or its worker is unreachable or has
+            // just restarted: nothing was sent.
             self.unassign(key, task, run);
             return;
         };
@@ -81,7 +83,7 @@
         self.actions.push(Action::Start(key, start));
     }
 
-    /// Whether a task is still to be run.
+    /// Whether a task still has to run.
     fn is_wanted(&self, task: TaskId) -> bool {
         let Some(job) = self.ledger.job(task.job) else { return false };
         let active = matches!(job.state(), JobState::Queued | JobState::Running);
@@ -90,7 +92,7 @@
         active && tasks.and_then(|it| it.get(task.index as usize)).is_some_and(|it| !it.done)
     }
 
-    /// Takes a start back that has surely had no effect and never will.
+    /// Removes a start that has had no effect and cannot have one.
     fn unassign(&mut self, key: WorkerKey, task: TaskId, run: u32) {
         if let Some(worker) = self.workers.get_mut(key) {
             worker.remove(task, run);
@@ -111,7 +113,7 @@
             && worker.fenced
         {
             match worker.is_clock_reset(clock_ms) {
-                // Its next list names the incarnation; until then it gets nothing new.
+                // The next list identifies the new incarnation; until then it gets no new tasks.
                 true => worker.fenced = false,
                 false => worker.clock = Some((clock_ms, now)),
             }
@@ -145,7 +147,7 @@
                 self.unassign(key, task, run);
             }
             OrderReply::Refused(Refusal::Fenced) => self.actions.push(Action::StepDown),
-            // An earlier sending was carried out and has ended by now: the list will say how.
+            // An earlier attempt was carried out and the run has ended: the list will say how.
             OrderReply::Refused(Refusal::StaleRun) if it.may_be_delayed => {
                 it.start_state = StartState::Confirmed(now)
             }
@@ -161,7 +163,7 @@
         self.exclude(now, key, pause);
         self.note_worker(key, "shunned", refusal_words(cause));
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
-        // An earlier sending may still be carried out: a stop that is answered shuts it out.
+        // An earlier attempt may still be carried out; a stop that is answered rules that out.
         match it.may_be_delayed {
             true => {
                 it.start_state = StartState::Unanswered(now + START_RETRY_INTERVAL);
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Sends all stops that are due.
+    /// Sends all stop orders that are due.
     pub(super) fn send_stops(&mut self, now: Instant) {
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
@@ -216,7 +218,7 @@
         };
     }
 
-    /// Sends unanswered starts again.
+    /// Sends unanswered start orders again.
     pub(super) fn resend_starts(&mut self, now: Instant) {
         if !self.may_renew(now) {
             return;
@@ -231,7 +233,7 @@
                 .filter(|it| it.stop_state == StopState::NotRequested && due(it.start_state))
                 .map(|it| (it.task, it.run))
                 .collect();
-            // While a worker is silent nothing is granted, so that its leases run out.
+            // No lease is granted while a worker does not answer, so that its leases expire.
             if worker.hold_failures > 0 || worker.clock.is_none() {
                 continue;
             }
@@ -246,10 +248,10 @@
     match cause {
         Refusal::Fenced => "it has seen a higher epoch",
         Refusal::StaleRun => "it has ended a later run of a task",
-        Refusal::Late => "a start came after its lease",
+        Refusal::Late => "a start arrived after its lease had expired",
         Refusal::DoesNotFit => "a start did not fit",
         Refusal::Ticket => "a start had no valid ticket",
-        Refusal::Unhealthy => "it says that it is unhealthy",
+        Refusal::Unhealthy => "it reports that it is unhealthy",
         Refusal::OtherIncarnation => "another incarnation answered",
         Refusal::Malformed => "it does not understand a start",
     }
--- a/daisy-workflow/src/owner/pace.rs
+++ b/daisy-workflow/src/owner/pace.rs
@@ -1,4 +1,4 @@
-//! Holding best-effort tasks back beside tasks that serve callers.
+//! Throttles best-effort tasks that run beside serving tasks.
 
 use std::time::Duration;
 
@@ -17,44 +17,47 @@
 };
 use crate::TaskId;
 
-/// How long a target may be missed before all best-effort tasks beside are halted, whatever was
-/// learnt of them.
+/// How long a target may be missed before all best-effort tasks on the worker are halted, whatever
+/// interference was learned for them.
 const MAX_TARGET_MISS: Duration = Duration::from_millis(1_200);
-/// How long a target may be missed before that is put down to the serving task's own load: with
-/// all beside it halted for over two seconds, its queue would have emptied.
+/// How long a target may be missed before that is attributed to the serving task's own load: with
+/// all best-effort tasks halted for more than two seconds, its queue would have emptied.
 const OWN_LOAD_MISS: Duration = Duration::from_millis(3_600);
-/// Headroom without best-effort tasks below which holding back those that hardly disturb is of no
-/// use: the target is missed all the same.
+/// Headroom without best-effort tasks below which throttling tasks with low interference is of no
+/// use: the target is missed anyway.
 const HEADROOM_UNRECOVERABLE: f64 = 0.97;
-/// The factor below which a pair counts as one that hardly disturbs.
+/// Interference weight below which a best-effort image is treated as harmless.
 const HARMLESS_WEIGHT: f64 = 2.0;
-/// Headroom below which a report says less of a serving task's own load: its queue is full, and
-/// empties over a second.
+/// Headroom below which a report says little about a serving task's own load: its queue is full,
+/// and takes a second to empty.
 const SATURATED_HEADROOM: f64 = 0.6;
-/// Headroom above which more says nothing: tails are whole milliseconds.
+/// Upper bound of the headroom; larger values carry no information, since tail latencies are whole
+/// milliseconds.
 const HEADROOM_MAX: f64 = 6.0;
-/// Workers report figures of the last half second; what comes sooner repeats them.
+/// Minimum interval between reports that are used: workers report figures of the last half second,
+/// so earlier ones repeat them.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// The smallest change of a share that is ordered, in percent.
 const MIN_PACE_CHANGE: u8 = 10;
-/// How long after its last change a task gets more again.
+/// Delay after a change of a task's share before the share may be raised.
 const PACE_RAISE_DELAY: Duration = Duration::from_millis(900);
-/// A task that was held to less than this, in percent, for this long, starts anew elsewhere.
+/// A task that was limited to less than this share, in percent, for this long is started again
+/// elsewhere.
 const STARVED_PACE: u8 = 40;
 const STARVED_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Work done, in percent, that a task without checkpoints may lose by starting anew.
+/// Completed work, in percent, that a task without checkpoints may lose by being started again.
 const MAX_LOST_PROGRESS: u8 = 25;
-/// Weight of the newest report in running means, so that they follow a load that swings over some
-/// ten seconds.
+/// Weight of the newest report in running means, so that they follow loads that fluctuate over
+/// about ten seconds.
 const SMOOTHING: f64 = 0.4;
 
-/// Whether a run can be paced at present.
+/// Whether a run is confirmed and no stop was requested, so that it can be throttled.
 fn is_confirmed_running(it: &Assignment) -> bool {
     matches!(it.start_state, StartState::Confirmed(_)) && it.stop_state == StopState::NotRequested
 }
 
 impl Owner {
-    /// Learns from a worker's report and chooses the shares of its best-effort tasks.
+    /// Learns from a worker's report and sets the shares of its best-effort tasks.
     pub(super) fn pace(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if !worker.tasks.iter().any(|it| it.target_ms > 0) {
@@ -91,7 +94,8 @@
         self.move_starved(now, key);
     }
 
-    /// Stops best-effort tasks that are held back for long where another worker would not.
+    /// Stops a best-effort task that has been throttled for long if another worker would not
+    /// throttle it.
     fn move_starved(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get(key) else { return };
         let starved = |it: &Assignment| {
@@ -139,26 +143,26 @@
         }
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
         it.pace_in_flight = false;
-        // Anything but a plain yes is ordered again after the next renewal.
+        // Any other reply is retried after the next renewal.
         if let OrderReply::Done { .. } = reply {
             it.pace = Some(percent);
         }
     }
 }
 
-/// A serving task that is pressed too hard.
+/// Limits on the best-effort tasks beside a serving task with too little headroom.
 struct PaceLimit {
-    /// Its position among the worker's tasks.
+    /// Index of the serving task among the worker's tasks.
     serving: usize,
-    /// The share at which tasks that disturb it may work.
+    /// Maximum share of tasks with high interference.
     high: f64,
-    /// The share at which tasks that hardly disturb it may work.
+    /// Maximum share of tasks with low interference.
     low: f64,
 }
 
 impl PaceLimit {
-    /// Holds those back first that disturb most. The others, of which there are many, only count
-    /// where the target itself is near.
+    /// Limits tasks with high interference first. Those with low interference, which are many, are
+    /// limited only where the target itself is close.
     fn new(serving: usize, it: &Assignment, on_image: &InterferenceLoad) -> Option<PaceLimit> {
         let InterferenceLoad { high, low, .. } = *on_image;
         let part = |spare: f64, wanted: f64| match wanted > spare {
@@ -176,7 +180,7 @@
     }
 }
 
-/// The target of a serving task at work, divided by its tail latency.
+/// Returns the target of a ready serving task divided by its tail latency.
 fn headroom(it: &Assignment) -> Option<f64> {
     if it.target_ms == 0 || it.percent < 100 || it.load == 0 {
         return None;
@@ -184,7 +188,7 @@
     Some((f64::from(it.target_ms) / f64::from(it.load)).min(HEADROOM_MAX))
 }
 
-/// Takes a worker's report in.
+/// Learns interference from a worker's report.
 fn learn(now: Instant, learnt: &mut Interference, worker: &mut Worker) {
     let capacity = f64::from(worker.capacity.cpu_milli.max(1));
     let mut used: Vec<(ImageKey, f64)> = Vec::new();
@@ -213,7 +217,7 @@
         match it.mean_headroom {
             Some(mean) => {
                 let expected = taken(&more, learnt);
-                // A full queue shows only that there was at least so much loss.
+                // With a full queue, the report only shows a lower bound of the lost headroom.
                 if headroom >= SATURATED_HEADROOM || mean - headroom > expected {
                     learnt.learn(now, image, mean - headroom, &more);
                 }
@@ -231,10 +235,10 @@
     }
 }
 
-/// How much more of a worker's processors each image uses than in the running means, which then
-/// follow.
+/// Returns, for each image, how much more of a worker's processors it uses than its running mean,
+/// and updates the means.
 fn more_used(means: &mut Vec<(ImageKey, f64)>, used: &[(ImageKey, f64)]) -> Vec<(ImageKey, f64)> {
-    /// Means below this are forgotten.
+    /// Means below this are dropped.
     const NOTHING: f64 = 1e-4;
     for (image, _) in used {
         if !means.iter().any(|(it, _)| it == image) {
@@ -251,8 +255,8 @@
     more
 }
 
-/// For each task of a worker, the share that it is to work at, in percent. `limits` are the
-/// serving tasks that are pressed too hard.
+/// Returns the share in percent for each task of a worker. `limits` come from the serving tasks
+/// with too little headroom.
 fn shares(learnt: &Interference, worker: &Worker, limits: &[PaceLimit], halt: bool) -> Vec<u8> {
     let share = |it: &Assignment| {
         if it.best_effort_cpu == 0 {
@@ -270,7 +274,7 @@
     worker.tasks.iter().map(share).collect()
 }
 
-/// Orders the shares that differ enough from what was ordered last.
+/// Orders the shares that differ enough from the last ones.
 fn order_paces(
     now: Instant,
     worker: &mut Worker,
--- a/daisy-workflow/src/owner/placement.rs
+++ b/daisy-workflow/src/owner/placement.rs
@@ -1,4 +1,4 @@
-//! Which worker takes a task.
+//! Chooses the worker for a task.
 
 use daisy_model::{Instant, Resources};
 
@@ -10,53 +10,53 @@
 };
 use crate::{Packing, StepSpec, TaskId};
 
-/// Costs of a placement, in thousandths of a worker's processors: what a worker would have to be
-/// emptier by to be chosen all the same. The order of their sizes is what matters.
+/// Costs of a placement, in thousandths of a worker's processors: how much more free capacity a
+/// worker needs to be chosen in spite of the cost. Only the order of their magnitudes matters.
 const COST_FAILED_HERE: i64 = 100_000;
 const COST_RECENT_FAILURE: i64 = 1_500;
 const COST_FAR_FROM_DATA: i64 = 10_000;
 const COST_HEADROOM: f64 = 4_000.0;
 const COST_BELOW_FULL_PACE: f64 = 8_000.0;
-/// For each unit of headroom that a placement takes, and that it leaves a serving task short of
-/// [`COMFORTABLE_HEADROOM`].
+/// Costs for each unit of headroom that a placement takes, and for each unit that a serving task is
+/// then short of [`COMFORTABLE_HEADROOM`].
 const COST_HEADROOM_TAKEN: f64 = 2_000.0;
 const COST_HEADROOM_SHORT: f64 = 2_500.0;
-/// For each image that could work on a worker without harm: tasks that can go anywhere leave such
-/// workers to those that cannot.
+/// Cost for each image that could run on the worker without harm: tasks that can run anywhere leave
+/// such workers to those that cannot.
 const COST_HARMLESS_IMAGE: i64 = 120;
-/// Headroom below which a serving task's own swings of load soon meet the target.
+/// Headroom below which fluctuations of a serving task's own load soon reach its target.
 const COMFORTABLE_HEADROOM: f64 = 1.7;
-/// For each serving task of another image: a worker that serves few images leaves room for more
-/// kinds of best-effort tasks.
+/// Cost for each serving task of another image: a worker that serves few images can take more kinds
+/// of best-effort tasks.
 const COST_OTHER_IMAGE: i64 = 1_000;
-/// For each thousandth of a worker's processors that best-effort tasks would lack.
+/// Cost for each thousandth of a worker's processors that best-effort tasks would be short of.
 const COST_CPU_SHORTAGE: i64 = 4;
 const COST_SLOW_START: i64 = 3_000;
 const COST_SUSPECTED: i64 = 1_000_000;
 
-/// What binds a placement besides the step itself.
+/// Constraints on a placement besides those of the step.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlacementOptions<'a> {
-    /// The rack that the worker must be on.
+    /// The rack that the worker must be in.
     pub rack: Option<&'a str>,
-    /// Placements of the same gang that are not made yet.
+    /// Placements of other members of the gang that are not assigned yet.
     pub tentative: &'a [(WorkerKey, Resources)],
-    /// Whether a best-effort task may be placed where it would be held back.
+    /// Whether a best-effort task may be placed where it would be throttled.
     pub allow_throttled: bool,
-    /// Workers that are kept for more urgent tasks.
+    /// Workers that are reserved for more urgent tasks.
     pub reservations: &'a [Reservation],
 }
 
-/// A worker that is kept for a task without room until what runs there leaves it enough.
+/// A worker that is reserved for a task until the runs that end there free enough capacity for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Reservation {
     pub worker: WorkerKey,
-    /// What the task needs.
+    /// Resources that the task reserves.
     pub need: Resources,
 }
 
 impl Owner {
-    /// The worker on which a task of `step` is best started, if any has room.
+    /// Returns the best worker for a task of `step`, if the task fits on any.
     pub(super) fn try_place(
         &self,
         now: Instant,
@@ -102,7 +102,8 @@
         best.map(|(_, key)| key)
     }
 
-    /// What a task that reserves processors takes from others that look for room.
+    /// Returns the cost of the capacity that a task with a reservation takes from other waiting
+    /// tasks.
     fn cost_packing(&self, step: &StepSpec, worker: &Worker) -> i64 {
         let used = permille(worker, worker.used.cpu_milli);
         match self.settings.rules.packing {
@@ -113,8 +114,8 @@
         }
     }
 
-    /// What a best-effort task costs that could work at `pace`: first where nobody's tail suffers,
-    /// then where the others leave most.
+    /// Returns the cost of a best-effort task that could run at `pace`: workers where no tail
+    /// latency suffers are preferred, then those with the most idle processors.
     fn cost_best_effort(
         &self,
         step: &StepSpec,
@@ -131,8 +132,8 @@
             + permille(worker, worker.best_effort_cpu())
     }
 
-    /// What a best-effort task costs the worker's serving tasks, though all could work at full pace
-    /// now: loads swing, and most images find a worker where they disturb nobody.
+    /// Returns the cost for the worker's serving tasks, even if all tasks could run at full pace
+    /// now: loads fluctuate, and most images find a worker where they cause little interference.
     fn cost_interference(&self, step: &StepSpec, worker: &Worker, image: Option<ImageKey>) -> i64 {
         let share = full_pace_share(worker, step.need.cpu_milli);
         let mut worst = 0.0f64;
@@ -146,8 +147,8 @@
         worst as i64
     }
 
-    /// Serving tasks of one image are packed together: the fewer images a worker serves, the more
-    /// kinds of best-effort tasks go well beside them.
+    /// Returns the cost of a serving task. Serving tasks of one image are packed together: the
+    /// fewer images a worker serves, the more kinds of best-effort tasks can run beside them.
     fn cost_serving(&self, step: &StepSpec, worker: &Worker) -> i64 {
         let image = step.image.as_ref().and_then(|it| self.interference.try_serving(it));
         let other = |it: &&Assignment| it.target_ms > 0 && it.image != image;
@@ -178,14 +179,15 @@
     need.fits(worker.free())
 }
 
-/// Whether a task of `step` leaves a kept worker what it is kept for: best-effort tasks take no
-/// processors from others, but memory.
+/// Whether a task of `step` leaves a reserved worker the capacity it is reserved for: best-effort
+/// tasks take memory, but no reserved processor time.
 fn leaves_reservation(step: &StepSpec, worker: &Worker, need: Resources) -> bool {
     let both = Resources { cpu_milli: 0, ..need }.try_add(step.counted());
     step.best_effort && both.is_some_and(|it| it.fits(worker.free()))
 }
 
-/// Whether the worker already has as many tasks of the step as may be on one.
+/// Whether the worker already has the maximum number of tasks of the step, tentative placements
+/// included.
 fn is_at_step_limit_with(
     step: &StepSpec,
     worker: &Worker,
@@ -203,12 +205,12 @@
     here + more >= step.max_per_worker as usize
 }
 
-/// Whether the worker already has as many tasks of the step of `task` as may be on one.
+/// Whether the worker already has the maximum number of tasks of the step of `task`.
 pub(super) fn is_at_step_limit(step: &StepSpec, worker: &Worker, task: TaskId) -> bool {
     is_at_step_limit_with(step, worker, WorkerKey(u32::MAX), task, &[])
 }
 
-/// What binds all kinds of tasks; lower is better.
+/// Returns the cost that applies to all kinds of tasks; lower is better.
 fn cost(now: Instant, step: &StepSpec, worker: &Worker, task: TaskId) -> i64 {
     let mut cost = 0;
     if worker.failures > 0 {
@@ -229,7 +231,7 @@
     cost
 }
 
-/// A part of a worker's processors, in thousandths of all.
+/// Returns a part of a worker's processors in thousandths.
 fn permille(worker: &Worker, cpu_milli: u32) -> i64 {
     i64::from(cpu_milli) * 1_000 / i64::from(worker.capacity.cpu_milli.max(1))
 }
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -1,4 +1,4 @@
-//! What starts next.
+//! Decides which tasks start next.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,60 +12,64 @@
 };
 use crate::{Copy, Job, JobId, JobKind, JobSpec, JobState, StepSpec, TaskId, TaskState};
 
-/// Copies of one task at a time, where its step allows copies.
+/// Maximum number of copies of one task at a time, where its step allows copies.
 const MAX_COPIES: usize = 2;
 
-/// A quick job with less time left than this beside its work may keep a worker free.
+/// A finite job may reserve a worker if it has less spare time than this before its objective.
 const RESERVATION_SLACK: Duration = Duration::from_millis(1_000);
 
-/// How long a job that lasts leaves room to those that can be in time, on a full fleet. Its tasks stay for
-/// minutes, and must not wait for longer where others of a second's length come and go.
+/// How long a new long-running job on a full fleet leaves capacity to jobs that can still be in
+/// time. Its tasks run for minutes, but must not wait longer than this while tasks of about a
+/// second come and go.
 const LONG_RUNNING_YIELD: Duration = Duration::from_millis(1_500);
 
-/// What a job can still come to; the first goes first.
+/// Urgency of a job; the first variant is placed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Its tasks are to run all the time: each moment without them counts.
+    /// The job's tasks should run all the time: each moment without them matters.
     LongRunning,
-    /// It can be in time.
+    /// The job can be in time.
     InTime,
-    /// It will be late, and is still of use then.
+    /// The job will be late, but still of use.
     Late,
-    /// The same as the first, and it has just come: what ends by itself soon leaves its room to it.
+    /// A long-running job that was just accepted: finite jobs, which soon free their capacity, go
+    /// first.
     NewLongRunning,
-    /// It is of little use to anybody, but was accepted.
+    /// The job will be of little use, but was accepted.
     TooLate,
 }
 
-/// The standing of a job with `chain_ms` of work before it. A job that cannot be in time any more
-/// does not hold up those that can: in an overload, the earliest deadline first would make all of
-/// them late by a little.
+/// Returns the urgency of a finite job with `chain_ms` of work left. A job that cannot be in time
+/// does not delay those that can: under overload, earliest deadline first would make all of them
+/// slightly late.
 fn urgency(now: Instant, view: &JobView, chain_ms: u64) -> Urgency {
-    /// Results are of use up to three times the objective, as the operators' contract has it.
+    /// Results are of use up to three times the objective, according to the contract with
+    /// operators.
     const USEFUL_FACTOR: u32 = 3;
-    let allowed = view.objective.since(view.since);
+    let allowed = view.objective.since(view.accepted_at);
     match now + Duration::from_millis(chain_ms) {
         it if it <= view.objective => Urgency::InTime,
-        it if it <= view.since + allowed * USEFUL_FACTOR => Urgency::Late,
+        it if it <= view.accepted_at + allowed * USEFUL_FACTOR => Urgency::Late,
         _ => Urgency::TooLate,
     }
 }
 
-/// Whether a job that lasts still leaves room to others. Tasks of it that came from another shard have
-/// done so there.
+/// Whether a long-running job still leaves capacity to others. Tasks that came from another shard
+/// have waited there already.
 fn yields(now: Instant, view: &JobView, job: &Job) -> bool {
-    now.since(view.since) < LONG_RUNNING_YIELD && !job.is_part()
+    now.since(view.accepted_at) < LONG_RUNNING_YIELD && !job.is_part()
 }
 
-/// What one pass over all jobs has found so far.
+/// What one planning pass has found so far.
 #[derive(Debug, Default)]
 struct PlanPass {
     reservations: Vec<Reservation>,
-    /// Best-effort tasks for which there is no room.
+    /// Best-effort tasks that could not be placed.
     unplaceable: Vec<UnplaceableTask>,
 }
 
-/// Best-effort tasks of one image that find no room, and all that need as much or more.
+/// Best-effort tasks of one image that could not be placed; those that need as much or more cannot
+/// be placed either.
 #[derive(Debug)]
 struct UnplaceableTask {
     service: Arc<str>,
@@ -74,7 +78,7 @@
 }
 
 impl PlanPass {
-    /// Whether a task of `step` surely finds no room, as one like it has found none.
+    /// Whether a task of `step` cannot be placed because a similar one could not.
     fn is_unplaceable(&self, service: &Arc<str>, step: &StepSpec) -> bool {
         let covers = |it: &UnplaceableTask| {
             it.service == *service && it.image == step.image && it.need.fits(step.need)
@@ -83,7 +87,7 @@
     }
 
     fn add_unplaceable(&mut self, service: &Arc<str>, step: &StepSpec) {
-        // What binds the step alone says nothing of others.
+        // Constraints of this step alone say nothing about other steps.
         if step.best_effort && step.required_label.is_none() && step.max_per_worker == 0 {
             let (service, image) = (service.clone(), step.image.clone());
             self.unplaceable.push(UnplaceableTask { service, image, need: step.need });
@@ -91,7 +95,7 @@
     }
 }
 
-/// A step whose turn has come.
+/// A step with waiting tasks whose dependencies are done.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReadyStep {
     pub job: JobId,
@@ -100,7 +104,7 @@
 }
 
 impl Owner {
-    /// Starts what can be started, the most urgent first.
+    /// Starts all tasks that can be placed, the most urgent first.
     pub(super) fn plan(&mut self, now: Instant) {
         self.update_all_interference();
         self.unplaced_sizes.clear();
@@ -114,22 +118,23 @@
         self.reservations = pass.reservations;
     }
 
-    /// Sums up anew the workers on which something was started or has ended.
+    /// Recomputes the interference on workers where runs were started or have ended.
     pub(super) fn update_all_interference(&mut self) {
         for (_, worker) in self.workers.iter_mut().filter(|(_, it)| !it.is_interference_current) {
             worker.update_interference(&self.interference);
         }
     }
 
-    /// Workers that are kept at one time at most.
+    /// Returns the maximum number of workers that are reserved at a time.
     pub(super) fn max_reservations(&self) -> usize {
-        /// The part of all workers.
+        /// One worker in this many may be reserved.
         const WORKERS_PER_RESERVATION: usize = 8;
         self.workers.len() / WORKERS_PER_RESERVATION + 1
     }
 
-    /// A worker that is kept for a task without room, so that what ends there leaves it enough in
-    /// time: else smaller tasks take each gap as it comes, and a large one never starts.
+    /// Reserves a worker for a task that cannot be placed, so that the runs which end there free
+    /// enough capacity in time. Otherwise smaller tasks would fill each gap, and a large one would
+    /// never start.
     fn try_reserve(
         &self,
         now: Instant,
@@ -159,10 +164,10 @@
         best.map(|(worker, _)| Reservation { worker, need: step.counted() })
     }
 
-    /// Jobs that are not ended: first those whose tasks are to run all the time, as each moment
-    /// without them counts; then those that can still be in time, by priority and by the part of
-    /// their work that is left. What was put into a job is of use to nobody until its last task has
-    /// ended, so that in an overload, jobs that are nearly done go before those that have just come.
+    /// Returns the jobs that have not ended by urgency: first long-running jobs, since each moment
+    /// without their tasks matters; then jobs that can be in time, by priority and by the part of
+    /// their work that is left. Work on a job is of no use until its last task has ended, so under
+    /// overload jobs that are nearly done go before new ones.
     fn by_urgency(&self, now: Instant) -> Vec<JobId> {
         let mut jobs: Vec<_> = self
             .active
@@ -178,7 +183,7 @@
                 let urgency = match (job.spec.kind(), urgency(now, view, chain)) {
                     (JobKind::Lasting, _) if yields(now, view, job) => Urgency::NewLongRunning,
                     (JobKind::Lasting, _) => Urgency::LongRunning,
-                    // A wide job cannot be in time where rooms are few, but of use.
+                    // A wide job cannot be in time where few tasks fit, but it is still of use.
                     (JobKind::Once, Urgency::Late) if job.progress.begun => Urgency::InTime,
                     (_, it) => it,
                 };
@@ -189,8 +194,8 @@
         jobs.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The estimated length of the longest chain of steps that are not done, in milliseconds, over
-    /// the first occurrence that is not.
+    /// Returns the estimated length in milliseconds of the longest chain of unfinished steps in the
+    /// first occurrence that has any.
     fn remaining_chain_ms(&self, id: JobId, view: &JobView) -> u64 {
         let Some(job) = self.ledger.job(id) else { return 0 };
         let is_open = |steps: &&Vec<Vec<TaskState>>| steps.iter().flatten().any(|it| !it.done);
@@ -199,7 +204,7 @@
         left.map(|(_, tail)| *tail).max().unwrap_or_default()
     }
 
-    /// Steps of a job with waiting tasks whose dependencies are done.
+    /// Returns the steps of a job that have waiting tasks and whose dependencies are done.
     pub(super) fn ready_steps(&self, now: Instant, id: JobId) -> Vec<ReadyStep> {
         let Some(job) = self.ledger.job(id) else { return Vec::new() };
         let spec = &job.spec;
@@ -219,18 +224,18 @@
         ready
     }
 
-    /// Whether an occurrence's time has come.
+    /// Whether an occurrence's start time has come.
     fn is_due(&self, now: Instant, spec: &JobSpec, k: u32) -> bool {
         if !spec.timed {
             return true;
         }
-        // The wall clock was read once: it may jump, the process's own clock does not.
+        // The wall clock was read once at the start: it may jump, the process's own clock does not.
         let passed = now.since(self.began_at).as_millis() as u64;
         self.began_wall_ms + passed >= spec.due_ms(k)
     }
 
-    /// Whether another copy of a task is to be started: there is none, or the only one is on a
-    /// worker that does not answer and the step allows copies.
+    /// Whether a copy of a task is to be started: there is none, or the step allows copies and the
+    /// only one is on a worker that does not answer.
     fn wants_copy(&self, step: &StepSpec, state: &TaskState) -> bool {
         if state.done || state.elsewhere {
             return false;
@@ -300,7 +305,7 @@
         }
     }
 
-    /// Tells once of each step that it waits, and for what.
+    /// Logs once per step that its tasks wait, and why.
     fn note_waiting_step(&mut self, ready: ReadyStep, step: &StepSpec, tasks: usize) {
         let backlog = self.active.len();
         let Some(view) = self.active.get_mut(&ready.job) else { return };
@@ -369,7 +374,7 @@
         racks
     }
 
-    /// The service that runs a job's tasks: as its queue says now, or last said.
+    /// Returns the service that runs a job's tasks, as its queue defines it now or last did.
     pub(super) fn service(&self, spec: &JobSpec) -> Arc<str> {
         let queue = self.queues.queue(&spec.terms.queue);
         queue.map_or_else(|| spec.terms.service.clone(), |it| it.terms.service.clone())
@@ -382,7 +387,7 @@
         tasks.and_then(|it| it.get(task.index as usize)).map_or(1, |it| it.runs + 1)
     }
 
-    /// Gives a task to a worker; the order goes out when its record is in the log.
+    /// Assigns a task to a worker; the order is sent when its record is in the log.
     fn assign(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, step: &StepSpec) {
         let it = super::assignment(now, &mut self.interference, task, run, step);
         let Some(worker) = self.workers.get_mut(key) else { return };
@@ -399,7 +404,7 @@
         self.end_relocation(task);
     }
 
-    /// How long until the next occurrence of any job is due.
+    /// Returns the time until the next occurrence of any job is due.
     pub fn next_due(&self, now: Instant) -> Option<Duration> {
         let passed = now.since(self.began_at).as_millis() as u64;
         let wall = self.began_wall_ms + passed;
--- a/daisy-workflow/src/owner/renewal.rs
+++ b/daisy-workflow/src/owner/renewal.rs
@@ -1,4 +1,4 @@
-//! Renewals: what a worker's lists say, and which workers there are.
+//! Lease renewals and the platform's list: which workers there are, and what runs on them.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::{TaskId, WorkerId};
 
 impl Owner {
-    /// Takes the platform's list in.
+    /// Processes the platform's list of workers.
     pub(super) fn workers_listed(&mut self, now: Instant, listed: &[WorkerListing]) {
         let named: SortedMap<WorkerId, ()> = listed.iter().map(|it| (it.id.clone(), ())).collect();
         for at in 0..self.workers.len() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Counts a run that is, or may be, on a worker though this owner did not start it.
+    /// Adds a run that is, or may be, on a worker, though this owner did not start it.
     pub(super) fn adopt(
         &mut self,
         now: Instant,
@@ -74,7 +74,8 @@
 
     fn relisted(&mut self, now: Instant, key: WorkerKey, listed: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        // The list lags: an incarnation that began before the one that answered is history.
+        // The list is delayed: it may still name an incarnation older than the one that has
+        // answered.
         if listed.started_at_ms < worker.started_at_ms {
             return;
         }
@@ -99,14 +100,14 @@
             self.note_worker(key, "listed", "the platform's list names it again");
         }
         if restarted {
-            self.restarted(now, key, listed.started_at_ms, "the list names a later start");
+            self.restarted(now, key, listed.started_at_ms, "the list shows a later start time");
         }
         if was_ready && !listed.ready {
-            self.note_worker(key, "draining", "its entry says so");
+            self.note_worker(key, "draining", "its list entry says that it drains");
         }
     }
 
-    /// Another incarnation answers under the same id: nothing of before runs there.
+    /// Processes a restart of a worker under the same id: no earlier run exists any more.
     fn restarted(&mut self, now: Instant, key: WorkerKey, started_at_ms: u64, cause: &'static str) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.started_at_ms = started_at_ms;
@@ -122,18 +123,18 @@
         for it in &mut worker.tasks {
             match it.start_state {
                 StartState::Recording => {}
-                // An order that is still under way, also one of an earlier owner, may reach the new
-                // incarnation, which knows no epoch and no run: only a stop that it has answered
-                // shuts the run out.
+                // An order that is still under way, of this owner or an earlier one, may reach the
+                // new incarnation, which knows no epoch and no run. Only a stop that this
+                // incarnation has answered rules that out.
                 StartState::InFlight | StartState::Unanswered(_) | StartState::Inherited => {
                     it.request_stop(now, StopCause::PossiblyDelayed);
                 }
                 StartState::Confirmed(_) if it.may_be_delayed => {
                     it.request_stop(now, StopCause::PossiblyDelayed)
                 }
-                // An answer to an order does not tell which incarnation gave it. Taken for one that
-                // ended with the old one, the run would go on here while it is started elsewhere;
-                // the next lists tell whether it is there.
+                // An answer to an order does not say which incarnation gave it. If the run were
+                // treated as ended with the old incarnation, it could continue here while it is
+                // started elsewhere; the next lists show whether it is there.
                 StartState::Confirmed(_) if !it.listed => {}
                 StartState::Confirmed(_) => lost.push((it.task, it.run)),
             }
@@ -141,14 +142,14 @@
         }
         self.stop_delayed_starts(now, key);
         for (task, run) in lost {
-            self.lose(key, task, run, "its worker started anew");
+            self.lose(key, task, run, "its worker restarted");
         }
         self.note_worker(key, "reborn", cause);
         self.send_stops(now);
     }
 
-    /// Orders that once went unanswered and have ended since may yet reach a new incarnation as
-    /// well: each is shut out there by a stop, and takes room until a list shows it to be gone.
+    /// Stops runs that ended, but whose unanswered start orders may still reach the new
+    /// incarnation. Each takes capacity until a list shows that it is not there.
     fn stop_delayed_starts(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         for DelayedStart { task, run, until, .. } in std::mem::take(&mut worker.delayed_starts) {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Gives a run up that is surely not running any more.
+    /// Gives up a run that cannot be running any more.
     pub(super) fn lose(&mut self, key: WorkerKey, task: TaskId, run: u32, cause: &'static str) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         let id = worker.id.clone();
@@ -174,7 +175,7 @@
         self.actions.push(Action::Note(Note::RunLost { task, run, worker: id, cause }));
     }
 
-    /// Takes a copy out of a task's record.
+    /// Removes a run from a task's record.
     pub(super) fn drop_copy(&mut self, task: TaskId, run: u32, checkpoint: &str) {
         self.plan_due = true;
         if let Some(state) = self.task_mut(task) {
@@ -186,7 +187,7 @@
         self.remove_if_ended(task.job);
     }
 
-    /// Takes the answer to a renewal in.
+    /// Processes the answer to a renewal.
     pub(super) fn hold_answered(
         &mut self,
         now: Instant,
@@ -198,7 +199,7 @@
         let Some(answer) = answer else {
             worker.hold_failures += 1;
             if worker.hold_failures == 1 {
-                self.note_worker(key, "silent", "a renewal got no answer");
+                self.note_worker(key, "silent", "a renewal was not answered");
             }
             return;
         };
@@ -206,7 +207,7 @@
             return;
         }
         if answer.started_at_ms > worker.started_at_ms {
-            self.restarted(now, key, answer.started_at_ms, "its answer names a later start");
+            self.restarted(now, key, answer.started_at_ms, "its answer shows a later start time");
         }
         self.worker_answered(now, key, &answer);
         let seen = self.workers.get(key).map_or(0, |it| it.cursor_seen);
@@ -238,15 +239,15 @@
             worker.fenced = true;
             self.plan_due = true;
             // An earlier owner may have granted a whole lease just before. An order meant for an
-            // earlier incarnation names a time far ahead of this one's clock: the worker then
-            // grants as long a lease as it ever does.
+            // earlier incarnation names a time far ahead of this one's clock, for which the worker
+            // grants its longest lease.
             let granted = if worker.restarted_at.is_some() { lease_max } else { lease };
             let inherited = answer.clock_ms + granted.as_millis() as u64;
             worker.deadline_ms = worker.deadline_ms.max(inherited);
         }
     }
 
-    /// Compares what runs on a worker with what should.
+    /// Compares the runs that a worker lists with the expected ones.
     fn compare_running(&mut self, now: Instant, key: WorkerKey, running: &[ActiveRun]) {
         let mut unknown = Vec::new();
         let Some(worker) = self.workers.get_mut(key) else { return };
@@ -272,7 +273,7 @@
         }
         let missing = missing_runs(worker, running);
         for (task, run) in unknown {
-            // Such a run was given up, or its job is over. It takes room until it has ended.
+            // Such a run was given up, or its job has ended. It takes capacity until it has ended.
             self.adopt(now, key, task, run, StartState::Confirmed(now));
             if let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) {
                 it.request_stop(now, StopCause::Unknown);
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Renews a worker's lease if that is due.
+    /// Renews a worker's lease if a renewal is due.
     pub(super) fn renew(&mut self, now: Instant, key: WorkerKey) {
         let lease = self.settings.lease;
         let may_renew = self.may_renew(now);
@@ -292,7 +293,8 @@
         if worker.hold_in_flight || !hold_due(now, worker) {
             return;
         }
-        // While a worker is silent, nothing is granted: else its leases would never run out.
+        // No lease is granted while a worker does not answer: otherwise its leases would never
+        // expire.
         let grant = worker.fenced && worker.hold_failures == 0 && may_renew;
         let deadline_ms = if grant { worker.lease_end(now, lease) } else { None };
         worker.hold_in_flight = true;
@@ -309,9 +311,10 @@
     }
 }
 
-/// Runs that should be on a worker and that its lists show to be gone.
+/// Returns the expected runs that the worker's lists show not to be there.
 fn missing_runs(worker: &mut Worker, running: &[ActiveRun]) -> Vec<(TaskId, u32)> {
-    /// Renewals in a row after which a run that was there counts as gone.
+    /// Number of consecutive lists without a confirmed run after which the run is stopped as
+    /// missing.
     const MAX_MISSED_LISTS: u8 = 2;
     let sent_at = worker.hold_sent_at;
     let mut missing = Vec::new();
@@ -321,7 +324,8 @@
         }
         match (it.stop_state, it.start_state) {
             (StopState::Done(at), _) if at <= sent_at => missing.push((it.task, it.run)),
-            // Its starter's orders are refused from now on, so it cannot come later.
+            // The orders of the owner that started it are rejected from now on, so it cannot appear
+            // later.
             (_, StartState::Inherited) => missing.push((it.task, it.run)),
             (StopState::NotRequested, StartState::Confirmed(at)) if at <= sent_at => {
                 it.missed_lists += 1;
@@ -336,9 +340,11 @@
 }
 
 fn hold_due(now: Instant, worker: &Worker) -> bool {
-    /// Ends whose records the log has not taken yet would be listed again at once.
+    /// Minimum interval between renewals while ends are not recorded: the worker would list them
+    /// again at once.
     const UNRECORDED_ENDS_INTERVAL: Duration = Duration::from_millis(300);
-    /// Between calls to a worker that does not answer; doubled from here up to the longest.
+    /// Retry interval for a worker that does not answer; doubled with each failure up to the
+    /// maximum.
     const RETRY_INTERVAL: Duration = Duration::from_millis(100);
     const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
     if !worker.listed && worker.tasks.is_empty() {
@@ -352,13 +358,14 @@
     worker.cursor_seen == worker.cursor_durable || since >= UNRECORDED_ENDS_INTERVAL
 }
 
-/// How long a worker may wait for an end before it answers: it bounds how old the picture of the
-/// worker gets, and how late its silence shows. Each renewal is paid for.
+/// Returns how long a worker may wait for a run to end before it answers. This bounds the age of
+/// the owner's view of the worker, and the time to notice that it is unreachable; each renewal has
+/// a cost.
 fn hold_wait(worker: &Worker, is_log_slow: bool) -> Duration {
     const IDLE_WAIT: Duration = Duration::from_millis(1_500);
     const RUNNING_WAIT: Duration = Duration::from_millis(800);
     const SERVING_WAIT: Duration = Duration::from_millis(500);
-    /// Often enough that each worker's answer counts until the next.
+    /// Short enough that each worker's answer stays valid until the next one.
     const LOG_SLOW_WAIT: Duration = Duration::from_millis(300);
     if !worker.fenced || worker.hold_failures > 0 || worker.cursor_seen > worker.cursor_durable {
         return Duration::ZERO;
--- a/daisy-workflow/src/owner/run_ends.rs
+++ b/daisy-workflow/src/owner/run_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs, and what follows for their jobs.
+//! Processes runs that have ended, and the consequences for their jobs.
 
 use std::time::Duration;
 
@@ -11,10 +11,11 @@
 };
 use crate::{JobId, Phase, TaskId};
 
-/// Runs in a row that fail on a worker, none of whose tasks failed elsewhere, after which it gets
-/// no more work for a while.
+/// Number of consecutive failed runs on a worker after which it gets no new tasks for a while;
+/// failures of steps that have failed before do not count.
 const MAX_CONSECUTIVE_FAILURES: u32 = 2;
-/// Failures further apart are not in a row: tasks that last seldom end, and may fail at any time.
+/// Failures further apart than this are not consecutive: long-running tasks seldom end, and may
+/// fail at any time.
 const FAILURE_WINDOW: Duration = Duration::from_secs(3);
 impl Owner {
     pub(super) fn ended(&mut self, now: Instant, key: WorkerKey, it: EndedRun) {
@@ -65,7 +66,8 @@
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
         let steps = &mut job.progress.occurrences[task.occurrence as usize];
         let tasks = &mut steps[usize::from(task.step)];
-        // The members of a gang share their runs, so one failure of a run counts for all.
+        // The members of a gang share the numbers of their runs, so one failure of a run counts for
+        // all of them.
         match step.gang {
             true => tasks.iter_mut().filter(|it| it.runs == run).for_each(|it| it.failures += 1),
             false => tasks[task.index as usize].failures += 1,
@@ -76,7 +78,8 @@
         if failures >= attempts && !step.long_running && job.progress.phase == Phase::Active {
             self.end_job(now, task.job, Phase::Failed);
         }
-        // A task that lasts may have no other place, and be started here again and again.
+        // A long-running task may fit on no other worker, and be started on this one again and
+        // again.
         let again =
             is_long_running && self.workers.get(key).is_some_and(|it| has_recent_failure(now, it));
         if !elsewhere || again {
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Whether tasks of the same step have failed before: then the work is more likely to be at
-    /// fault than the worker.
+    /// Whether tasks of the same step have failed before: then the task is more likely at fault
+    /// than the worker.
     fn failed_before(&self, task: TaskId) -> bool {
         let Some(job) = self.ledger.job(task.job) else { return true };
         let steps = job.progress.occurrences.get(task.occurrence as usize);
@@ -101,7 +104,7 @@
         worker.failures += 1;
         worker.failed_at = now;
         if worker.failures >= MAX_CONSECUTIVE_FAILURES {
-            self.suspect(now, key, "its runs fail one after the other");
+            self.suspect(now, key, "consecutive runs failed on it");
         }
     }
 
@@ -111,14 +114,14 @@
         self.dirty.push(id);
         let kind = job.spec.kind();
         let view = self.active.get(&id);
-        let (since, due) = view.map_or((now, now), |it| (it.since, it.objective));
+        let (since, due) = view.map_or((now, now), |it| (it.accepted_at, it.objective));
         let outcome = if phase == Phase::Completed { "completed" } else { "failed" };
         let (age, objective) = (now.since(since), due.since(since));
         self.actions.push(Action::Note(Note::JobEnded { job: id, outcome, kind, age, objective }));
         self.stop_copies(now, StopCause::JobOver, |it| it.job == id);
     }
 
-    /// Stops all runs of the tasks that `which` names.
+    /// Stops all runs of the tasks for which `which` returns true.
     pub(super) fn stop_copies(
         &mut self,
         now: Instant,
@@ -138,7 +141,7 @@
         self.send_stops(now);
     }
 
-    /// Forgets a job that is over once none of its runs can be anywhere.
+    /// Removes an ended job once none of its runs can be on a worker.
     pub(super) fn remove_if_ended(&mut self, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         if job.progress.phase == Phase::Active && !job.cancelled {
@@ -151,7 +154,7 @@
     }
 }
 
-/// Whether a run that was blamed on the worker failed a short while ago, and none has succeeded since.
+/// Whether a failure was counted against the worker a short time ago, with no success since.
 fn has_recent_failure(now: Instant, worker: &Worker) -> bool {
     worker.failures > 0 && now.since(worker.failed_at) <= FAILURE_WINDOW
 }
--- a/daisy-workflow/src/owner/shortfall.rs
+++ b/daisy-workflow/src/owner/shortfall.rs
@@ -1,4 +1,4 @@
-//! What keeps a task that lasts from starting, worker by worker.
+//! Why a long-running task is not placed, counted over the workers.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 use super::{Owner, placement::is_at_step_limit};
 use crate::TaskId;
 
-/// A task that waits, and how many workers lack what it needs; each counts once, by the first that it
-/// lacks in the order of the fields.
+/// A waiting task, and how many workers cannot take it for which reason. Each worker counts once,
+/// under the first reason that applies in the order of the fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementShortfall {
-    /// The task.
+    /// The waiting task.
     pub task: TaskId,
-    /// How long it has waited.
+    /// How long the task has waited.
     pub waited: Duration,
-    /// What it needs.
+    /// Resources that the task reserves.
     pub need: Resources,
-    /// Workers that take no new tasks, or are of another service or kind.
+    /// Workers that accept no new tasks, or belong to another service or kind.
     pub ineligible: usize,
-    /// Workers without the processors, or accelerators.
+    /// Workers without enough free processor time or accelerators.
     pub short_of_cpu: usize,
-    /// Workers with the processors, and without the memory.
+    /// Workers with enough processor time and accelerators, but not enough memory.
     pub short_of_memory: usize,
-    /// Workers that have as many tasks of its step as may be on one.
+    /// Workers that already run the maximum number of tasks of this step.
     pub at_step_limit: usize,
-    /// Workers that are kept for others.
+    /// Workers that are reserved for other tasks.
     pub reserved: usize,
-    /// Workers that lack nothing.
+    /// Workers that could take the task.
     pub suitable: usize,
 }
 
 impl Owner {
-    /// The waiting task that lasts and has waited longest of those for which a worker has the
-    /// processors, or of all if there is none; and what the workers lack for it.
+    /// Returns the long-running task that has waited longest, and why workers cannot take it.
+    /// Prefers tasks for which at least one worker has the processor time.
     pub fn longest_waiting_task(&self, now: Instant) -> Option<PlacementShortfall> {
         let waits = self.waiting_since.iter();
         let lacks = waits.filter_map(|(task, since)| self.try_lacks(now, *task, now.since(*since)));
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -1,10 +1,10 @@
-//! Which of several owners may renew leases, while not all of them hear of each other.
+//! Decides which of several owners may renew leases while not all of them can reach each other.
 //!
-//! An owner that the log does not hear cannot tell whether another has taken its place. It goes on
-//! renewing only while more than half of its witnesses answer it: workers that are named in the log
-//! beside its claim. A worker refuses an owner once a newer one has called it. So a newer owner
-//! that half of the same witnesses have answered knows that nobody before it renews anything from
-//! then on, whoever else is cut off together with the one before.
+//! An owner that cannot reach the log cannot know whether another has replaced it. It continues to
+//! renew leases only while more than half of its witnesses answer: workers that are named in the
+//! log beside its claim. A worker rejects an owner once a newer one has called it. So a newer owner
+//! that was answered by half of the same witnesses knows that no earlier owner renews any lease
+//! from then on, whichever workers are cut off together with the earlier owner.
 
 use std::time::Duration;
 
@@ -13,76 +13,79 @@
 use super::{Owner, Worker};
 use crate::{Record, WorkerId};
 
-/// How long an owner whose writes the log does not take goes on renewing leases.
+/// How long an owner whose appends the log does not store continues to renew leases.
 ///
-/// An outage of the platform must not end the work that runs: the contract's last up to 9 s.
+/// An outage of the platform must not end running work: according to the contract it lasts up to 9
+/// s.
 const MAX_RENEWAL_WITHOUT_LOG: Duration = Duration::from_secs(10);
-/// How long an answer of the log, or of a witness, counts, from when it was asked for.
+/// How long an answer of the log, or of a witness, is valid, counted from when its request was
+/// sent.
 const ANSWER_VALIDITY: Duration = Duration::from_millis(1_000);
-/// Time without an answer of the log from which on witnesses are asked more often.
+/// Time without an answer of the log after which witnesses are queried more often.
 const LOG_SLOW_AFTER: Duration = Duration::from_millis(700);
-/// Between looks at whether the witnesses are still the workers.
+/// Interval between checks whether the witnesses still match the workers.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
-/// Before the first one, for workers to answer.
+/// Delay before the first check, for workers to answer.
 const FIRST_REVIEW_DELAY: Duration = Duration::from_millis(200);
 
-/// The workers that owners without the log have to be answered by.
+/// The workers that have to answer an owner which cannot reach the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Witnesses {
-    /// The epoch of the last owner that heeds them, as all between it and the one that named them do.
-    /// An owner of a build that knows of none is not among these.
+    /// The epoch of the last owner that complies with these witnesses, as do all owners between it
+    /// and the one that named them. Owners of a build without witnesses are not among them.
     pub accepted_by_epoch: u64,
-    /// The workers, in order.
+    /// The workers, sorted by id.
     pub workers: Vec<Witness>,
 }
 
-/// A worker that an owner without the log has to be answered by.
+/// A worker that has to answer an owner which cannot reach the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Witness {
-    /// The worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// When the incarnation started that counts: a later one has forgotten which owners called it.
+    /// Start time of the incarnation that is a witness, in milliseconds since 1970: a later one
+    /// does not know which owners called its predecessor.
     pub started_at_ms: u64,
 }
 
-/// When an owner began.
+/// The claim with which an owner started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnershipStart {
-    /// A time before its claim was sent.
+    /// A time before the claim was sent.
     pub at: Instant,
-    /// No owner before it can renew anything any more.
+    /// Whether no earlier owner can renew leases any more.
     pub predecessors_ended: bool,
-    /// Its epoch, and that of the claim before.
+    /// The owner's epoch, and that of the previous claim.
     pub epoch: u64,
-    /// See [`epoch`](Claimed::epoch).
+    /// Epoch of the previous claim; see [`epoch`](OwnershipStart::epoch).
     pub after: u64,
 }
 
-/// What an owner knows of those before and after it.
+/// What an owner knows of earlier and later owners.
 #[derive(Debug)]
 pub(super) struct Succession {
     epoch: u64,
-    /// When what the log last took was sent.
+    /// When the newest stored append or heartbeat was sent.
     last_append_sent_at: Instant,
-    /// When the log had first refused all owners before.
+    /// When the log first confirmed that it rejects all earlier owners.
     fenced_at: Option<Instant>,
-    /// When the witnesses had first refused them.
+    /// When enough witnesses first answered that they reject all earlier owners.
     outvoted_at: Option<Instant>,
-    /// From when on no owner before renews anything, once that is known.
+    /// From when on no earlier owner renews leases, once that is known.
     predecessors_ended_at: Option<Instant>,
-    /// Those in the log that all owners before heed as well.
+    /// Witnesses in the log with which all earlier owners comply as well.
     witnesses: Vec<Witness>,
-    /// Those that are to be recorded.
+    /// Witnesses that have to be recorded.
     next: Option<Vec<Witness>>,
-    /// Those that may be in the log already.
+    /// Witnesses whose record may already be in the log.
     recording: Option<Vec<Witness>>,
-    /// When to look next whether they are still the workers.
+    /// When to check next whether the witnesses still match the workers.
     review_at: Instant,
 }
 
 impl Succession {
     pub(super) fn new(now: Instant, claimed: OwnershipStart, known: &Witnesses) -> Succession {
-        // Where not all owners before heed them, they say nothing.
+        // Unless all earlier owners comply with the witnesses, their answers prove nothing.
         let is_accepted = known.accepted_by_epoch == claimed.after;
         let witnesses = if is_accepted { known.workers.clone() } else { Vec::new() };
         let next = (!witnesses.is_empty()).then(|| witnesses.clone());
@@ -99,17 +102,17 @@
         }
     }
 
-    /// The log has taken what was sent at `sent_at`.
+    /// Processes that the log stored what was sent at `sent_at`.
     pub(super) fn append_accepted(&mut self, sent_at: Instant) {
         self.last_append_sent_at = self.last_append_sent_at.max(sent_at);
     }
 
-    /// How long ago what the log last took was sent.
+    /// Returns the time since the newest stored append or heartbeat was sent.
     pub(super) fn since_last_append(&self, now: Instant) -> Duration {
         now.since(self.last_append_sent_at)
     }
 
-    /// Whether the log is late with its answers.
+    /// Whether the log answers slowly or not at all.
     pub(super) fn is_log_slow(&self, now: Instant) -> bool {
         self.since_last_append(now) >= LOG_SLOW_AFTER
     }
@@ -120,19 +123,19 @@
         at.is_ok_and(|at| self.witnesses[at].started_at_ms < worker.started_at_ms)
     }
 
-    /// Whether witnesses are to be recorded.
+    /// Whether witnesses have to be recorded.
     pub(super) fn has_record(&self) -> bool {
         self.next.is_some()
     }
 
-    /// The record of the witnesses, if that is due.
+    /// Returns the record of the witnesses, if they have to be recorded.
     pub(super) fn try_record(&mut self) -> Option<Record> {
         let next = self.next.take()?;
         self.recording = Some(next.clone());
         Some(Record::Witnesses(Witnesses { accepted_by_epoch: self.epoch, workers: next }))
     }
 
-    /// The batch under way is in the log.
+    /// Processes that the current batch was stored in the log.
     pub(super) fn witnesses_recorded(&mut self) {
         if let Some(it) = self.recording.take() {
             self.witnesses = it;
@@ -141,27 +144,28 @@
 }
 
 impl Owner {
-    /// The log has taken a sign of life that was sent at `sent_at`: it refuses all owners before.
+    /// Processes that the log stored a heartbeat sent at `sent_at`, and so rejects all earlier
+    /// owners.
     pub(super) fn heartbeat_stored(&mut self, now: Instant, sent_at: Instant) {
         self.succession.append_accepted(sent_at);
         self.succession.fenced_at.get_or_insert(now);
     }
 
-    /// Whether leases may be renewed: nobody else can count them as over yet.
+    /// Whether leases may be renewed: no other owner can treat them as expired yet.
     pub(super) fn may_renew(&self, now: Instant) -> bool {
         let it = &self.succession;
         let since_append = it.since_last_append(now);
         if since_append < ANSWER_VALIDITY {
             return true;
         }
-        // Where none are recorded, the next owner waits for the whole time.
+        // Where no witnesses are recorded, the next owner waits for the whole time.
         let witnessed = it.witnesses.is_empty() || self.majority_answered(&it.witnesses, now);
         since_append <= MAX_RENEWAL_WITHOUT_LOG
             && witnessed
             && it.recording.as_ref().is_none_or(|it| self.majority_answered(it, now))
     }
 
-    /// Whether more than half of the witnesses have answered of late.
+    /// Whether more than half of the witnesses have answered recently.
     fn majority_answered(&self, witnesses: &[Witness], now: Instant) -> bool {
         let answers = self.count_answered(witnesses, |worker, it| {
             worker.started_at_ms == it.started_at_ms
@@ -170,17 +174,17 @@
         answers * 2 > witnesses.len()
     }
 
-    /// Whether so many of the witnesses have answered this owner that none before it can have more than
+    /// Whether so many witnesses have answered this owner that no earlier one can have more than
     /// half of them.
     fn has_outvoted_predecessors(&self) -> bool {
         let witnesses = &self.succession.witnesses;
-        // A later incarnation that answers tells as much of the one before: it has ended.
+        // The answer of a later incarnation is as good: the earlier one has ended.
         let answered = self.count_answered(witnesses, |_, _| true);
         !witnesses.is_empty() && answered * 2 >= witnesses.len()
     }
 
-    /// How many of the witnesses are workers that `holds` is true of, and that have answered under this
-    /// owner's epoch.
+    /// Counts the witnesses that have answered under this owner's epoch and for which `applies`
+    /// returns true.
     fn count_answered(
         &self,
         witnesses: &[Witness],
@@ -193,7 +197,7 @@
         answered.count()
     }
 
-    /// Notes when no owner before can renew anything any more.
+    /// Determines from when on no earlier owner can renew leases.
     pub(super) fn update_predecessors_ended(&mut self, now: Instant) {
         if self.succession.predecessors_ended_at.is_some() {
             return;
@@ -213,13 +217,15 @@
         }
     }
 
-    /// When all leases that an owner before may have renewed have run out, if that is known.
+    /// Returns when all leases that an earlier owner may have renewed have expired, if that is
+    /// known.
     pub(super) fn inherited_leases_end(&self) -> Option<Instant> {
         let lease = self.settings.lease;
         self.succession.predecessors_ended_at.map(|it| it + lease + lease / 20)
     }
 
-    /// When they have run out at the latest, if the log goes on answering.
+    /// Returns when these leases have expired at the latest, provided that the log continues to
+    /// answer.
     pub(super) fn latest_inherited_leases_end(&self, now: Instant) -> Instant {
         let it = &self.succession;
         let lease = self.settings.lease;
@@ -230,14 +236,14 @@
             + lease / 20
     }
 
-    /// Whether no owner before this one can renew anything, and what they renewed has run out by any
+    /// Whether no earlier owner can renew leases, and those that they renewed have expired by any
     /// worker's clock.
     pub fn are_predecessor_leases_over(&self, now: Instant) -> bool {
         let longest = self.settings.lease_max + self.settings.lease_max / 10;
         self.succession.predecessors_ended_at.is_some_and(|it| now >= it + longest)
     }
 
-    /// Names new witnesses where those in the log are not the workers any more.
+    /// Names new witnesses if those in the log no longer match the workers.
     pub(super) fn review_witnesses(&mut self, now: Instant) {
         let it = &self.succession;
         if it.predecessors_ended_at.is_none()
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -1,4 +1,4 @@
-//! What an owner has before it, in a few figures.
+//! Figures on an owner's workload and workers.
 
 use std::time::Duration;
 
@@ -10,43 +10,45 @@
 /// Figures of one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Summary {
-    /// Jobs that are not ended.
+    /// Jobs that have not ended.
     pub jobs: usize,
-    /// Tasks whose turn has come and that are nowhere: those that are to last, those that use what
-    /// others leave, and all others.
+    /// Ready tasks without a run: long-running ones, best-effort ones, and all others.
     pub waiting_long_running: usize,
-    /// See [`waiting_long_running`](Summary::waiting_lasting).
+    /// See [`waiting_long_running`](Summary::waiting_long_running).
     pub waiting_best_effort: usize,
-    /// See [`waiting_long_running`](Summary::waiting_lasting).
+    /// See [`waiting_long_running`](Summary::waiting_long_running).
     pub waiting: usize,
     /// Runs that may be on a worker.
     pub runs: usize,
-    /// Workers that the platform's list names.
+    /// Workers in the platform's list.
     pub workers: usize,
-    /// Workers that take new tasks.
+    /// Workers that accept new tasks.
     pub usable: usize,
-    /// Workers that do not answer and may still run something.
+    /// Workers that do not answer and may still run tasks.
     pub silent: usize,
-    /// Runs of tasks that last and whose fate is not known.
+    /// Runs of long-running tasks whose outcome is unknown.
     pub unconfirmed_runs: usize,
-    /// How long until the last of them counts as over.
+    /// Time until the last of these runs can be treated as ended.
     pub unconfirmed_for: Duration,
-    /// Processor time that is free on usable workers, in thousandths of a core.
+    /// Free processor time on usable workers, in thousandths of a core.
     pub free_cpu: u64,
-    /// The part of it in pieces too small for a task of the mean size that ends by itself.
+    /// The part of the free processor time on workers with less than a finite task reserves on
+    /// average.
     pub unusable_cpu: u64,
-    /// The most of it on one worker.
+    /// The most free processor time on one usable worker, in thousandths of a core.
     pub largest_free_cpu: u32,
-    /// The most of it on one worker once all has ended that ends by itself.
+    /// The most free processor time on one usable worker once all finite tasks have ended, in
+    /// thousandths of a core.
     pub largest_future_free_cpu: u32,
-    /// The least that any waiting task needs that is to last, in thousandths of a core; 0 for none.
+    /// The least processor time that a waiting long-running task reserves, in thousandths of a
+    /// core; 0 if none waits.
     pub smallest_waiting_cpu: u32,
-    /// How long the first of the waiting tasks that are to last has waited.
+    /// The longest time that a long-running task has waited.
     pub longest_wait: Duration,
 }
 
 impl Owner {
-    /// The figures of this moment.
+    /// Returns the figures of this moment.
     pub fn summary(&self, now: Instant) -> Summary {
         let mut sum = Summary { jobs: self.active.len(), ..Summary::default() };
         for (_, worker) in self.workers.iter() {
--- a/daisy-workflow/src/owner/tick.rs
+++ b/daisy-workflow/src/owner/tick.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about.
+//! Processes the passing of time: timeouts, retries and periodic checks.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 };
 use crate::TaskId;
 
-/// A run whose share of work done has not risen for this long, all of which it could have worked,
-/// stands still.
+/// How long a run may show no progress, while it was able to work, before it is treated as stuck.
 ///
-/// The picture of a worker is up to 0.8 s old and short tasks come and go in between, so two
-/// pictures in a row must show the same.
+/// The owner's view of a worker is up to 0.8 s old and short tasks come and go in between, so two
+/// consecutive views must show the same progress.
 const STUCK_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// How long a worker is suspected on which runs failed or stood still.
+/// How long a worker is suspected after runs on it failed or got stuck.
 const SUSPICION_DURATION: Duration = Duration::from_secs(4);
-/// How long a suspected worker gets no task at all.
+/// How long a suspected worker gets no tasks at all.
 const SUSPICION_FULL_EXCLUSION: Duration = Duration::from_millis(1_500);
-/// Age of the platform's list from which on it says too little of who drains: an owner whose calls
-/// to the platform hang would start tasks on workers that have long said that they leave, and the
-/// contract allows 2.5 s from their saying so. A read, a record and an order take some 0.4 s.
+/// Maximum age of the platform's list for starting tasks by it. An owner whose calls to the
+/// platform hang would start tasks on workers that have announced long ago that they drain, and the
+/// contract allows 2.5 s from that announcement. Reading the list, recording and sending an order
+/// take about 0.4 s.
 const MAX_LIST_AGE: Duration = Duration::from_millis(1_900);
-/// A worker that drains is left by tasks that would not end this long before it goes.
+/// Runs are stopped on a draining worker unless they end at least this long before it exits.
 const DRAIN_MARGIN: Duration = Duration::from_millis(700);
 
 impl Owner {
-    /// Looks after all that is due.
+    /// Processes everything that is due.
     pub(super) fn tick(&mut self, now: Instant) {
         self.update_predecessors_ended(now);
         self.review_witnesses(now);
@@ -48,7 +48,7 @@
         self.plan_due = true;
     }
 
-    /// All runs on a worker are over once its last lease has surely run out.
+    /// Gives up all runs on an unreachable worker once its last lease has expired for certain.
     fn give_up_unreachable(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get(key) else { return };
         if worker.tasks.is_empty() || (worker.hold_failures == 0 && worker.listed) {
@@ -79,15 +79,15 @@
         }
     }
 
-    /// Stops runs that make no progress, so that they start elsewhere.
+    /// Stops runs that make no progress, so that they are started elsewhere.
     fn stop_stuck(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if worker.hold_failures > 0 || !worker.fenced {
-            // Nothing is seen of what they do.
+            // Their progress is not visible.
             worker.tasks.iter_mut().for_each(|it| it.progressed_at = now);
             return;
         }
-        // Best-effort tasks stand still where the others leave them nothing.
+        // Best-effort tasks make no progress where other tasks leave them no processor time.
         let busy = worker.free().cpu_milli < worker.capacity.cpu_milli / 8;
         let mut found = false;
         for it in &mut worker.tasks {
@@ -105,11 +105,11 @@
             }
         }
         if found {
-            self.suspect(now, key, "a run on it stands still");
+            self.suspect(now, key, "a run on it is stuck");
         }
     }
 
-    /// Leaves a worker alone for a while.
+    /// Marks a worker as suspected, so that it gets fewer tasks for a while.
     pub(super) fn suspect(&mut self, now: Instant, key: WorkerKey, cause: &'static str) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         let known = worker.suspected_until > now;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Moves tasks off a worker that will leave before they end.
+    /// Stops runs on a draining worker that would not end before it exits.
     fn stop_on_draining(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         let Some(leaves_at) = worker.leaves_at else { return };
@@ -132,13 +132,14 @@
         }
     }
 
-    /// Whether a worker takes new tasks now.
+    /// Whether a worker accepts new tasks now.
     pub(super) fn is_usable(&self, now: Instant, worker: &Worker) -> bool {
         worker.suspected_until <= now && self.is_available(now, worker)
     }
 
-    /// Whether a worker takes new tasks that last. It takes them sooner after a suspicion than others:
-    /// what failed may have been at fault, and a task that has no other place loses nothing.
+    /// Whether a worker accepts new long-running tasks. A suspected worker accepts them sooner than
+    /// other tasks: the failed task may have been at fault, and a task that fits nowhere else loses
+    /// nothing.
     pub(super) fn accepts_long_running(&self, now: Instant, worker: &Worker) -> bool {
         worker.suspected_until + SUSPICION_FULL_EXCLUSION <= now + SUSPICION_DURATION
             && self.is_available(now, worker)
@@ -155,11 +156,11 @@
     }
 }
 
-/// Whether a run that did `percent` of its work in `age` ends well before `leaves_at`.
+/// Whether a run that completed `percent` of its work in `age` ends well before `leaves_at`.
 fn ends_before(now: Instant, leaves_at: Instant, percent: u8, age: Duration) -> bool {
     let left = leaves_at.since(now).saturating_sub(DRAIN_MARGIN);
     match percent {
-        // Too early to tell, or a task that lasts.
+        // Too early to estimate, or a long-running task.
         0 | 100.. => false,
         percent => age * u32::from(100 - percent) / u32::from(percent) < left,
     }
--- a/daisy-workflow/src/owner/transfer.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -1,8 +1,8 @@
-//! Handing single tasks that last to shards with room.
+//! Transfers single long-running tasks to shards with free capacity.
 //!
-//! As with whole jobs, the decision is recorded first, in the shard that gives the task away, and only
-//! then written to the submissions of the other one; the next owner writes it again. The task has no
-//! run in the shard that gives it away: what may still run there keeps it.
+//! As with whole jobs, the decision is first recorded in the shard that transfers the task, and
+//! only then written to the submissions of the other one; the next owner writes it again. A task is
+//! transferred only while it has no run in its shard: if one may still be running, the task stays.
 
 use std::time::Duration;
 
@@ -15,20 +15,21 @@
 };
 use crate::{Demand, Handover, Hop, Job, JobId, JobState, Record, StepSpec, TaskId};
 
-/// How long a task waits for room in its shard before it is handed on.
+/// How long a task waits for capacity in its shard before it is transferred.
 const TRANSFER_DELAY: Duration = Duration::from_millis(1_000);
-/// The same, for one that was without a run for longer than that already, as its worker was out of reach.
+/// Remaining delay of a task whose worker was unreachable, as it has been without a run for longer
+/// already.
 const TRANSFER_DELAY_DISPLACED: Duration = Duration::from_millis(100);
-/// Hops after which the patience does not grow any more.
+/// Number of transfers after which the delay does not grow any more.
 const MAX_BACKOFF_HOPS: u32 = 4;
 
 impl Owner {
-    /// Hands on tasks that last and have long found no room here.
+    /// Transfers long-running tasks that have waited long for capacity in this shard.
     pub(super) fn transfer_waiting_tasks(&mut self, now: Instant) {
         if now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
-        // A worker is kept for these: elsewhere they would wait anew.
+        // Workers are reserved for these tasks: in another shard their wait would start again.
         let (_, mut staying) = self.eventual_free_capacity(now);
         staying.truncate(self.max_reservations());
         let waits = self.waiting_since.iter().filter(|(task, _)| !staying.contains(task));
@@ -37,8 +38,9 @@
         due.into_iter().for_each(|task| self.try_transfer(now, task));
     }
 
-    /// How long a task waits for room in its shard before it is handed on. Of labels, shards do not
-    /// tell: a task that needs one could go round among shards that cannot run it.
+    /// Returns how long a task waits for capacity in its shard before it is transferred. The delay
+    /// grows with each transfer of a task that needs a label: shards do not publish labels, so the
+    /// task could circulate among shards that cannot run it.
     fn transfer_delay(&self, task: TaskId) -> Duration {
         let Some(job) = self.ledger.job(task.job) else { return TRANSFER_DELAY };
         let labelled = job.spec.step_of(task).is_some_and(|it| it.required_label.is_some());
@@ -46,13 +48,13 @@
         TRANSFER_DELAY * 2u32.pow(hops.min(MAX_BACKOFF_HOPS))
     }
 
-    /// Notes that a task has waited already while the fate of its run was not known.
+    /// Records that a task has already waited while the outcome of its run was unknown.
     pub(super) fn note_displaced(&mut self, now: Instant, task: TaskId) {
         let since = now - (TRANSFER_DELAY - TRANSFER_DELAY_DISPLACED);
         self.waiting_since.insert(task, since);
     }
 
-    /// Notes since when tasks that last have waited.
+    /// Updates since when long-running tasks have waited.
     pub(super) fn update_waiting_since(&mut self, now: Instant) {
         let waiting = self.waiting_tasks(now);
         self.waiting_since.retain(|task, _| waiting.binary_search(task).is_ok());
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Tasks that are to last, wait, and may be handed on, in order.
+    /// Returns the waiting long-running tasks that may be transferred, sorted.
     fn waiting_tasks(&self, now: Instant) -> Vec<TaskId> {
         let mut waiting = Vec::new();
         for (id, _) in self.active.iter() {
@@ -85,7 +87,7 @@
             return;
         }
         let Some(job) = self.ledger.job_mut(task.job) else { return };
-        // Its job may have been handed on whole since the waits were noted.
+        // The whole job may have been delegated since the waiting tasks were listed.
         if job.progress.task(task).is_none_or(|it| !it.is_waiting()) {
             return;
         }
@@ -100,7 +102,7 @@
         self.actions.push(Action::Note(Note::TaskTransferred { task, hop: number, to }));
     }
 
-    /// Records of tasks that are handed on and of which nothing is recorded yet.
+    /// Returns the records of transfers that are not recorded yet.
     pub(super) fn transfer_records(&self, transferring: &[TaskId]) -> Vec<Record> {
         let hop = |task: &TaskId| {
             let moved = self.ledger.job(task.job)?.moved.get(task)?;
@@ -109,7 +111,8 @@
         transferring.iter().filter_map(hop).collect()
     }
 
-    /// Writes a task to the shard that it was handed to; with its job's cancellation, if there is one.
+    /// Writes a task, and its job's cancellation if there is one, to the shard that it was
+    /// transferred to.
     pub(super) fn forward_task(&mut self, task: TaskId) {
         let Some(job) = self.ledger.job(task.job) else { return };
         let Some(moved) = job.moved.get(&task) else { return };
@@ -127,7 +130,8 @@
         }
     }
 
-    /// A new owner does not know what the one before has written.
+    /// Writes all transferred tasks again: a new owner does not know which ones its predecessor has
+    /// written.
     pub(super) fn forward_all_tasks(&mut self) {
         let transferred = |(_, job): (JobId, &Job)| {
             let away = job.moved.iter().filter(|(_, it)| it.to.is_some());
@@ -137,7 +141,7 @@
         tasks.into_iter().for_each(|it| self.forward_task(it));
     }
 
-    /// A task was handed to this shard.
+    /// Takes over a task that was transferred to this shard.
     pub(super) fn task_submitted(&mut self, now: Instant, task: TaskId) {
         if !self.active.contains_key(&task.job) {
             self.inherit_job(now, task.job);
@@ -145,8 +149,8 @@
     }
 }
 
-/// Whether single tasks of a job may run in another shard: they need nothing of the others, and their
-/// ends decide nothing about the job.
+/// Whether single tasks of a job may run in another shard: they do not depend on each other, and
+/// their ends do not decide about the job.
 fn may_be_split(job: &Job) -> bool {
     let alone = |it: &StepSpec| it.long_running && !it.gang && it.depends_on.is_empty();
     matches!(job.state(), JobState::Queued | JobState::Running) && job.spec.steps.iter().all(alone)
--- a/daisy-workflow/src/owner/unconfirmed_runs.rs
+++ b/daisy-workflow/src/owner/unconfirmed_runs.rs
@@ -1,4 +1,4 @@
-//! Runs of which the owner cannot tell whether they are still at work.
+//! Runs for which the owner cannot tell whether they are still running.
 
 use std::time::Duration;
 
@@ -11,49 +11,52 @@
 };
 use crate::{TaskId, WorkerId};
 
-/// Why the fate of a run is not known.
+/// Why it is unknown whether a run has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnconfirmedCause {
-    /// Its worker has answered this owner, and does so no more.
+    /// Its worker has answered this owner before, but does not answer any more.
     Unresponsive,
-    /// Its worker has never answered this owner; one before it may have renewed its lease.
+    /// Its worker has never answered this owner; an earlier owner may have renewed its lease.
     NeverAnswered,
-    /// The list of workers does not name it, so that nobody can be asked.
+    /// The platform's list does not contain its worker, so that it cannot be called.
     NotListed,
 }
 
 impl UnconfirmedCause {
-    /// In a few words, for a log line.
+    /// Returns the cause as text for a log line.
     pub fn description(self) -> &'static str {
         match self {
-            UnconfirmedCause::Unresponsive => "its worker is silent, and its lease may not be over",
+            UnconfirmedCause::Unresponsive => {
+                "its worker does not answer, and its lease may not have expired"
+            }
             UnconfirmedCause::NeverAnswered => {
-                "its worker has not answered this owner, and one before may have renewed its lease"
+                "its worker has not answered this owner, and an earlier owner may have renewed its lease"
             }
             UnconfirmedCause::NotListed => {
-                "the list does not name its worker, and an owner before may have renewed its lease"
+                "the list does not contain its worker, and an earlier owner may have renewed its lease"
             }
         }
     }
 }
 
-/// A run that is neither known to be at work nor to be over, so that its task cannot start elsewhere.
+/// A run that is known neither to be running nor to have ended, so that its task cannot be started
+/// elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnconfirmedRun {
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// Number of the run among the task's starts.
     pub run: u32,
-    /// Where it may be.
+    /// The worker that it may be on.
     pub worker: WorkerId,
-    /// Why that is not known.
+    /// Why its outcome is unknown.
     pub cause: UnconfirmedCause,
-    /// How long until it counts as over.
+    /// Time until the run can be treated as ended.
     pub left: Duration,
 }
 
 impl Owner {
-    /// Runs of tasks that last and whose fate is not known.
+    /// Returns the runs of long-running tasks whose outcome is unknown.
     pub fn unconfirmed_runs(&self, now: Instant) -> Vec<UnconfirmedRun> {
         let mut found = Vec::new();
         for (_, worker) in self.workers.iter() {
@@ -61,11 +64,11 @@
             let over_at =
                 self.runs_over_at(worker).unwrap_or_else(|| self.latest_inherited_leases_end(now));
             let left = over_at.since(now);
-            let lasting = worker
+            let long_running = worker
                 .tasks
                 .iter()
                 .filter(|it| it.is_long_running && it.start_state != StartState::Recording);
-            found.extend(lasting.map(|it| UnconfirmedRun {
+            found.extend(long_running.map(|it| UnconfirmedRun {
                 task: it.task,
                 run: it.run,
                 worker: worker.id.clone(),
@@ -74,8 +77,8 @@
             }));
         }
         let left = self.latest_inherited_leases_end(now).since(now);
-        let lasting = self.orphans.iter().filter(|it| self.is_long_running(it.task));
-        found.extend(lasting.map(|it| UnconfirmedRun {
+        let long_running = self.orphans.iter().filter(|it| self.is_long_running(it.task));
+        found.extend(long_running.map(|it| UnconfirmedRun {
             task: it.task,
             run: it.run,
             worker: it.worker.clone(),
@@ -85,14 +88,15 @@
         found
     }
 
-    /// When all runs on a worker that is silent are over, if that is known.
+    /// Returns when all runs on an unreachable worker have ended, if that is known.
     pub(super) fn runs_over_at(&self, worker: &Worker) -> Option<Instant> {
         let over_at = worker.leases_over_at().or_else(|| self.delayed_starts_over_at(worker));
         over_at.or_else(|| self.inherited_leases_end())
     }
 
-    /// When all is over that orders for an earlier incarnation may bring about at a worker that has not
-    /// answered since it started anew: they name times far ahead of its clock.
+    /// Returns when all runs have ended that orders for an earlier incarnation can start on a
+    /// worker which has not answered since it restarted: these orders name times far ahead of its
+    /// clock.
     fn delayed_starts_over_at(&self, worker: &Worker) -> Option<Instant> {
         let longest = self.settings.lease_max + self.settings.lease_max / 10;
         worker.restarted_at.map(|it| it + MAX_ORDER_DELAY + longest)
@@ -105,7 +109,7 @@
     }
 }
 
-/// Why the fate of what runs on a worker is not known, if it is not.
+/// Returns why it is unknown what runs on a worker, if it is.
 fn unconfirmed_cause(worker: &Worker) -> Option<UnconfirmedCause> {
     match (worker.clock, worker.hold_failures > 0 || !worker.listed) {
         (None, _) => Some(UnconfirmedCause::NeverAnswered),
--- a/daisy-workflow/src/owner/worker.rs
+++ b/daisy-workflow/src/owner/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as its owner sees it.
+//! A worker's state as its owner sees it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,17 +11,19 @@
 };
 use crate::{TaskId, WorkerId, WorkerListing};
 
-/// A worker's clock may run this much slower than the owner's, in thousandths: the platform's
+/// How much slower a worker's clock may run than the owner's, in thousandths: the platform's
 /// contract allows 2 %.
 const MAX_CLOCK_DRIFT_PERMILLE: u64 = 20;
-/// Answers of one incarnation that overtake each other differ by less than this: no call lasts as long.
+/// Clock values in answers of one incarnation that arrive out of order differ by less than this, in
+/// milliseconds: no call takes as long.
 const MAX_REORDERING_MS: u64 = 2_000;
-/// How long after an answer a worker is taken not to have started anew since.
+/// How long after an answer a worker is assumed not to have restarted.
 const ANSWER_VALIDITY: Duration = Duration::from_millis(150);
-/// Added before a lease counts as over, for the time that the worker takes to end its tasks.
+/// Time added before a lease is treated as expired, in milliseconds: the worker needs it to end its
+/// tasks.
 const EXPIRY_MARGIN_MS: u64 = 150;
 
-/// A worker in an owner's arena.
+/// Index of a worker in its owner's arena.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerKey(pub u32);
 
@@ -35,150 +37,155 @@
     }
 }
 
-/// How far an order to start has come.
+/// State of an order to start a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StartState {
-    /// Its record is not in the log yet.
+    /// The record of the start is not in the log yet.
     Recording,
-    /// On its way.
+    /// The order was sent and is not answered yet.
     InFlight,
-    /// No answer came; it may be carried out late, and is sent again at this time.
+    /// The order was not answered; it may be carried out late, and is sent again at this time.
     Unanswered(Instant),
-    /// The worker has said at this time that it is there.
+    /// The worker confirmed the run at this time.
     Confirmed(Instant),
-    /// An earlier owner recorded it; whether it is there is not known yet.
+    /// An earlier owner recorded the start; whether the run exists is not known yet.
     Inherited,
 }
 
-/// How far an order to stop has come.
+/// State of an order to stop a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StopState {
-    /// Not asked for.
+    /// No stop was requested.
     NotRequested,
-    /// To be sent at this time, and sent again until it is answered.
+    /// The order is to be sent at this time, and again until it is answered.
     Due(Instant),
-    /// On its way.
+    /// The order was sent and is not answered yet.
     InFlight,
-    /// Done at this time: the end is to come in the worker's list.
+    /// The worker confirmed the stop at this time; the worker's list of ended runs will contain the
+    /// run.
     Done(Instant),
 }
 
-/// A run that may be on a worker, with the room that it takes.
+/// A run that may be on a worker, and the capacity that it takes.
 #[derive(Debug, Clone)]
 pub(crate) struct Assignment {
     pub task: TaskId,
     pub run: u32,
-    /// What counts against the capacity.
+    /// Resources that the run takes from the worker's capacity.
     pub allocation: Resources,
-    /// Processor time that a best-effort task can use, in thousandths of a core.
+    /// Processor time that a best-effort task can use, in thousandths of a core; 0 for other tasks.
     pub best_effort_cpu: u32,
-    /// The number of its image among those of serving or of best-effort tasks.
+    /// Key of the image, among those of serving tasks or those of best-effort tasks.
     pub image: Option<ImageKey>,
-    /// Tail latency of a serving task that must not be exceeded; 0 for a task that serves nobody.
+    /// Tail latency in milliseconds that a serving task must not exceed; 0 for other tasks.
     pub target_ms: u32,
-    /// Whether it runs until its job is cancelled.
+    /// Whether the task runs until its job is cancelled.
     pub is_long_running: bool,
     pub start_state: StartState,
-    /// Whether a list of the worker's present incarnation named it.
+    /// Whether a list of the worker's current incarnation contained the run.
     pub listed: bool,
-    /// Whether an order to start it went unanswered: it may be carried out late.
+    /// Whether a start order went unanswered and may be carried out late.
     pub may_be_delayed: bool,
     pub start_attempts: u32,
     pub stop_state: StopState,
-    /// Why it is to be stopped, once it is.
+    /// Why the run is stopped, once a stop was requested.
     pub stop_cause: StopCause,
-    /// Renewals in a row, sent after the start was answered, that list the run nowhere.
+    /// Number of consecutive lists, requested after the start was confirmed, that did not contain
+    /// the run.
     pub missed_lists: u8,
     pub checkpoint: String,
     pub percent: u8,
-    /// When `percent` last rose.
+    /// When `percent` last increased.
     pub progressed_at: Instant,
     pub began_at: Instant,
     pub load: u32,
-    /// The share that was last ordered, in percent; `None` for a run that an earlier owner paced.
+    /// The last confirmed share of processor time, in percent; `None` for a run that an earlier
+    /// owner throttled.
     pub pace: Option<u8>,
     pub pace_in_flight: bool,
-    /// When the share was last ordered, and when it was last made small.
+    /// When a share was last ordered, and when it last fell below the limit for starved tasks.
     pub paced_at: Instant,
     pub slowed_at: Instant,
-    /// Of a serving task, the running mean of its headroom, and what it would be without
-    /// best-effort tasks beside it.
+    /// Running mean of a serving task's headroom, once it was reported.
     pub mean_headroom: Option<f64>,
-    /// Of a serving task, since when it misses its target.
+    /// Since when a serving task has missed its target.
     pub target_missed_since: Option<Instant>,
+    /// Headroom that a serving task would have without best-effort tasks beside it.
     pub own_headroom: f64,
 }
 
-/// An order to start that went unanswered.
+/// A start order that went unanswered.
 #[derive(Debug, Clone)]
 pub(crate) struct DelayedStart {
     pub task: TaskId,
     pub run: u32,
     pub allocation: Resources,
-    /// Until when it may still be carried out.
+    /// Until when the order may still be carried out.
     pub until: Instant,
 }
 
-/// A worker of the owner.
+/// A worker of a shard.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// Its id.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Where it takes calls.
+    /// Address at which the worker accepts calls.
     pub address: SocketAddr,
     pub(crate) service: Arc<str>,
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) capacity: Resources,
     pub(crate) used: Resources,
     pub(crate) started_at_ms: u64,
-    /// Whether the platform's list names it.
+    /// Whether the platform's list contains the worker.
     pub(crate) listed: bool,
     pub(crate) ready: bool,
-    /// When it was first seen to drain, and the least time that was left then.
+    /// The earliest time at which a draining worker exits.
     pub(crate) leaves_at: Option<Instant>,
     pub(crate) slow_start_until: Instant,
     pub(crate) tasks: Vec<Assignment>,
     /// The worker's clock in milliseconds, and when it was read.
     pub(crate) clock: Option<(u64, Instant)>,
-    /// The latest end of a lease that it may ever have been granted, on the worker's clock.
+    /// The latest lease end that the worker may ever have been granted, on its own clock.
     pub(crate) deadline_ms: u64,
-    /// Whether it has answered under this owner's epoch, as the incarnation that is known: from then on
-    /// it refuses older orders.
+    /// Whether the known incarnation has answered under this owner's epoch, and so rejects orders
+    /// of earlier epochs.
     pub(crate) fenced: bool,
-    /// When it was noticed that it had started anew: orders for the incarnation before may still reach
-    /// it.
+    /// When a restart of the worker was noticed: orders for the previous incarnation may still
+    /// reach it.
     pub(crate) restarted_at: Option<Instant>,
     pub(crate) hold_in_flight: bool,
     pub(crate) hold_answered_at: Instant,
     pub(crate) hold_sent_at: Instant,
-    /// When the renewal was sent that was last answered.
+    /// When the last renewal that was answered was sent.
     pub(crate) answered_hold_sent_at: Instant,
     pub(crate) hold_failures: u32,
-    /// The highest end that was taken in, and the highest whose record is in the log.
+    /// The highest number of an ended run that was processed, and the highest whose record is in
+    /// the log.
     pub(crate) cursor_seen: u64,
     pub(crate) cursor_durable: u64,
-    /// Orders to start that went unanswered and may still be carried out, each run once.
+    /// Start orders that went unanswered and may still be carried out, one per run.
     pub(crate) delayed_starts: Vec<DelayedStart>,
     pub(crate) failures: u32,
-    /// When the last of them came.
+    /// When the last failure was counted.
     pub(crate) failed_at: Instant,
-    /// Until when it takes no new tasks.
+    /// Until when the worker gets no new tasks.
     pub(crate) excluded_until: Instant,
-    /// Until when it is left to tasks that last and find no other place, as what ran on it failed or
-    /// stood still.
+    /// Until when only long-running tasks that fit nowhere else are placed on the worker, because
+    /// runs on it failed or made no progress.
     pub(crate) suspected_until: Instant,
-    /// When its figures were last taken in, and the running means of what images use.
+    /// When the worker's usage was last processed, and the running means of the share that each
+    /// image uses.
     pub(crate) reported_at: Instant,
     pub(crate) mean_used: Vec<(ImageKey, f64)>,
-    /// Images of best-effort tasks that disturb no serving task here.
+    /// Number of best-effort images that interfere little with every serving task on this worker.
     pub(crate) harmless_images: u32,
-    /// Its serving images; summed anew once `is_interference_current` is false.
+    /// Interference by serving image; recomputed when `is_interference_current` is false.
     pub(crate) interference_loads: Vec<InterferenceLoad>,
     pub(crate) is_interference_current: bool,
 }
 
 impl Assignment {
-    /// Has the run stopped at `at`.
+    /// Requests that the run be stopped at `at`.
     pub(crate) fn request_stop(&mut self, at: Instant, cause: StopCause) {
         self.stop_state = StopState::Due(at);
         self.stop_cause = cause;
@@ -224,28 +231,29 @@
         }
     }
 
-    /// The least that the worker's clock can show now, in milliseconds.
+    /// Returns the least value that the worker's clock can have now, in milliseconds.
     fn min_clock_ms(&self, now: Instant) -> Option<u64> {
         let (clock, at) = self.clock?;
         let passed = now.since(at).as_millis() as u64;
         Some(clock + passed - passed * MAX_CLOCK_DRIFT_PERMILLE / 1_000)
     }
 
-    /// Whether an answer shows the clock of a later incarnation, which begins anew.
+    /// Whether an answer's clock belongs to a later incarnation, whose clock starts again.
     pub(crate) fn is_clock_reset(&self, clock_ms: u64) -> bool {
         self.clock.is_some_and(|(known, _)| clock_ms + MAX_REORDERING_MS < known)
     }
 
-    /// The end of a lease that begins now, on the worker's clock.
+    /// Returns the end of a lease that starts now, on the worker's clock, and remembers it.
     pub(crate) fn lease_end(&mut self, now: Instant, lease: Duration) -> Option<u64> {
         let end = self.min_clock_ms(now)? + lease.as_millis() as u64;
         self.deadline_ms = self.deadline_ms.max(end);
-        // Not the latest end that it may have been granted: the next owner allows for one lease.
+        // Returns this lease's end, not the latest one granted: the next owner allows for one lease
+        // only.
         Some(end)
     }
 
-    /// When every lease that was ever sent has surely run out on the worker's own clock, if that was
-    /// ever read.
+    /// Returns when every lease that was ever sent has expired by the worker's own clock, or `None`
+    /// if that clock was never read.
     pub(crate) fn leases_over_at(&self) -> Option<Instant> {
         let (clock, at) = self.clock?;
         let left = (self.deadline_ms + EXPIRY_MARGIN_MS + 1).saturating_sub(clock);
@@ -256,8 +264,8 @@
         self.capacity.try_sub(self.used).unwrap_or(Resources::ZERO)
     }
 
-    /// What late orders of runs that have ended would take, had the worker started anew since its last
-    /// answer: it then carries them out once more.
+    /// Returns the resources that delayed starts of runs which have ended would take if the worker
+    /// had restarted since its last answer: the new incarnation would carry them out again.
     pub(crate) fn delayed_start_demand(&self, now: Instant) -> Resources {
         if self.clock.is_some_and(|(_, at)| now.since(at) <= ANSWER_VALIDITY) {
             return Resources::ZERO;
@@ -268,10 +276,10 @@
         delayed.fold(Resources::ZERO, |sum, it| sum.try_add(it.allocation).unwrap_or(self.capacity))
     }
 
-    /// What is free once all has ended that ends by itself.
+    /// Returns the capacity that is free once all finite tasks have ended.
     pub(crate) fn eventual_free(&self) -> Resources {
-        let lasting = self.tasks.iter().filter(|it| it.is_long_running);
-        let taken = lasting
+        let long_running = self.tasks.iter().filter(|it| it.is_long_running);
+        let taken = long_running
             .fold(Resources::ZERO, |sum, it| sum.try_add(it.allocation).unwrap_or(self.capacity));
         self.capacity.try_sub(taken).unwrap_or(Resources::ZERO)
     }
@@ -290,7 +298,8 @@
         let at = self.tasks.iter().position(|it| it.task == task && it.run == run)?;
         let it = self.tasks.swap_remove(at);
         self.is_interference_current = false;
-        // Summed anew: with a capacity that shrank, a difference could go below zero.
+        // The sum is computed anew: after the capacity has shrunk, a subtraction could go below
+        // zero.
         self.used = Resources::ZERO;
         for it in &self.tasks {
             self.used = self.used.try_add(it.allocation).unwrap_or(self.capacity);
@@ -298,18 +307,18 @@
         Some(it)
     }
 
-    /// The rack among the labels: the label with a dash, as in `r1-3`.
+    /// Whether the worker has `label`, such as its rack `r1-3`.
     pub(crate) fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|it| &**it == label)
     }
 
-    /// Sums up anew how its best-effort tasks press on those that serve.
+    /// Recomputes how much the best-effort tasks interfere with each serving image.
     pub(crate) fn update_interference(&mut self, learnt: &Interference) {
         self.interference_loads = best_effort::interference_loads(learnt, self);
         self.is_interference_current = true;
     }
 
-    /// Processor time that best-effort tasks here could use, in thousandths of a core.
+    /// Returns the processor time that best-effort tasks here could use, in thousandths of a core.
     pub(crate) fn best_effort_cpu(&self) -> u32 {
         self.tasks.iter().map(|it| it.best_effort_cpu).sum()
     }
