--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -121,7 +121,7 @@
     /// Jobs that have not ended.
     active: SortedMap<JobId, JobView>,
     /// Jobs whose progress has to be recorded.
-    dirty: Vec<JobId>,
+    unrecorded_jobs: Vec<JobId>,
     /// Jobs that are delegated as a whole, while the delegation is not recorded yet.
     delegating: Vec<JobId>,
     /// Starts whose record is not in the log yet.
@@ -194,9 +194,9 @@
         settings: Settings,
         ledger: Ledger,
         queues: Arc<Queues>,
-        claimed: OwnershipStart,
+        ownership: OwnershipStart,
     ) -> Owner {
-        let succession = Succession::new(now, claimed, ledger.witnesses());
+        let succession = Succession::new(now, ownership, ledger.witnesses());
         let interference = Interference::inherit(now, ledger.learnt());
         let mut owner = Owner {
             settings,
@@ -206,7 +206,7 @@
             by_id: SortedMap::new(),
             list_read_at: now,
             active: SortedMap::new(),
-            dirty: Vec::new(),
+            unrecorded_jobs: Vec::new(),
             delegating: Vec::new(),
             unrecorded_starts: Vec::new(),
             in_flight: None,
@@ -265,7 +265,7 @@
     /// Processes an event.
     pub fn step(&mut self, now: Instant, event: Event) {
         match event {
-            Event::Record(record) => self.record(now, record),
+            Event::Record(record) => self.process_record(now, record),
             Event::Workers(listed) => {
                 self.list_read_at = now;
                 self.workers_listed(now, &listed);
@@ -280,19 +280,19 @@
             Event::HoldAnswered(worker, answer) => self.hold_answered(now, worker, answer),
             Event::Fenced(_) => self.actions.push(Action::StepDown),
             Event::Started(worker, task, run, reply) => {
-                self.started(now, worker, task, run, reply);
+                self.start_answered(now, worker, task, run, reply);
             }
             Event::Stopped(worker, task, run, reply) => {
-                self.stopped(now, worker, task, run, reply);
+                self.stop_answered(now, worker, task, run, reply);
             }
             Event::Paced(worker, task, run, percent, reply) => {
                 self.pace_answered(worker, task, run, percent, reply);
             }
-            Event::Appended => self.appended(now),
+            Event::Appended => self.batch_appended(now),
             Event::HeartbeatStored { sent_at } => self.heartbeat_stored(now, sent_at),
             Event::Loads(loads) => self.others.update(loads),
             Event::Observed(seen) => {
-                seen.iter().for_each(|it| self.interference.add_observations(now, it));
+                seen.iter().for_each(|it| self.interference.add_interference_sums(now, it));
             }
             Event::Tick => self.tick(now),
         }
@@ -311,7 +311,7 @@
 
     /// Whether there are records to append and no batch is being appended.
     pub fn has_batch(&self) -> bool {
-        let nothing = self.dirty.is_empty()
+        let nothing = self.unrecorded_jobs.is_empty()
             && self.delegating.is_empty()
             && self.unrecorded_starts.is_empty();
         self.in_flight.is_none() && (!nothing || self.succession.has_record())
@@ -323,10 +323,10 @@
         if !self.has_batch() {
             return None;
         }
-        self.dirty.sort_unstable();
-        self.dirty.dedup();
+        self.unrecorded_jobs.sort_unstable();
+        self.unrecorded_jobs.dedup();
         let ledger = &self.ledger;
-        let changed: Vec<JobId> = std::mem::take(&mut self.dirty);
+        let changed: Vec<JobId> = std::mem::take(&mut self.unrecorded_jobs);
         let mut records = Vec::with_capacity(changed.len());
         let mut states = Vec::with_capacity(changed.len());
         let delegated = std::mem::take(&mut self.delegating);
@@ -346,7 +346,7 @@
             self.interference_recorded_at = now;
             records.push(Record::Learnt(self.interference.pairs()));
         }
-        records.extend(self.succession.try_record());
+        records.extend(self.succession.take_witnesses_record());
         let seen = self.workers.iter().filter(|(_, it)| it.cursor_seen > it.cursor_durable);
         let cursors = seen.map(|(key, it)| (key, it.started_at_ms, it.cursor_seen)).collect();
         let starts = std::mem::take(&mut self.unrecorded_starts);
@@ -386,7 +386,7 @@
         let job = self.ledger.job_mut(task.job)?;
         let steps = job.progress.occurrences.get_mut(task.occurrence as usize)?;
         let state = steps.get_mut(usize::from(task.step))?.get_mut(task.index as usize)?;
-        self.dirty.push(task.job);
+        self.unrecorded_jobs.push(task.job);
         Some(state)
     }
 
--- a/daisy-workflow/src/owner/defragment.rs
+++ b/daisy-workflow/src/owner/defragment.rs
@@ -152,7 +152,7 @@
             if !self.is_usable(now, worker) || self.is_in_relocation(from) || need.fits(free) {
                 continue;
             }
-            for it in worker.tasks.iter().filter(|it| may_leave(now, it)) {
+            for it in worker.tasks.iter().filter(|it| may_be_relocated(now, it)) {
                 let Some(free_after) = free.try_add(it.allocation).filter(|it| need.fits(*it))
                 else {
                     continue;
@@ -235,6 +235,6 @@
         && it.percent >= 100
 }
 
-fn may_leave(now: Instant, it: &Assignment) -> bool {
+fn may_be_relocated(now: Instant, it: &Assignment) -> bool {
     it.is_long_running && is_at_work(it) && now.since(it.began_at) >= MIN_RUN_TIME
 }
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -46,9 +46,9 @@
         &self,
         now: Instant,
     ) -> (Vec<(&Worker, Resources)>, Vec<TaskId>) {
-        let takers = self.workers.iter().filter(|(_, it)| self.accepts_long_running(now, it));
+        let candidates = self.workers.iter().filter(|(_, it)| self.accepts_long_running(now, it));
         let mut capacities: Vec<(&Worker, Resources)> =
-            takers.map(|(_, it)| (it, it.eventual_free())).collect();
+            candidates.map(|(_, it)| (it, it.eventual_free())).collect();
         let mut placed = Vec::new();
         for (task, _) in self.waiting_since.iter() {
             let Some(job) = self.ledger.job(task.job) else { continue };
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -12,10 +12,10 @@
 use crate::{Fold, Job, JobId, JobSpec, JobState, Phase, Record};
 
 impl Owner {
-    pub(super) fn record(&mut self, now: Instant, record: Record) {
+    pub(super) fn process_record(&mut self, now: Instant, record: Record) {
         match self.ledger.fold(record) {
             Fold::Submitted(id) => {
-                self.submitted(now, id);
+                self.job_submitted(now, id);
             }
             Fold::Cancelled(id) => {
                 self.publish_state(id);
@@ -33,7 +33,7 @@
     /// Submissions and progress are read independently, so an earlier owner may have started or
     /// delegated the job between this owner's reads of the two. If it were treated as new, it would
     /// run both here and in the shard that it was delegated to, or twice here.
-    fn submitted(&mut self, now: Instant, id: JobId) {
+    fn job_submitted(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         if job.delegated.is_some() {
             let returned = job.has_tasks_that_came();
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -277,7 +277,7 @@
     /// A pair of images occurs on few workers of one shard. From its own reports alone, an owner of
     /// a fifth of the workers would have a fifth of the information on a pair, and interference
     /// changes within seconds.
-    pub fn add_observations(&mut self, now: Instant, seen: &Observations) {
+    pub fn add_interference_sums(&mut self, now: Instant, seen: &Observations) {
         let mut sums = Sums::default();
         for (image, it) in &seen.answers {
             sums.answers.insert(self.best_effort.key(image).index(), f64::from(*it));
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -29,7 +29,7 @@
 impl Owner {
     /// Processes that the current batch was stored: its starts are sent, its ended runs
     /// acknowledged.
-    pub(super) fn appended(&mut self, now: Instant) {
+    pub(super) fn batch_appended(&mut self, now: Instant) {
         let Some(it) = self.in_flight.take() else { return };
         self.succession.append_accepted(it.began);
         self.succession.witnesses_recorded();
@@ -46,11 +46,11 @@
             self.renew(now, key);
         }
         for (key, task, run) in starts {
-            self.start(now, key, task, run);
+            self.send_start(now, key, task, run);
         }
     }
 
-    fn start(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32) {
+    fn send_start(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32) {
         let lease = self.settings.lease;
         // If the confirmation of the record was slow, another owner's records may precede it in the
         // log.
@@ -100,7 +100,7 @@
         self.drop_copy(task, run, "");
     }
 
-    pub(super) fn started(
+    pub(super) fn start_answered(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -151,17 +151,24 @@
             OrderReply::Refused(Refusal::StaleRun) if it.may_be_delayed => {
                 it.start_state = StartState::Confirmed(now)
             }
-            OrderReply::Refused(cause) => self.refused(now, key, task, run, cause),
+            OrderReply::Refused(cause) => self.start_refused(now, key, task, run, cause),
         }
     }
 
-    fn refused(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, cause: Refusal) {
+    fn start_refused(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        task: TaskId,
+        run: u32,
+        cause: Refusal,
+    ) {
         let pause = match cause {
             Refusal::Unhealthy => EXCLUSION_UNHEALTHY,
             _ => EXCLUSION_REFUSED,
         };
         self.exclude(now, key, pause);
-        self.note_worker(key, "shunned", refusal_words(cause));
+        self.note_worker(key, "shunned", refusal_cause(cause));
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
         // An earlier attempt may still be carried out; a stop that is answered rules that out.
         match it.may_be_delayed {
@@ -196,7 +203,7 @@
         }
     }
 
-    pub(super) fn stopped(
+    pub(super) fn stop_answered(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -238,13 +245,13 @@
                 continue;
             }
             for (task, run) in due {
-                self.start(now, key, task, run);
+                self.send_start(now, key, task, run);
             }
         }
     }
 }
 
-fn refusal_words(cause: Refusal) -> &'static str {
+fn refusal_cause(cause: Refusal) -> &'static str {
     match cause {
         Refusal::Fenced => "it has seen a higher epoch",
         Refusal::StaleRun => "it has ended a later run of a task",
--- a/daisy-workflow/src/owner/pace.rs
+++ b/daisy-workflow/src/owner/pace.rs
@@ -82,9 +82,9 @@
             if headroom(it).is_none() {
                 continue;
             }
-            halt |= it.target_missed_since.is_some_and(|at| {
-                let over = now.since(at);
-                (MAX_TARGET_MISS..OWN_LOAD_MISS).contains(&over)
+            halt |= it.target_missed_since.is_some_and(|since| {
+                let missed_for = now.since(since);
+                (MAX_TARGET_MISS..OWN_LOAD_MISS).contains(&missed_for)
             });
             let loads = worker.interference_loads.iter().find(|of| of.image == it.image);
             limits.extend(loads.and_then(|of| PaceLimit::new(serving, it, of)));
@@ -239,7 +239,7 @@
 /// and updates the means.
 fn more_used(means: &mut Vec<(ImageKey, f64)>, used: &[(ImageKey, f64)]) -> Vec<(ImageKey, f64)> {
     /// Means below this are dropped.
-    const NOTHING: f64 = 1e-4;
+    const NEGLIGIBLE_SHARE: f64 = 1e-4;
     for (image, _) in used {
         if !means.iter().any(|(it, _)| it == image) {
             means.push((*image, 0.0));
@@ -251,7 +251,7 @@
         more.push((*image, share - *mean));
         *mean += (share - *mean) * SMOOTHING;
     }
-    means.retain(|(_, mean)| *mean > NOTHING);
+    means.retain(|(_, mean)| *mean > NEGLIGIBLE_SHARE);
     more
 }
 
--- a/daisy-workflow/src/owner/renewal.rs
+++ b/daisy-workflow/src/owner/renewal.rs
@@ -112,7 +112,7 @@
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.started_at_ms = started_at_ms;
         worker.clock = None;
-        worker.deadline_ms = 0;
+        worker.max_lease_end_ms = 0;
         worker.fenced = false;
         worker.restarted_at = Some(now);
         worker.cursor_seen = 0;
@@ -142,7 +142,7 @@
         }
         self.stop_delayed_starts(now, key);
         for (task, run) in lost {
-            self.lose(key, task, run, "its worker restarted");
+            self.give_up_run(key, task, run, "its worker restarted");
         }
         self.note_worker(key, "reborn", cause);
         self.send_stops(now);
@@ -167,7 +167,13 @@
     }
 
     /// Gives up a run that cannot be running any more.
-    pub(super) fn lose(&mut self, key: WorkerKey, task: TaskId, run: u32, cause: &'static str) {
+    pub(super) fn give_up_run(
+        &mut self,
+        key: WorkerKey,
+        task: TaskId,
+        run: u32,
+        cause: &'static str,
+    ) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         let id = worker.id.clone();
         let Some(it) = worker.remove(task, run) else { return };
@@ -209,10 +215,10 @@
         if answer.started_at_ms > worker.started_at_ms {
             self.restarted(now, key, answer.started_at_ms, "its answer shows a later start time");
         }
-        self.worker_answered(now, key, &answer);
+        self.mark_reachable(now, key, &answer);
         let seen = self.workers.get(key).map_or(0, |it| it.cursor_seen);
         for it in answer.ended.into_iter().filter(|it| it.number > seen) {
-            self.ended(now, key, it);
+            self.run_ended(now, key, it);
         }
         self.compare_running(now, key, &answer.running);
         self.pace(now, key);
@@ -220,7 +226,7 @@
         self.renew(now, key);
     }
 
-    fn worker_answered(&mut self, now: Instant, key: WorkerKey, answer: &HoldAnswer) {
+    fn mark_reachable(&mut self, now: Instant, key: WorkerKey, answer: &HoldAnswer) {
         let Settings { lease, lease_max, .. } = self.settings;
         let Some(worker) = self.workers.get_mut(key) else { return };
         if worker.hold_failures > 0 {
@@ -243,7 +249,7 @@
             // grants its longest lease.
             let granted = if worker.restarted_at.is_some() { lease_max } else { lease };
             let inherited = answer.clock_ms + granted.as_millis() as u64;
-            worker.deadline_ms = worker.deadline_ms.max(inherited);
+            worker.max_lease_end_ms = worker.max_lease_end_ms.max(inherited);
         }
     }
 
@@ -280,7 +286,7 @@
             }
         }
         for (task, run) in missing {
-            self.lose(key, task, run, "its worker does not list it");
+            self.give_up_run(key, task, run, "its worker does not list it");
         }
     }
 
@@ -373,7 +379,7 @@
     if is_log_slow {
         return LOG_SLOW_WAIT;
     }
-    let beside = worker.serving() > 0 && worker.best_effort_cpu() > 0;
+    let beside = worker.serving_tasks() > 0 && worker.best_effort_cpu() > 0;
     match (worker.tasks.is_empty(), beside) {
         (true, _) => IDLE_WAIT,
         (false, true) => SERVING_WAIT,
--- a/daisy-workflow/src/owner/run_ends.rs
+++ b/daisy-workflow/src/owner/run_ends.rs
@@ -18,7 +18,7 @@
 /// fail at any time.
 const FAILURE_WINDOW: Duration = Duration::from_secs(3);
 impl Owner {
-    pub(super) fn ended(&mut self, now: Instant, key: WorkerKey, it: EndedRun) {
+    pub(super) fn run_ended(&mut self, now: Instant, key: WorkerKey, it: EndedRun) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.cursor_seen = worker.cursor_seen.max(it.number);
         let id = worker.id.clone();
@@ -35,14 +35,14 @@
             state.checkpoint.clone_from(&it.checkpoint);
         }
         match outcome {
-            Outcome::Done => self.done(now, key, task),
-            Outcome::Failed if known => self.failed(now, key, task, run, failed_elsewhere),
+            Outcome::Done => self.task_done(now, key, task),
+            Outcome::Failed if known => self.run_failed(now, key, task, run, failed_elsewhere),
             _ => {}
         }
         self.remove_if_ended(task.job);
     }
 
-    fn done(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
+    fn task_done(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         if let Some(worker) = self.workers.get_mut(key) {
             worker.failures = 0;
         }
@@ -61,7 +61,14 @@
         self.stop_copies(now, StopCause::Done, |it| it == task);
     }
 
-    fn failed(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, elsewhere: bool) {
+    fn run_failed(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        task: TaskId,
+        run: u32,
+        elsewhere: bool,
+    ) {
         let Some(job) = self.ledger.job_mut(task.job) else { return };
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
         let steps = &mut job.progress.occurrences[task.occurrence as usize];
@@ -111,7 +118,7 @@
     fn end_job(&mut self, now: Instant, id: JobId, phase: Phase) {
         let Some(job) = self.ledger.job_mut(id) else { return };
         job.progress.phase = phase;
-        self.dirty.push(id);
+        self.unrecorded_jobs.push(id);
         let kind = job.spec.kind();
         let view = self.active.get(&id);
         let (since, due) = view.map_or((now, now), |it| (it.accepted_at, it.objective));
--- a/daisy-workflow/src/owner/shortfall.rs
+++ b/daisy-workflow/src/owner/shortfall.rs
@@ -36,13 +36,14 @@
     /// Prefers tasks for which at least one worker has the processor time.
     pub fn longest_waiting_task(&self, now: Instant) -> Option<PlacementShortfall> {
         let waits = self.waiting_since.iter();
-        let lacks = waits.filter_map(|(task, since)| self.try_lacks(now, *task, now.since(*since)));
+        let lacks = waits
+            .filter_map(|(task, since)| self.placement_shortfall(now, *task, now.since(*since)));
         lacks.max_by_key(|it| {
             (it.short_of_memory + it.at_step_limit + it.reserved + it.suitable > 0, it.waited)
         })
     }
 
-    fn try_lacks(
+    fn placement_shortfall(
         &self,
         now: Instant,
         task: TaskId,
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -70,34 +70,34 @@
     /// When the log first confirmed that it rejects all earlier owners.
     fenced_at: Option<Instant>,
     /// When enough witnesses first answered that they reject all earlier owners.
-    outvoted_at: Option<Instant>,
+    witness_quorum_at: Option<Instant>,
     /// From when on no earlier owner renews leases, once that is known.
     predecessors_ended_at: Option<Instant>,
     /// Witnesses in the log with which all earlier owners comply as well.
     witnesses: Vec<Witness>,
     /// Witnesses that have to be recorded.
-    next: Option<Vec<Witness>>,
+    next_witnesses: Option<Vec<Witness>>,
     /// Witnesses whose record may already be in the log.
-    recording: Option<Vec<Witness>>,
+    recording_witnesses: Option<Vec<Witness>>,
     /// When to check next whether the witnesses still match the workers.
     review_at: Instant,
 }
 
 impl Succession {
-    pub(super) fn new(now: Instant, claimed: OwnershipStart, known: &Witnesses) -> Succession {
+    pub(super) fn new(now: Instant, ownership: OwnershipStart, known: &Witnesses) -> Succession {
         // Unless all earlier owners comply with the witnesses, their answers prove nothing.
-        let is_accepted = known.accepted_by_epoch == claimed.after;
+        let is_accepted = known.accepted_by_epoch == ownership.after;
         let witnesses = if is_accepted { known.workers.clone() } else { Vec::new() };
-        let next = (!witnesses.is_empty()).then(|| witnesses.clone());
+        let next_witnesses = (!witnesses.is_empty()).then(|| witnesses.clone());
         Succession {
-            epoch: claimed.epoch,
-            last_append_sent_at: claimed.at,
+            epoch: ownership.epoch,
+            last_append_sent_at: ownership.at,
             fenced_at: None,
-            outvoted_at: None,
-            predecessors_ended_at: claimed.predecessors_ended.then_some(now),
+            witness_quorum_at: None,
+            predecessors_ended_at: ownership.predecessors_ended.then_some(now),
             witnesses,
-            next,
-            recording: None,
+            next_witnesses,
+            recording_witnesses: None,
             review_at: now + FIRST_REVIEW_DELAY,
         }
     }
@@ -125,19 +125,22 @@
 
     /// Whether witnesses have to be recorded.
     pub(super) fn has_record(&self) -> bool {
-        self.next.is_some()
+        self.next_witnesses.is_some()
     }
 
     /// Returns the record of the witnesses, if they have to be recorded.
-    pub(super) fn try_record(&mut self) -> Option<Record> {
-        let next = self.next.take()?;
-        self.recording = Some(next.clone());
-        Some(Record::Witnesses(Witnesses { accepted_by_epoch: self.epoch, workers: next }))
+    pub(super) fn take_witnesses_record(&mut self) -> Option<Record> {
+        let next_witnesses = self.next_witnesses.take()?;
+        self.recording_witnesses = Some(next_witnesses.clone());
+        Some(Record::Witnesses(Witnesses {
+            accepted_by_epoch: self.epoch,
+            workers: next_witnesses,
+        }))
     }
 
     /// Processes that the current batch was stored in the log.
     pub(super) fn witnesses_recorded(&mut self) {
-        if let Some(it) = self.recording.take() {
+        if let Some(it) = self.recording_witnesses.take() {
             self.witnesses = it;
         }
     }
@@ -162,7 +165,7 @@
         let witnessed = it.witnesses.is_empty() || self.majority_answered(&it.witnesses, now);
         since_append <= MAX_RENEWAL_WITHOUT_LOG
             && witnessed
-            && it.recording.as_ref().is_none_or(|it| self.majority_answered(it, now))
+            && it.recording_witnesses.as_ref().is_none_or(|it| self.majority_answered(it, now))
     }
 
     /// Whether more than half of the witnesses have answered recently.
@@ -176,7 +179,7 @@
 
     /// Whether so many witnesses have answered this owner that no earlier one can have more than
     /// half of them.
-    fn has_outvoted_predecessors(&self) -> bool {
+    fn has_witness_quorum(&self) -> bool {
         let witnesses = &self.succession.witnesses;
         // The answer of a later incarnation is as good: the earlier one has ended.
         let answered = self.count_answered(witnesses, |_, _| true);
@@ -203,12 +206,12 @@
             return;
         }
         let Some(fenced_at) = self.succession.fenced_at else { return };
-        let outvoted = self.has_outvoted_predecessors();
+        let has_quorum = self.has_witness_quorum();
         let it = &mut self.succession;
-        if outvoted {
-            it.outvoted_at.get_or_insert(now);
+        if has_quorum {
+            it.witness_quorum_at.get_or_insert(now);
         }
-        let over = match it.outvoted_at {
+        let over = match it.witness_quorum_at {
             Some(at) => at + ANSWER_VALIDITY,
             None => fenced_at + MAX_RENEWAL_WITHOUT_LOG,
         };
@@ -230,7 +233,7 @@
         let it = &self.succession;
         let lease = self.settings.lease;
         let predecessors_ended_at =
-            it.predecessors_ended_at.or(it.outvoted_at.map(|it| it + ANSWER_VALIDITY));
+            it.predecessors_ended_at.or(it.witness_quorum_at.map(|it| it + ANSWER_VALIDITY));
         predecessors_ended_at.unwrap_or(it.fenced_at.unwrap_or(now) + MAX_RENEWAL_WITHOUT_LOG)
             + lease
             + lease / 20
@@ -247,21 +250,21 @@
     pub(super) fn review_witnesses(&mut self, now: Instant) {
         let it = &self.succession;
         if it.predecessors_ended_at.is_none()
-            || it.next.is_some()
-            || it.recording.is_some()
+            || it.next_witnesses.is_some()
+            || it.recording_witnesses.is_some()
             || now < it.review_at
         {
             return;
         }
         let candidates = self.workers.iter().filter(|(_, it)| it.listed && it.fenced);
-        let mut next: Vec<Witness> = candidates
+        let mut next_witnesses: Vec<Witness> = candidates
             .map(|(_, it)| Witness { worker: it.id.clone(), started_at_ms: it.started_at_ms })
             .collect();
-        next.sort_unstable_by(|a, b| a.worker.cmp(&b.worker));
+        next_witnesses.sort_unstable_by(|a, b| a.worker.cmp(&b.worker));
         let it = &mut self.succession;
         it.review_at = now + REVIEW_INTERVAL;
-        if !next.is_empty() && next != it.witnesses {
-            it.next = Some(next);
+        if !next_witnesses.is_empty() && next_witnesses != it.witnesses {
+            it.next_witnesses = Some(next_witnesses);
         }
     }
 }
--- a/daisy-workflow/src/owner/tick.rs
+++ b/daisy-workflow/src/owner/tick.rs
@@ -64,7 +64,7 @@
             .map(|it| (it.task, it.run))
             .collect();
         for (task, run) in lost {
-            self.lose(key, task, run, "its worker is silent and its lease has run out");
+            self.give_up_run(key, task, run, "its worker is silent and its lease has run out");
             self.note_displaced(now, task);
         }
     }
--- a/daisy-workflow/src/owner/transfer.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -97,7 +97,7 @@
         let number = job.moved.get(&task).map_or(0, |it| it.hop) + 1;
         job.move_task(task, Hop { number, to }.into());
         job.progress.begun = true;
-        self.dirty.push(task.job);
+        self.unrecorded_jobs.push(task.job);
         self.transferring.push(task);
         self.actions.push(Action::Note(Note::TaskTransferred { task, hop: number, to }));
     }
--- a/daisy-workflow/src/owner/worker.rs
+++ b/daisy-workflow/src/owner/worker.rs
@@ -99,8 +99,8 @@
     pub progressed_at: Instant,
     pub began_at: Instant,
     pub load: u32,
-    /// The last confirmed share of processor time, in percent; `None` for a run that an earlier
-    /// owner throttled.
+    /// The last confirmed share of processor time, in percent; `None` for a run that this owner did
+    /// not start.
     pub pace: Option<u8>,
     pub pace_in_flight: bool,
     /// When a share was last ordered, and when it last fell below the limit for starved tasks.
@@ -146,7 +146,7 @@
     /// The worker's clock in milliseconds, and when it was read.
     pub(crate) clock: Option<(u64, Instant)>,
     /// The latest lease end that the worker may ever have been granted, on its own clock.
-    pub(crate) deadline_ms: u64,
+    pub(crate) max_lease_end_ms: u64,
     /// Whether the known incarnation has answered under this owner's epoch, and so rejects orders
     /// of earlier epochs.
     pub(crate) fenced: bool,
@@ -208,7 +208,7 @@
             slow_start_until: now + Duration::from_millis(listed.cold_ms),
             tasks: Vec::new(),
             clock: None,
-            deadline_ms: 0,
+            max_lease_end_ms: 0,
             fenced: false,
             restarted_at: None,
             hold_in_flight: false,
@@ -246,7 +246,7 @@
     /// Returns the end of a lease that starts now, on the worker's clock, and remembers it.
     pub(crate) fn lease_end(&mut self, now: Instant, lease: Duration) -> Option<u64> {
         let end = self.min_clock_ms(now)? + lease.as_millis() as u64;
-        self.deadline_ms = self.deadline_ms.max(end);
+        self.max_lease_end_ms = self.max_lease_end_ms.max(end);
         // Returns this lease's end, not the latest one granted: the next owner allows for one lease
         // only.
         Some(end)
@@ -256,7 +256,7 @@
     /// if that clock was never read.
     pub(crate) fn leases_over_at(&self) -> Option<Instant> {
         let (clock, at) = self.clock?;
-        let left = (self.deadline_ms + EXPIRY_MARGIN_MS + 1).saturating_sub(clock);
+        let left = (self.max_lease_end_ms + EXPIRY_MARGIN_MS + 1).saturating_sub(clock);
         Some(at + Duration::from_millis(left * 1_000 / (1_000 - MAX_CLOCK_DRIFT_PERMILLE) + 1))
     }
 
@@ -323,7 +323,7 @@
         self.tasks.iter().map(|it| it.best_effort_cpu).sum()
     }
 
-    pub(crate) fn serving(&self) -> usize {
+    pub(crate) fn serving_tasks(&self) -> usize {
         self.tasks.iter().filter(|it| it.target_ms > 0).count()
     }
 }
