--- a/daisy-measure/src/overload/drive.rs
+++ b/daisy-measure/src/overload/drive.rs
@@ -140,7 +140,8 @@
         let now = self.now;
         let loads: Vec<_> =
             self.layout.all().zip(&self.shards).map(|(id, it)| (id, it.owner.load(now))).collect();
-        let seen: Vec<_> = self.shards.iter_mut().map(|it| it.owner.take_observations()).collect();
+        let seen: Vec<_> =
+            self.shards.iter_mut().map(|it| it.owner.take_interference_sums()).collect();
         for (own, shard) in self.layout.all().zip(&mut self.shards) {
             let others = loads.iter().filter(|(id, _)| *id != own).copied();
             shard.owner.step(now, Event::Loads(others.collect()));
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -386,7 +386,7 @@
             return;
         }
         self.observed_at = now;
-        let seen = self.owner.take_observations();
+        let seen = self.owner.take_interference_sums();
         let Ownership { elect, shard, .. } = &self.ownership;
         let shards = elect.shared.lock().directory.layout().map_or(1, |it| it.shards);
         if seen.is_empty() || shards < 2 {
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -361,8 +361,8 @@
     }
 
     /// Returns the interference sums collected since the last call, for the owners of other shards.
-    pub fn take_observations(&mut self) -> Vec<Observations> {
-        self.interference.take_observations()
+    pub fn take_interference_sums(&mut self) -> Vec<Observations> {
+        self.interference.take_interference_sums()
     }
 
     /// Counts, by queue, the untimed jobs of which no task was started.
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -253,7 +253,7 @@
     }
 
     /// Returns the sums collected since the last call, for the owners of other shards.
-    pub fn take_observations(&mut self) -> Vec<Observations> {
+    pub fn take_interference_sums(&mut self) -> Vec<Observations> {
         let names = self.best_effort.names();
         let name = |at: usize| names[at].clone();
         let mut taken = Vec::new();
