--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Processes that the log stored what was sent at `sent_at`.
+    /// Records that the log has stored what was sent at `sent_at`.
     pub(super) fn append_accepted(&mut self, sent_at: Instant) {
         self.last_append_sent_at = self.last_append_sent_at.max(sent_at);
     }
@@ -138,7 +138,7 @@
         }))
     }
 
-    /// Processes that the current batch was stored in the log.
+    /// Records that the current batch, with the witnesses in it, is stored.
     pub(super) fn witnesses_recorded(&mut self) {
         if let Some(it) = self.recording_witnesses.take() {
             self.witnesses = it;
@@ -147,8 +147,8 @@
 }
 
 impl Owner {
-    /// Processes that the log stored a heartbeat sent at `sent_at`, and so rejects all earlier
-    /// owners.
+    /// Handles a stored heartbeat that was sent at `sent_at`: the log rejects all earlier owners
+    /// from then on.
     pub(super) fn heartbeat_stored(&mut self, now: Instant, sent_at: Instant) {
         self.succession.append_accepted(sent_at);
         self.succession.fenced_at.get_or_insert(now);
