--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -27,8 +27,8 @@
 const EXCLUSION_UNHEALTHY: Duration = Duration::from_secs(2);
 
 impl Owner {
-    /// Processes that the current batch was stored: its starts are sent, its ended runs
-    /// acknowledged.
+    /// Handles the storing of the current batch: sends its starts, and acknowledges its ended
+    /// runs.
     pub(super) fn batch_appended(&mut self, now: Instant) {
         let Some(it) = self.in_flight.take() else { return };
         self.succession.append_accepted(it.began);
--- a/daisy-workflow/src/owner/shortfall.rs
+++ b/daisy-workflow/src/owner/shortfall.rs
@@ -36,9 +36,9 @@
     /// Prefers tasks for which at least one worker has the processor time.
     pub fn longest_waiting_task(&self, now: Instant) -> Option<PlacementShortfall> {
         let waits = self.waiting_since.iter();
-        let lacks = waits
+        let shortfalls = waits
             .filter_map(|(task, since)| self.placement_shortfall(now, *task, now.since(*since)));
-        lacks.max_by_key(|it| {
+        shortfalls.max_by_key(|it| {
             (it.short_of_memory + it.at_step_limit + it.reserved + it.suitable > 0, it.waited)
         })
     }
@@ -53,7 +53,7 @@
         let step = job.spec.steps.get(usize::from(task.step))?;
         let service = self.service(&job.spec);
         let need = step.counted();
-        let mut lacks = PlacementShortfall {
+        let mut shortfall = PlacementShortfall {
             task,
             waited,
             need,
@@ -70,20 +70,20 @@
             let short_of_cpu =
                 need.cpu_milli <= free.cpu_milli && need.accelerators <= free.accelerators;
             let count = if !(it.service == service && label && self.accepts_long_running(now, it)) {
-                &mut lacks.ineligible
+                &mut shortfall.ineligible
             } else if !short_of_cpu {
-                &mut lacks.short_of_cpu
+                &mut shortfall.short_of_cpu
             } else if !need.fits(free) {
-                &mut lacks.short_of_memory
+                &mut shortfall.short_of_memory
             } else if is_at_step_limit(step, it, task) {
-                &mut lacks.at_step_limit
+                &mut shortfall.at_step_limit
             } else if self.reservations.iter().any(|it| it.worker == key) {
-                &mut lacks.reserved
+                &mut shortfall.reserved
             } else {
-                &mut lacks.suitable
+                &mut shortfall.suitable
             };
             *count += 1;
         }
-        Some(lacks)
+        Some(shortfall)
     }
 }
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -55,9 +55,9 @@
     pub at: Instant,
     /// Whether no earlier owner can renew leases any more.
     pub predecessors_ended: bool,
-    /// The owner's epoch, and that of the previous claim.
+    /// The owner's epoch.
     pub epoch: u64,
-    /// Epoch of the previous claim; see [`epoch`](OwnershipStart::epoch).
+    /// The epoch of the previous claim.
     pub after: u64,
 }
 
