--- a/daisy-workflow/src/lib.rs
+++ b/daisy-workflow/src/lib.rs
@@ -37,9 +37,10 @@
     ledger::{FoldEffect, Job, JobState, Ledger},
     log_health::{LogHealth, SendDecision},
     owner::{
-        Action, Batch, Claimed, Doubt, Ended, Event, HoldAnswer, Lacks, Listed, Note, OrderReply,
-        Outcome, Owner, Packing, Refusal, Rules, Running, Settings, Start, StopCause, Summary,
-        Uncertain, WaitCause, Witness, Witnesses, Worker, WorkerKey,
+        Action, ActiveRun, Batch, EndedRun, Event, HoldAnswer, Note, OrderReply, Outcome, Owner,
+        OwnershipStart, Packing, PlacementRules, PlacementShortfall, Refusal, Settings, Start,
+        StopCause, Summary, UnconfirmedCause, UnconfirmedRun, WaitCause, Witness, Witnesses,
+        Worker, WorkerKey, WorkerListing,
     },
     progress::{Copy, Phase, Progress, TaskState},
     publisher::StatePublisher,
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -1,28 +1,28 @@
-//! The owner of the workers: decides what starts where, under one epoch.
+//! The owner of a shard's workers: decides what starts where, under one epoch.
 //!
 //! A start is recorded in the log before its order is sent, so that the next owner knows every
-//! worker that a task may be on. An end is acknowledged to its worker only when its record is in
-//! the log. Workers refuse orders of a lower epoch than they have seen; an owner starts nothing
-//! on a worker that has not answered under its own.
+//! worker that a task may be on. A worker's report that a run has ended is acknowledged only when
+//! its record is in the log. Workers reject orders of a lower epoch than the highest that they have
+//! seen; an owner starts nothing on a worker that has not answered under the owner's own epoch.
 
+mod best_effort;
 mod defragment;
 mod delegate;
-mod ends;
-mod hand_over;
-mod hold;
 mod intake;
 mod interference;
-mod lacks;
 mod message;
 mod orders;
 mod pace;
-mod place;
+mod placement;
 mod plan;
-mod room;
+mod renewal;
+mod run_ends;
+mod shortfall;
 mod succession;
 mod summary;
-mod uncertain;
-mod watch;
+mod tick;
+mod transfer;
+mod unconfirmed_runs;
 mod worker;
 
 use std::{sync::Arc, time::Duration};
@@ -30,21 +30,21 @@
 use daisy_model::{Arena, Instant, Resources, SortedMap};
 
 use self::{
-    defragment::Move,
+    defragment::Relocation,
     interference::Interference,
-    place::Kept,
+    placement::Reservation,
     succession::Succession,
-    worker::{Assignment, Sent, Stop},
+    worker::{Assignment, StartState, StopState},
 };
 pub use self::{
-    lacks::Lacks,
     message::{
-        Action, Batch, Ended, Event, HoldAnswer, Listed, Note, OrderReply, Outcome, Refusal,
-        Running, Start, StopCause, WaitCause,
+        Action, ActiveRun, Batch, EndedRun, Event, HoldAnswer, Note, OrderReply, Outcome, Refusal,
+        Start, StopCause, WaitCause, WorkerListing,
     },
-    succession::{Claimed, Witness, Witnesses},
+    shortfall::PlacementShortfall,
+    succession::{OwnershipStart, Witness, Witnesses},
     summary::Summary,
-    uncertain::{Doubt, Uncertain},
+    unconfirmed_runs::{UnconfirmedCause, UnconfirmedRun},
     worker::{Worker, WorkerKey},
 };
 use crate::{
@@ -52,61 +52,63 @@
     Record, ShardId, TaskId, WorkerId,
 };
 
-/// Figures of the platform that an owner goes by.
+/// Settings of an owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// How long a worker's tasks go on without a renewal.
+    /// How long a worker's tasks continue to run without a lease renewal.
     pub lease: Duration,
-    /// The longest lease that a worker grants, whatever it is asked for.
+    /// The longest lease that a worker grants, whatever an order asks for.
     pub lease_max: Duration,
     /// The owner's shard.
     pub shard: ShardId,
     /// All shards.
     pub layout: Layout,
-    /// How room is found.
-    pub rules: Rules,
+    /// How tasks are placed on workers.
+    pub rules: PlacementRules,
 }
 
-/// How room is found for tasks that reserve it; each part can be compared with others.
+/// How workers are chosen for tasks that reserve capacity; each rule can be compared with
+/// alternatives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rules {
-    /// Which of several workers takes a task.
+pub struct PlacementRules {
+    /// Which of several workers with enough capacity gets a task.
     pub packing: Packing,
-    /// Whether tasks that last are moved where others find no room.
+    /// Whether long-running tasks are moved to make space for tasks that fit on no worker.
     pub defragments: bool,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules { packing: Packing::BestFit, defragments: true }
+impl Default for PlacementRules {
+    fn default() -> PlacementRules {
+        PlacementRules { packing: Packing::BestFit, defragments: true }
     }
 }
 
-/// Which of several workers with room takes a task, as far as the room decides.
+/// Which of several workers with enough free capacity gets a task, as far as capacity decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Packing {
-    /// The first.
+    /// The first worker.
     FirstFit,
-    /// The one with least room: small tasks fill small gaps, and large ones find large gaps.
+    /// The worker with the least free capacity: small tasks fill small gaps, and large ones find
+    /// large gaps.
     BestFit,
-    /// The one with most room.
+    /// The worker with the most free capacity.
     WorstFit,
 }
 
-/// What the owner keeps of a job besides its record.
+/// What the owner holds about a job besides its record.
 #[derive(Debug, Clone)]
 pub(crate) struct JobView {
     /// When the job was accepted, on this process's clock.
-    pub since: Instant,
-    /// When it should be completed.
+    pub accepted_at: Instant,
+    /// When the job should be completed.
     pub objective: Instant,
     /// Estimated time from each step's start to the job's end, in milliseconds.
     pub tails_ms: Vec<u64>,
-    /// Steps of which it was told that they wait for room.
-    pub told_waiting: Vec<u16>,
+    /// Steps for which it was already logged that they wait for capacity.
+    pub logged_waiting: Vec<u16>,
 }
 
-/// The owner.
+/// The owner of a shard: a state machine that takes [`Event`]s and returns [`Action`]s.
 #[derive(Debug)]
 pub struct Owner {
     settings: Settings,
@@ -116,50 +118,51 @@
     by_id: SortedMap<WorkerId, WorkerKey>,
     /// When the platform's list of workers was last read.
     list_read_at: Instant,
-    /// Jobs that are not ended.
+    /// Jobs that have not ended.
     active: SortedMap<JobId, JobView>,
-    /// Jobs whose records are to be written.
-    dirty: Vec<JobId>,
-    /// Jobs that are handed on whole and of which that is not recorded yet.
+    /// Jobs whose progress has to be recorded.
+    unrecorded_jobs: Vec<JobId>,
+    /// Jobs that are delegated as a whole, while the delegation is not recorded yet.
     delegating: Vec<JobId>,
-    /// Starts that wait for their record.
-    recording: Vec<(WorkerKey, TaskId, u32)>,
+    /// Starts whose record is not in the log yet.
+    unrecorded_starts: Vec<(WorkerKey, TaskId, u32)>,
     in_flight: Option<InFlight>,
     interference: Interference,
-    /// When what was learnt was last recorded.
-    learnt_at: Instant,
-    /// Copies recorded by an earlier owner on workers that the list does not name.
+    /// When the learned interference was last recorded.
+    interference_recorded_at: Instant,
+    /// Runs recorded by an earlier owner on workers that the platform's list does not name.
     orphans: Vec<Orphan>,
-    /// Who may renew leases besides.
+    /// Tracks whether this owner, or an earlier one, may renew leases.
     succession: Succession,
-    /// When this owner began, and the wall clock then, in milliseconds since 1970.
+    /// When this owner started, and the wall clock at that time, in milliseconds since 1970.
     began_at: Instant,
     began_wall_ms: u64,
     plan_due: bool,
     actions: Vec<Action>,
-    /// States of jobs that stand in the log and that callers are to be told.
+    /// States of jobs that are stored in the log and have to be published to callers.
     states: Vec<(JobId, JobState)>,
     others: OtherShards,
-    /// Tasks that are handed on and of which nothing is recorded yet.
-    handed: Vec<TaskId>,
-    /// Since when tasks that last have found no room here.
-    waits_since: SortedMap<TaskId, Instant>,
-    /// When jobs that wait were last looked at for a better shard.
-    delegated_at: Instant,
-    /// When what starts was last decided.
+    /// Tasks that are transferred to other shards, while the transfer is not recorded yet.
+    transferring: Vec<TaskId>,
+    /// Since when long-running tasks have waited for capacity in this shard.
+    waiting_since: SortedMap<TaskId, Instant>,
+    /// When waiting jobs and tasks were last checked for a better shard.
+    rebalanced_at: Instant,
+    /// When the last planning pass ran.
     planned_at: Instant,
-    /// Workers that were kept for more urgent tasks then.
-    kept: Vec<Kept>,
-    /// Sizes for which the last decision found no room.
-    short: Vec<Resources>,
-    /// Tasks that are stopped on one worker to start on another.
-    moves: Vec<Move>,
+    /// Workers that this pass reserved for more urgent tasks.
+    reservations: Vec<Reservation>,
+    /// Sizes of tasks that the last pass could not place.
+    unplaced_sizes: Vec<Resources>,
+    /// Long-running tasks that are stopped on one worker to start on another.
+    relocations: Vec<Relocation>,
     defragmented_at: Instant,
-    /// The running mean of what a task needs that ends by itself, in thousandths of a core.
-    typical_cpu: u32,
+    /// The running mean of the processor time that a finite task reserves, in thousandths of a
+    /// core.
+    mean_task_cpu: u32,
 }
 
-/// A recorded run on a worker that is not known.
+/// A recorded run on a worker that this owner does not know.
 #[derive(Debug, Clone)]
 struct Orphan {
     worker: WorkerId,
@@ -167,32 +170,33 @@
     run: u32,
 }
 
-/// A batch that is being appended.
+/// A batch that is being appended to the log.
 #[derive(Debug)]
 struct InFlight {
-    /// When it was given out to be sent.
+    /// When the batch was created.
     began: Instant,
     starts: Vec<(WorkerKey, TaskId, u32)>,
-    /// Ends that its records cover: worker, incarnation, number.
+    /// Ended runs that the batch records: worker, incarnation, number of the end.
     cursors: Vec<(WorkerKey, u64, u64)>,
-    /// States of jobs as its records tell them.
+    /// States of jobs as the batch records them.
     states: Vec<(JobId, JobState)>,
-    /// Jobs and tasks that are handed to other shards once this is recorded.
+    /// Jobs and tasks to be written to other shards once the batch is stored.
     delegated: Vec<JobId>,
-    handed: Vec<TaskId>,
+    transferring: Vec<TaskId>,
 }
 
 impl Owner {
-    /// An owner that begins with what `ledger` says; `wall_ms` is the present time since 1970.
+    /// Creates an owner that starts from `ledger`; `wall_ms` is the current time in milliseconds
+    /// since 1970.
     pub fn new(
         now: Instant,
         wall_ms: u64,
         settings: Settings,
         ledger: Ledger,
         queues: Arc<QueueConfig>,
-        claimed: Claimed,
+        ownership: OwnershipStart,
     ) -> Owner {
-        let succession = Succession::new(now, claimed, ledger.witnesses());
+        let succession = Succession::new(now, ownership, ledger.witnesses());
         let interference = Interference::inherit(now, ledger.learned_interference());
         let mut owner = Owner {
             settings,
@@ -202,12 +206,12 @@
             by_id: SortedMap::new(),
             list_read_at: now,
             active: SortedMap::new(),
-            dirty: Vec::new(),
+            unrecorded_jobs: Vec::new(),
             delegating: Vec::new(),
-            recording: Vec::new(),
+            unrecorded_starts: Vec::new(),
             in_flight: None,
             interference,
-            learnt_at: now,
+            interference_recorded_at: now,
             orphans: Vec::new(),
             succession,
             began_at: now,
@@ -216,15 +220,15 @@
             actions: Vec::new(),
             states: Vec::new(),
             others: OtherShards::default(),
-            handed: Vec::new(),
-            waits_since: SortedMap::new(),
-            delegated_at: now,
-            planned_at: now - PLAN_EVERY,
-            kept: Vec::new(),
-            short: Vec::new(),
-            moves: Vec::new(),
+            transferring: Vec::new(),
+            waiting_since: SortedMap::new(),
+            rebalanced_at: now,
+            planned_at: now - PLAN_INTERVAL,
+            reservations: Vec::new(),
+            unplaced_sizes: Vec::new(),
+            relocations: Vec::new(),
             defragmented_at: now,
-            typical_cpu: 0,
+            mean_task_cpu: 0,
         };
         let own = owner.ledger.jobs().filter(|(_, it)| !it.belongs_to_other_shard());
         owner.states = own.map(|(id, job)| (id, job.state())).collect();
@@ -234,7 +238,7 @@
         owner
     }
 
-    /// Takes over what an earlier owner recorded.
+    /// Takes over the active jobs that an earlier owner recorded.
     fn inherit(&mut self, now: Instant) {
         let jobs: Vec<JobId> = self
             .ledger
@@ -245,58 +249,59 @@
         jobs.into_iter().for_each(|id| self.inherit_job(now, id));
     }
 
-    /// Takes over a job as an earlier owner recorded it.
+    /// Takes over one job as an earlier owner recorded it.
     fn inherit_job(&mut self, now: Instant, id: JobId) {
-        self.open(now, id);
+        self.activate(now, id);
         let Some(job) = self.ledger.job(id) else { return };
         let copies = recorded_copies(id, job);
         for (worker, task, run) in copies {
             match self.by_id.get(&worker).copied() {
-                Some(key) => self.adopt(now, key, task, run, Sent::Inherited),
+                Some(key) => self.adopt(now, key, task, run, StartState::Inherited),
                 None => self.orphans.push(Orphan { worker, task, run }),
             }
         }
     }
 
-    /// Takes an event in.
+    /// Processes an event.
     pub fn step(&mut self, now: Instant, event: Event) {
         match event {
-            Event::Record(record) => self.record(now, record),
+            Event::Record(record) => self.process_record(now, record),
             Event::Workers(listed) => {
                 self.list_read_at = now;
-                self.listed(now, &listed);
+                self.workers_listed(now, &listed);
             }
-            Event::ListRead => self.list_read_at = now,
+            Event::ListUnchanged => self.list_read_at = now,
             Event::QueueConfig(queues) => {
                 if queues.version >= self.queues.version {
                     self.queues = queues;
                     self.plan_due = true;
                 }
             }
-            Event::Held(worker, answer) => self.held(now, worker, answer),
+            Event::HoldAnswered(worker, answer) => self.hold_answered(now, worker, answer),
             Event::Fenced(_) => self.actions.push(Action::StepDown),
             Event::Started(worker, task, run, reply) => {
-                self.started(now, worker, task, run, reply);
+                self.start_answered(now, worker, task, run, reply);
             }
             Event::Stopped(worker, task, run, reply) => {
-                self.stopped(now, worker, task, run, reply);
+                self.stop_answered(now, worker, task, run, reply);
             }
             Event::Paced(worker, task, run, percent, reply) => {
-                self.paced(worker, task, run, percent, reply);
+                self.pace_answered(worker, task, run, percent, reply);
             }
-            Event::Appended => self.appended(now),
-            Event::Reached { sent_at } => self.reached(now, sent_at),
+            Event::Appended => self.batch_appended(now),
+            Event::HeartbeatStored { sent_at } => self.heartbeat_stored(now, sent_at),
             Event::Loads(loads) => self.others.update(loads),
             Event::Observed(seen) => {
-                seen.iter().for_each(|it| self.interference.add_observations(now, it));
+                seen.iter().for_each(|it| self.interference.add_interference_sums(now, it));
             }
-            Event::Tick => self.watch(now),
+            Event::Tick => self.tick(now),
         }
     }
 
-    /// Decides what starts now, and gives all that is to be done.
+    /// Decides what starts now, at most every 20 ms, and returns all actions that
+    /// have accumulated.
     pub fn act(&mut self, now: Instant) -> Vec<Action> {
-        if self.plan_due && now.since(self.planned_at) >= PLAN_EVERY {
+        if self.plan_due && now.since(self.planned_at) >= PLAN_INTERVAL {
             self.plan_due = false;
             self.planned_at = now;
             self.plan(now);
@@ -304,22 +309,24 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether there are records to be appended.
+    /// Whether there are records to append and no batch is being appended.
     pub fn has_batch(&self) -> bool {
-        let nothing =
-            self.dirty.is_empty() && self.delegating.is_empty() && self.recording.is_empty();
+        let nothing = self.unrecorded_jobs.is_empty()
+            && self.delegating.is_empty()
+            && self.unrecorded_starts.is_empty();
         self.in_flight.is_none() && (!nothing || self.succession.has_record())
     }
 
-    /// Records to be appended next, unless a batch is under way or there are none.
+    /// Returns the records to append next, or `None` while a batch is being appended or if there
+    /// are none.
     pub fn try_batch(&mut self, now: Instant) -> Option<Batch> {
         if !self.has_batch() {
             return None;
         }
-        self.dirty.sort_unstable();
-        self.dirty.dedup();
+        self.unrecorded_jobs.sort_unstable();
+        self.unrecorded_jobs.dedup();
         let ledger = &self.ledger;
-        let changed: Vec<JobId> = std::mem::take(&mut self.dirty);
+        let changed: Vec<JobId> = std::mem::take(&mut self.unrecorded_jobs);
         let mut records = Vec::with_capacity(changed.len());
         let mut states = Vec::with_capacity(changed.len());
         let delegated = std::mem::take(&mut self.delegating);
@@ -328,68 +335,70 @@
         for id in changed {
             let Some(job) = ledger.job(id) else { continue };
             records.push(Record::Progress(id, job.progress.clone()));
-            // What a part of a job comes to is no state of the job.
+            // The state of a job's part in this shard is not the state of the job.
             if !job.belongs_to_other_shard() {
                 states.push((id, job.state()));
             }
         }
-        let handed = std::mem::take(&mut self.handed);
-        records.extend(self.handed_records(&handed));
-        if now.since(self.learnt_at) >= LEARNT_EVERY {
-            self.learnt_at = now;
+        let transferring = std::mem::take(&mut self.transferring);
+        records.extend(self.transfer_records(&transferring));
+        if now.since(self.interference_recorded_at) >= INTERFERENCE_RECORD_INTERVAL {
+            self.interference_recorded_at = now;
             records.push(Record::LearnedInterference(self.interference.pairs()));
         }
-        records.extend(self.succession.try_record());
+        records.extend(self.succession.take_witnesses_record());
         let seen = self.workers.iter().filter(|(_, it)| it.cursor_seen > it.cursor_durable);
-        let cursors = seen.map(|(key, it)| (key, it.born_ms, it.cursor_seen)).collect();
-        let starts = std::mem::take(&mut self.recording);
-        self.in_flight = Some(InFlight { began: now, starts, cursors, states, delegated, handed });
+        let cursors = seen.map(|(key, it)| (key, it.started_at_ms, it.cursor_seen)).collect();
+        let starts = std::mem::take(&mut self.unrecorded_starts);
+        self.in_flight =
+            Some(InFlight { began: now, starts, cursors, states, delegated, transferring });
         Some(Batch { records })
     }
 
-    /// States of jobs that have come to stand in the log since the last call, the newest last.
+    /// Returns the states of jobs that were stored in the log since the last call, the newest last.
     pub fn take_states(&mut self) -> Vec<(JobId, JobState)> {
         std::mem::take(&mut self.states)
     }
 
-    /// What was learnt of images since the last call, for the owners of other shards.
-    pub fn take_observations(&mut self) -> Vec<InterferenceSums> {
-        self.interference.take_observations()
+    /// Returns the interference sums collected since the last call, for the owners of other shards.
+    pub fn take_interference_sums(&mut self) -> Vec<InterferenceSums> {
+        self.interference.take_interference_sums()
     }
 
-    /// By queue, the jobs without a time of which no task was started.
+    /// Counts, by queue, the untimed jobs of which no task was started.
     pub fn pending(&self) -> Vec<(String, u32)> {
         self.ledger.pending()
     }
 
-    /// Jobs that were handed on whole, of which the shards that run them tell.
-    pub fn handed_on(&self) -> impl Iterator<Item = JobId> {
+    /// Returns the jobs that were delegated as a whole; the shards that run them publish their
+    /// states.
+    pub fn delegated_away(&self) -> impl Iterator<Item = JobId> {
         self.ledger.jobs().filter(|(_, it)| it.delegated.is_some()).map(|(id, _)| id)
     }
 
-    /// A worker of this owner.
+    /// Returns a worker of this owner.
     pub fn worker(&self, key: WorkerKey) -> Option<&Worker> {
         self.workers.get(key)
     }
 
-    /// The state of a task, to change; the job is written anew.
+    /// Returns the state of a task to be changed, and marks its job to be recorded again.
     fn task_mut(&mut self, task: TaskId) -> Option<&mut crate::TaskState> {
         let job = self.ledger.job_mut(task.job)?;
         let steps = job.progress.occurrences.get_mut(task.occurrence as usize)?;
         let state = steps.get_mut(usize::from(task.step))?.get_mut(task.index as usize)?;
-        self.dirty.push(task.job);
+        self.unrecorded_jobs.push(task.job);
         Some(state)
     }
 
-    fn note_worker(&mut self, key: WorkerKey, is: &'static str, why: &'static str) {
+    fn note_worker(&mut self, key: WorkerKey, state: &'static str, cause: &'static str) {
         if let Some(worker) = self.workers.get(key) {
             let worker = worker.id.clone();
-            self.actions.push(Action::Note(Note::Worker { worker, is, why }));
+            self.actions.push(Action::Note(Note::Worker { worker, state, cause }));
         }
     }
 }
 
-/// Runs of a job that its record says may be on a worker.
+/// Lists the runs of a job that may be on a worker according to its record.
 fn recorded_copies(id: JobId, job: &Job) -> Vec<(WorkerId, TaskId, u32)> {
     let mut copies = Vec::new();
     for (occurrence, steps) in (0u32..).zip(&job.progress.occurrences) {
@@ -403,22 +412,23 @@
     copies
 }
 
-/// Whether this shard runs a job, or tasks of it.
+/// Whether this shard runs a job, or single tasks of it.
 fn runs_here(job: &Job) -> bool {
     job.delegated.is_none() || job.has_received_tasks()
 }
 
-/// Between records of what was learnt, so that a new owner need not begin anew: about 1 KB each.
-const LEARNT_EVERY: Duration = Duration::from_secs(2);
+/// Interval between records of the learned interference, about 1 KB each, from which a new owner
+/// continues.
+const INTERFERENCE_RECORD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Between decisions on what starts: each looks at all jobs and workers, and on a busy owner
-/// hundreds of events a second call for one.
-const PLAN_EVERY: Duration = Duration::from_millis(20);
+/// Minimum interval between planning passes: each goes through all jobs and workers, and on a busy
+/// owner hundreds of events per second request one.
+const PLAN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Headroom that a serving task counts with until its first report.
-const NEW_HEADROOM: f64 = 2.7;
+/// Headroom assumed for a serving task until its first report.
+const INITIAL_HEADROOM: f64 = 2.7;
 
-/// An assignment that begins now.
+/// Creates the assignment of a run that starts now.
 fn assignment(
     now: Instant,
     learned_interference: &mut Interference,
@@ -438,17 +448,17 @@
         best_effort_cpu: if step.best_effort { step.need.cpu_milli } else { 0 },
         image,
         target_ms: step.target_ms,
-        lasts: step.long_running,
-        sent: Sent::Recording,
+        is_long_running: step.long_running,
+        start_state: StartState::Recording,
         listed: false,
-        maybe_late: false,
-        tries: 0,
-        stop: Stop::No,
+        may_be_delayed: false,
+        start_attempts: 0,
+        stop_state: StopState::NotRequested,
         stop_cause: StopCause::Unknown,
-        absent: 0,
+        missed_lists: 0,
         checkpoint: String::new(),
         percent: 0,
-        moved_at: now,
+        progressed_at: now,
         began_at: now,
         load: 0,
         pace: Some(100),
@@ -456,7 +466,7 @@
         paced_at: Instant::default(),
         slowed_at: now,
         mean_headroom: None,
-        over_since: None,
-        own_headroom: NEW_HEADROOM,
+        target_missed_since: None,
+        own_headroom: INITIAL_HEADROOM,
     }
 }
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -1,9 +1,9 @@
-//! Handing jobs to shards with more room.
+//! Delegates whole jobs to shards with more free capacity.
 //!
-//! The owner of a job's own shard decides, once, and before any task of it was started. It records
-//! the decision and only then writes the job to the other shard's submissions; from the record on
-//! it never runs the job itself. Writing the job there twice has no second effect, so the next
-//! owner does it again for all jobs that the other shard has not told of.
+//! The owner of a job's own shard decides, once, before any task of the job was started. It records
+//! the decision and only then writes the job to the other shard's submissions; from then on it
+//! never runs the job itself. Writing the job twice has no additional effect, so the next owner
+//! writes again all jobs for which the other shard has published no state.
 
 use std::time::Duration;
 
@@ -12,69 +12,74 @@
 use super::{
     Owner,
     message::{Action, Note},
-    place::is_crowded,
+    placement::is_at_step_limit,
     worker::Worker,
 };
 use crate::{Demand, FREE_BLOCKS, Job, JobId, JobState, Load, Record, StepSpec, TaskId, TaskState};
 
-/// How long a new owner may take to learn of its workers: a read of the list on a slow platform.
-pub(super) const KNOWS_WORKERS_AFTER: Duration = Duration::from_secs(3);
-/// Between looks at jobs that wait without a start.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// How long a new owner may take to learn its workers: the time to read the list from a slow
+/// platform.
+pub(super) const WORKER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
+/// Interval between checks of waiting jobs that have not started.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Owner {
-    /// What the shard has, what is asked of it, and what room it has left for others.
+    /// Returns the shard's capacity, the demand on it, and its free blocks for the tasks of other
+    /// shards.
     pub fn load(&self, now: Instant) -> Load {
         let mut load = self.demand(now);
         load.set_free_blocks(self.free_blocks(now));
         load
     }
 
-    /// What is left of each worker for tasks that last once all others have ended and those of
-    /// this shard that wait have found their place, the largest first.
+    /// Returns the free block of each worker for long-running tasks, after all finite tasks have
+    /// ended and this shard's waiting long-running tasks are placed; the largest first.
     fn free_blocks(&self, now: Instant) -> Vec<Resources> {
-        let (rooms, _) = self.rooms_in_time(now);
-        let free_blocks: Vec<Resources> = rooms.into_iter().map(|(_, room)| room).collect();
-        largest_first(free_blocks)
+        let (capacities, _) = self.eventual_free_capacity(now);
+        let blocks: Vec<Resources> = capacities.into_iter().map(|(_, free)| free).collect();
+        largest_first(blocks)
     }
 
-    /// What is left of each worker for tasks that last once all others have ended and those that wait
-    /// have found their place, and those that find one.
-    pub(super) fn rooms_in_time(&self, now: Instant) -> (Vec<(&Worker, Resources)>, Vec<TaskId>) {
-        let takers = self.workers.iter().filter(|(_, it)| self.takes_lasting(now, it));
-        let mut rooms: Vec<(&Worker, Resources)> =
-            takers.map(|(_, it)| (it, it.room_in_time())).collect();
+    /// Returns the capacity that is left on each worker for long-running tasks, after all finite
+    /// tasks have ended and this shard's waiting ones are placed; and the waiting tasks that fit.
+    pub(super) fn eventual_free_capacity(
+        &self,
+        now: Instant,
+    ) -> (Vec<(&Worker, Resources)>, Vec<TaskId>) {
+        let candidates = self.workers.iter().filter(|(_, it)| self.accepts_long_running(now, it));
+        let mut capacities: Vec<(&Worker, Resources)> =
+            candidates.map(|(_, it)| (it, it.eventual_free())).collect();
         let mut placed = Vec::new();
-        for (task, _) in self.waits_since.iter() {
+        for (task, _) in self.waiting_since.iter() {
             let Some(job) = self.ledger.job(task.job) else { continue };
             let Some(step) = job.spec.step_of(*task) else { continue };
             let service = self.service(&job.spec);
-            let fitting = rooms.iter_mut().filter(|(worker, room)| {
+            let fitting = capacities.iter_mut().filter(|(worker, free)| {
                 worker.service == service
                     && step.required_label.as_ref().is_none_or(|label| worker.has_label(label))
-                    && step.allocation().fits(*room)
-                    && !is_crowded(step, worker, *task)
+                    && step.allocation().fits(*free)
+                    && !is_at_step_limit(step, worker, *task)
             });
-            if let Some((_, room)) = fitting.min_by_key(|(_, room)| room.cpu_milli) {
-                *room = room.try_sub(step.allocation()).unwrap_or(Resources::ZERO);
+            if let Some((_, free)) = fitting.min_by_key(|(_, free)| free.cpu_milli) {
+                *free = free.try_sub(step.allocation()).unwrap_or(Resources::ZERO);
                 placed.push(*task);
             }
         }
-        (rooms, placed)
+        (capacities, placed)
     }
 
-    /// Whether a task of `step` is bound to this shard: it needs a label, which shards do not tell of,
-    /// and a worker here has it.
-    pub(super) fn is_bound(&self, step: &StepSpec) -> bool {
+    /// Whether a task of `step` must stay in this shard: it needs a label, which shards do not
+    /// publish, and a worker of this shard has it.
+    pub(super) fn is_bound_to_shard(&self, step: &StepSpec) -> bool {
         let Some(label) = &step.required_label else { return false };
         self.workers.iter().any(|(_, it)| it.listed && it.has_label(label))
     }
 
-    /// What the shard has, and what is asked of it.
+    /// Returns the shard's capacity and the demand on it.
     fn demand(&self, now: Instant) -> Load {
         let mut load = Load::default();
-        let has_room = |it: &Worker| it.listed && it.ready && it.hold_failures == 0;
-        for (_, worker) in self.workers.iter().filter(|(_, it)| has_room(it)) {
+        let is_reachable = |it: &Worker| it.listed && it.ready && it.hold_failures == 0;
+        for (_, worker) in self.workers.iter().filter(|(_, it)| is_reachable(it)) {
             load.capacity += u64::from(worker.capacity.cpu_milli);
         }
         for (id, _) in self.active.iter() {
@@ -83,8 +88,8 @@
         load
     }
 
-    /// Adds what a job asks for now: its tasks that run, and those that wait in steps whose turn
-    /// has come.
+    /// Adds a job's current demand: its running tasks, and the waiting ones of steps that are ready
+    /// or long-running.
     fn add_job(&self, now: Instant, id: JobId, load: &mut Load) {
         let Some(job) = self.ledger.job(id) else { return };
         if !matches!(job.state(), JobState::Queued | JobState::Running) {
@@ -111,8 +116,8 @@
         }
     }
 
-    /// Hands a job to another shard if that has more room, unless it has begun or came from
-    /// another shard.
+    /// Delegates a job to another shard that has more capacity, unless the job has begun or came
+    /// from another shard.
     pub(super) fn try_delegate(&mut self, now: Instant, id: JobId) {
         if self.settings.layout.shards < 2 || self.settings.layout.of_job(id) != self.settings.shard
         {
@@ -122,13 +127,13 @@
         if job.state() != JobState::Queued || job.delegated.is_some() {
             return;
         }
-        if job.spec.steps.iter().any(|it| self.is_bound(it)) {
+        if job.spec.steps.iter().any(|it| self.is_bound_to_shard(it)) {
             return;
         }
         let demand = Demand::of(&job.spec);
         let own = self.demand(now);
-        // A new owner that has not read the list yet seems to have no room at all.
-        if own.capacity == 0 && now.since(self.began_at) < KNOWS_WORKERS_AFTER {
+        // A new owner that has not read the list of workers yet would appear to have no capacity.
+        if own.capacity == 0 && now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
         let Some(to) = self.others.try_find_better_shard(now, own, demand) else { return };
@@ -138,16 +143,16 @@
         }
         self.active.remove(&id);
         self.delegating.push(id);
-        self.actions.push(Action::Note(Note::Delegated { job: id, to }));
+        self.actions.push(Action::Note(Note::JobDelegated { job: id, to }));
     }
 
-    /// Jobs and tasks that found no room when they came may find it elsewhere by now.
-    pub(super) fn look_for_room(&mut self, now: Instant) {
-        if now.since(self.delegated_at) < LOOK_EVERY {
+    /// Checks whether jobs and tasks that could not be placed here fit in another shard by now.
+    pub(super) fn rebalance(&mut self, now: Instant) {
+        if now.since(self.rebalanced_at) < CHECK_INTERVAL {
             return;
         }
-        self.delegated_at = now;
-        self.update_waits(now);
+        self.rebalanced_at = now;
+        self.update_waiting_since(now);
         if self.settings.layout.shards < 2 {
             return;
         }
@@ -157,10 +162,10 @@
         for id in waiting {
             self.try_delegate(now, id);
         }
-        self.hand_over_waiting(now);
+        self.transfer_waiting_tasks(now);
     }
 
-    /// Writes a job, and its cancellation, to the shard that it was handed to.
+    /// Writes a job, and its cancellation if there is one, to the shard that it was delegated to.
     pub(super) fn forward(&mut self, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         let Some(to) = job.delegated else { return };
@@ -172,7 +177,8 @@
         }
     }
 
-    /// A new owner does not know what the one before has written.
+    /// Writes all delegated jobs again: a new owner does not know which ones its predecessor has
+    /// written.
     pub(super) fn forward_all(&mut self) {
         let delegated = self.ledger.jobs().filter(|(_, it)| it.delegated.is_some());
         let ids: Vec<JobId> = delegated.map(|(id, _)| id).collect();
@@ -180,7 +186,8 @@
     }
 
     pub(super) fn forward_cancel(&mut self, id: JobId) {
-        // Before the decision is recorded, the job itself was not written either: both follow then.
+        // While the delegation is not recorded, the job was not written to the other shard either;
+        // both are written once it is.
         if let Some(to) = self.ledger.job(id).and_then(|it| it.delegated)
             && !self.delegating.contains(&id)
             && self.in_flight.as_ref().is_none_or(|it| !it.delegated.contains(&id))
@@ -193,12 +200,12 @@
     }
 }
 
-/// Pieces in the order in which they are told: those that hold most, by the scarcest of what they
-/// have, and among the first some of those with accelerators.
-fn largest_first(mut free_blocks: Vec<Resources>) -> Vec<Resources> {
-    /// Pieces with accelerators that come before all others.
+/// Sorts free blocks by publishing order: the largest first, by the scarcer of processors and
+/// memory; some blocks with accelerators precede all others.
+fn largest_first(mut blocks: Vec<Resources>) -> Vec<Resources> {
+    /// Maximum number of blocks with accelerators that precede all others.
     const WITH_ACCELERATORS: usize = FREE_BLOCKS / 4;
-    let most = free_blocks.iter().fold(Resources::ZERO, |most, it| Resources {
+    let most = blocks.iter().fold(Resources::ZERO, |most, it| Resources {
         cpu_milli: most.cpu_milli.max(it.cpu_milli),
         memory_mib: most.memory_mib.max(it.memory_mib),
         accelerators: 0,
@@ -208,10 +215,10 @@
         let cpu = permille(it.cpu_milli, most.cpu_milli);
         cpu.min(permille(it.memory_mib, most.memory_mib))
     };
-    free_blocks.sort_by_key(|it| std::cmp::Reverse(scarcest(it)));
+    blocks.sort_by_key(|it| std::cmp::Reverse(scarcest(it)));
     let mut first = Vec::new();
-    let mut others = Vec::with_capacity(free_blocks.len());
-    for it in free_blocks {
+    let mut others = Vec::with_capacity(blocks.len());
+    for it in blocks {
         match it.accelerators > 0 && first.len() < WITH_ACCELERATORS {
             true => first.push(it),
             false => others.push(it),
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -1,4 +1,4 @@
-//! Jobs that are read, and their cancellations.
+//! Processes submissions and cancellations of jobs.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use super::{
     JobView, Owner,
     message::StopCause,
-    worker::{Sent, Stop, WorkerKey},
+    worker::{StartState, StopState, WorkerKey},
 };
 use crate::{FoldEffect, Job, JobId, JobSpec, JobState, Phase, Record};
 
 impl Owner {
-    pub(super) fn record(&mut self, now: Instant, record: Record) {
+    pub(super) fn process_record(&mut self, now: Instant, record: Record) {
         match self.ledger.fold(record) {
             FoldEffect::Submitted(id) => {
-                self.submitted(now, id);
+                self.job_submitted(now, id);
             }
             FoldEffect::Cancelled(id) => {
-                self.tell_state(id);
+                self.publish_state(id);
                 self.forward_cancel(id);
                 self.cancel(now, id);
             }
@@ -28,12 +28,12 @@
         self.plan_due = true;
     }
 
-    /// A job is read that was not known.
+    /// Processes a submission of a job that was not known.
     ///
-    /// Submissions and progress are read independently, so an earlier owner may have begun the job
-    /// or handed it on, between this owner's reads of the two. Taken for a new one, it would run
-    /// here and in the shard that it was handed to, or twice here.
-    fn submitted(&mut self, now: Instant, id: JobId) {
+    /// Submissions and progress are read independently, so an earlier owner may have started or
+    /// delegated the job between this owner's reads of the two. If it were treated as new, it would
+    /// run both here and in the shard that it was delegated to, or twice here.
+    fn job_submitted(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         if job.delegated.is_some() {
             let returned = job.has_received_tasks();
@@ -44,20 +44,20 @@
             return;
         }
         let is_new = job_is_new(job);
-        self.tell_state(id);
+        self.publish_state(id);
         match is_new {
             true => {
-                self.open(now, id);
+                self.activate(now, id);
                 self.try_delegate(now, id);
             }
-            // Tasks of it that were handed here may run already.
+            // Tasks of the job that were transferred to this shard may be running already.
             false if self.active.contains_key(&id) => {}
             false => self.inherit_job(now, id),
         }
     }
 
-    fn tell_state(&mut self, id: JobId) {
-        // What is begun but not recorded yet is told with its record.
+    fn publish_state(&mut self, id: JobId) {
+        // The start of a job that is not recorded yet is published with its record.
         let job = self.ledger.job(id).filter(|it| !it.has_only_received_tasks);
         let state = job.map(|it| match it.state() {
             JobState::Cancelled => JobState::Cancelled,
@@ -66,26 +66,26 @@
         self.states.extend(state.map(|it| (id, it)));
     }
 
-    pub(super) fn open(&mut self, now: Instant, id: JobId) {
+    pub(super) fn activate(&mut self, now: Instant, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         let spec = &job.spec;
-        // The accepting VM's clock may be off, so it only dates jobs that are older than this
-        // owner, and never into the future.
+        // The clock of the VM that accepted the job may be wrong, so it only determines the age of
+        // jobs that are older than this owner, and never as a time in the future.
         let age_ms = self.began_wall_ms.saturating_sub(spec.accepted_ms).min(120_000);
-        let since = match now == self.began_at {
+        let accepted_at = match now == self.began_at {
             true => now - Duration::from_millis(age_ms),
             false => now,
         };
         let chain = spec.chain_ms() * u64::from(spec.terms.slack_permille) / 1_000;
         let objective = chain + u64::from(spec.terms.target_latency_ms);
         let view = JobView {
-            since,
-            objective: since + Duration::from_millis(objective),
+            accepted_at,
+            objective: accepted_at + Duration::from_millis(objective),
             tails_ms: spec.tails_ms(),
-            told_waiting: Vec::new(),
+            logged_waiting: Vec::new(),
         };
         let cancelled = job.cancelled;
-        self.typical_cpu = typical_cpu(self.typical_cpu, spec);
+        self.mean_task_cpu = mean_task_cpu(self.mean_task_cpu, spec);
         self.active.insert(id, view);
         if cancelled {
             self.cancel(now, id);
@@ -98,8 +98,10 @@
             let Some(worker) = self.workers.get_mut(WorkerKey(at as u32)) else { continue };
             for it in worker.tasks.iter_mut().filter(|it| it.task.job == id) {
                 left = true;
-                if it.stop == Stop::No && it.sent != Sent::Recording {
-                    it.stop_at(now, StopCause::JobOver);
+                if it.stop_state == StopState::NotRequested
+                    && it.start_state != StartState::Recording
+                {
+                    it.request_stop(now, StopCause::JobOver);
                 }
             }
         }
@@ -110,9 +112,9 @@
     }
 }
 
-/// The running mean of what a task needs that ends by itself, with a job more.
-fn typical_cpu(mean: u32, spec: &JobSpec) -> u32 {
-    /// Steps after which an older one counts for little.
+/// Returns the running mean of the processor time that a finite task reserves, with one more job.
+fn mean_task_cpu(mean: u32, spec: &JobSpec) -> u32 {
+    /// Number of steps after which an older one has little weight.
     const STEPS: u32 = 16;
     let finite = spec.steps.iter().filter(|it| !it.best_effort && !it.long_running);
     finite.map(|it| it.need.cpu_milli).fold(mean, |mean, cpu| match mean {
@@ -121,7 +123,7 @@
     })
 }
 
-/// Whether no owner has recorded anything of a job.
+/// Whether no owner has recorded any progress of a job.
 fn job_is_new(job: &Job) -> bool {
     job.progress.phase == Phase::Active && !job.progress.has_started
 }
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: starts and stops, and the answers to them.
+//! Orders to start and stop runs, and their answers.
 
 use std::time::Duration;
 
@@ -7,51 +7,53 @@
 use super::{
     InFlight, Owner,
     message::{Action, OrderReply, Refusal, Start, StopCause},
-    worker::{LateOrder, Sent, Stop, WorkerKey},
+    worker::{DelayedStart, StartState, StopState, WorkerKey},
 };
 use crate::{JobState, TaskId};
 
-/// Before an unanswered start is sent again: it is idempotent, and a worker that lost one order
-/// mostly takes the next.
-const RESEND_START: Duration = Duration::from_millis(100);
-/// Before an unanswered stop is sent again.
-const RESEND_STOP: Duration = Duration::from_millis(200);
-/// How long after it was sent an order may still be carried out: the platform's contract names
-/// 12 s.
-pub(super) const LATE_MAX: Duration = Duration::from_secs(13);
-/// How long a worker gets no new work after an order went unanswered.
-const SHUN_SILENT: Duration = Duration::from_millis(700);
-/// How long a worker gets no new work after it refused some.
-const SHUN_REFUSING: Duration = Duration::from_millis(500);
-/// The same, where it says that it is unhealthy.
-const SHUN_UNHEALTHY: Duration = Duration::from_secs(2);
+/// Interval before an unanswered start is sent again: starts are idempotent, and a worker that
+/// missed one order usually receives the next.
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval before an unanswered stop is sent again.
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// How long after it was sent an order may still be carried out: the platform's contract allows 12
+/// s.
+pub(super) const MAX_ORDER_DELAY: Duration = Duration::from_secs(13);
+/// How long a worker gets no new tasks after it left an order unanswered.
+const EXCLUSION_NO_ANSWER: Duration = Duration::from_millis(700);
+/// How long a worker gets no new tasks after it rejected an order.
+const EXCLUSION_REFUSED: Duration = Duration::from_millis(500);
+/// How long a worker gets no new tasks after it rejected an order because it is unhealthy.
+const EXCLUSION_UNHEALTHY: Duration = Duration::from_secs(2);
 
 impl Owner {
-    /// The batch under way is in the log: its starts may go out, its ends are acknowledged.
-    pub(super) fn appended(&mut self, now: Instant) {
+    /// Handles the storing of the current batch: sends its starts, and acknowledges its ended
+    /// runs.
+    pub(super) fn batch_appended(&mut self, now: Instant) {
         let Some(it) = self.in_flight.take() else { return };
-        self.succession.taken(it.began);
-        self.succession.recorded();
-        let InFlight { began: _, starts, cursors, states, delegated, handed } = it;
+        self.succession.append_accepted(it.began);
+        self.succession.witnesses_recorded();
+        let InFlight { began: _, starts, cursors, states, delegated, transferring } = it;
         self.states.extend(states);
         delegated.into_iter().for_each(|id| self.forward(id));
-        handed.into_iter().for_each(|task| self.forward_task(task));
-        for (key, born_ms, number) in cursors {
+        transferring.into_iter().for_each(|task| self.forward_task(task));
+        for (key, started_at_ms, number) in cursors {
             if let Some(worker) = self.workers.get_mut(key)
-                && worker.born_ms == born_ms
+                && worker.started_at_ms == started_at_ms
             {
                 worker.cursor_durable = worker.cursor_durable.max(number);
             }
             self.renew(now, key);
         }
         for (key, task, run) in starts {
-            self.start(now, key, task, run);
+            self.send_start(now, key, task, run);
         }
     }
 
-    fn start(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32) {
+    fn send_start(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32) {
         let lease = self.settings.lease;
-        // A record that took long to be told of may stand behind those of another owner.
+        // If the confirmation of the record was slow, another owner's records may precede it in the
+        // log.
         let wanted = self.is_wanted(task) && self.may_renew(now);
         let Some(job) = self.ledger.job(task.job) else { return };
         let text = job.spec.text.clone();
@@ -59,29 +61,29 @@
         let state = &steps[task.occurrence as usize][usize::from(task.step)][task.index as usize];
         let checkpoint = state.checkpoint.clone();
         let Some(worker) = self.workers.get_mut(key) else { return };
-        let Some(sent) = worker.find(task, run).map(|it| it.sent) else { return };
-        // Its worker may have changed while the record was under way.
+        let Some(start_state) = worker.find(task, run).map(|it| it.start_state) else { return };
+        // The worker may have changed while the record was being stored.
         let answers = worker.fenced && worker.hold_failures == 0;
         let takes = answers && worker.used.fits(worker.capacity);
-        let can = takes || sent != Sent::Recording;
+        let can = takes || start_state != StartState::Recording;
         let lease_end = if wanted && can { worker.lease_end(now, lease) } else { None };
         let Some(it) = worker.find(task, run) else { return };
         let Some(deadline_ms) = lease_end else {
-            // Not wanted any more, no room, or its worker is silent or has just started anew: nothing
-            // was sent.
+            // The task is not wanted any more, does not fit, or its worker is unreachable or has
+            // just restarted: nothing was sent.
             self.unassign(key, task, run);
             return;
         };
-        it.sent = Sent::InFlight;
-        it.tries += 1;
+        it.start_state = StartState::InFlight;
+        it.start_attempts += 1;
         it.began_at = now;
-        it.moved_at = now;
+        it.progressed_at = now;
         it.checkpoint.clone_from(&checkpoint);
         let start = Start { task, run, text, deadline_ms, checkpoint };
         self.actions.push(Action::Start(key, start));
     }
 
-    /// Whether a task is still to be run.
+    /// Whether a task still has to run.
     fn is_wanted(&self, task: TaskId) -> bool {
         let Some(job) = self.ledger.job(task.job) else { return false };
         let active = matches!(job.state(), JobState::Queued | JobState::Running);
@@ -90,7 +92,7 @@
         active && tasks.and_then(|it| it.get(task.index as usize)).is_some_and(|it| !it.done)
     }
 
-    /// Takes a start back that has surely had no effect and never will.
+    /// Removes a start that has had no effect and cannot have one.
     fn unassign(&mut self, key: WorkerKey, task: TaskId, run: u32) {
         if let Some(worker) = self.workers.get_mut(key) {
             worker.remove(task, run);
@@ -98,7 +100,7 @@
         self.drop_copy(task, run, "");
     }
 
-    pub(super) fn started(
+    pub(super) fn start_answered(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -111,7 +113,7 @@
             && worker.fenced
         {
             match worker.is_clock_reset(clock_ms) {
-                // Its next list names the incarnation; until then it gets nothing new.
+                // The next list identifies the new incarnation; until then it gets no new tasks.
                 true => worker.fenced = false,
                 false => worker.clock = Some((clock_ms, now)),
             }
@@ -119,76 +121,89 @@
         let Some(it) = worker.find(task, run) else { return };
         match reply {
             OrderReply::Done { .. } => {
-                it.sent = Sent::There(now);
+                it.start_state = StartState::Confirmed(now);
                 if it.best_effort_cpu > 0 {
                     self.pace(now, key);
                 }
             }
             OrderReply::Unknown => {
-                it.maybe_late = true;
-                it.sent = Sent::Unanswered(now + RESEND_START * it.tries.min(8));
-                let (allocation, until) = (it.allocation, now + LATE_MAX);
-                worker.late_orders.retain(|it| it.until > now && (it.task, it.run) != (task, run));
-                worker.late_orders.push(LateOrder { task, run, allocation, until });
-                self.shun(now, key, SHUN_SILENT);
+                it.may_be_delayed = true;
+                it.start_state =
+                    StartState::Unanswered(now + START_RETRY_INTERVAL * it.start_attempts.min(8));
+                let (allocation, until) = (it.allocation, now + MAX_ORDER_DELAY);
+                worker
+                    .delayed_starts
+                    .retain(|it| it.until > now && (it.task, it.run) != (task, run));
+                worker.delayed_starts.push(DelayedStart { task, run, allocation, until });
+                self.exclude(now, key, EXCLUSION_NO_ANSWER);
             }
-            OrderReply::NotSent if it.maybe_late => {
-                it.sent = Sent::Unanswered(now + RESEND_START * it.tries.min(8));
-                self.shun(now, key, SHUN_SILENT);
+            OrderReply::NotSent if it.may_be_delayed => {
+                it.start_state =
+                    StartState::Unanswered(now + START_RETRY_INTERVAL * it.start_attempts.min(8));
+                self.exclude(now, key, EXCLUSION_NO_ANSWER);
             }
             OrderReply::NotSent => {
-                self.shun(now, key, SHUN_SILENT);
+                self.exclude(now, key, EXCLUSION_NO_ANSWER);
                 self.unassign(key, task, run);
             }
             OrderReply::Refused(Refusal::Fenced) => self.actions.push(Action::StepDown),
-            // An earlier sending was carried out and has ended by now: the list will say how.
-            OrderReply::Refused(Refusal::Old) if it.maybe_late => it.sent = Sent::There(now),
-            OrderReply::Refused(why) => self.refused(now, key, task, run, why),
+            // An earlier attempt was carried out and the run has ended: the list will say how.
+            OrderReply::Refused(Refusal::StaleRun) if it.may_be_delayed => {
+                it.start_state = StartState::Confirmed(now)
+            }
+            OrderReply::Refused(cause) => self.start_refused(now, key, task, run, cause),
         }
     }
 
-    fn refused(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, why: Refusal) {
-        let pause = match why {
-            Refusal::Unhealthy => SHUN_UNHEALTHY,
-            _ => SHUN_REFUSING,
+    fn start_refused(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        task: TaskId,
+        run: u32,
+        cause: Refusal,
+    ) {
+        let pause = match cause {
+            Refusal::Unhealthy => EXCLUSION_UNHEALTHY,
+            _ => EXCLUSION_REFUSED,
         };
-        self.shun(now, key, pause);
-        self.note_worker(key, "shunned", refusal_words(why));
+        self.exclude(now, key, pause);
+        self.note_worker(key, "shunned", refusal_cause(cause));
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
-        // An earlier sending may still be carried out: a stop that is answered shuts it out.
-        match it.maybe_late {
+        // An earlier attempt may still be carried out; a stop that is answered rules that out.
+        match it.may_be_delayed {
             true => {
-                it.sent = Sent::Unanswered(now + RESEND_START);
-                it.stop_at(now, StopCause::MaybeLate);
+                it.start_state = StartState::Unanswered(now + START_RETRY_INTERVAL);
+                it.request_stop(now, StopCause::PossiblyDelayed);
                 self.send_stops(now);
             }
             false => self.unassign(key, task, run),
         }
     }
 
-    pub(super) fn shun(&mut self, now: Instant, key: WorkerKey, pause: Duration) {
+    pub(super) fn exclude(&mut self, now: Instant, key: WorkerKey, pause: Duration) {
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.shunned_until = worker.shunned_until.max(now + pause);
+            worker.excluded_until = worker.excluded_until.max(now + pause);
         }
     }
 
-    /// Sends all stops that are due.
+    /// Sends all stop orders that are due.
     pub(super) fn send_stops(&mut self, now: Instant) {
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
             let Some(worker) = self.workers.get_mut(key) else { continue };
             for it in &mut worker.tasks {
-                if let Stop::Due(at) = it.stop
+                if let StopState::Due(at) = it.stop_state
                     && at <= now
                 {
-                    it.stop = Stop::InFlight;
+                    it.stop_state = StopState::InFlight;
                     self.actions.push(Action::Stop(key, it.task, it.run, it.stop_cause));
                 }
             }
         }
     }
 
-    pub(super) fn stopped(
+    pub(super) fn stop_answered(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -197,20 +212,20 @@
         reply: OrderReply,
     ) {
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
-        it.stop = match reply {
-            OrderReply::Done { .. } => Stop::Done(now),
-            OrderReply::Refused(Refusal::Old | Refusal::Late) => Stop::Done(now),
+        it.stop_state = match reply {
+            OrderReply::Done { .. } => StopState::Done(now),
+            OrderReply::Refused(Refusal::StaleRun | Refusal::Late) => StopState::Done(now),
             OrderReply::Refused(Refusal::Fenced) => {
                 self.actions.push(Action::StepDown);
                 return;
             }
             OrderReply::Refused(_) | OrderReply::NotSent | OrderReply::Unknown => {
-                Stop::Due(now + RESEND_STOP)
+                StopState::Due(now + STOP_RETRY_INTERVAL)
             }
         };
     }
 
-    /// Sends unanswered starts again.
+    /// Sends unanswered start orders again.
     pub(super) fn resend_starts(&mut self, now: Instant) {
         if !self.may_renew(now) {
             return;
@@ -218,33 +233,33 @@
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
             let Some(worker) = self.workers.get(key) else { continue };
-            let due = |sent: Sent| matches!(sent, Sent::Unanswered(at) if at <= now);
+            let due = |start_state: StartState| matches!(start_state, StartState::Unanswered(at) if at <= now);
             let due: Vec<_> = worker
                 .tasks
                 .iter()
-                .filter(|it| it.stop == Stop::No && due(it.sent))
+                .filter(|it| it.stop_state == StopState::NotRequested && due(it.start_state))
                 .map(|it| (it.task, it.run))
                 .collect();
-            // While a worker is silent nothing is granted, so that its leases run out.
+            // No lease is granted while a worker does not answer, so that its leases expire.
             if worker.hold_failures > 0 || worker.clock.is_none() {
                 continue;
             }
             for (task, run) in due {
-                self.start(now, key, task, run);
+                self.send_start(now, key, task, run);
             }
         }
     }
 }
 
-fn refusal_words(why: Refusal) -> &'static str {
-    match why {
+fn refusal_cause(cause: Refusal) -> &'static str {
+    match cause {
         Refusal::Fenced => "it has seen a higher epoch",
-        Refusal::Old => "it has ended a later run of a task",
-        Refusal::Late => "a start came after its lease",
-        Refusal::Room => "a start did not fit",
+        Refusal::StaleRun => "it has ended a later run of a task",
+        Refusal::Late => "a start arrived after its lease had expired",
+        Refusal::DoesNotFit => "a start did not fit",
         Refusal::Ticket => "a start had no valid ticket",
-        Refusal::Unhealthy => "it says that it is unhealthy",
-        Refusal::OtherInstance => "another incarnation answered",
+        Refusal::Unhealthy => "it reports that it is unhealthy",
+        Refusal::OtherIncarnation => "another incarnation answered",
         Refusal::Malformed => "it does not understand a start",
     }
 }
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -1,4 +1,4 @@
-//! What starts next.
+//! Decides which tasks start next.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,177 +7,188 @@
 use super::{
     JobView, Owner,
     message::{Action, Note, WaitCause},
-    place::{Kept, Place, is_crowded},
+    placement::{PlacementOptions, Reservation, is_at_step_limit},
     worker::WorkerKey,
 };
 use crate::{Copy, Job, JobId, JobKind, JobSpec, JobState, StepSpec, TaskId, TaskState};
 
-/// Copies of one task at a time, where its step allows copies.
-const COPIES_MAX: usize = 2;
+/// Maximum number of copies of one task at a time, where its step allows copies.
+const MAX_COPIES: usize = 2;
 
-/// A quick job with less time left than this beside its work may keep a worker free.
-const KEEP_SLACK: Duration = Duration::from_millis(1_000);
+/// A finite job may reserve a worker if it has less spare time than this before its objective.
+const RESERVATION_SLACK: Duration = Duration::from_millis(1_000);
 
-/// How long a job that lasts leaves room to those that can be in time, on a full fleet. Its tasks stay for
-/// minutes, and must not wait for longer where others of a second's length come and go.
-const YIELDS: Duration = Duration::from_millis(1_500);
+/// How long a new long-running job on a full fleet leaves capacity to jobs that can still be in
+/// time. Its tasks run for minutes, but must not wait longer than this while tasks of about a
+/// second come and go.
+const LONG_RUNNING_YIELD: Duration = Duration::from_millis(1_500);
 
-/// What a job can still come to; the first goes first.
+/// Urgency of a job; the first variant is placed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Standing {
-    /// Its tasks are to run all the time: each moment without them counts.
-    Lasts,
-    /// It can be in time.
+enum Urgency {
+    /// The job's tasks should run all the time: each moment without them matters.
+    LongRunning,
+    /// The job can be in time.
     InTime,
-    /// It will be late, and is still of use then.
+    /// The job will be late, but still of use.
     Late,
-    /// The same as the first, and it has just come: what ends by itself soon leaves its room to it.
-    LastsSoon,
-    /// It is of little use to anybody, but was accepted.
+    /// A long-running job that was just accepted: finite jobs, which soon free their capacity, go
+    /// first.
+    NewLongRunning,
+    /// The job will be of little use, but was accepted.
     TooLate,
 }
 
-/// The standing of a job with `chain_ms` of work before it. A job that cannot be in time any more
-/// does not hold up those that can: in an overload, the earliest deadline first would make all of
-/// them late by a little.
-fn standing(now: Instant, view: &JobView, chain_ms: u64) -> Standing {
-    /// Results are of use up to three times the objective, as the operators' contract has it.
-    const OF_USE: u32 = 3;
-    let allowed = view.objective.since(view.since);
+/// Returns the urgency of a finite job with `chain_ms` of work left. A job that cannot be in time
+/// does not delay those that can: under overload, earliest deadline first would make all of them
+/// slightly late.
+fn urgency(now: Instant, view: &JobView, chain_ms: u64) -> Urgency {
+    /// Results are of use up to three times the objective, according to the contract with
+    /// operators.
+    const USEFUL_FACTOR: u32 = 3;
+    let allowed = view.objective.since(view.accepted_at);
     match now + Duration::from_millis(chain_ms) {
-        it if it <= view.objective => Standing::InTime,
-        it if it <= view.since + allowed * OF_USE => Standing::Late,
-        _ => Standing::TooLate,
+        it if it <= view.objective => Urgency::InTime,
+        it if it <= view.accepted_at + allowed * USEFUL_FACTOR => Urgency::Late,
+        _ => Urgency::TooLate,
     }
 }
 
-/// Whether a job that lasts still leaves room to others. Tasks of it that came from another shard have
-/// done so there.
+/// Whether a long-running job still leaves capacity to others. Tasks that came from another shard
+/// have waited there already.
 fn yields(now: Instant, view: &JobView, job: &Job) -> bool {
-    now.since(view.since) < YIELDS && !job.belongs_to_other_shard()
+    now.since(view.accepted_at) < LONG_RUNNING_YIELD && !job.belongs_to_other_shard()
 }
 
-/// What one pass over all jobs has found so far.
+/// What one planning pass has found so far.
 #[derive(Debug, Default)]
-struct Round {
-    kept: Vec<Kept>,
-    /// Best-effort tasks for which there is no room.
-    full: Vec<Full>,
+struct PlanPass {
+    reservations: Vec<Reservation>,
+    /// Best-effort tasks that could not be placed.
+    unplaceable: Vec<UnplaceableTask>,
 }
 
-/// Best-effort tasks of one image that find no room, and all that need as much or more.
+/// Best-effort tasks of one image that could not be placed; those that need as much or more cannot
+/// be placed either.
 #[derive(Debug)]
-struct Full {
+struct UnplaceableTask {
     service: Arc<str>,
     image: Option<Arc<str>>,
     need: Resources,
 }
 
-impl Round {
-    /// Whether a task of `step` surely finds no room, as one like it has found none.
-    fn is_full(&self, service: &Arc<str>, step: &StepSpec) -> bool {
-        let covers =
-            |it: &Full| it.service == *service && it.image == step.image && it.need.fits(step.need);
-        step.best_effort && self.full.iter().any(covers)
+impl PlanPass {
+    /// Whether a task of `step` cannot be placed because a similar one could not.
+    fn is_unplaceable(&self, service: &Arc<str>, step: &StepSpec) -> bool {
+        let covers = |it: &UnplaceableTask| {
+            it.service == *service && it.image == step.image && it.need.fits(step.need)
+        };
+        step.best_effort && self.unplaceable.iter().any(covers)
     }
 
-    fn add_full(&mut self, service: &Arc<str>, step: &StepSpec) {
-        // What binds the step alone says nothing of others.
+    fn add_unplaceable(&mut self, service: &Arc<str>, step: &StepSpec) {
+        // Constraints of this step alone say nothing about other steps.
         if step.best_effort && step.required_label.is_none() && step.max_per_worker == 0 {
             let (service, image) = (service.clone(), step.image.clone());
-            self.full.push(Full { service, image, need: step.need });
+            self.unplaceable.push(UnplaceableTask { service, image, need: step.need });
         }
     }
 }
 
-/// A step whose turn has come.
+/// A step with waiting tasks whose dependencies are done.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Ready {
+pub(super) struct ReadyStep {
     pub job: JobId,
     pub occurrence: u32,
     pub step: u16,
 }
 
 impl Owner {
-    /// Starts what can be started, the most urgent first.
+    /// Starts all tasks that can be placed, the most urgent first.
     pub(super) fn plan(&mut self, now: Instant) {
-        self.weigh_all();
-        self.short.clear();
-        let mut round = Round { kept: self.kept_for_moves(), ..Round::default() };
+        self.update_all_interference();
+        self.unplaced_sizes.clear();
+        let mut pass =
+            PlanPass { reservations: self.relocation_reservations(), ..PlanPass::default() };
         for id in self.by_urgency(now) {
             for ready in self.ready_steps(now, id) {
-                self.place_step(now, ready, &mut round);
+                self.place_step(now, ready, &mut pass);
             }
         }
-        self.kept = round.kept;
+        self.reservations = pass.reservations;
     }
 
-    /// Sums up anew the workers on which something was started or has ended.
-    pub(super) fn weigh_all(&mut self) {
-        for (_, worker) in self.workers.iter_mut().filter(|(_, it)| !it.is_weighed) {
-            worker.weigh(&self.interference);
+    /// Recomputes the interference on workers where runs were started or have ended.
+    pub(super) fn update_all_interference(&mut self) {
+        for (_, worker) in self.workers.iter_mut().filter(|(_, it)| !it.is_interference_current) {
+            worker.update_interference(&self.interference);
         }
     }
 
-    /// Workers that are kept at one time at most.
-    pub(super) fn kept_max(&self) -> usize {
-        /// The part of all workers.
-        const KEPT_SHARE: usize = 8;
-        self.workers.len() / KEPT_SHARE + 1
+    /// Returns the maximum number of workers that are reserved at a time.
+    pub(super) fn max_reservations(&self) -> usize {
+        /// One worker in this many may be reserved.
+        const WORKERS_PER_RESERVATION: usize = 8;
+        self.workers.len() / WORKERS_PER_RESERVATION + 1
     }
 
-    /// A worker that is kept for a task without room, so that what ends there leaves it enough in
-    /// time: else smaller tasks take each gap as it comes, and a large one never starts.
-    fn try_keep(&self, now: Instant, ready: Ready, step: &StepSpec, kept: &[Kept]) -> Option<Kept> {
+    /// Reserves a worker for a task that cannot be placed, so that the runs which end there free
+    /// enough capacity in time. Otherwise smaller tasks would fill each gap, and a large one would
+    /// never start.
+    fn try_reserve(
+        &self,
+        now: Instant,
+        ready: ReadyStep,
+        step: &StepSpec,
+        reservations: &[Reservation],
+    ) -> Option<Reservation> {
         let view = self.active.get(&ready.job)?;
         let tail = view.tails_ms.get(usize::from(ready.step)).copied().unwrap_or_default();
-        let pressed = now + Duration::from_millis(tail) + KEEP_SLACK > view.objective;
-        if step.best_effort || kept.len() >= self.kept_max() {
+        let is_urgent = now + Duration::from_millis(tail) + RESERVATION_SLACK > view.objective;
+        if step.best_effort || reservations.len() >= self.max_reservations() {
             return None;
         }
-        if !step.long_running && (!pressed || now > view.objective) {
+        if !step.long_running && (!is_urgent || now > view.objective) {
             return None;
         }
         let service = self.ledger.job(ready.job).map(|it| self.service(&it.spec))?;
         let candidates = self.workers.iter().filter(|(key, it)| {
             it.service == service
-                && self.usable(now, it)
-                && kept.iter().all(|kept| kept.worker != *key)
+                && self.is_usable(now, it)
+                && reservations.iter().all(|reservation| reservation.worker != *key)
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
-                && step.allocation().fits(it.room_in_time())
-                && !is_crowded(step, it, task_id(ready, 0))
+                && step.allocation().fits(it.eventual_free())
+                && !is_at_step_limit(step, it, task_id(ready, 0))
         });
         let best = candidates.max_by_key(|(key, it)| (it.free().cpu_milli, *key));
-        best.map(|(worker, _)| Kept { worker, need: step.allocation() })
+        best.map(|(worker, _)| Reservation { worker, need: step.allocation() })
     }
 
-    /// Jobs that are not ended: first those whose tasks are to run all the time, as each moment
-    /// without them counts; then those that can still be in time, by priority and by the part of
-    /// their work that is left. What was put into a job is of use to nobody until its last task has
-    /// ended, so that in an overload, jobs that are nearly done go before those that have just come.
+    /// Returns the jobs that have not ended by urgency: first long-running jobs, since each moment
+    /// without their tasks matters; then jobs that can be in time, by priority and by the part of
+    /// their work that is left. Work on a job is of no use until its last task has ended, so under
+    /// overload jobs that are nearly done go before new ones.
     fn by_urgency(&self, now: Instant) -> Vec<JobId> {
         let mut jobs: Vec<_> = self
             .active
             .iter()
             .filter_map(|(id, view)| {
                 let job = self.ledger.job(*id)?;
-                let open = matches!(job.state(), JobState::Queued | JobState::Running);
-                if !open {
+                let is_open = matches!(job.state(), JobState::Queued | JobState::Running);
+                if !is_open {
                     return None;
                 }
-                let chain = self.chain_left(*id, view);
+                let chain = self.remaining_chain_ms(*id, view);
                 let latest = view.objective.0.saturating_sub(chain * 1_000);
-                let standing = match (job.spec.kind(), standing(now, view, chain)) {
-                    (JobKind::LongRunning, _) if yields(now, view, job) => Standing::LastsSoon,
-                    (JobKind::LongRunning, _) => Standing::Lasts,
-                    // A wide job cannot be in time where rooms are few, but of use.
-                    (JobKind::Finite, Standing::Late) if job.progress.has_started => {
-                        Standing::InTime
-                    }
+                let urgency = match (job.spec.kind(), urgency(now, view, chain)) {
+                    (JobKind::LongRunning, _) if yields(now, view, job) => Urgency::NewLongRunning,
+                    (JobKind::LongRunning, _) => Urgency::LongRunning,
+                    // A wide job cannot be in time where few tasks fit, but it is still of use.
+                    (JobKind::Finite, Urgency::Late) if job.progress.has_started => Urgency::InTime,
                     (_, it) => it,
                 };
                 Some((
-                    (standing, job.spec.terms.priority, job.remaining_work_permille(), latest),
+                    (urgency, job.spec.terms.priority, job.remaining_work_permille(), latest),
                     *id,
                 ))
             })
@@ -186,18 +197,18 @@
         jobs.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The estimated length of the longest chain of steps that are not done, in milliseconds, over
-    /// the first occurrence that is not.
-    fn chain_left(&self, id: JobId, view: &JobView) -> u64 {
+    /// Returns the estimated length in milliseconds of the longest chain of unfinished steps in the
+    /// first occurrence that has any.
+    fn remaining_chain_ms(&self, id: JobId, view: &JobView) -> u64 {
         let Some(job) = self.ledger.job(id) else { return 0 };
-        let open = |steps: &&Vec<Vec<TaskState>>| steps.iter().flatten().any(|it| !it.done);
-        let Some(steps) = job.progress.occurrences.iter().find(open) else { return 0 };
+        let is_open = |steps: &&Vec<Vec<TaskState>>| steps.iter().flatten().any(|it| !it.done);
+        let Some(steps) = job.progress.occurrences.iter().find(is_open) else { return 0 };
         let left = steps.iter().zip(&view.tails_ms).filter(|(it, _)| it.iter().any(|it| !it.done));
         left.map(|(_, tail)| *tail).max().unwrap_or_default()
     }
 
-    /// Steps of a job with waiting tasks whose dependencies are done.
-    pub(super) fn ready_steps(&self, now: Instant, id: JobId) -> Vec<Ready> {
+    /// Returns the steps of a job that have waiting tasks and whose dependencies are done.
+    pub(super) fn ready_steps(&self, now: Instant, id: JobId) -> Vec<ReadyStep> {
         let Some(job) = self.ledger.job(id) else { return Vec::new() };
         let spec = &job.spec;
         let mut ready = Vec::new();
@@ -209,25 +220,25 @@
                 let done = |it: &u16| steps[usize::from(*it)].iter().all(|it| it.done);
                 let waiting = tasks.iter().any(|it| self.wants_copy(&spec.steps[s], it));
                 if waiting && spec.steps[s].depends_on.iter().all(done) {
-                    ready.push(Ready { job: id, occurrence: k as u32, step: s as u16 });
+                    ready.push(ReadyStep { job: id, occurrence: k as u32, step: s as u16 });
                 }
             }
         }
         ready
     }
 
-    /// Whether an occurrence's time has come.
+    /// Whether an occurrence's start time has come.
     fn is_due(&self, now: Instant, spec: &JobSpec, k: u32) -> bool {
         if !spec.timed {
             return true;
         }
-        // The wall clock was read once: it may jump, the process's own clock does not.
+        // The wall clock was read once at the start: it may jump, the process's own clock does not.
         let passed = now.since(self.began_at).as_millis() as u64;
         self.began_wall_ms + passed >= spec.due_ms(k)
     }
 
-    /// Whether another copy of a task is to be started: there is none, or the only one is on a
-    /// worker that does not answer and the step allows copies.
+    /// Whether a copy of a task is to be started: there is none, or the step allows copies and the
+    /// only one is on a worker that does not answer.
     fn wants_copy(&self, step: &StepSpec, state: &TaskState) -> bool {
         if state.done || state.on_other_shard {
             return false;
@@ -237,16 +248,16 @@
         }
         step.speculative
             && !step.gang
-            && state.copies.len() < COPIES_MAX
-            && state.copies.iter().all(|it| self.is_silent(it))
+            && state.copies.len() < MAX_COPIES
+            && state.copies.iter().all(|it| self.is_unreachable(it))
     }
 
-    fn is_silent(&self, copy: &Copy) -> bool {
+    fn is_unreachable(&self, copy: &Copy) -> bool {
         let worker = self.by_id.get(&copy.worker).and_then(|key| self.workers.get(*key));
         worker.is_none_or(|it| it.hold_failures > 0 || !it.listed)
     }
 
-    fn place_step(&mut self, now: Instant, ready: Ready, round: &mut Round) {
+    fn place_step(&mut self, now: Instant, ready: ReadyStep, pass: &mut PlanPass) {
         let Some(job) = self.ledger.job(ready.job) else { return };
         let spec = job.spec.clone();
         let step = &spec.steps[usize::from(ready.step)];
@@ -258,30 +269,38 @@
             .collect();
         if step.gang {
             if waiting.len() == tasks.len() {
-                self.place_gang(now, ready, &spec, step, &round.kept);
+                self.place_gang(now, ready, &spec, step, &pass.reservations);
             }
             return;
         }
         let service = self.service(&spec);
-        if round.is_full(&service, step) {
-            self.note_wait(ready, step, waiting.len());
+        if pass.is_unplaceable(&service, step) {
+            self.note_waiting_step(ready, step, waiting.len());
             return;
         }
         let count = waiting.len();
         for (at, index) in waiting.into_iter().enumerate() {
             let task = task_id(ready, index);
-            let options = Place { rack: None, taken: &[], any_pace: false, kept: &round.kept };
+            let options = PlacementOptions {
+                rack: None,
+                tentative: &[],
+                allow_throttled: false,
+                reservations: &pass.reservations,
+            };
             let place = self
-                .try_moved_to(now, step, task)
+                .relocation_target(now, step, task)
                 .or_else(|| self.try_place(now, &service, step, task, options));
             let Some(key) = place else {
-                self.add_short(step);
+                self.add_unplaced_size(step);
                 for _ in at..count {
-                    let Some(kept) = self.try_keep(now, ready, step, &round.kept) else { break };
-                    round.kept.push(kept);
+                    let Some(reservation) = self.try_reserve(now, ready, step, &pass.reservations)
+                    else {
+                        break;
+                    };
+                    pass.reservations.push(reservation);
                 }
-                round.add_full(&service, step);
-                self.note_wait(ready, step, count - at);
+                pass.add_unplaceable(&service, step);
+                self.note_waiting_step(ready, step, count - at);
                 break;
             };
             let run = self.next_run(task);
@@ -289,36 +308,38 @@
         }
     }
 
-    /// Tells once of each step that it waits, and for what.
-    fn note_wait(&mut self, ready: Ready, step: &StepSpec, tasks: usize) {
+    /// Logs once per step that its tasks wait, and why.
+    fn note_waiting_step(&mut self, ready: ReadyStep, step: &StepSpec, tasks: usize) {
         let backlog = self.active.len();
         let Some(view) = self.active.get_mut(&ready.job) else { return };
-        if view.told_waiting.contains(&ready.step) {
+        if view.logged_waiting.contains(&ready.step) {
             return;
         }
-        view.told_waiting.push(ready.step);
-        let cause = if step.best_effort { WaitCause::Headroom } else { WaitCause::Room };
-        let Ready { job, step, .. } = ready;
-        self.actions.push(Action::Note(Note::Waits { job, step, tasks, cause, backlog }));
+        view.logged_waiting.push(ready.step);
+        let cause = if step.best_effort { WaitCause::Headroom } else { WaitCause::Capacity };
+        let ReadyStep { job, step, .. } = ready;
+        self.actions.push(Action::Note(Note::StepWaiting { job, step, tasks, cause, backlog }));
     }
 
     /// Starts all members of a gang, or none.
     fn place_gang(
         &mut self,
         now: Instant,
-        ready: Ready,
+        ready: ReadyStep,
         spec: &JobSpec,
         step: &StepSpec,
-        kept: &[Kept],
+        reservations: &[Reservation],
     ) {
         let service = self.service(spec);
         let found = match step.same_rack {
             true => self
                 .racks(&service)
                 .into_iter()
-                .find_map(|rack| self.try_place_all(now, &service, step, ready, Some(&rack), kept))
-                .or_else(|| self.try_place_all(now, &service, step, ready, None, kept)),
-            false => self.try_place_all(now, &service, step, ready, None, kept),
+                .find_map(|rack| {
+                    self.try_place_all(now, &service, step, ready, Some(&rack), reservations)
+                })
+                .or_else(|| self.try_place_all(now, &service, step, ready, None, reservations)),
+            false => self.try_place_all(now, &service, step, ready, None, reservations),
         };
         let Some(keys) = found else { return };
         let members = 0..step.count;
@@ -333,14 +354,15 @@
         now: Instant,
         service: &str,
         step: &StepSpec,
-        ready: Ready,
+        ready: ReadyStep,
         rack: Option<&str>,
-        kept: &[Kept],
+        reservations: &[Reservation],
     ) -> Option<Vec<WorkerKey>> {
         let mut taken: Vec<(WorkerKey, Resources)> = Vec::new();
         for index in 0..step.count {
             let task = task_id(ready, index);
-            let options = Place { rack, taken: &taken, any_pace: true, kept };
+            let options =
+                PlacementOptions { rack, tentative: &taken, allow_throttled: true, reservations };
             let key = self.try_place(now, service, step, task, options)?;
             taken.push((key, step.allocation()));
         }
@@ -355,7 +377,7 @@
         racks
     }
 
-    /// The service that runs a job's tasks: as its queue says now, or last said.
+    /// Returns the service that runs a job's tasks, as its queue defines it now or last did.
     pub(super) fn service(&self, spec: &JobSpec) -> Arc<str> {
         let queue = self.queues.queue(&spec.terms.queue);
         queue.map_or_else(|| spec.terms.service.clone(), |it| it.terms.service.clone())
@@ -368,12 +390,12 @@
         tasks.and_then(|it| it.get(task.index as usize)).map_or(1, |it| it.runs + 1)
     }
 
-    /// Gives a task to a worker; the order goes out when its record is in the log.
+    /// Assigns a task to a worker; the order is sent when its record is in the log.
     fn assign(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, step: &StepSpec) {
         let it = super::assignment(now, &mut self.interference, task, run, step);
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.add(it);
-        worker.weigh(&self.interference);
+        worker.update_interference(&self.interference);
         let id = worker.id.clone();
         let Some(state) = self.task_mut(task) else { return };
         state.runs = run;
@@ -381,11 +403,11 @@
         if let Some(job) = self.ledger.job_mut(task.job) {
             job.progress.has_started = true;
         }
-        self.recording.push((key, task, run));
-        self.end_move(task);
+        self.unrecorded_starts.push((key, task, run));
+        self.end_relocation(task);
     }
 
-    /// How long until the next occurrence of any job is due.
+    /// Returns the time until the next occurrence of any job is due.
     pub fn next_due(&self, now: Instant) -> Option<Duration> {
         let passed = now.since(self.began_at).as_millis() as u64;
         let wall = self.began_wall_ms + passed;
@@ -396,6 +418,6 @@
     }
 }
 
-fn task_id(ready: Ready, index: u32) -> TaskId {
+fn task_id(ready: ReadyStep, index: u32) -> TaskId {
     TaskId { job: ready.job, occurrence: ready.occurrence, step: ready.step, index }
 }
--- /dev/null
+++ b/daisy-workflow/src/owner/renewal.rs
@@ -0,0 +1,388 @@
+//! Lease renewals and the platform's list: which workers there are, and what runs on them.
+
+use std::time::Duration;
+
+use daisy_model::{Instant, SortedMap};
+
+use super::{
+    Owner, Settings,
+    message::{Action, ActiveRun, HoldAnswer, Note, StopCause, WorkerListing},
+    worker::{DelayedStart, StartState, StopState, Worker, WorkerKey},
+};
+use crate::{TaskId, WorkerId};
+
+impl Owner {
+    /// Processes the platform's list of workers.
+    pub(super) fn workers_listed(&mut self, now: Instant, listed: &[WorkerListing]) {
+        let named: SortedMap<WorkerId, ()> = listed.iter().map(|it| (it.id.clone(), ())).collect();
+        for at in 0..self.workers.len() {
+            let key = WorkerKey(at as u32);
+            let Some(worker) = self.workers.get_mut(key) else { continue };
+            if worker.listed && !named.contains_key(&worker.id) {
+                worker.listed = false;
+                self.note_worker(key, "unlisted", "the platform's list no longer names it");
+            }
+        }
+        for it in listed {
+            match self.by_id.get(&it.id).copied() {
+                Some(key) => self.relisted(now, key, it),
+                None => self.newly_listed(now, it),
+            }
+        }
+        self.plan_due = true;
+        self.renew_due(now);
+    }
+
+    fn newly_listed(&mut self, now: Instant, listed: &WorkerListing) {
+        let mut worker = Worker::new(now, listed);
+        if self.succession.names_earlier_incarnation(&worker) {
+            worker.restarted_at = Some(now);
+        }
+        let key = self.workers.alloc(worker);
+        self.by_id.insert(listed.id.clone(), key);
+        let (here, elsewhere) =
+            std::mem::take(&mut self.orphans).into_iter().partition(|it| it.worker == listed.id);
+        self.orphans = elsewhere;
+        let here: Vec<super::Orphan> = here;
+        for orphan in here {
+            self.adopt(now, key, orphan.task, orphan.run, StartState::Inherited);
+        }
+    }
+
+    /// Adds a run that is, or may be, on a worker, though this owner did not start it.
+    pub(super) fn adopt(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        task: TaskId,
+        run: u32,
+        start_state: StartState,
+    ) {
+        let Some(job) = self.ledger.job(task.job) else { return };
+        let ended = job.cancelled || job.state() != crate::JobState::Running;
+        let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
+        let mut it = super::assignment(now, &mut self.interference, task, run, step);
+        it.start_state = start_state;
+        it.pace = None;
+        if ended {
+            it.request_stop(now, StopCause::JobOver);
+        }
+        if let Some(worker) = self.workers.get_mut(key) {
+            worker.add(it);
+        }
+    }
+
+    fn relisted(&mut self, now: Instant, key: WorkerKey, listed: &WorkerListing) {
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        // The list is delayed: it may still name an incarnation older than the one that has
+        // answered.
+        if listed.started_at_ms < worker.started_at_ms {
+            return;
+        }
+        let restarted = listed.started_at_ms > worker.started_at_ms;
+        let was_listed = std::mem::replace(&mut worker.listed, true);
+        worker.address = listed.address;
+        worker.service = listed.service.clone();
+        worker.capacity = listed.capacity;
+        if worker.labels != listed.labels {
+            worker.labels = listed.labels.clone();
+        }
+        let was_ready = std::mem::replace(&mut worker.ready, listed.ready);
+        worker.leaves_at = match listed.ready {
+            true => None,
+            false => {
+                let left = Duration::from_millis(listed.min_remaining_ms.unwrap_or_default());
+                Some(now + left)
+            }
+        };
+        if !was_listed {
+            worker.hold_failures = 0;
+            self.note_worker(key, "listed", "the platform's list names it again");
+        }
+        if restarted {
+            self.restarted(now, key, listed.started_at_ms, "the list shows a later start time");
+        }
+        if was_ready && !listed.ready {
+            self.note_worker(key, "draining", "its list entry says that it drains");
+        }
+    }
+
+    /// Processes a restart of a worker under the same id: no earlier run exists any more.
+    fn restarted(&mut self, now: Instant, key: WorkerKey, started_at_ms: u64, cause: &'static str) {
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        worker.started_at_ms = started_at_ms;
+        worker.clock = None;
+        worker.max_lease_end_ms = 0;
+        worker.fenced = false;
+        worker.restarted_at = Some(now);
+        worker.cursor_seen = 0;
+        worker.cursor_durable = 0;
+        worker.failures = 0;
+        worker.hold_failures = 0;
+        let mut lost = Vec::new();
+        for it in &mut worker.tasks {
+            match it.start_state {
+                StartState::Recording => {}
+                // An order that is still under way, of this owner or an earlier one, may reach the
+                // new incarnation, which knows no epoch and no run. Only a stop that this
+                // incarnation has answered rules that out.
+                StartState::InFlight | StartState::Unanswered(_) | StartState::Inherited => {
+                    it.request_stop(now, StopCause::PossiblyDelayed);
+                }
+                StartState::Confirmed(_) if it.may_be_delayed => {
+                    it.request_stop(now, StopCause::PossiblyDelayed)
+                }
+                // An answer to an order does not say which incarnation gave it. If the run were
+                // treated as ended with the old incarnation, it could continue here while it is
+                // started elsewhere; the next lists show whether it is there.
+                StartState::Confirmed(_) if !it.listed => {}
+                StartState::Confirmed(_) => lost.push((it.task, it.run)),
+            }
+            it.listed = false;
+        }
+        self.stop_delayed_starts(now, key);
+        for (task, run) in lost {
+            self.give_up_run(key, task, run, "its worker restarted");
+        }
+        self.note_worker(key, "reborn", cause);
+        self.send_stops(now);
+    }
+
+    /// Stops runs that ended, but whose unanswered start orders may still reach the new
+    /// incarnation. Each takes capacity until a list shows that it is not there.
+    fn stop_delayed_starts(&mut self, now: Instant, key: WorkerKey) {
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        for DelayedStart { task, run, until, .. } in std::mem::take(&mut worker.delayed_starts) {
+            if until < now || worker.find(task, run).is_some() {
+                continue;
+            }
+            let Some(job) = self.ledger.job(task.job) else { continue };
+            let Some(step) = job.spec.steps.get(usize::from(task.step)) else { continue };
+            let mut it = super::assignment(now, &mut self.interference, task, run, step);
+            it.start_state = StartState::Unanswered(now);
+            it.may_be_delayed = true;
+            it.request_stop(now, StopCause::PossiblyDelayed);
+            worker.add(it);
+        }
+    }
+
+    /// Gives up a run that cannot be running any more.
+    pub(super) fn give_up_run(
+        &mut self,
+        key: WorkerKey,
+        task: TaskId,
+        run: u32,
+        cause: &'static str,
+    ) {
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        let id = worker.id.clone();
+        let Some(it) = worker.remove(task, run) else { return };
+        self.drop_copy(task, run, &it.checkpoint);
+        self.actions.push(Action::Note(Note::RunLost { task, run, worker: id, cause }));
+    }
+
+    /// Removes a run from a task's record.
+    pub(super) fn drop_copy(&mut self, task: TaskId, run: u32, checkpoint: &str) {
+        self.plan_due = true;
+        if let Some(state) = self.task_mut(task) {
+            state.copies.retain(|it| it.run != run);
+            if !checkpoint.is_empty() {
+                checkpoint.clone_into(&mut state.checkpoint);
+            }
+        }
+        self.remove_if_ended(task.job);
+    }
+
+    /// Processes the answer to a renewal.
+    pub(super) fn hold_answered(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        answer: Option<HoldAnswer>,
+    ) {
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        worker.hold_in_flight = false;
+        let Some(answer) = answer else {
+            worker.hold_failures += 1;
+            if worker.hold_failures == 1 {
+                self.note_worker(key, "silent", "a renewal was not answered");
+            }
+            return;
+        };
+        if answer.started_at_ms < worker.started_at_ms {
+            return;
+        }
+        if answer.started_at_ms > worker.started_at_ms {
+            self.restarted(now, key, answer.started_at_ms, "its answer shows a later start time");
+        }
+        self.mark_reachable(now, key, &answer);
+        let seen = self.workers.get(key).map_or(0, |it| it.cursor_seen);
+        for it in answer.ended.into_iter().filter(|it| it.number > seen) {
+            self.run_ended(now, key, it);
+        }
+        self.compare_running(now, key, &answer.running);
+        self.pace(now, key);
+        self.send_stops(now);
+        self.renew(now, key);
+    }
+
+    fn mark_reachable(&mut self, now: Instant, key: WorkerKey, answer: &HoldAnswer) {
+        let Settings { lease, lease_max, .. } = self.settings;
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        if worker.hold_failures > 0 {
+            worker.hold_failures = 0;
+            self.plan_due = true;
+            self.actions.push(Action::Note(Note::Worker {
+                worker: worker.id.clone(),
+                state: "reached",
+                cause: "a renewal was answered again",
+            }));
+        }
+        worker.clock = Some((answer.clock_ms, now));
+        worker.hold_answered_at = now;
+        worker.answered_hold_sent_at = worker.hold_sent_at;
+        if !worker.fenced {
+            worker.fenced = true;
+            self.plan_due = true;
+            // An earlier owner may have granted a whole lease just before. An order meant for an
+            // earlier incarnation names a time far ahead of this one's clock, for which the worker
+            // grants its longest lease.
+            let granted = if worker.restarted_at.is_some() { lease_max } else { lease };
+            let inherited = answer.clock_ms + granted.as_millis() as u64;
+            worker.max_lease_end_ms = worker.max_lease_end_ms.max(inherited);
+        }
+    }
+
+    /// Compares the runs that a worker lists with the expected ones.
+    fn compare_running(&mut self, now: Instant, key: WorkerKey, running: &[ActiveRun]) {
+        let mut unknown = Vec::new();
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        for it in running {
+            match worker.find(it.task, it.run) {
+                Some(known) => {
+                    if it.percent > known.percent {
+                        known.progressed_at = now;
+                    }
+                    known.percent = it.percent;
+                    known.load = it.load;
+                    known.missed_lists = 0;
+                    known.listed = true;
+                    if !it.checkpoint.is_empty() && known.checkpoint != it.checkpoint {
+                        known.checkpoint = it.checkpoint.clone();
+                    }
+                    if !matches!(known.start_state, StartState::Confirmed(_)) {
+                        known.start_state = StartState::Confirmed(now);
+                    }
+                }
+                None => unknown.push((it.task, it.run)),
+            }
+        }
+        let missing = missing_runs(worker, running);
+        for (task, run) in unknown {
+            // Such a run was given up, or its job has ended. It takes capacity until it has ended.
+            self.adopt(now, key, task, run, StartState::Confirmed(now));
+            if let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) {
+                it.request_stop(now, StopCause::Unknown);
+            }
+        }
+        for (task, run) in missing {
+            self.give_up_run(key, task, run, "its worker does not list it");
+        }
+    }
+
+    /// Renews a worker's lease if a renewal is due.
+    pub(super) fn renew(&mut self, now: Instant, key: WorkerKey) {
+        let lease = self.settings.lease;
+        let may_renew = self.may_renew(now);
+        let is_log_slow = self.succession.is_log_slow(now);
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        if worker.hold_in_flight || !hold_due(now, worker) {
+            return;
+        }
+        // No lease is granted while a worker does not answer: otherwise its leases would never
+        // expire.
+        let grant = worker.fenced && worker.hold_failures == 0 && may_renew;
+        let deadline_ms = if grant { worker.lease_end(now, lease) } else { None };
+        worker.hold_in_flight = true;
+        worker.hold_sent_at = now;
+        let cursor = worker.cursor_durable;
+        let wait = hold_wait(worker, is_log_slow);
+        self.actions.push(Action::Hold { worker: key, deadline_ms, cursor, wait });
+    }
+
+    pub(super) fn renew_due(&mut self, now: Instant) {
+        for at in 0..self.workers.len() {
+            self.renew(now, WorkerKey(at as u32));
+        }
+    }
+}
+
+/// Returns the expected runs that the worker's lists show not to be there.
+fn missing_runs(worker: &mut Worker, running: &[ActiveRun]) -> Vec<(TaskId, u32)> {
+    /// Number of consecutive lists without a confirmed run after which the run is stopped as
+    /// missing.
+    const MAX_MISSED_LISTS: u8 = 2;
+    let sent_at = worker.hold_sent_at;
+    let mut missing = Vec::new();
+    for it in &mut worker.tasks {
+        if running.iter().any(|r| r.task == it.task && r.run == it.run) {
+            continue;
+        }
+        match (it.stop_state, it.start_state) {
+            (StopState::Done(at), _) if at <= sent_at => missing.push((it.task, it.run)),
+            // The orders of the owner that started it are rejected from now on, so it cannot appear
+            // later.
+            (_, StartState::Inherited) => missing.push((it.task, it.run)),
+            (StopState::NotRequested, StartState::Confirmed(at)) if at <= sent_at => {
+                it.missed_lists += 1;
+                if it.missed_lists >= MAX_MISSED_LISTS {
+                    it.request_stop(sent_at, StopCause::Absent);
+                }
+            }
+            _ => {}
+        }
+    }
+    missing
+}
+
+fn hold_due(now: Instant, worker: &Worker) -> bool {
+    /// Minimum interval between renewals while ends are not recorded: the worker would list them
+    /// again at once.
+    const UNRECORDED_ENDS_INTERVAL: Duration = Duration::from_millis(300);
+    /// Retry interval for a worker that does not answer; doubled with each failure up to the
+    /// maximum.
+    const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+    const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(800);
+    if !worker.listed && worker.tasks.is_empty() {
+        return false;
+    }
+    let since = now.since(worker.hold_sent_at);
+    if worker.hold_failures > 0 {
+        let pause = RETRY_INTERVAL * 2u32.pow(worker.hold_failures.min(4));
+        return since >= pause.min(MAX_RETRY_INTERVAL);
+    }
+    worker.cursor_seen == worker.cursor_durable || since >= UNRECORDED_ENDS_INTERVAL
+}
+
+/// Returns how long a worker may wait for a run to end before it answers. This bounds the age of
+/// the owner's view of the worker, and the time to notice that it is unreachable; each renewal has
+/// a cost.
+fn hold_wait(worker: &Worker, is_log_slow: bool) -> Duration {
+    const IDLE_WAIT: Duration = Duration::from_millis(1_500);
+    const RUNNING_WAIT: Duration = Duration::from_millis(800);
+    const SERVING_WAIT: Duration = Duration::from_millis(500);
+    /// Short enough that each worker's answer stays valid until the next one.
+    const LOG_SLOW_WAIT: Duration = Duration::from_millis(300);
+    if !worker.fenced || worker.hold_failures > 0 || worker.cursor_seen > worker.cursor_durable {
+        return Duration::ZERO;
+    }
+    if is_log_slow {
+        return LOG_SLOW_WAIT;
+    }
+    let beside = worker.serving_tasks() > 0 && worker.best_effort_cpu() > 0;
+    match (worker.tasks.is_empty(), beside) {
+        (true, _) => IDLE_WAIT,
+        (false, true) => SERVING_WAIT,
+        (false, false) => RUNNING_WAIT,
+    }
+}
--- a/daisy-workflow/src/owner/ends.rs
+++ b/daisy-workflow/src/owner/run_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs, and what follows for their jobs.
+//! Processes runs that have ended, and the consequences for their jobs.
 
 use std::time::Duration;
 
@@ -6,24 +6,25 @@
 
 use super::{
     Owner,
-    message::{Action, Ended, Note, Outcome, StopCause},
-    worker::{Sent, Stop, Worker, WorkerKey},
+    message::{Action, EndedRun, Note, Outcome, StopCause},
+    worker::{StartState, StopState, Worker, WorkerKey},
 };
 use crate::{JobId, Phase, TaskId};
 
-/// Runs in a row that fail on a worker, none of whose tasks failed elsewhere, after which it gets
-/// no more work for a while.
-const FAILURES_MAX: u32 = 2;
-/// Failures further apart are not in a row: tasks that last seldom end, and may fail at any time.
-const IN_A_ROW: Duration = Duration::from_secs(3);
+/// Number of consecutive failed runs on a worker after which it gets no new tasks for a while;
+/// failures of steps that have failed before do not count.
+const MAX_CONSECUTIVE_FAILURES: u32 = 2;
+/// Failures further apart than this are not consecutive: long-running tasks seldom end, and may
+/// fail at any time.
+const FAILURE_WINDOW: Duration = Duration::from_secs(3);
 impl Owner {
-    pub(super) fn ended(&mut self, now: Instant, key: WorkerKey, it: Ended) {
+    pub(super) fn run_ended(&mut self, now: Instant, key: WorkerKey, it: EndedRun) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.cursor_seen = worker.cursor_seen.max(it.number);
         let id = worker.id.clone();
         worker.remove(it.task, it.run);
         self.plan_due = true;
-        let Ended { task, run, outcome, .. } = it;
+        let EndedRun { task, run, outcome, .. } = it;
         let saved = !it.checkpoint.is_empty();
         self.actions.push(Action::Note(Note::RunEnded { task, run, worker: id, outcome, saved }));
         let failed_elsewhere = self.failed_before(task);
@@ -34,14 +35,14 @@
             state.checkpoint.clone_from(&it.checkpoint);
         }
         match outcome {
-            Outcome::Done => self.done(now, key, task),
-            Outcome::Failed if known => self.failed(now, key, task, run, failed_elsewhere),
+            Outcome::Done => self.task_done(now, key, task),
+            Outcome::Failed if known => self.run_failed(now, key, task, run, failed_elsewhere),
             _ => {}
         }
-        self.close_if_over(task.job);
+        self.remove_if_ended(task.job);
     }
 
-    fn done(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
+    fn task_done(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         if let Some(worker) = self.workers.get_mut(key) {
             worker.failures = 0;
         }
@@ -60,31 +61,41 @@
         self.stop_copies(now, StopCause::Done, |it| it == task);
     }
 
-    fn failed(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, elsewhere: bool) {
+    fn run_failed(
+        &mut self,
+        now: Instant,
+        key: WorkerKey,
+        task: TaskId,
+        run: u32,
+        elsewhere: bool,
+    ) {
         let Some(job) = self.ledger.job_mut(task.job) else { return };
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
         let steps = &mut job.progress.occurrences[task.occurrence as usize];
         let tasks = &mut steps[usize::from(task.step)];
-        // The members of a gang share their runs, so one failure of a run counts for all.
+        // The members of a gang share the numbers of their runs, so one failure of a run counts for
+        // all of them.
         match step.gang {
             true => tasks.iter_mut().filter(|it| it.runs == run).for_each(|it| it.failures += 1),
             false => tasks[task.index as usize].failures += 1,
         }
         let failures = tasks[task.index as usize].failures;
-        let lasts = step.long_running;
+        let is_long_running = step.long_running;
         let attempts = job.spec.terms.max_attempts.max(1);
         if failures >= attempts && !step.long_running && job.progress.phase == Phase::Active {
             self.end_job(now, task.job, Phase::Failed);
         }
-        // A task that lasts may have no other place, and be started here again and again.
-        let again = lasts && self.workers.get(key).is_some_and(|it| fails_lately(now, it));
+        // A long-running task may fit on no other worker, and be started on this one again and
+        // again.
+        let again =
+            is_long_running && self.workers.get(key).is_some_and(|it| has_recent_failure(now, it));
         if !elsewhere || again {
-            self.blame(now, key);
+            self.count_failure(now, key);
         }
     }
 
-    /// Whether tasks of the same step have failed before: then the work is more likely to be at
-    /// fault than the worker.
+    /// Whether tasks of the same step have failed before: then the task is more likely at fault
+    /// than the worker.
     fn failed_before(&self, task: TaskId) -> bool {
         let Some(job) = self.ledger.job(task.job) else { return true };
         let steps = job.progress.occurrences.get(task.occurrence as usize);
@@ -92,32 +103,32 @@
         tasks.is_none_or(|it| it.iter().any(|it| it.failures > 0))
     }
 
-    fn blame(&mut self, now: Instant, key: WorkerKey) {
+    fn count_failure(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        if !fails_lately(now, worker) {
+        if !has_recent_failure(now, worker) {
             worker.failures = 0;
         }
         worker.failures += 1;
         worker.failed_at = now;
-        if worker.failures >= FAILURES_MAX {
-            self.suspect(now, key, "its runs fail one after the other");
+        if worker.failures >= MAX_CONSECUTIVE_FAILURES {
+            self.suspect(now, key, "consecutive runs failed on it");
         }
     }
 
     fn end_job(&mut self, now: Instant, id: JobId, phase: Phase) {
         let Some(job) = self.ledger.job_mut(id) else { return };
         job.progress.phase = phase;
-        self.dirty.push(id);
+        self.unrecorded_jobs.push(id);
         let kind = job.spec.kind();
         let view = self.active.get(&id);
-        let (since, due) = view.map_or((now, now), |it| (it.since, it.objective));
-        let how = if phase == Phase::Completed { "completed" } else { "failed" };
+        let (since, due) = view.map_or((now, now), |it| (it.accepted_at, it.objective));
+        let outcome = if phase == Phase::Completed { "completed" } else { "failed" };
         let (age, objective) = (now.since(since), due.since(since));
-        self.actions.push(Action::Note(Note::JobEnded { job: id, how, kind, age, objective }));
+        self.actions.push(Action::Note(Note::JobEnded { job: id, outcome, kind, age, objective }));
         self.stop_copies(now, StopCause::JobOver, |it| it.job == id);
     }
 
-    /// Stops all runs of the tasks that `which` names.
+    /// Stops all runs of the tasks for which `which` returns true.
     pub(super) fn stop_copies(
         &mut self,
         now: Instant,
@@ -127,16 +138,18 @@
         for at in 0..self.workers.len() {
             let Some(worker) = self.workers.get_mut(WorkerKey(at as u32)) else { continue };
             for it in worker.tasks.iter_mut().filter(|it| which(it.task)) {
-                if it.stop == Stop::No && it.sent != Sent::Recording {
-                    it.stop_at(now, cause);
+                if it.stop_state == StopState::NotRequested
+                    && it.start_state != StartState::Recording
+                {
+                    it.request_stop(now, cause);
                 }
             }
         }
         self.send_stops(now);
     }
 
-    /// Forgets a job that is over once none of its runs can be anywhere.
-    pub(super) fn close_if_over(&mut self, id: JobId) {
+    /// Removes an ended job once none of its runs can be on a worker.
+    pub(super) fn remove_if_ended(&mut self, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         if job.progress.phase == Phase::Active && !job.cancelled {
             return;
@@ -148,7 +161,7 @@
     }
 }
 
-/// Whether a run that was blamed on the worker failed a short while ago, and none has succeeded since.
-fn fails_lately(now: Instant, worker: &Worker) -> bool {
-    worker.failures > 0 && now.since(worker.failed_at) <= IN_A_ROW
+/// Whether a failure was counted against the worker a short time ago, with no success since.
+fn has_recent_failure(now: Instant, worker: &Worker) -> bool {
+    worker.failures > 0 && now.since(worker.failed_at) <= FAILURE_WINDOW
 }
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -1,4 +1,4 @@
-//! What an owner has before it, in a few figures.
+//! Figures on an owner's workload and workers.
 
 use std::time::Duration;
 
@@ -10,59 +10,61 @@
 /// Figures of one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Summary {
-    /// Jobs that are not ended.
+    /// Jobs that have not ended.
     pub jobs: usize,
-    /// Tasks whose turn has come and that are nowhere: those that are to last, those that use what
-    /// others leave, and all others.
-    pub waiting_lasting: usize,
-    /// See [`waiting_lasting`](Summary::waiting_lasting).
+    /// Ready tasks without a run: long-running ones, best-effort ones, and all others.
+    pub waiting_long_running: usize,
+    /// See [`waiting_long_running`](Summary::waiting_long_running).
     pub waiting_best_effort: usize,
-    /// See [`waiting_lasting`](Summary::waiting_lasting).
+    /// See [`waiting_long_running`](Summary::waiting_long_running).
     pub waiting: usize,
     /// Runs that may be on a worker.
     pub runs: usize,
-    /// Workers that the platform's list names.
+    /// Workers in the platform's list.
     pub workers: usize,
-    /// Workers that take new tasks.
+    /// Workers that accept new tasks.
     pub usable: usize,
-    /// Workers that do not answer and may still run something.
+    /// Workers that do not answer and may still run tasks.
     pub silent: usize,
-    /// Runs of tasks that last and whose fate is not known.
-    pub uncertain: usize,
-    /// How long until the last of them counts as over.
-    pub uncertain_for: Duration,
-    /// Processor time that is free on usable workers, in thousandths of a core.
+    /// Runs of long-running tasks whose outcome is unknown.
+    pub unconfirmed_runs: usize,
+    /// Time until the last of these runs can be treated as ended.
+    pub unconfirmed_for: Duration,
+    /// Free processor time on usable workers, in thousandths of a core.
     pub free_cpu: u64,
-    /// The part of it in pieces too small for a task of the mean size that ends by itself.
+    /// The part of the free processor time on workers with less than a finite task reserves on
+    /// average.
     pub unusable_cpu: u64,
-    /// The most of it on one worker.
-    pub largest_room: u32,
-    /// The most of it on one worker once all has ended that ends by itself.
-    pub largest_room_in_time: u32,
-    /// The least that any waiting task needs that is to last, in thousandths of a core; 0 for none.
-    pub least_lasting: u32,
-    /// How long the first of the waiting tasks that are to last has waited.
+    /// The most free processor time on one usable worker, in thousandths of a core.
+    pub largest_free_cpu: u32,
+    /// The most free processor time on one usable worker once all finite tasks have ended, in
+    /// thousandths of a core.
+    pub largest_future_free_cpu: u32,
+    /// The least processor time that a waiting long-running task reserves, in thousandths of a
+    /// core; 0 if none waits.
+    pub smallest_waiting_cpu: u32,
+    /// The longest time that a long-running task has waited.
     pub longest_wait: Duration,
 }
 
 impl Owner {
-    /// The figures of this moment.
+    /// Returns the figures of this moment.
     pub fn summary(&self, now: Instant) -> Summary {
         let mut sum = Summary { jobs: self.active.len(), ..Summary::default() };
         for (_, worker) in self.workers.iter() {
             sum.runs += worker.tasks.len();
             sum.workers += usize::from(worker.listed);
             sum.silent += usize::from(worker.hold_failures > 0 && !worker.tasks.is_empty());
-            if self.usable(now, worker) {
+            if self.is_usable(now, worker) {
                 sum.usable += 1;
-                let room = worker.free().cpu_milli;
-                sum.free_cpu += u64::from(room);
-                sum.largest_room = sum.largest_room.max(room);
-                if room < self.typical_cpu {
-                    sum.unusable_cpu += u64::from(room);
+                let free = worker.free().cpu_milli;
+                sum.free_cpu += u64::from(free);
+                sum.largest_free_cpu = sum.largest_free_cpu.max(free);
+                if free < self.mean_task_cpu {
+                    sum.unusable_cpu += u64::from(free);
                 }
-                sum.largest_room_in_time =
-                    sum.largest_room_in_time.max(worker.room_in_time().cpu_milli);
+                sum.largest_future_free_cpu =
+                    sum.largest_future_free_cpu.max(worker.eventual_free().cpu_milli);
             }
         }
         for (id, _) in self.active.iter() {
@@ -77,23 +79,23 @@
                 let count = count.count();
                 if step.long_running && count > 0 {
                     let need = step.allocation().cpu_milli;
-                    sum.least_lasting = match sum.least_lasting {
+                    sum.smallest_waiting_cpu = match sum.smallest_waiting_cpu {
                         0 => need,
                         least => least.min(need),
                     };
                 }
                 let sum = match (step.long_running, step.best_effort) {
-                    (true, _) => &mut sum.waiting_lasting,
+                    (true, _) => &mut sum.waiting_long_running,
                     (false, true) => &mut sum.waiting_best_effort,
                     (false, false) => &mut sum.waiting,
                 };
                 *sum += count;
             }
         }
-        let uncertain = self.uncertain(now);
-        sum.uncertain = uncertain.len();
-        sum.uncertain_for = uncertain.iter().map(|it| it.left).max().unwrap_or_default();
-        let waits = self.waits_since.iter().map(|(_, since)| now.since(*since));
+        let unconfirmed_runs = self.unconfirmed_runs(now);
+        sum.unconfirmed_runs = unconfirmed_runs.len();
+        sum.unconfirmed_for = unconfirmed_runs.iter().map(|it| it.left).max().unwrap_or_default();
+        let waits = self.waiting_since.iter().map(|(_, since)| now.since(*since));
         sum.longest_wait = waits.max().unwrap_or_default();
         sum
     }
--- /dev/null
+++ b/daisy-workflow/src/owner/tick.rs
@@ -0,0 +1,167 @@
+//! Processes the passing of time: timeouts, retries and periodic checks.
+
+use std::time::Duration;
+
+use daisy_model::Instant;
+
+use super::{
+    Owner,
+    message::StopCause,
+    worker::{StartState, StopState, Worker, WorkerKey},
+};
+use crate::TaskId;
+
+/// How long a run may show no progress, while it was able to work, before it is treated as stuck.
+///
+/// The owner's view of a worker is up to 0.8 s old and short tasks come and go in between, so two
+/// consecutive views must show the same progress.
+const STUCK_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// How long a worker is suspected after runs on it failed or got stuck.
+const SUSPICION_DURATION: Duration = Duration::from_secs(4);
+/// How long a suspected worker gets no tasks at all.
+const SUSPICION_FULL_EXCLUSION: Duration = Duration::from_millis(1_500);
+/// Maximum age of the platform's list for starting tasks by it. An owner whose calls to the
+/// platform hang would start tasks on workers that have announced long ago that they drain, and the
+/// contract allows 2.5 s from that announcement. Reading the list, recording and sending an order
+/// take about 0.4 s.
+const MAX_LIST_AGE: Duration = Duration::from_millis(1_900);
+/// Runs are stopped on a draining worker unless they end at least this long before it exits.
+const DRAIN_MARGIN: Duration = Duration::from_millis(700);
+
+impl Owner {
+    /// Processes everything that is due.
+    pub(super) fn tick(&mut self, now: Instant) {
+        self.update_predecessors_ended(now);
+        self.review_witnesses(now);
+        self.renew_due(now);
+        self.resend_starts(now);
+        for at in 0..self.workers.len() {
+            let key = WorkerKey(at as u32);
+            self.give_up_unreachable(now, key);
+            self.stop_stuck(now, key);
+            self.stop_on_draining(now, key);
+        }
+        self.give_up_orphans(now);
+        self.send_stops(now);
+        self.rebalance(now);
+        self.defragment(now);
+        self.plan_due = true;
+    }
+
+    /// Gives up all runs on an unreachable worker once its last lease has expired for certain.
+    fn give_up_unreachable(&mut self, now: Instant, key: WorkerKey) {
+        let Some(worker) = self.workers.get(key) else { return };
+        if worker.tasks.is_empty() || (worker.hold_failures == 0 && worker.listed) {
+            return;
+        }
+        if self.runs_over_at(worker).is_none_or(|it| now < it) {
+            return;
+        }
+        let lost: Vec<(TaskId, u32)> = worker
+            .tasks
+            .iter()
+            .filter(|it| it.start_state != StartState::Recording)
+            .map(|it| (it.task, it.run))
+            .collect();
+        for (task, run) in lost {
+            self.give_up_run(key, task, run, "its worker is silent and its lease has run out");
+            self.note_displaced(now, task);
+        }
+    }
+
+    fn give_up_orphans(&mut self, now: Instant) {
+        if self.orphans.is_empty() || self.inherited_leases_end().is_none_or(|it| now < it) {
+            return;
+        }
+        for it in std::mem::take(&mut self.orphans) {
+            self.drop_copy(it.task, it.run, "");
+            self.note_displaced(now, it.task);
+        }
+    }
+
+    /// Stops runs that make no progress, so that they are started elsewhere.
+    fn stop_stuck(&mut self, now: Instant, key: WorkerKey) {
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        if worker.hold_failures > 0 || !worker.fenced {
+            // Their progress is not visible.
+            worker.tasks.iter_mut().for_each(|it| it.progressed_at = now);
+            return;
+        }
+        // Best-effort tasks make no progress where other tasks leave them no processor time.
+        let busy = worker.free().cpu_milli < worker.capacity.cpu_milli / 8;
+        let mut found = false;
+        for it in &mut worker.tasks {
+            let starved = it.best_effort_cpu > 0 && (busy || it.pace.is_none_or(|it| it < 50));
+            if starved {
+                it.progressed_at = now;
+            }
+            let at_work = it.target_ms > 0 && it.percent >= 100;
+            let still = now.since(it.progressed_at) > STUCK_TIMEOUT;
+            let there = matches!(it.start_state, StartState::Confirmed(_))
+                && it.stop_state == StopState::NotRequested;
+            if there && still && !at_work && it.percent < 100 {
+                it.request_stop(now, StopCause::Stuck);
+                found = true;
+            }
+        }
+        if found {
+            self.suspect(now, key, "a run on it is stuck");
+        }
+    }
+
+    /// Marks a worker as suspected, so that it gets fewer tasks for a while.
+    pub(super) fn suspect(&mut self, now: Instant, key: WorkerKey, cause: &'static str) {
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        let known = worker.suspected_until > now;
+        worker.suspected_until = now + SUSPICION_DURATION;
+        if !known {
+            self.note_worker(key, "shunned", cause);
+        }
+    }
+
+    /// Stops runs on a draining worker that would not end before it exits.
+    fn stop_on_draining(&mut self, now: Instant, key: WorkerKey) {
+        let Some(worker) = self.workers.get_mut(key) else { return };
+        let Some(leaves_at) = worker.leaves_at else { return };
+        for it in &mut worker.tasks {
+            let there = matches!(it.start_state, StartState::Confirmed(_))
+                && it.stop_state == StopState::NotRequested;
+            if there && !ends_before(now, leaves_at, it.percent, now.since(it.began_at)) {
+                it.request_stop(now, StopCause::Draining);
+            }
+        }
+    }
+
+    /// Whether a worker accepts new tasks now.
+    pub(super) fn is_usable(&self, now: Instant, worker: &Worker) -> bool {
+        worker.suspected_until <= now && self.is_available(now, worker)
+    }
+
+    /// Whether a worker accepts new long-running tasks. A suspected worker accepts them sooner than
+    /// other tasks: the failed task may have been at fault, and a task that fits nowhere else loses
+    /// nothing.
+    pub(super) fn accepts_long_running(&self, now: Instant, worker: &Worker) -> bool {
+        worker.suspected_until + SUSPICION_FULL_EXCLUSION <= now + SUSPICION_DURATION
+            && self.is_available(now, worker)
+    }
+
+    fn is_available(&self, now: Instant, worker: &Worker) -> bool {
+        now.since(self.list_read_at) < MAX_LIST_AGE
+            && worker.listed
+            && worker.ready
+            && worker.fenced
+            && worker.hold_failures == 0
+            && worker.clock.is_some()
+            && worker.excluded_until <= now
+    }
+}
+
+/// Whether a run that completed `percent` of its work in `age` ends well before `leaves_at`.
+fn ends_before(now: Instant, leaves_at: Instant, percent: u8, age: Duration) -> bool {
+    let left = leaves_at.since(now).saturating_sub(DRAIN_MARGIN);
+    match percent {
+        // Too early to estimate, or a long-running task.
+        0 | 100.. => false,
+        percent => age * u32::from(100 - percent) / u32::from(percent) < left,
+    }
+}
--- a/daisy-workflow/src/owner/hand_over.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -1,8 +1,8 @@
-//! Handing single tasks that last to shards with room.
+//! Transfers single long-running tasks to shards with free capacity.
 //!
-//! As with whole jobs, the decision is recorded first, in the shard that gives the task away, and only
-//! then written to the submissions of the other one; the next owner writes it again. The task has no
-//! run in the shard that gives it away: what may still run there keeps it.
+//! As with whole jobs, the decision is first recorded in the shard that transfers the task, and
+//! only then written to the submissions of the other one; the next owner writes it again. A task is
+//! transferred only while it has no run in its shard: if one may still be running, the task stays.
 
 use std::time::Duration;
 
@@ -10,60 +10,62 @@
 
 use super::{
     Owner,
-    delegate::KNOWS_WORKERS_AFTER,
+    delegate::WORKER_DISCOVERY_TIME,
     message::{Action, Note},
 };
 use crate::{
     Demand, IncomingTransfer, Job, JobId, JobState, OutgoingTransfer, Record, StepSpec, TaskId,
 };
 
-/// How long a task waits for room in its shard before it is handed on.
-const PATIENCE: Duration = Duration::from_millis(1_000);
-/// The same, for one that was without a run for longer than that already, as its worker was out of reach.
-const PATIENCE_DISPLACED: Duration = Duration::from_millis(100);
-/// Hops after which the patience does not grow any more.
-const PATIENT_HOPS: u32 = 4;
+/// How long a task waits for capacity in its shard before it is transferred.
+const TRANSFER_DELAY: Duration = Duration::from_millis(1_000);
+/// Remaining delay of a task whose worker was unreachable, as it has been without a run for longer
+/// already.
+const TRANSFER_DELAY_DISPLACED: Duration = Duration::from_millis(100);
+/// Number of transfers after which the delay does not grow any more.
+const MAX_BACKOFF_HOPS: u32 = 4;
 
 impl Owner {
-    /// Hands on tasks that last and have long found no room here.
-    pub(super) fn hand_over_waiting(&mut self, now: Instant) {
-        if now.since(self.began_at) < KNOWS_WORKERS_AFTER {
+    /// Transfers long-running tasks that have waited long for capacity in this shard.
+    pub(super) fn transfer_waiting_tasks(&mut self, now: Instant) {
+        if now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
-        // A worker is kept for these: elsewhere they would wait anew.
-        let (_, mut staying) = self.rooms_in_time(now);
-        staying.truncate(self.kept_max());
-        let waits = self.waits_since.iter().filter(|(task, _)| !staying.contains(task));
-        let due = waits.filter(|(task, since)| now.since(**since) >= self.patience(**task));
+        // Workers are reserved for these tasks: in another shard their wait would start again.
+        let (_, mut staying) = self.eventual_free_capacity(now);
+        staying.truncate(self.max_reservations());
+        let waits = self.waiting_since.iter().filter(|(task, _)| !staying.contains(task));
+        let due = waits.filter(|(task, since)| now.since(**since) >= self.transfer_delay(**task));
         let due: Vec<TaskId> = due.map(|(task, _)| *task).collect();
-        due.into_iter().for_each(|task| self.try_hand_over(now, task));
+        due.into_iter().for_each(|task| self.try_transfer(now, task));
     }
 
-    /// How long a task waits for room in its shard before it is handed on. Of labels, shards do not
-    /// tell: a task that needs one could go round among shards that cannot run it.
-    fn patience(&self, task: TaskId) -> Duration {
-        let Some(job) = self.ledger.job(task.job) else { return PATIENCE };
+    /// Returns how long a task waits for capacity in its shard before it is transferred. The delay
+    /// grows with each transfer of a task that needs a label: shards do not publish labels, so the
+    /// task could circulate among shards that cannot run it.
+    fn transfer_delay(&self, task: TaskId) -> Duration {
+        let Some(job) = self.ledger.job(task.job) else { return TRANSFER_DELAY };
         let labelled = job.spec.step_of(task).is_some_and(|it| it.required_label.is_some());
         let hops = job.transfers.get(&task).filter(|_| labelled).map_or(0, |it| it.hop);
-        PATIENCE * 2u32.pow(hops.min(PATIENT_HOPS))
+        TRANSFER_DELAY * 2u32.pow(hops.min(MAX_BACKOFF_HOPS))
     }
 
-    /// Notes that a task has waited already while the fate of its run was not known.
-    pub(super) fn displaced(&mut self, now: Instant, task: TaskId) {
-        let since = now - (PATIENCE - PATIENCE_DISPLACED);
-        self.waits_since.insert(task, since);
+    /// Records that a task has already waited while the outcome of its run was unknown.
+    pub(super) fn note_displaced(&mut self, now: Instant, task: TaskId) {
+        let since = now - (TRANSFER_DELAY - TRANSFER_DELAY_DISPLACED);
+        self.waiting_since.insert(task, since);
     }
 
-    /// Notes since when tasks that last have waited.
-    pub(super) fn update_waits(&mut self, now: Instant) {
+    /// Updates since when long-running tasks have waited.
+    pub(super) fn update_waiting_since(&mut self, now: Instant) {
         let waiting = self.waiting_tasks(now);
-        self.waits_since.retain(|task, _| waiting.binary_search(task).is_ok());
+        self.waiting_since.retain(|task, _| waiting.binary_search(task).is_ok());
         for task in waiting {
-            self.waits_since.get_or_insert_with(task, || now);
+            self.waiting_since.get_or_insert_with(task, || now);
         }
     }
 
-    /// Tasks that are to last, wait, and may be handed on, in order.
+    /// Returns the waiting long-running tasks that may be transferred, sorted.
     fn waiting_tasks(&self, now: Instant) -> Vec<TaskId> {
         let mut waiting = Vec::new();
         for (id, _) in self.active.iter() {
@@ -80,14 +82,14 @@
         waiting
     }
 
-    fn try_hand_over(&mut self, now: Instant, task: TaskId) {
+    fn try_transfer(&mut self, now: Instant, task: TaskId) {
         let own = self.settings.shard;
         let step = self.ledger.job(task.job).and_then(|it| it.spec.step_of(task));
-        if step.is_some_and(|it| self.is_bound(it)) {
+        if step.is_some_and(|it| self.is_bound_to_shard(it)) {
             return;
         }
         let Some(job) = self.ledger.job_mut(task.job) else { return };
-        // Its job may have been handed on whole since the waits were noted.
+        // The whole job may have been delegated since the waiting tasks were listed.
         if job.progress.task(task).is_none_or(|it| !it.is_waiting()) {
             return;
         }
@@ -97,13 +99,13 @@
         let number = job.transfers.get(&task).map_or(0, |it| it.hop) + 1;
         job.move_task(task, OutgoingTransfer { number, to }.into());
         job.progress.has_started = true;
-        self.dirty.push(task.job);
-        self.handed.push(task);
-        self.actions.push(Action::Note(Note::HandedOver { task, hop: number, to }));
+        self.unrecorded_jobs.push(task.job);
+        self.transferring.push(task);
+        self.actions.push(Action::Note(Note::TaskTransferred { task, hop: number, to }));
     }
 
-    /// Records of tasks that are handed on and of which nothing is recorded yet.
-    pub(super) fn handed_records(&self, handed: &[TaskId]) -> Vec<Record> {
+    /// Returns the records of transfers that are not recorded yet.
+    pub(super) fn transfer_records(&self, transferring: &[TaskId]) -> Vec<Record> {
         let hop = |task: &TaskId| {
             let transfers = self.ledger.job(task.job)?.transfers.get(task)?;
             Some(Record::TaskTransferredOut(
@@ -111,10 +113,11 @@
                 OutgoingTransfer { number: transfers.hop, to: transfers.to? },
             ))
         };
-        handed.iter().filter_map(hop).collect()
+        transferring.iter().filter_map(hop).collect()
     }
 
-    /// Writes a task to the shard that it was handed to; with its job's cancellation, if there is one.
+    /// Writes a task, and its job's cancellation if there is one, to the shard that it was
+    /// transferred to.
     pub(super) fn forward_task(&mut self, task: TaskId) {
         let Some(job) = self.ledger.job(task.job) else { return };
         let Some(transfers) = job.transfers.get(&task) else { return };
@@ -132,17 +135,18 @@
         }
     }
 
-    /// A new owner does not know what the one before has written.
+    /// Writes all transferred tasks again: a new owner does not know which ones its predecessor has
+    /// written.
     pub(super) fn forward_all_tasks(&mut self) {
-        let handed = |(_, job): (JobId, &Job)| {
+        let transferred = |(_, job): (JobId, &Job)| {
             let away = job.transfers.iter().filter(|(_, it)| it.to.is_some());
             away.map(|(task, _)| *task).collect::<Vec<_>>()
         };
-        let tasks: Vec<TaskId> = self.ledger.jobs().flat_map(handed).collect();
+        let tasks: Vec<TaskId> = self.ledger.jobs().flat_map(transferred).collect();
         tasks.into_iter().for_each(|it| self.forward_task(it));
     }
 
-    /// A task was handed to this shard.
+    /// Takes over a task that was transferred to this shard.
     pub(super) fn task_submitted(&mut self, now: Instant, task: TaskId) {
         if !self.active.contains_key(&task.job) {
             self.inherit_job(now, task.job);
@@ -150,8 +154,8 @@
     }
 }
 
-/// Whether single tasks of a job may run in another shard: they need nothing of the others, and their
-/// ends decide nothing about the job.
+/// Whether single tasks of a job may run in another shard: they do not depend on each other, and
+/// their ends do not decide about the job.
 fn may_be_split(job: &Job) -> bool {
     let alone = |it: &StepSpec| it.long_running && !it.gang && it.depends_on.is_empty();
     matches!(job.state(), JobState::Queued | JobState::Running) && job.spec.steps.iter().all(alone)
--- a/daisy-workflow/tests/util/partition.rs
+++ b/daisy-workflow/tests/util/partition.rs
@@ -5,8 +5,8 @@
 
 use daisy_model::Instant;
 use daisy_workflow::{
-    Action, Batch, Event, JobId, JobSpec, Layout, Ledger, Listed, Owner, Record, ShardId, Start,
-    TaskId, Witnesses, WorkerKey,
+    Action, Batch, Event, JobId, JobSpec, Layout, Ledger, Owner, Record, ShardId, Start, TaskId,
+    Witnesses, WorkerKey, WorkerListing,
 };
 
 use super::{
@@ -139,7 +139,7 @@
     /// The epoch of the newest heartbeat, and when it was stored. Heartbeats are fenced by
     /// heartbeats alone, as they are in a partition of their own.
     last_heartbeat: (u64, Instant),
-    worker_entries: Vec<(Instant, Listed)>,
+    worker_entries: Vec<(Instant, WorkerListing)>,
     calls: Vec<Call>,
     downtimes: Vec<TaskDowntime>,
     /// Runs that were started, and ends as done that are final.
@@ -440,7 +440,8 @@
             let known = self.worker_entries.iter().position(|(_, it)| it.id == listing.id);
             let due = known.is_none_or(|it| {
                 let (written_at, entry) = &self.worker_entries[it];
-                now.since(*written_at) >= ENTRY_INTERVAL || entry.born_ms != listing.born_ms
+                now.since(*written_at) >= ENTRY_INTERVAL
+                    || entry.started_at_ms != listing.started_at_ms
             });
             if due && !self.is_down(at) && self.can_send(Node::Worker(at), Node::Store) {
                 self.worker_entries.retain(|(_, it)| it.id != listing.id);
@@ -582,10 +583,10 @@
             None => {
                 self.last_heartbeat = (process.epoch, self.now);
                 if process.epoch == claimed.epoch {
-                    claimed.predecessors_expired =
-                        process.predecessors_expired || process.owner.is_settled(self.now);
+                    claimed.predecessors_expired = process.predecessors_expired
+                        || process.owner.are_predecessor_leases_over(self.now);
                 }
-                Event::Reached { sent_at: *sent_at }
+                Event::HeartbeatStored { sent_at: *sent_at }
             }
         }
     }
@@ -685,5 +686,5 @@
 }
 
 fn is_log_answer(event: &Event) -> bool {
-    matches!(event, Event::Appended | Event::Reached { .. } | Event::Fenced(LOG_KEY))
+    matches!(event, Event::Appended | Event::HeartbeatStored { .. } | Event::Fenced(LOG_KEY))
 }
--- a/daisy-workflow/tests/util/simulation.rs
+++ b/daisy-workflow/tests/util/simulation.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::Instant;
 use daisy_workflow::{
-    Action, Batch, Claimed, Event, JobId, JobSpec, JobState, Layout, Ledger, Owner, Record, Rules,
-    Settings, ShardId, Start, TaskId, WorkerKey,
+    Action, Batch, Event, JobId, JobSpec, JobState, Layout, Ledger, Owner, OwnershipStart,
+    PlacementRules, Record, Settings, ShardId, Start, TaskId, WorkerKey,
 };
 
 use super::{
@@ -184,7 +184,7 @@
         }
         // Stored heartbeats show the owner that the log accepts writes.
         if self.log_up && now.0.is_multiple_of(HEARTBEAT_INTERVAL_US) {
-            self.owner.step(now, Event::Reached { sent_at: now });
+            self.owner.step(now, Event::HeartbeatStored { sent_at: now });
         }
         self.owner.step(now, Event::Tick);
         for action in self.owner.act(now) {
@@ -297,8 +297,9 @@
         lease_max: LEASE_MAX,
         shard,
         layout,
-        rules: Rules::default(),
+        rules: PlacementRules::default(),
     };
-    let claimed = Claimed { at: now, alone: predecessor_ended, epoch, after: epoch - 1 };
+    let claimed =
+        OwnershipStart { at: now, predecessors_ended: predecessor_ended, epoch, after: epoch - 1 };
     Owner::new(now, 0, settings, ledger, super::queues(), claimed)
 }
