--- a/daisy-history/src/at_most_once.rs
+++ b/daisy-history/src/at_most_once.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Event, History, Kind, Point, Violation};
+use crate::{Event, EventKind, History, Point, Violation};
 
 /// Finds idempotency keys under which requests ran more than once, anywhere.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut runs: BTreeMap<&str, Vec<&Event>> = BTreeMap::new();
     for event in history.events() {
-        if let Kind::RequestBegan { key: Some(key), .. } = &event.kind {
+        if let EventKind::RequestBegan { key: Some(key), .. } = &event.kind {
             runs.entry(key).or_default().push(event);
         }
     }
--- a/daisy-history/src/capacity.rs
+++ b/daisy-history/src/capacity.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Event, History, Kind, Point, Run, Size, Violation};
+use crate::{Event, EventKind, History, Point, Run, Size, Violation};
 
 /// What runs on one worker.
 #[derive(Debug, Default)]
@@ -18,17 +18,17 @@
     for event in history.events() {
         let worker = || event.who.as_str();
         match &event.kind {
-            Kind::WorkerBegan { capacity } => {
+            EventKind::WorkerBegan { capacity } => {
                 // A worker that begins anew holds nothing of what ran before.
                 let fresh = Worker { capacity: Some(*capacity), running: Vec::new() };
                 workers.insert(worker(), fresh);
             }
-            Kind::TaskStarted { run, size, .. } => {
+            EventKind::TaskStarted { run, size, .. } => {
                 let worker = workers.entry(worker()).or_default();
                 worker.running.push((*run, *size, event));
                 violations.extend(worker.overfull());
             }
-            Kind::TaskEnded { run, .. } => {
+            EventKind::TaskEnded { run, .. } => {
                 let worker = workers.entry(worker()).or_default();
                 worker.running.retain(|(it, ..)| it != run);
             }
--- a/daisy-history/src/configuration.rs
+++ b/daisy-history/src/configuration.rs
@@ -2,13 +2,13 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use crate::{Event, History, Kind, Point, Violation};
+use crate::{Event, EventKind, History, Point, Violation};
 
 /// What the checker takes for granted.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// How long after its acceptance a configuration may take (5 s in the users' size plan).
-    pub within: Duration,
+    pub time_limit: Duration,
 }
 
 /// What one process has in force.
@@ -25,29 +25,29 @@
 
 /// Finds processes that went back to an older version, or that showed an older one too late.
 ///
-/// A process that is frozen or cut off has `within` from when it is healed; one that stops or
+/// A process that is frozen or cut off has `time_limit` from when it is healed; one that stops or
 /// is killed owes nothing from then on. Lateness is judged where a process shows its version,
-/// so each has to be asked until `within` after the last change.
+/// so each has to be asked until `time_limit` after the last change.
 pub fn check(history: &History, options: &Options) -> Vec<Violation> {
-    let within_us = u64::try_from(options.within.as_micros()).unwrap_or(u64::MAX);
+    let within_us = u64::try_from(options.time_limit.as_micros()).unwrap_or(u64::MAX);
     let mut processes: BTreeMap<&str, Process<'_>> = BTreeMap::new();
     let mut accepted: Vec<(u64, &Event)> = Vec::new();
     let mut violations = Vec::new();
     for event in history.events() {
         let process = processes.entry(&event.who).or_default();
         match &event.kind {
-            Kind::ConfigAccepted { version } => accepted.push((*version, event)),
-            Kind::ConfigInForce { version } if !process.gone => {
+            EventKind::ConfigAccepted { version } => accepted.push((*version, event)),
+            EventKind::ConfigInForce { version } if !process.gone => {
                 violations.extend(process.revert(*version, event));
                 violations.extend(process.late(*version, event, &accepted, within_us));
                 process.shown = Some((*version, event));
             }
-            Kind::CutOff => process.cut_off = true,
-            Kind::Healed => {
+            EventKind::CutOff => process.cut_off = true,
+            EventKind::Healed => {
                 process.cut_off = false;
                 process.healed_us = event.at_us;
             }
-            Kind::Stopping { .. } | Kind::Killed { .. } => process.gone = true,
+            EventKind::Stopping { .. } | EventKind::Killed { .. } => process.gone = true,
             _ => {}
         }
     }
--- a/daisy-history/src/event.rs
+++ b/daisy-history/src/event.rs
@@ -11,7 +11,7 @@
     pub who: String,
     /// What happened.
     #[serde(flatten)]
-    pub kind: Kind,
+    pub kind: EventKind,
 }
 
 /// Processors, memory and accelerators.
@@ -39,7 +39,7 @@
 /// How an incarnation ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum RunEnd {
     /// Did its work.
     Done,
     /// Ended with an error.
@@ -55,7 +55,7 @@
 /// How a call ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Outcome {
+pub enum CallOutcome {
     /// The answer came.
     Answered,
     /// The system said that the request was not run.
@@ -71,7 +71,7 @@
 /// What an operator learnt of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
+pub enum ChangeOutcome {
     /// Accepted as this generation.
     Accepted(u64),
     /// Refused, because another change came first.
@@ -83,7 +83,7 @@
 /// What happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
-pub enum Kind {
+pub enum EventKind {
     /// A worker began; it holds this much.
     WorkerBegan {
         /// What it holds in all.
@@ -119,7 +119,7 @@
         #[serde(flatten)]
         run: Run,
         /// How.
-        end: End,
+        end: RunEnd,
     },
     /// The platform appended a record.
     Appended {
@@ -178,7 +178,7 @@
         /// The attempt.
         attempt: u32,
         /// How it ended.
-        outcome: Outcome,
+        outcome: CallOutcome,
         /// The HTTP status, if one came.
         status: Option<u16>,
         /// The request id that the answer shows.
@@ -208,7 +208,7 @@
         /// Numbers the change.
         change: u64,
         /// What came of it.
-        verdict: Verdict,
+        verdict: ChangeOutcome,
     },
     /// A process began a planned stop.
     Stopping {
--- a/daisy-history/src/generation.rs
+++ b/daisy-history/src/generation.rs
@@ -7,13 +7,13 @@
 
 use todc_utils::{Action, History as Operations, Specification, WGLChecker};
 
-use crate::{Event, History, Kind, Point, Verdict, Violation};
+use crate::{ChangeOutcome, Event, EventKind, History, Point, Violation};
 
 /// A change and what came of it.
 #[derive(Debug, Clone, Copy)]
 struct Change {
     expected: Option<u64>,
-    verdict: Verdict,
+    verdict: ChangeOutcome,
 }
 
 /// The generation as far as the changes show it.
@@ -46,14 +46,14 @@
         };
         let holds = change.expected.is_none_or(may_be);
         match change.verdict {
-            Verdict::Accepted(new) if holds && new > floor => (true, Generation::Known(new)),
-            Verdict::Accepted(_) => (false, *state),
-            Verdict::Refused => {
+            ChangeOutcome::Accepted(new) if holds && new > floor => (true, Generation::Known(new)),
+            ChangeOutcome::Accepted(_) => (false, *state),
+            ChangeOutcome::Refused => {
                 let must_hold = change.expected.is_none_or(|it| *state == Generation::Known(it));
                 (!must_hold, *state)
             }
-            Verdict::Unknown if holds => (true, Generation::AtLeast(floor + 1)),
-            Verdict::Unknown => (true, *state),
+            ChangeOutcome::Unknown if holds => (true, Generation::AtLeast(floor + 1)),
+            ChangeOutcome::Unknown => (true, *state),
         }
     }
 }
@@ -63,10 +63,9 @@
 ///
 /// A change without an answer may have taken effect at any time after it was sent.
 pub fn check(history: &History) -> Vec<Violation> {
-    let changes = history
-        .events()
-        .iter()
-        .filter(|event| matches!(event.kind, Kind::ChangeSent { .. } | Kind::ChangeEnded { .. }));
+    let changes = history.events().iter().filter(|event| {
+        matches!(event.kind, EventKind::ChangeSent { .. } | EventKind::ChangeEnded { .. })
+    });
     let events: Vec<&Event> = changes.collect();
     let actions = actions(&events);
     if actions.is_empty()
@@ -81,9 +80,9 @@
 
 /// Calls and responses; each change is a process of its own, numbered from 0.
 fn actions(events: &[&Event]) -> Vec<(usize, Action<Change>)> {
-    let mut verdicts: BTreeMap<u64, Verdict> = BTreeMap::new();
+    let mut verdicts: BTreeMap<u64, ChangeOutcome> = BTreeMap::new();
     for event in events {
-        if let Kind::ChangeEnded { change, verdict } = event.kind {
+        if let EventKind::ChangeEnded { change, verdict } = event.kind {
             verdicts.insert(change, verdict);
         }
     }
@@ -92,14 +91,14 @@
     let mut sent = 0;
     for event in events {
         match event.kind {
-            Kind::ChangeSent { change, expected } => {
-                let verdict = verdicts.get(&change).copied().unwrap_or(Verdict::Unknown);
+            EventKind::ChangeSent { change, expected } => {
+                let verdict = verdicts.get(&change).copied().unwrap_or(ChangeOutcome::Unknown);
                 let operation = Change { expected, verdict };
                 open.insert(change, (sent, operation));
                 actions.push((sent, Action::Call(operation)));
                 sent += 1;
             }
-            Kind::ChangeEnded { change, verdict } if verdict != Verdict::Unknown => {
+            EventKind::ChangeEnded { change, verdict } if verdict != ChangeOutcome::Unknown => {
                 if let Some((process, operation)) = open.remove(&change) {
                     actions.push((process, Action::Response(operation)));
                 }
--- a/daisy-history/src/leaving.rs
+++ b/daisy-history/src/leaving.rs
@@ -2,13 +2,13 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use crate::{Event, History, Kind, Point, Violation};
+use crate::{Event, EventKind, History, Point, Violation};
 
 /// What the checker takes for granted.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// How long after the news new work may still come.
-    pub within: Duration,
+    pub time_limit: Duration,
 }
 
 /// Finds requests that came to a backend server after it had been leaving for too long.
@@ -16,21 +16,21 @@
 /// The news is the platform's record of the VM, an operator's drain, or the server's own;
 /// a request that the server refuses has come to it all the same.
 pub fn check(history: &History, options: &Options) -> Vec<Violation> {
-    let within_us = u64::try_from(options.within.as_micros()).unwrap_or(u64::MAX);
+    let within_us = u64::try_from(options.time_limit.as_micros()).unwrap_or(u64::MAX);
     let mut leaving: BTreeMap<&str, &Event> = BTreeMap::new();
     let mut violations = Vec::new();
     for event in history.events() {
         match &event.kind {
-            Kind::VmChanged { vm, status } if status == "live" => {
+            EventKind::VmChanged { vm, status } if status == "live" => {
                 leaving.remove(vm.as_str());
             }
-            Kind::VmChanged { vm, .. } | Kind::Drained { vm } => {
+            EventKind::VmChanged { vm, .. } | EventKind::Drained { vm } => {
                 leaving.entry(vm).or_insert(event);
             }
-            Kind::Leaving => {
+            EventKind::Leaving => {
                 leaving.entry(&event.who).or_insert(event);
             }
-            Kind::RequestBegan { .. } | Kind::RequestRefused { .. } => {
+            EventKind::RequestBegan { .. } | EventKind::RequestRefused { .. } => {
                 let news = leaving.get(event.who.as_str()).copied();
                 let late = |news: &&Event| event.at_us > news.at_us.saturating_add(within_us);
                 violations.extend(news.filter(late).map(|news| violation(news, event)));
--- a/daisy-history/src/lib.rs
+++ b/daisy-history/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod resume;
 
 pub use crate::{
-    event::{End, Event, Kind, Outcome, Run, Size, Verdict},
+    event::{CallOutcome, ChangeOutcome, Event, EventKind, Run, RunEnd, Size},
     history::{History, ReadError},
     violation::{Point, Violation},
 };
--- a/daisy-history/src/not_run.rs
+++ b/daisy-history/src/not_run.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Event, History, Kind, Outcome, Point, Violation};
+use crate::{CallOutcome, Event, EventKind, History, Point, Violation};
 
 /// All attempts of one call, and its runs.
 #[derive(Debug, Default)]
 struct Call<'a> {
-    ends: Vec<(Outcome, &'a Event)>,
+    ends: Vec<(CallOutcome, &'a Event)>,
     attempts: usize,
     runs: Vec<&'a Event>,
 }
@@ -19,7 +19,7 @@
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = by_request(history);
     for call in by_call(history).values() {
-        let denied = |outcome| matches!(outcome, Outcome::NotRun | Outcome::Unreachable);
+        let denied = |outcome| matches!(outcome, CallOutcome::NotRun | CallOutcome::Unreachable);
         let all_ended = call.ends.len() == call.attempts;
         let all_denied = all_ended && call.ends.iter().all(|(outcome, _)| denied(*outcome));
         if all_denied && !call.runs.is_empty() {
@@ -34,12 +34,12 @@
 fn by_request(history: &History) -> Vec<Violation> {
     let mut runs: BTreeMap<&str, &Event> = BTreeMap::new();
     for event in history.events() {
-        if let Kind::RequestBegan { request, .. } = &event.kind {
+        if let EventKind::RequestBegan { request, .. } = &event.kind {
             runs.insert(request, event);
         }
     }
     let denials = history.events().iter().filter_map(|event| match &event.kind {
-        Kind::CallEnded { outcome: Outcome::NotRun, request: Some(request), .. } => {
+        EventKind::CallEnded { outcome: CallOutcome::NotRun, request: Some(request), .. } => {
             Some((runs.get(request.as_str())?, event))
         }
         _ => None,
@@ -52,11 +52,11 @@
     let mut calls: BTreeMap<u64, Call<'_>> = BTreeMap::new();
     for event in history.events() {
         match &event.kind {
-            Kind::CallSent { call, .. } => calls.entry(*call).or_default().attempts += 1,
-            Kind::CallEnded { call, outcome, .. } => {
+            EventKind::CallSent { call, .. } => calls.entry(*call).or_default().attempts += 1,
+            EventKind::CallEnded { call, outcome, .. } => {
                 calls.entry(*call).or_default().ends.push((*outcome, event));
             }
-            Kind::RequestBegan { call: Some(call), .. } => {
+            EventKind::RequestBegan { call: Some(call), .. } => {
                 calls.entry(*call).or_default().runs.push(event);
             }
             _ => {}
--- a/daisy-history/src/one_place.rs
+++ b/daisy-history/src/one_place.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{End, Event, History, Kind, Point, Run, Violation};
+use crate::{Event, EventKind, History, Point, Run, RunEnd, Violation};
 
 /// One incarnation on one worker.
 #[derive(Debug)]
@@ -10,7 +10,7 @@
     run: Run,
     started: &'a Event,
     /// `None` while it runs.
-    ended: Option<(u64, Option<End>, &'a Event)>,
+    ended: Option<(u64, Option<RunEnd>, &'a Event)>,
 }
 
 /// Finds tasks that run on two workers at one time, incarnations that are started twice, and
@@ -34,18 +34,18 @@
     let mut tasks: BTreeMap<(u32, u32), Vec<Interval<'_>>> = BTreeMap::new();
     for event in history.events() {
         match &event.kind {
-            Kind::TaskStarted { run, .. } => {
+            EventKind::TaskStarted { run, .. } => {
                 let interval = Interval { run: *run, started: event, ended: None };
                 tasks.entry((run.job, run.index)).or_default().push(interval);
             }
-            Kind::TaskEnded { run, end } => {
+            EventKind::TaskEnded { run, end } => {
                 let intervals = tasks.entry((run.job, run.index)).or_default();
                 let own = |it: &&mut Interval<'_>| it.run == *run && it.runs_on(&event.who);
                 if let Some(interval) = intervals.iter_mut().find(own) {
                     interval.ended = Some((event.at_us, Some(*end), event));
                 }
             }
-            Kind::Killed { .. } | Kind::WorkerBegan { .. } => {
+            EventKind::Killed { .. } | EventKind::WorkerBegan { .. } => {
                 let all = tasks.values_mut().flatten();
                 for interval in all.filter(|interval| interval.runs_on(&event.who)) {
                     interval.ended = Some((event.at_us, None, event));
@@ -70,7 +70,7 @@
 
 fn clash(earlier: &Interval<'_>, later: &Interval<'_>) -> Option<Violation> {
     let ended_at = earlier.ended.map_or(u64::MAX, |(at, ..)| at);
-    let done = earlier.ended.is_some_and(|(_, end, _)| end == Some(End::Done));
+    let done = earlier.ended.is_some_and(|(_, end, _)| end == Some(RunEnd::Done));
     // An end and a start at the same instant are no overlap: the end is not part of the run.
     let what = if later.started.at_us < ended_at {
         "a task runs in two places at once"
--- a/daisy-history/src/own_answer.rs
+++ b/daisy-history/src/own_answer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Event, History, Kind, Outcome, Point, Violation};
+use crate::{CallOutcome, Event, EventKind, History, Point, Violation};
 
 /// Finds answers that were not whole, not the caller's own, or made by a run of another call.
 ///
@@ -12,7 +12,8 @@
     let runs = runs_by_request(history);
     let mut violations = Vec::new();
     for event in history.events() {
-        let Kind::CallEnded { call, outcome: Outcome::Answered, request, own, .. } = &event.kind
+        let EventKind::CallEnded { call, outcome: CallOutcome::Answered, request, own, .. } =
+            &event.kind
         else {
             continue;
         };
@@ -32,7 +33,7 @@
 
 fn runs_by_request(history: &History) -> BTreeMap<&str, (u64, &Event)> {
     let runs = history.events().iter().filter_map(|event| match &event.kind {
-        Kind::RequestBegan { request, call: Some(call), .. } => {
+        EventKind::RequestBegan { request, call: Some(call), .. } => {
             Some((request.as_str(), (*call, event)))
         }
         _ => None,
--- a/daisy-history/src/planned_stop.rs
+++ b/daisy-history/src/planned_stop.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Event, History, Kind, Outcome, Point, Violation};
+use crate::{CallOutcome, Event, EventKind, History, Point, Violation};
 
 /// Finds attempts at entry VMs with a planned stop that broke, could not be sent, or whose
 /// outcome the system could not tell.
@@ -14,18 +14,18 @@
     let mut violations = Vec::new();
     for event in history.events() {
         match &event.kind {
-            Kind::Stopping { entry: Some(entry) } => {
+            EventKind::Stopping { entry: Some(entry) } => {
                 stopping.insert(entry, event);
             }
-            Kind::Killed { entry: Some(entry) } => {
+            EventKind::Killed { entry: Some(entry) } => {
                 stopping.remove(entry.as_str());
             }
-            Kind::CallSent { call, attempt, .. } => {
+            EventKind::CallSent { call, attempt, .. } => {
                 sent.insert((*call, *attempt), event);
             }
-            Kind::CallEnded { call, attempt, outcome, .. } if is_cut(*outcome) => {
+            EventKind::CallEnded { call, attempt, outcome, .. } if is_cut(*outcome) => {
                 let Some(sent) = sent.get(&(*call, *attempt)) else { continue };
-                let Kind::CallSent { entry, .. } = &sent.kind else { continue };
+                let EventKind::CallSent { entry, .. } = &sent.kind else { continue };
                 let stop = stopping.get(entry.as_str());
                 violations.extend(stop.map(|stop| violation(sent, stop, event)));
             }
@@ -35,8 +35,8 @@
     violations
 }
 
-fn is_cut(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Broken | Outcome::Unknown | Outcome::Unreachable)
+fn is_cut(outcome: CallOutcome) -> bool {
+    matches!(outcome, CallOutcome::Broken | CallOutcome::Unknown | CallOutcome::Unreachable)
 }
 
 fn violation(sent: &Event, stop: &Event, ended: &Event) -> Violation {
--- a/daisy-history/src/resume.rs
+++ b/daisy-history/src/resume.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{End, Event, History, Kind, Point, Run, Violation};
+use crate::{Event, EventKind, History, Point, Run, RunEnd, Violation};
 
 /// What the checker takes for granted.
 #[derive(Debug, Clone, Default)]
@@ -10,7 +10,7 @@
     /// Jobs that operators cancelled: their checkpoints need not be resumed.
     pub cancelled: Vec<u32>,
     /// Whether the run went on long enough for all evicted work to resume.
-    pub complete: bool,
+    pub all_must_resume: bool,
 }
 
 /// One task's checkpoints and starts.
@@ -31,18 +31,18 @@
     let mut violations = Vec::new();
     for event in history.events() {
         match &event.kind {
-            Kind::TaskStarted { run, checkpoint, .. } => {
+            EventKind::TaskStarted { run, checkpoint, .. } => {
                 let task = tasks.entry((run.job, run.index)).or_default();
                 violations.extend(task.start(*run, *checkpoint, event));
             }
-            Kind::TaskEnded { run, end } => {
+            EventKind::TaskEnded { run, end } => {
                 let task = tasks.entry((run.job, run.index)).or_default();
                 task.end(*run, *end, event);
             }
             _ => {}
         }
     }
-    if options.complete {
+    if options.all_must_resume {
         violations.extend(left_behind(&tasks, options));
     }
     violations
@@ -69,19 +69,19 @@
         Some(violation(what, events))
     }
 
-    fn end(&mut self, run: Run, end: End, event: &'a Event) {
+    fn end(&mut self, run: Run, end: RunEnd, event: &'a Event) {
         match end {
-            End::Checkpointed(token) => {
+            RunEnd::Checkpointed(token) => {
                 self.checkpoint = Some((token, event));
                 self.resumed = None;
             }
             // The work since the checkpoint is lost, so the checkpoint may be resumed again.
-            End::Failed | End::Stopped | End::LeaseLapsed => {
+            RunEnd::Failed | RunEnd::Stopped | RunEnd::LeaseLapsed => {
                 if self.resumed.is_some_and(|(it, _)| it == run) {
                     self.resumed = None;
                 }
             }
-            End::Done => self.checkpoint = None,
+            RunEnd::Done => self.checkpoint = None,
         }
     }
 }
--- a/daisy-history/tests/checkers/capacity.rs
+++ b/daisy-history/tests/checkers/capacity.rs
@@ -1,18 +1,18 @@
 //! Point 1.
 
-use daisy_history::{End, Kind, Run, capacity::check};
+use daisy_history::{EventKind, Run, RunEnd, capacity::check};
 
 use crate::{cores, history, started};
 
 const A: Run = Run { job: 1, index: 0, incarnation: 1 };
 const B: Run = Run { job: 2, index: 0, incarnation: 1 };
 
-fn began() -> Kind {
-    Kind::WorkerBegan { capacity: cores(1) }
+fn began() -> EventKind {
+    EventKind::WorkerBegan { capacity: cores(1) }
 }
 
-fn done(run: Run) -> Kind {
-    Kind::TaskEnded { run, end: End::Done }
+fn done(run: Run) -> EventKind {
+    EventKind::TaskEnded { run, end: RunEnd::Done }
 }
 
 #[test]
--- a/daisy-history/tests/checkers/configuration.rs
+++ b/daisy-history/tests/checkers/configuration.rs
@@ -3,20 +3,20 @@
 use std::time::Duration;
 
 use daisy_history::{
-    Kind,
+    EventKind,
     configuration::{Options, check},
 };
 
 use crate::history;
 
-const OPTIONS: Options = Options { within: Duration::from_secs(5) };
+const OPTIONS: Options = Options { time_limit: Duration::from_secs(5) };
 
-fn accepted(version: u64) -> Kind {
-    Kind::ConfigAccepted { version }
+fn accepted(version: u64) -> EventKind {
+    EventKind::ConfigAccepted { version }
 }
 
-fn shows(version: u64) -> Kind {
-    Kind::ConfigInForce { version }
+fn shows(version: u64) -> EventKind {
+    EventKind::ConfigInForce { version }
 }
 
 #[test]
@@ -37,8 +37,8 @@
 fn refuses_a_process_that_is_late_after_it_was_healed() {
     let bad = history(&[
         (0, "o", accepted(2)),
-        (1, "e", Kind::CutOff),
-        (9_000_000, "e", Kind::Healed),
+        (1, "e", EventKind::CutOff),
+        (9_000_000, "e", EventKind::Healed),
         (15_000_000, "e", shows(1)),
     ]);
 
@@ -49,9 +49,9 @@
 fn accepts_a_cut_off_process_until_its_time_after_the_heal() {
     let good = history(&[
         (0, "o", accepted(2)),
-        (1, "e", Kind::CutOff),
+        (1, "e", EventKind::CutOff),
         (8_000_000, "e", shows(1)),
-        (9_000_000, "e", Kind::Healed),
+        (9_000_000, "e", EventKind::Healed),
         (13_000_000, "e", shows(1)),
         (14_000_000, "e", shows(2)),
     ]);
--- a/daisy-history/tests/checkers/generation.rs
+++ b/daisy-history/tests/checkers/generation.rs
@@ -1,15 +1,15 @@
 //! Point 9, racing operators.
 
-use daisy_history::{Kind, Verdict, generation::check};
+use daisy_history::{ChangeOutcome, EventKind, generation::check};
 
 use crate::history;
 
-fn sent(change: u64, expected: u64) -> Kind {
-    Kind::ChangeSent { change, expected: Some(expected) }
+fn sent(change: u64, expected: u64) -> EventKind {
+    EventKind::ChangeSent { change, expected: Some(expected) }
 }
 
-fn ended(change: u64, verdict: Verdict) -> Kind {
-    Kind::ChangeEnded { change, verdict }
+fn ended(change: u64, verdict: ChangeOutcome) -> EventKind {
+    EventKind::ChangeEnded { change, verdict }
 }
 
 #[test]
@@ -17,8 +17,8 @@
     let bad = history(&[
         (1, "a", sent(1, 5)),
         (1, "b", sent(2, 5)),
-        (2, "a", ended(1, Verdict::Accepted(6))),
-        (3, "b", ended(2, Verdict::Accepted(7))),
+        (2, "a", ended(1, ChangeOutcome::Accepted(6))),
+        (3, "b", ended(2, ChangeOutcome::Accepted(7))),
     ]);
 
     assert_eq!(check(&bad).len(), 1);
@@ -28,9 +28,9 @@
 fn refuses_a_loser_without_a_winner() {
     let bad = history(&[
         (1, "a", sent(1, 5)),
-        (2, "a", ended(1, Verdict::Accepted(6))),
+        (2, "a", ended(1, ChangeOutcome::Accepted(6))),
         (3, "a", sent(2, 6)),
-        (4, "a", ended(2, Verdict::Refused)),
+        (4, "a", ended(2, ChangeOutcome::Refused)),
     ]);
 
     assert_eq!(check(&bad).len(), 1);
@@ -41,10 +41,10 @@
     let good = history(&[
         (1, "a", sent(1, 5)),
         (1, "b", sent(2, 5)),
-        (2, "b", ended(2, Verdict::Accepted(6))),
-        (3, "a", ended(1, Verdict::Refused)),
+        (2, "b", ended(2, ChangeOutcome::Accepted(6))),
+        (3, "a", ended(1, ChangeOutcome::Refused)),
         (4, "a", sent(3, 6)),
-        (5, "a", ended(3, Verdict::Accepted(9))),
+        (5, "a", ended(3, ChangeOutcome::Accepted(9))),
     ]);
 
     assert!(check(&good).is_empty());
@@ -54,13 +54,13 @@
 fn a_change_without_an_answer_may_have_won() {
     let good = history(&[
         (1, "a", sent(1, 5)),
-        (2, "a", ended(1, Verdict::Accepted(6))),
+        (2, "a", ended(1, ChangeOutcome::Accepted(6))),
         (3, "a", sent(2, 6)),
-        (4, "a", ended(2, Verdict::Unknown)),
+        (4, "a", ended(2, ChangeOutcome::Unknown)),
         (5, "b", sent(3, 6)),
-        (6, "b", ended(3, Verdict::Refused)),
+        (6, "b", ended(3, ChangeOutcome::Refused)),
         (7, "b", sent(4, 8)),
-        (8, "b", ended(4, Verdict::Accepted(9))),
+        (8, "b", ended(4, ChangeOutcome::Accepted(9))),
     ]);
 
     assert!(check(&good).is_empty());
--- a/daisy-history/tests/checkers/history.rs
+++ b/daisy-history/tests/checkers/history.rs
@@ -1,6 +1,6 @@
 //! Reading and merging of events.
 
-use daisy_history::{Event, History, Kind};
+use daisy_history::{Event, EventKind, History};
 
 use crate::history;
 
@@ -29,21 +29,21 @@
 #[test]
 fn events_of_one_process_at_the_same_time_keep_their_order() {
     let parts = vec![
-        history(&[(5, "a", Kind::CutOff), (5, "a", Kind::Healed)]),
-        history(&[(4, "b", Kind::CutOff)]),
+        history(&[(5, "a", EventKind::CutOff), (5, "a", EventKind::Healed)]),
+        history(&[(4, "b", EventKind::CutOff)]),
     ];
 
     let merged = History::merge(parts);
 
-    let kinds: Vec<&Kind> = merged.events().iter().map(|event| &event.kind).collect();
-    assert_eq!(kinds, [&Kind::CutOff, &Kind::CutOff, &Kind::Healed]);
+    let kinds: Vec<&EventKind> = merged.events().iter().map(|event| &event.kind).collect();
+    assert_eq!(kinds, [&EventKind::CutOff, &EventKind::CutOff, &EventKind::Healed]);
 }
 
 #[test]
 fn what_is_written_is_read_again() {
     let run = daisy_history::Run { job: 1, index: 2, incarnation: 3 };
-    let end = daisy_history::End::Checkpointed(u64::MAX);
-    let kind = Kind::TaskEnded { run, end };
+    let end = daisy_history::RunEnd::Checkpointed(u64::MAX);
+    let kind = EventKind::TaskEnded { run, end };
     let event = Event { at_us: 1, who: "w".to_owned(), kind };
     let mut lines = Vec::new();
 
--- a/daisy-history/tests/checkers/leaving.rs
+++ b/daisy-history/tests/checkers/leaving.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use daisy_history::{
-    Kind,
+    EventKind,
     leaving::{Options, check},
 };
 
 use crate::{history, request_began};
 
-const OPTIONS: Options = Options { within: Duration::from_secs(2) };
+const OPTIONS: Options = Options { time_limit: Duration::from_secs(2) };
 
-fn vm(status: &str) -> Kind {
-    Kind::VmChanged { vm: "b".to_owned(), status: status.to_owned() }
+fn vm(status: &str) -> EventKind {
+    EventKind::VmChanged { vm: "b".to_owned(), status: status.to_owned() }
 }
 
 #[test]
@@ -24,15 +24,15 @@
 
 #[test]
 fn counts_work_that_the_server_itself_refuses() {
-    let refused = Kind::RequestRefused { request: "1".to_owned(), call: None };
-    let bad = history(&[(0, "b", Kind::Leaving), (3_000_000, "b", refused)]);
+    let refused = EventKind::RequestRefused { request: "1".to_owned(), call: None };
+    let bad = history(&[(0, "b", EventKind::Leaving), (3_000_000, "b", refused)]);
 
     assert_eq!(check(&bad, &OPTIONS).len(), 1);
 }
 
 #[test]
 fn repeated_news_does_not_put_the_bound_off() {
-    let drained = Kind::Drained { vm: "b".to_owned() };
+    let drained = EventKind::Drained { vm: "b".to_owned() };
     let bad = history(&[
         (0, "o", drained),
         (1_500_000, "p", vm("leaving")),
--- a/daisy-history/tests/checkers/main.rs
+++ b/daisy-history/tests/checkers/main.rs
@@ -12,10 +12,10 @@
 mod planned_stop;
 mod resume;
 
-use daisy_history::{Event, History, Kind, Run, Size};
+use daisy_history::{Event, EventKind, History, Run, Size};
 
 /// A history of events at these times.
-fn history(events: &[(u64, &str, Kind)]) -> History {
+fn history(events: &[(u64, &str, EventKind)]) -> History {
     let events = events.iter().map(|(at_us, who, kind)| Event {
         at_us: *at_us,
         who: (*who).to_owned(),
@@ -32,21 +32,21 @@
     Size { cpu_milli: cores * 1000, memory_mib: 1, accelerators: 0 }
 }
 
-fn started(run: Run, checkpoint: Option<u64>) -> Kind {
-    Kind::TaskStarted { run, epoch: 1, size: cores(1), checkpoint }
+fn started(run: Run, checkpoint: Option<u64>) -> EventKind {
+    EventKind::TaskStarted { run, epoch: 1, size: cores(1), checkpoint }
 }
 
-fn call_sent(call: u64, attempt: u32) -> Kind {
-    Kind::CallSent { call, attempt, key: None, entry: "1.1.1.1:1".to_owned() }
+fn call_sent(call: u64, attempt: u32) -> EventKind {
+    EventKind::CallSent { call, attempt, key: None, entry: "1.1.1.1:1".to_owned() }
 }
 
-fn call_ended(call: u64, attempt: u32, outcome: daisy_history::Outcome) -> Kind {
+fn call_ended(call: u64, attempt: u32, outcome: daisy_history::CallOutcome) -> EventKind {
     let request = Some(format!("{call:x}-{attempt}"));
-    let own = outcome == daisy_history::Outcome::Answered;
-    Kind::CallEnded { call, attempt, outcome, status: None, request, own }
+    let own = outcome == daisy_history::CallOutcome::Answered;
+    EventKind::CallEnded { call, attempt, outcome, status: None, request, own }
 }
 
-fn request_began(call: u64, attempt: u32, key: Option<&str>) -> Kind {
+fn request_began(call: u64, attempt: u32, key: Option<&str>) -> EventKind {
     let request = format!("{call:x}-{attempt}");
-    Kind::RequestBegan { request, call: Some(call), key: key.map(str::to_owned) }
+    EventKind::RequestBegan { request, call: Some(call), key: key.map(str::to_owned) }
 }
--- a/daisy-history/tests/checkers/one_place.rs
+++ b/daisy-history/tests/checkers/one_place.rs
@@ -1,11 +1,11 @@
 //! Point 2.
 
-use daisy_history::{End, Kind, one_place::check};
+use daisy_history::{EventKind, RunEnd, one_place::check};
 
 use crate::{cores, history, run, started};
 
-fn ended(incarnation: u32, end: End) -> Kind {
-    Kind::TaskEnded { run: run(incarnation), end }
+fn ended(incarnation: u32, end: RunEnd) -> EventKind {
+    EventKind::TaskEnded { run: run(incarnation), end }
 }
 
 #[test]
@@ -13,7 +13,7 @@
     let bad = history(&[
         (1, "w1", started(run(1), None)),
         (2, "w2", started(run(2), None)),
-        (3, "w1", ended(1, End::Stopped)),
+        (3, "w1", ended(1, RunEnd::Stopped)),
     ]);
 
     assert_eq!(check(&bad).len(), 1);
@@ -30,7 +30,7 @@
 fn refuses_an_incarnation_that_is_started_twice() {
     let bad = history(&[
         (1, "w1", started(run(1), None)),
-        (2, "w1", ended(1, End::LeaseLapsed)),
+        (2, "w1", ended(1, RunEnd::LeaseLapsed)),
         (3, "w2", started(run(1), None)),
     ]);
 
@@ -41,7 +41,7 @@
 fn refuses_a_task_that_runs_again_after_it_was_done() {
     let bad = history(&[
         (1, "w1", started(run(1), None)),
-        (2, "w1", ended(1, End::Done)),
+        (2, "w1", ended(1, RunEnd::Done)),
         (3, "w2", started(run(2), None)),
     ]);
 
@@ -52,9 +52,9 @@
 fn accepts_a_restart_after_the_lease_lapsed_at_the_same_instant() {
     let good = history(&[
         (1, "w1", started(run(1), None)),
-        (2, "w1", ended(1, End::LeaseLapsed)),
+        (2, "w1", ended(1, RunEnd::LeaseLapsed)),
         (2, "w2", started(run(2), None)),
-        (3, "w2", ended(2, End::Done)),
+        (3, "w2", ended(2, RunEnd::Done)),
     ]);
 
     assert!(check(&good).is_empty());
@@ -62,10 +62,10 @@
 
 #[test]
 fn accepts_a_restart_after_the_worker_was_killed_or_began_anew() {
-    let began = Kind::WorkerBegan { capacity: cores(1) };
+    let began = EventKind::WorkerBegan { capacity: cores(1) };
     let good = history(&[
         (1, "w1", started(run(1), None)),
-        (2, "w1", Kind::Killed { entry: None }),
+        (2, "w1", EventKind::Killed { entry: None }),
         (3, "w2", started(run(2), None)),
         (4, "w2", began),
         (5, "w3", started(run(3), None)),
--- a/daisy-history/tests/checkers/planned_stop.rs
+++ b/daisy-history/tests/checkers/planned_stop.rs
@@ -1,6 +1,6 @@
 //! Point 8.
 
-use daisy_history::{Kind, Outcome, planned_stop::check};
+use daisy_history::{CallOutcome, EventKind, planned_stop::check};
 
 use crate::{call_ended, call_sent, history};
 
@@ -10,10 +10,10 @@
 
 #[test]
 fn refuses_a_request_that_a_planned_stop_cut_off() {
-    for outcome in [Outcome::Broken, Outcome::Unknown, Outcome::Unreachable] {
+    for outcome in [CallOutcome::Broken, CallOutcome::Unknown, CallOutcome::Unreachable] {
         let bad = history(&[
             (1, "c", call_sent(1, 1)),
-            (2, "e", Kind::Stopping { entry: entry() }),
+            (2, "e", EventKind::Stopping { entry: entry() }),
             (3, "c", call_ended(1, 1, outcome)),
         ]);
 
@@ -26,9 +26,9 @@
     let good = history(&[
         (1, "c", call_sent(1, 1)),
         (1, "c", call_sent(2, 1)),
-        (2, "e", Kind::Stopping { entry: entry() }),
-        (3, "c", call_ended(1, 1, Outcome::Answered)),
-        (4, "c", call_ended(2, 1, Outcome::NotRun)),
+        (2, "e", EventKind::Stopping { entry: entry() }),
+        (3, "c", call_ended(1, 1, CallOutcome::Answered)),
+        (4, "c", call_ended(2, 1, CallOutcome::NotRun)),
     ]);
 
     assert!(check(&good).is_empty());
@@ -38,9 +38,9 @@
 fn a_kill_is_no_planned_stop() {
     let good = history(&[
         (1, "c", call_sent(1, 1)),
-        (2, "e", Kind::Stopping { entry: entry() }),
-        (3, "e", Kind::Killed { entry: entry() }),
-        (4, "c", call_ended(1, 1, Outcome::Broken)),
+        (2, "e", EventKind::Stopping { entry: entry() }),
+        (3, "e", EventKind::Killed { entry: entry() }),
+        (4, "c", call_ended(1, 1, CallOutcome::Broken)),
     ]);
 
     assert!(check(&good).is_empty());
--- a/daisy-standin/src/backend.rs
+++ b/daisy-standin/src/backend.rs
@@ -14,7 +14,7 @@
 };
 
 use bytes::Bytes;
-use daisy_history::{History, Kind};
+use daisy_history::{EventKind, History};
 use daisy_wire::headers;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -205,7 +205,7 @@
         let Named { request, call, .. } = named;
         let mut response = text(StatusCode::SERVICE_UNAVAILABLE, &refusal.to_string());
         reply::mark(&mut response, &request, "not-run", &self.slots, refusal == Refusal::Leaving);
-        self.recorder.record(Kind::RequestRefused { request, call });
+        self.recorder.record(EventKind::RequestRefused { request, call });
         response
     }
 
@@ -218,14 +218,14 @@
         repeat: Repeat,
     ) -> Reply {
         let Named { request, call, key } = named;
-        self.recorder.record(Kind::RequestBegan { request: request.clone(), call, key });
+        self.recorder.record(EventKind::RequestBegan { request: request.clone(), call, key });
         let (recorder, id) = (self.recorder.clone(), request.clone());
         let service_time = shape.service_time;
         // A task of its own: the work is done also when nobody waits for it any more.
         let work = tokio::spawn(async move {
             sleep(service_time).await;
             drop(slot);
-            recorder.record(Kind::RequestEnded { request: id });
+            recorder.record(EventKind::RequestEnded { request: id });
         });
         work.await.map_err(|_| Abort)?;
         let late_ms = self.switches.with(|faults| faults.late_ms);
--- a/daisy-standin/src/fault.rs
+++ b/daisy-standin/src/fault.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Mutex, time::Duration};
 
-use daisy_history::Kind;
+use daisy_history::EventKind;
 use serde::{Deserialize, Serialize};
 
 use crate::recorder::{Recorder, locked};
@@ -118,10 +118,10 @@
     /// Replaces all switches.
     pub(crate) fn set(&self, faults: Faults) -> Result<(), FaultError> {
         self.check(&faults)?;
-        self.recorder.record(Kind::Fault { what: serde_json::to_string(&faults)? });
+        self.recorder.record(EventKind::Fault { what: serde_json::to_string(&faults)? });
         let mut state = locked(&self.state);
         if faults.leaving && !state.faults.leaving {
-            self.recorder.record(Kind::Leaving);
+            self.recorder.record(EventKind::Leaving);
         }
         state.rng = fastrand::Rng::with_seed(faults.seed);
         state.faults = faults;
--- a/daisy-standin/src/link.rs
+++ b/daisy-standin/src/link.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
-use daisy_history::{History, Kind};
+use daisy_history::{EventKind, History};
 use http::{Method, Request, StatusCode};
 use hyper::body::Incoming;
 use serde::{Deserialize, Serialize};
@@ -166,7 +166,7 @@
     }
 
     fn set(&self, faults: LinkFaults) {
-        self.recorder.record(Kind::Fault { what: format!("{faults:?}") });
+        self.recorder.record(EventKind::Fault { what: format!("{faults:?}") });
         self.faults.send_replace(faults);
     }
 }
--- a/daisy-standin/src/load/caller.rs
+++ b/daisy-standin/src/load/caller.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use bytes::Bytes;
-use daisy_history::{Kind, Outcome};
+use daisy_history::{CallOutcome, EventKind};
 use daisy_wire::headers;
 use http::{HeaderName, HeaderValue, Method, Request, StatusCode, header};
 use http_body_util::Full;
@@ -36,7 +36,7 @@
 /// How one attempt ended.
 #[derive(Debug)]
 struct Attempt {
-    outcome: Outcome,
+    outcome: CallOutcome,
     status: Option<u16>,
     request: Option<String>,
     own: bool,
@@ -83,7 +83,7 @@
             let said = if sum.unknown { attempt } else { 1 };
             let ended = self.attempt(&call, attempt, said, entry).await;
             sum.add(&ended);
-            let may_go_on = ended.outcome != Outcome::Answered && self.may_retry(&call, &sum);
+            let may_go_on = ended.outcome != CallOutcome::Answered && self.may_retry(&call, &sum);
             if !may_go_on {
                 break;
             }
@@ -123,7 +123,7 @@
     }
 
     async fn attempt(&self, call: &Call, attempt: u32, said: u32, entry: SocketAddr) -> Attempt {
-        self.recorder.record(Kind::CallSent {
+        self.recorder.record(EventKind::CallSent {
             call: call.number,
             attempt,
             key: call.key.clone(),
@@ -135,7 +135,7 @@
             Ok(answer) => self.judge(call, &answer),
             Err(error) => failed(&error),
         };
-        self.recorder.record(Kind::CallEnded {
+        self.recorder.record(EventKind::CallEnded {
             call: call.number,
             attempt,
             outcome: ended.outcome,
@@ -172,17 +172,17 @@
         let text = |name: &str| answer.headers.get(name).and_then(|value| value.to_str().ok());
         let said = text(headers::OUTCOME);
         let outcome = match said {
-            Some("not-run") => Outcome::NotRun,
-            Some("outcome-unknown") => Outcome::Unknown,
-            _ if answer.status == StatusCode::OK => Outcome::Answered,
-            _ => Outcome::Unknown,
+            Some("not-run") => CallOutcome::NotRun,
+            Some("outcome-unknown") => CallOutcome::Unknown,
+            _ if answer.status == StatusCode::OK => CallOutcome::Answered,
+            _ => CallOutcome::Unknown,
         };
         let seconds = text(header::RETRY_AFTER.as_str()).and_then(|it| it.parse().ok());
         Attempt {
             outcome,
             status: Some(answer.status.as_u16()),
             request: text(headers::REQUEST_ID).map(str::to_owned),
-            own: outcome == Outcome::Answered
+            own: outcome == CallOutcome::Answered
                 && answer.body == answer::compose(&call.body, self.options.answer_bytes),
             retry_after: seconds.map(Duration::from_secs),
         }
@@ -201,17 +201,17 @@
 impl Sum {
     fn add(&mut self, ended: &Attempt) {
         self.attempts += 1;
-        self.answered |= ended.outcome == Outcome::Answered;
+        self.answered |= ended.outcome == CallOutcome::Answered;
         self.own |= ended.own;
-        self.unknown |= matches!(ended.outcome, Outcome::Unknown | Outcome::Broken);
+        self.unknown |= matches!(ended.outcome, CallOutcome::Unknown | CallOutcome::Broken);
     }
 
-    fn outcome(&self) -> Outcome {
+    fn outcome(&self) -> CallOutcome {
         match (self.answered, self.unknown, self.attempts) {
-            (true, ..) => Outcome::Answered,
-            (_, true, _) => Outcome::Unknown,
-            (_, _, 0) => Outcome::Unreachable,
-            _ => Outcome::NotRun,
+            (true, ..) => CallOutcome::Answered,
+            (_, true, _) => CallOutcome::Unknown,
+            (_, _, 0) => CallOutcome::Unreachable,
+            _ => CallOutcome::NotRun,
         }
     }
 }
@@ -219,8 +219,8 @@
 fn failed(error: &CallError) -> Attempt {
     log::debug!("event=attempt-failed error={error}");
     let outcome = match error {
-        CallError::Unreachable(_) => Outcome::Unreachable,
-        CallError::Broken(_) | CallError::TimedOut(_) => Outcome::Broken,
+        CallError::Unreachable(_) => CallOutcome::Unreachable,
+        CallError::Broken(_) | CallError::TimedOut(_) => CallOutcome::Broken,
     };
     Attempt { outcome, status: None, request: None, own: false, retry_after: None }
 }
--- a/daisy-standin/src/load/report.rs
+++ b/daisy-standin/src/load/report.rs
@@ -2,13 +2,13 @@
 
 use std::{fmt, time::Duration};
 
-use daisy_history::Outcome;
+use daisy_history::CallOutcome;
 use hdrhistogram::Histogram;
 
 /// How one call ended with all its attempts.
 #[derive(Debug)]
 pub(super) struct Done {
-    pub(super) outcome: Outcome,
+    pub(super) outcome: CallOutcome,
     pub(super) own: bool,
     pub(super) latency: Duration,
     pub(super) attempts: u32,
@@ -53,13 +53,13 @@
         self.requests += 1;
         self.retries += u64::from(done.attempts.saturating_sub(1));
         match done.outcome {
-            Outcome::Answered if done.own => {
+            CallOutcome::Answered if done.own => {
                 self.answered += 1;
                 self.latency.saturating_record(done.latency.as_micros() as u64);
             }
-            Outcome::Answered => self.wrong += 1,
-            Outcome::NotRun | Outcome::Unreachable => self.refused += 1,
-            Outcome::Unknown | Outcome::Broken => self.unknown += 1,
+            CallOutcome::Answered => self.wrong += 1,
+            CallOutcome::NotRun | CallOutcome::Unreachable => self.refused += 1,
+            CallOutcome::Unknown | CallOutcome::Broken => self.unknown += 1,
         }
     }
 
--- a/daisy-standin/src/platform.rs
+++ b/daisy-standin/src/platform.rs
@@ -14,7 +14,7 @@
     time::Duration,
 };
 
-use daisy_history::{History, Kind};
+use daisy_history::{EventKind, History};
 use daisy_wire::{
     headers,
     platform::{Appended, Expired, LogPage, LogRecord, StatusJson, VmList},
@@ -208,7 +208,7 @@
 
     fn appended(&self, id: &str, from: &str, offset: u64) {
         let (id, from) = (id.to_owned(), from.to_owned());
-        self.recorder.record(Kind::Appended { id, offset, from });
+        self.recorder.record(EventKind::Appended { id, offset, from });
         self.next.send_modify(|next| *next = (*next).max(offset + 1));
     }
 
@@ -282,7 +282,7 @@
             Some(StatusJson::Leaving) => "leaving",
             None => "gone",
         };
-        self.recorder.record(Kind::VmChanged { vm: told.name, status: status.to_owned() });
+        self.recorder.record(EventKind::VmChanged { vm: told.name, status: status.to_owned() });
         Ok(())
     }
 }
--- a/daisy-standin/src/recorder.rs
+++ b/daisy-standin/src/recorder.rs
@@ -8,7 +8,7 @@
     time::{Instant, SystemTime, UNIX_EPOCH},
 };
 
-use daisy_history::{Event, History, Kind};
+use daisy_history::{Event, EventKind, History};
 
 /// Records events of one process; clones share the events.
 #[derive(Debug, Clone)]
@@ -59,18 +59,18 @@
     }
 
     /// Records `kind` at the present time.
-    pub fn record(&self, kind: Kind) {
+    pub fn record(&self, kind: EventKind) {
         // The time is read under the lock, so that the order of events is that of their times.
         let mut kept = locked(&self.shared.kept);
         kept.keep(self.event(self.now(), kind));
     }
 
     /// Records `kind` as of `at` of this recorder's clock.
-    pub(crate) fn record_at(&self, at: daisy_model::Instant, kind: Kind) {
+    pub(crate) fn record_at(&self, at: daisy_model::Instant, kind: EventKind) {
         locked(&self.shared.kept).keep(self.event(at, kind));
     }
 
-    fn event(&self, at: daisy_model::Instant, kind: Kind) -> Event {
+    fn event(&self, at: daisy_model::Instant, kind: EventKind) -> Event {
         Event { at_us: self.shared.began_us + at.0, who: self.shared.who.clone(), kind }
     }
 
--- a/daisy-standin/src/worker.rs
+++ b/daisy-standin/src/worker.rs
@@ -13,7 +13,7 @@
     time::Duration,
 };
 
-use daisy_history::{History, Kind};
+use daisy_history::{EventKind, History};
 use daisy_model::{Resources, WorkerCall};
 use daisy_wire::worker::{CallJson, ReportJson, SeenJson};
 use http::{Method, Request, StatusCode};
@@ -107,7 +107,7 @@
     pub async fn start(options: Options) -> anyhow::Result<Worker> {
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
         let capacity = state::size_of(options.worker.capacity);
-        recorder.record(Kind::WorkerBegan { capacity });
+        recorder.record(EventKind::WorkerBegan { capacity });
         let presence = backend::Presence::default();
         let mut state = WorkerState::new(options.worker);
         state.set_boot(fastrand::u64(..));
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -4,7 +4,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use daisy_history::{End, Kind, Run, Size};
+use daisy_history::{EventKind, Run, RunEnd, Size};
 use daisy_model::{
     Ended, Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, Running,
     SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
@@ -105,7 +105,7 @@
     worked_until: Instant,
     samples: VecDeque<(Instant, Vec<Usage>)>,
     journal: Journal,
-    events: Vec<(Instant, Kind)>,
+    events: Vec<(Instant, EventKind)>,
     now: Instant,
 }
 
@@ -190,7 +190,7 @@
     }
 
     /// What happened since the last time, and when.
-    pub fn take_events(&mut self) -> Vec<(Instant, Kind)> {
+    pub fn take_events(&mut self) -> Vec<(Instant, EventKind)> {
         std::mem::take(&mut self.events)
     }
 
@@ -204,19 +204,19 @@
         services.collect()
     }
 
-    fn note(&mut self, kind: Kind) {
+    fn note(&mut self, kind: EventKind) {
         self.events.push((self.now, kind));
     }
 
     fn accept(&mut self, epoch: Epoch) -> bool {
         if epoch < self.epoch {
             let (epoch, seen) = (epoch.0, self.epoch.0);
-            self.note(Kind::EpochRefused { epoch, seen });
+            self.note(EventKind::EpochRefused { epoch, seen });
             return false;
         }
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.note(Kind::EpochSeen { epoch: epoch.0 });
+            self.note(EventKind::EpochSeen { epoch: epoch.0 });
         }
         true
     }
@@ -267,7 +267,7 @@
         self.running.insert(key, Task { size, share: WHOLE, done });
         self.journal.changed(key);
         let (run, size, epoch) = (run_of(key), size_of(size), self.epoch.0);
-        self.note(Kind::TaskStarted { run, epoch, size, checkpoint });
+        self.note(EventKind::TaskStarted { run, epoch, size, checkpoint });
         OrderResult::Done
     }
 
@@ -301,7 +301,7 @@
         self.ended.push(Ended { task: key.0, incarnation: key.1, exit });
         self.journal.ended(key);
         if let Some(end) = end_of(exit) {
-            self.note(Kind::TaskEnded { run: run_of(key), end });
+            self.note(EventKind::TaskEnded { run: run_of(key), end });
         }
         OrderResult::Done
     }
@@ -377,13 +377,13 @@
     Size { cpu_milli, memory_mib, accelerators }
 }
 
-fn end_of(exit: Exit) -> Option<End> {
+fn end_of(exit: Exit) -> Option<RunEnd> {
     match exit {
-        Exit::Done => Some(End::Done),
-        Exit::Failed => Some(End::Failed),
-        Exit::Checkpointed(token) => Some(End::Checkpointed(token)),
-        Exit::Stopped => Some(End::Stopped),
-        Exit::LeaseLapsed => Some(End::LeaseLapsed),
+        Exit::Done => Some(RunEnd::Done),
+        Exit::Failed => Some(RunEnd::Failed),
+        Exit::Checkpointed(token) => Some(RunEnd::Checkpointed(token)),
+        Exit::Stopped => Some(RunEnd::Stopped),
+        Exit::LeaseLapsed => Some(RunEnd::LeaseLapsed),
         Exit::Refused | Exit::Unknown => None,
     }
 }
--- a/daisy-standin/tests/backend.rs
+++ b/daisy-standin/tests/backend.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_history::Kind;
+use daisy_history::EventKind;
 use daisy_standin::{
     Backend, Faults,
     backend::Options,
@@ -27,7 +27,7 @@
 }
 
 fn began(backend: &Backend) -> usize {
-    let began = |kind: &Kind| matches!(kind, Kind::RequestBegan { .. });
+    let began = |kind: &EventKind| matches!(kind, EventKind::RequestBegan { .. });
     backend.history().events().iter().filter(|event| began(&event.kind)).count()
 }
 
@@ -87,7 +87,7 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
 
     assert!(matches!(gone, Err(CallError::TimedOut(_))));
-    let ended = |kind: &Kind| matches!(kind, Kind::RequestEnded { .. });
+    let ended = |kind: &EventKind| matches!(kind, EventKind::RequestEnded { .. });
     assert!(backend.history().events().iter().any(|event| ended(&event.kind)));
 }
 
--- a/daisy-standin/tests/load.rs
+++ b/daisy-standin/tests/load.rs
@@ -11,7 +11,7 @@
 };
 
 use bytes::Bytes;
-use daisy_history::{Kind, at_most_once, not_run, own_answer};
+use daisy_history::{EventKind, at_most_once, not_run, own_answer};
 use daisy_standin::{
     Backend, Faults, backend,
     client::Client,
@@ -143,7 +143,7 @@
     let history = backend.history();
     assert_eq!(at_most_once::check(&history).len(), 3);
     assert!(own_answer::check(&history).is_empty() && not_run::check(&history).is_empty());
-    let keyed = |kind: &Kind| matches!(kind, Kind::RequestBegan { key: Some(_), .. });
+    let keyed = |kind: &EventKind| matches!(kind, EventKind::RequestBegan { key: Some(_), .. });
     assert!(history.events().iter().any(|event| keyed(&event.kind)));
 }
 
--- a/daisy-standin/tests/worker.rs
+++ b/daisy-standin/tests/worker.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_history::Kind;
+use daisy_history::EventKind;
 use daisy_model::{
     Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, TaskId, WorkerCall,
 };
@@ -92,7 +92,8 @@
     assert!(report.running.is_empty());
     assert_eq!(report.ended[0].exit, Exit::LeaseLapsed);
     let events = worker.take_events();
-    let ended = events.iter().find(|(_, kind)| matches!(kind, Kind::TaskEnded { .. })).unwrap();
+    let ended =
+        events.iter().find(|(_, kind)| matches!(kind, EventKind::TaskEnded { .. })).unwrap();
     assert_eq!(ended.0, at(10_000));
 }
 
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -5,7 +5,7 @@
     fmt,
 };
 
-use daisy_history::{End, Event, History, Kind, Outcome};
+use daisy_history::{CallOutcome, Event, EventKind, History, RunEnd};
 use daisy_standin::load::Report;
 
 /// The demo's result.
@@ -36,7 +36,7 @@
                 ("max", report.latency_ms(1.0)),
             ],
             retries: report.retries,
-            tasks_run: count(workers, |kind| matches!(kind, Kind::TaskStarted { .. })),
+            tasks_run: count(workers, |kind| matches!(kind, EventKind::TaskStarted { .. })),
             evictions: count(workers, is_eviction),
             requests: calls.sent.len(),
             answered: calls.answered.len(),
@@ -87,12 +87,12 @@
         let mut last = BTreeMap::new();
         for event in events {
             match &event.kind {
-                Kind::CallSent { call, .. } => {
+                EventKind::CallSent { call, .. } => {
                     sent.insert(*call);
                 }
-                Kind::CallEnded { call, outcome, own, .. } => {
+                EventKind::CallEnded { call, outcome, own, .. } => {
                     last.insert(*call, *outcome);
-                    if *outcome == Outcome::Answered && *own {
+                    if *outcome == CallOutcome::Answered && *own {
                         answered.insert(*call);
                     }
                 }
@@ -101,7 +101,7 @@
         }
         let refused = last
             .into_iter()
-            .filter(|(call, outcome)| *outcome == Outcome::NotRun && !answered.contains(call))
+            .filter(|(call, outcome)| *outcome == CallOutcome::NotRun && !answered.contains(call))
             .map(|(call, _)| call)
             .collect();
         Calls { sent, answered, refused }
@@ -126,7 +126,7 @@
 fn done_by_task(workers: &History) -> BTreeMap<(u32, u32), usize> {
     let mut done = BTreeMap::new();
     for event in workers.events() {
-        if let Kind::TaskEnded { run, end: End::Done } = &event.kind {
+        if let EventKind::TaskEnded { run, end: RunEnd::Done } = &event.kind {
             *done.entry((run.job, run.index)).or_insert(0) += 1;
         }
     }
@@ -137,17 +137,17 @@
 fn doubled_keys(workers: &History) -> usize {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for event in workers.events() {
-        if let Kind::RequestBegan { key: Some(key), .. } = &event.kind {
+        if let EventKind::RequestBegan { key: Some(key), .. } = &event.kind {
             *runs.entry(key).or_default() += 1;
         }
     }
     runs.values().filter(|&&times| times > 1).count()
 }
 
-fn is_eviction(kind: &Kind) -> bool {
-    matches!(kind, Kind::TaskEnded { end: End::Checkpointed(_), .. })
+fn is_eviction(kind: &EventKind) -> bool {
+    matches!(kind, EventKind::TaskEnded { end: RunEnd::Checkpointed(_), .. })
 }
 
-fn count(history: &History, is: impl Fn(&Kind) -> bool) -> usize {
+fn count(history: &History, is: impl Fn(&EventKind) -> bool) -> usize {
     history.events().iter().filter(|event| is(&event.kind)).count()
 }
--- a/tests/proofs/capacity.rs
+++ b/tests/proofs/capacity.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_history::{Kind, capacity, one_place};
+use daisy_history::{EventKind, capacity, one_place};
 use daisy_standin::Faults;
 use tokio::time::sleep;
 
@@ -75,7 +75,7 @@
     let history = cluster.history(Vec::new());
     assert_none(capacity::check(&history));
     assert_none(one_place::check(&history));
-    let refused = |kind: &Kind| matches!(kind, Kind::EpochRefused { .. });
+    let refused = |kind: &EventKind| matches!(kind, EventKind::EpochRefused { .. });
     let refused = history.events().iter().any(|event| refused(&event.kind));
     assert!(refused, "the old holder never reached a worker after its successor");
 }
--- a/tests/proofs/cluster.rs
+++ b/tests/proofs/cluster.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use daisy_history::{End, History, Kind};
+use daisy_history::{EventKind, History, RunEnd};
 use daisy_standin::{
     Faults, Recorder,
     client::Client,
@@ -156,7 +156,9 @@
                 let Some(said) = self.operator.say(entry, statement).await else { continue };
                 let generation = said["results"][0]["generation"].as_u64();
                 if let Some(generation) = generation {
-                    self.operator.recorder().record(Kind::ConfigAccepted { version: generation });
+                    self.operator
+                        .recorder()
+                        .record(EventKind::ConfigAccepted { version: generation });
                     return Some(generation);
                 }
                 eprintln!("{statement}: {said}");
@@ -198,7 +200,7 @@
     fn done_tasks(&self, job: u32) -> BTreeSet<u32> {
         let history = self.worker_history();
         let done = history.events().iter().filter_map(|event| match event.kind {
-            Kind::TaskEnded { run, end: End::Done } if run.job == job => Some(run.index),
+            EventKind::TaskEnded { run, end: RunEnd::Done } if run.job == job => Some(run.index),
             _ => None,
         });
         done.collect()
@@ -209,7 +211,7 @@
         eventually("a task runs", within, async || {
             let history = self.worker_history();
             let started =
-                |kind: &Kind| matches!(kind, Kind::TaskStarted { run, .. } if run.job == job);
+                |kind: &EventKind| matches!(kind, EventKind::TaskStarted { run, .. } if run.job == job);
             history.events().iter().any(|event| started(&event.kind)).then_some(())
         })
         .await;
@@ -349,7 +351,7 @@
                     continue;
                 }
                 if let Some(version) = status["generation"].as_u64() {
-                    own.record(Kind::ConfigInForce { version });
+                    own.record(EventKind::ConfigInForce { version });
                 }
             }
         });
--- a/tests/proofs/configuration.rs
+++ b/tests/proofs/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_history::{History, Kind, Verdict, configuration, generation};
+use daisy_history::{ChangeOutcome, EventKind, History, configuration, generation};
 use daisy_standin::Faults;
 use tokio::time::sleep;
 
@@ -21,10 +21,12 @@
 async fn check(cluster: &Cluster, operators: Vec<History>) {
     sleep(SETTLE).await;
     let history = cluster.history(operators);
-    assert_none(configuration::check(&history, &configuration::Options { within: WITHIN }));
+    assert_none(configuration::check(&history, &configuration::Options { time_limit: WITHIN }));
     assert_none(generation::check(&history));
-    let shown =
-        history.events().iter().filter(|event| matches!(event.kind, Kind::ConfigInForce { .. }));
+    let shown = history
+        .events()
+        .iter()
+        .filter(|event| matches!(event.kind, EventKind::ConfigInForce { .. }));
     assert!(shown.count() > 20, "the entry VMs showed nothing");
 }
 
@@ -94,7 +96,7 @@
             rival.change(2 * round + 1, two, &other, Some(generation)),
         );
         for verdict in [first, second] {
-            if let Verdict::Accepted(new) = verdict {
+            if let ChangeOutcome::Accepted(new) = verdict {
                 generation = generation.max(new);
                 wins += 1;
             }
--- a/tests/proofs/cuts.rs
+++ b/tests/proofs/cuts.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use daisy_history::Kind;
+use daisy_history::EventKind;
 use daisy_standin::{
     Faults, Link,
     link::{self, LinkFaults, Pair},
@@ -32,7 +32,7 @@
     /// Cuts one entry VM off from the others and from the platform, but not from its workers.
     pub async fn cut_entry(&self, link: &Link, at: usize) {
         let (vm, process) = &self.entries[at];
-        process.record(Kind::CutOff);
+        process.record(EventKind::CutOff);
         link.set_faults(LinkFaults { cut: true, ..LinkFaults::default() });
         self.platform_faults(Faults { cut: vec![vm.name.clone()], ..Faults::default() }).await;
     }
@@ -41,7 +41,7 @@
     pub async fn heal_entry(&self, link: &Link, at: usize) {
         self.platform_faults(Faults::default()).await;
         link.set_faults(LinkFaults::default());
-        self.entries[at].1.record(Kind::Healed);
+        self.entries[at].1.record(EventKind::Healed);
     }
 
     /// Puts one link between all pairs of an entry VM and another VM that `between` chooses.
@@ -78,7 +78,7 @@
     pub async fn cut(&self, link: &Link, dc: u16) {
         let inside = || self.entries.iter().filter(|(vm, _)| vm.dc == dc);
         let cut = inside().map(|(vm, _)| vm.name.clone()).collect();
-        inside().for_each(|(_, process)| process.record(Kind::CutOff));
+        inside().for_each(|(_, process)| process.record(EventKind::CutOff));
         link.set_faults(LinkFaults { cut: true, ..LinkFaults::default() });
         self.platform_faults(Faults { cut, ..Faults::default() }).await;
     }
@@ -88,6 +88,6 @@
         self.platform_faults(Faults::default()).await;
         link.set_faults(LinkFaults::default());
         let inside = self.entries.iter().filter(|(vm, _)| vm.dc == dc);
-        inside.for_each(|(_, process)| process.record(Kind::Healed));
+        inside.for_each(|(_, process)| process.record(EventKind::Healed));
     }
 }
--- a/tests/proofs/leaving.rs
+++ b/tests/proofs/leaving.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_history::{Kind, leaving, own_answer};
+use daisy_history::{EventKind, leaving, own_answer};
 use daisy_standin::{Faults, load::Load, platform::VmChange};
 use tokio::time::sleep;
 
@@ -15,7 +15,7 @@
     let callers = load.recorder();
     let report = load.finish().await.expect("a report");
     let history = cluster.history(vec![callers.history()]);
-    assert_none(leaving::check(&history, &leaving::Options { within: WITHIN }));
+    assert_none(leaving::check(&history, &leaving::Options { time_limit: WITHIN }));
     assert_none(own_answer::check(&history));
     assert!(report.answered * 10 > report.requests * 9, "{report}");
 }
@@ -62,7 +62,7 @@
     let load = Load::start(cluster.load(800, 100.0)).await.expect("callers");
     sleep(Duration::from_millis(800)).await;
     cluster.accept(&format!("drain vm {name}")).await;
-    cluster.operator.recorder().record(Kind::Drained { vm: name });
+    cluster.operator.recorder().record(EventKind::Drained { vm: name });
 
     check(&cluster, load).await;
 }
--- a/tests/proofs/not_run.rs
+++ b/tests/proofs/not_run.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_history::{Kind, Outcome, not_run, own_answer};
+use daisy_history::{CallOutcome, EventKind, not_run, own_answer};
 use daisy_standin::{
     Faults,
     load::{Load, Options},
@@ -42,6 +42,8 @@
     let history = cluster.history(vec![callers.history()]);
     assert_none(not_run::check(&history));
     assert_none(own_answer::check(&history));
-    let denied = |kind: &Kind| matches!(kind, Kind::CallEnded { outcome: Outcome::NotRun, .. });
+    let denied = |kind: &EventKind| {
+        matches!(kind, EventKind::CallEnded { outcome: CallOutcome::NotRun, .. })
+    };
     assert!(history.events().iter().any(|event| denied(&event.kind)), "no overload: {report}");
 }
--- a/tests/proofs/one_place.rs
+++ b/tests/proofs/one_place.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_history::{Kind, one_place};
+use daisy_history::{EventKind, one_place};
 use daisy_standin::Faults;
 use tokio::time::sleep;
 
@@ -100,6 +100,6 @@
 
     let history = cluster.history(Vec::new());
     assert_none(one_place::check(&history));
-    let refused = |kind: &Kind| matches!(kind, Kind::EpochRefused { .. });
+    let refused = |kind: &EventKind| matches!(kind, EventKind::EpochRefused { .. });
     assert!(history.events().iter().any(|event| refused(&event.kind)), "no call came late");
 }
--- a/tests/proofs/operators.rs
+++ b/tests/proofs/operators.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use daisy_history::{Kind, Verdict};
+use daisy_history::{ChangeOutcome, EventKind};
 use daisy_standin::{Recorder, client::Client};
 use http::Request;
 use http_body_util::Full;
@@ -47,17 +47,17 @@
         entry: SocketAddr,
         statement: &str,
         expected: Option<u64>,
-    ) -> Verdict {
+    ) -> ChangeOutcome {
         let text = match expected {
             Some(generation) => format!("{statement} if generation {generation}"),
             None => statement.to_owned(),
         };
-        self.recorder.record(Kind::ChangeSent { change, expected });
+        self.recorder.record(EventKind::ChangeSent { change, expected });
         let said = self.say(entry, &text).await;
-        let verdict = said.as_ref().map_or(Verdict::Unknown, verdict_of);
-        self.recorder.record(Kind::ChangeEnded { change, verdict });
-        if let Verdict::Accepted(version) = verdict {
-            self.recorder.record(Kind::ConfigAccepted { version });
+        let verdict = said.as_ref().map_or(ChangeOutcome::Unknown, verdict_of);
+        self.recorder.record(EventKind::ChangeEnded { change, verdict });
+        if let ChangeOutcome::Accepted(version) = verdict {
+            self.recorder.record(EventKind::ConfigAccepted { version });
         }
         verdict
     }
@@ -69,11 +69,11 @@
     }
 }
 
-fn verdict_of(said: &Value) -> Verdict {
+fn verdict_of(said: &Value) -> ChangeOutcome {
     let result = &said["results"][0];
     match (result["kind"].as_str(), result["generation"].as_u64()) {
-        (Some("accepted"), Some(generation)) => Verdict::Accepted(generation),
-        (Some("refused"), _) => Verdict::Refused,
-        _ => Verdict::Unknown,
+        (Some("accepted"), Some(generation)) => ChangeOutcome::Accepted(generation),
+        (Some("refused"), _) => ChangeOutcome::Refused,
+        _ => ChangeOutcome::Unknown,
     }
 }
--- a/tests/proofs/process.rs
+++ b/tests/proofs/process.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use daisy_history::{History, Kind};
+use daisy_history::{EventKind, History};
 use daisy_standin::Recorder;
 use nix::{
     sys::signal::{Signal, kill},
@@ -47,7 +47,7 @@
     }
 
     /// Records what the test does to the process.
-    pub fn record(&self, kind: Kind) {
+    pub fn record(&self, kind: EventKind) {
         self.recorder.record(kind);
     }
 
@@ -55,24 +55,24 @@
     pub fn kill(&mut self, entry: Option<String>) {
         self.signal(Signal::SIGKILL);
         let _ = self.child.wait();
-        self.record(Kind::Killed { entry });
+        self.record(EventKind::Killed { entry });
     }
 
     /// Stops it in its tracks, as a paused VM.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
-        self.record(Kind::CutOff);
+        self.record(EventKind::CutOff);
     }
 
     /// Lets a frozen process go on.
     pub fn thaw(&self) {
         self.signal(Signal::SIGCONT);
-        self.record(Kind::Healed);
+        self.record(EventKind::Healed);
     }
 
     /// Asks it for its planned stop.
     pub fn terminate(&self, entry: Option<String>) {
-        self.record(Kind::Stopping { entry });
+        self.record(EventKind::Stopping { entry });
         self.signal(Signal::SIGTERM);
     }
 
--- a/tests/proofs/resume.rs
+++ b/tests/proofs/resume.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_history::{End, Kind, one_place, resume};
+use daisy_history::{EventKind, RunEnd, one_place, resume};
 use daisy_standin::Faults;
 use tokio::time::sleep;
 
@@ -25,8 +25,9 @@
     cluster.accept(&format!("drain vm {crowded}")).await;
     eventually("work is evicted", Duration::from_secs(8), async || {
         let history = cluster.worker_history();
-        let evicted =
-            |kind: &Kind| matches!(kind, Kind::TaskEnded { end: End::Checkpointed(_), .. });
+        let evicted = |kind: &EventKind| {
+            matches!(kind, EventKind::TaskEnded { end: RunEnd::Checkpointed(_), .. })
+        };
         history.events().iter().any(|event| evicted(&event.kind)).then_some(())
     })
     .await;
@@ -39,7 +40,7 @@
     let renders = |name: &str| {
         let started = history.events().iter().filter(|event| {
             event.who == name
-                && matches!(event.kind, Kind::TaskStarted { run, .. } if run.job == RENDERS_JOB)
+                && matches!(event.kind, EventKind::TaskStarted { run, .. } if run.job == RENDERS_JOB)
         });
         started.count()
     };
@@ -49,7 +50,7 @@
 
 fn check(cluster: &Cluster) {
     let history = cluster.history(Vec::new());
-    let options = resume::Options { complete: true, ..resume::Options::default() };
+    let options = resume::Options { all_must_resume: true, ..resume::Options::default() };
     assert_none(resume::check(&history, &options));
     assert_none(one_place::check(&history));
 }
--- a/tests/proofs/several.rs
+++ b/tests/proofs/several.rs
@@ -24,7 +24,7 @@
     assert_none(own_answer::check(&history));
     assert_none(not_run::check(&history));
     assert_none(at_most_once::check(&history));
-    let options = configuration::Options { within: Duration::from_secs(5) };
+    let options = configuration::Options { time_limit: Duration::from_secs(5) };
     assert_none(configuration::check(&history, &options));
 }
 
