--- a/daisy-entry/tests/control/peers.rs
+++ b/daisy-entry/tests/control/peers.rs
@@ -8,7 +8,7 @@
 use daisy_model::{DcId, Epoch, JobId, Offset, VmId};
 use daisy_standin::{
     Backend, Link, backend,
-    link::{LinkFaults, Options, Pair},
+    link::{ForwardRule, LinkFaults, Options},
 };
 use daisy_wire::{
     peer::{Notice, NoticeWire, Replica, ReplicaChange, frame},
@@ -118,7 +118,7 @@
         let options = Options {
             name: format!("link-{vm}"),
             control: listen,
-            pairs: vec![Pair { listen, to: entry.addresses().peers }],
+            forward_rules: vec![ForwardRule { listen, to: entry.addresses().peers }],
             faults: LinkFaults::default(),
             history: None,
         };
--- a/daisy-measure/src/node/fleet.rs
+++ b/daisy-measure/src/node/fleet.rs
@@ -15,7 +15,7 @@
     Platform, Worker,
     client::Client,
     platform::{self, VmChange},
-    worker::{self, JobRun, WorkerOptions},
+    worker::{self, JobBehaviour, WorkerOptions},
 };
 use daisy_wire::platform::{RoleJson, StatusJson, VmJson};
 use http::{Method, Request, header};
@@ -200,7 +200,7 @@
 
     async fn start_workers(&mut self, workers: u32) -> anyhow::Result<()> {
         for at in 0..workers {
-            let long = JobRun { job: LONG_JOB, run_ms: None, fails: false, service: None };
+            let long = JobBehaviour { job: LONG_JOB, run_ms: None, fails: false, service: None };
             let worker = WorkerOptions {
                 capacity: CAPACITY,
                 run_time: Some(SHORT_TASK),
--- a/daisy-standin/src/link.rs
+++ b/daisy-standin/src/link.rs
@@ -25,7 +25,7 @@
 
 /// One forwarded address.
 #[derive(Debug, Clone, Copy)]
-pub struct Pair {
+pub struct ForwardRule {
     /// Where the link listens; port 0 takes a free one.
     pub listen: SocketAddr,
     /// Where it forwards to.
@@ -40,7 +40,7 @@
     /// Where `POST /standin/faults` is taken.
     pub control: SocketAddr,
     /// What is forwarded; the switches hold for all pairs together.
-    pub pairs: Vec<Pair>,
+    pub forward_rules: Vec<ForwardRule>,
     /// The switches at the start.
     pub faults: LinkFaults,
     /// The file that each event is written to at once.
@@ -97,7 +97,7 @@
         let server = Server::bind(options.control, shared.clone()).await?;
         let mut forwarders = JoinSet::new();
         let mut addresses = Vec::new();
-        for pair in options.pairs {
+        for pair in options.forward_rules {
             let listener = TcpListener::bind(pair.listen).await?;
             addresses.push(listener.local_addr()?);
             forwarders.spawn(accept(listener, pair.to, shared.faults.subscribe()));
--- a/daisy-standin/src/load.rs
+++ b/daisy-standin/src/load.rs
@@ -60,7 +60,7 @@
 
 impl Options {
     /// Requests in `seconds` at `rate`.
-    pub fn count_of(rate: f64, seconds: f64) -> u64 {
+    pub fn request_count(rate: f64, seconds: f64) -> u64 {
         (rate * seconds).round() as u64
     }
 }
--- a/daisy-standin/src/platform.rs
+++ b/daisy-standin/src/platform.rs
@@ -2,7 +2,7 @@
 //!
 //! The paths are those of [`daisy_wire::platform`]. Besides, `POST /standin/vms` with a
 //! [`VmChange`] adds, replaces, marks or removes a VM, and `POST /standin/views` with a list
-//! of [`View`]s lets particular processes see other addresses.
+//! of [`AddressOverride`]s lets particular processes see other addresses.
 
 mod log;
 mod vms;
@@ -39,7 +39,7 @@
 
 pub use self::{
     log::{Log, LogError, LogOptions},
-    vms::{View, VmBook, VmChange, VmError},
+    vms::{AddressOverride, VmBook, VmChange, VmError},
 };
 
 /// How a platform stand-in works.
@@ -261,7 +261,7 @@
     }
 
     async fn post_views(&self, req: Request<Incoming>) -> Reply {
-        let views: Vec<View> = match self.read_json(req).await {
+        let views: Vec<AddressOverride> = match self.read_json(req).await {
             Ok(views) => views,
             Err(reply) => return reply,
         };
--- a/daisy-standin/src/platform/log.rs
+++ b/daisy-standin/src/platform/log.rs
@@ -12,12 +12,12 @@
     /// Age at which records expire; `None` for never.
     pub keep_age: Option<Duration>,
     /// Appends taken a second; the users' platform takes a few hundred.
-    pub appends_a_second: u32,
+    pub appends_per_second: u32,
 }
 
 impl Default for LogOptions {
     fn default() -> LogOptions {
-        LogOptions { keep_records: 1_000_000, keep_age: None, appends_a_second: 300 }
+        LogOptions { keep_records: 1_000_000, keep_age: None, appends_per_second: 300 }
     }
 }
 
@@ -58,7 +58,7 @@
             self.second = now;
             self.appends = 0;
         }
-        if self.appends >= self.options.appends_a_second {
+        if self.appends >= self.options.appends_per_second {
             return Err(SECOND.saturating_sub(gone));
         }
         self.appends += 1;
--- a/daisy-standin/src/platform/vms.rs
+++ b/daisy-standin/src/platform/vms.rs
@@ -22,7 +22,7 @@
 /// just these two.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct View {
+pub struct AddressOverride {
     /// The process by its `daisy-from`.
     pub from: String,
     /// The VM's number.
@@ -65,7 +65,7 @@
     /// Versions that are not yet listed, oldest first.
     waiting: Vec<(Instant, u64, Vec<VmJson>)>,
     listed: (u64, Vec<VmJson>),
-    views: Vec<View>,
+    views: Vec<AddressOverride>,
 }
 
 impl VmBook {
@@ -97,7 +97,7 @@
     }
 
     /// Replaces the addresses that particular processes see, at once.
-    pub fn set_views(&mut self, views: Vec<View>) {
+    pub fn set_views(&mut self, views: Vec<AddressOverride>) {
         self.views = views;
         self.version += 1;
         self.listed.0 = self.version;
--- a/daisy-standin/src/worker.rs
+++ b/daisy-standin/src/worker.rs
@@ -1,7 +1,7 @@
 //! A worker: its control address, and the backend server of the services on it.
 //!
 //! `POST /v1/worker` and `GET /v1/worker/news` are those of [`daisy_wire::worker`]. Besides, `POST /standin/jobs` with a
-//! list of [`JobRun`]s says how long the tasks of which jobs run.
+//! list of [`JobBehaviour`]s says how long the tasks of which jobs run.
 
 mod journal;
 mod state;
@@ -31,7 +31,7 @@
     run::until_stopped,
 };
 
-pub use self::state::{Flaws, Interference, JobRun, WorkerOptions, WorkerState};
+pub use self::state::{Flaws, Interference, JobBehaviour, WorkerOptions, WorkerState};
 
 /// How a worker stand-in works.
 #[derive(Debug, Clone)]
@@ -150,7 +150,7 @@
     }
 
     /// Says how tasks of these jobs run from now on.
-    pub fn set_jobs(&self, jobs: Vec<JobRun>) {
+    pub fn set_jobs(&self, jobs: Vec<JobBehaviour>) {
         self.shared.set_jobs(jobs);
     }
 
@@ -315,7 +315,7 @@
         self.presence.set(state.services());
     }
 
-    fn set_jobs(&self, jobs: Vec<JobRun>) {
+    fn set_jobs(&self, jobs: Vec<JobBehaviour>) {
         locked(&self.state).set_jobs(jobs);
         self.settle();
     }
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -18,7 +18,7 @@
 /// How tasks of one job run on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct JobRun {
+pub struct JobBehaviour {
     /// The job's number.
     pub job: u32,
     /// Undisturbed run time in milliseconds; absent for until it is stopped.
@@ -52,7 +52,7 @@
     /// until it is stopped.
     pub run_time: Option<Duration>,
     /// How tasks of particular jobs run.
-    pub jobs: Vec<JobRun>,
+    pub jobs: Vec<JobBehaviour>,
     /// Who disturbs whom.
     pub interference: Vec<Interference>,
     /// How old the reported usage is.
@@ -151,7 +151,7 @@
     }
 
     /// Replaces how tasks of particular jobs run.
-    pub fn set_jobs(&mut self, jobs: Vec<JobRun>) {
+    pub fn set_jobs(&mut self, jobs: Vec<JobBehaviour>) {
         self.options.jobs = jobs;
     }
 
--- a/daisy-standin/tests/link.rs
+++ b/daisy-standin/tests/link.rs
@@ -5,7 +5,7 @@
 use daisy_standin::{
     Link, Platform,
     client::{CallError, Client},
-    link::{LinkFaults, Options, Pair},
+    link::{ForwardRule, LinkFaults, Options},
     platform,
 };
 use http::StatusCode;
@@ -16,8 +16,9 @@
 async fn platform_behind(faults: LinkFaults) -> (Platform, Link) {
     let platform = Platform::start(platform::Options::default()).await.unwrap();
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
-    let pairs = vec![Pair { listen: free, to: platform.address() }];
-    let options = Options { name: "link".to_owned(), control: free, pairs, faults, history: None };
+    let forward_rules = vec![ForwardRule { listen: free, to: platform.address() }];
+    let options =
+        Options { name: "link".to_owned(), control: free, forward_rules, faults, history: None };
     let link = Link::start(options).await.unwrap();
     (platform, link)
 }
--- a/daisy-standin/tests/platform.rs
+++ b/daisy-standin/tests/platform.rs
@@ -86,7 +86,7 @@
 
 #[tokio::test]
 async fn appends_over_the_cap_are_told_when_to_come_back() {
-    let log = LogOptions { appends_a_second: 1, ..LogOptions::default() };
+    let log = LogOptions { appends_per_second: 1, ..LogOptions::default() };
     let platform = Platform::start(Options { log, ..Options::default() }).await.unwrap();
     append(platform.address(), "1-1", "a", "x").await.unwrap();
 
--- a/daisy-standin/tests/worker.rs
+++ b/daisy-standin/tests/worker.rs
@@ -6,7 +6,7 @@
 use daisy_model::{
     Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, TaskId, WorkerCall,
 };
-use daisy_standin::worker::{Flaws, Interference, JobRun, WorkerOptions, WorkerState};
+use daisy_standin::worker::{Flaws, Interference, JobBehaviour, WorkerOptions, WorkerState};
 
 const TASK: TaskId = TaskId { job: JobId(3), index: 0 };
 const OTHER: TaskId = TaskId { job: JobId(4), index: 0 };
@@ -149,8 +149,8 @@
     let options = WorkerOptions { interference, usage_lag, ..WorkerOptions::default() };
     let mut worker = WorkerState::new(options);
     worker.set_jobs(vec![
-        JobRun { job: 3, run_ms: None, fails: false, service: Some("shop".to_owned()) },
-        JobRun { job: 4, run_ms: None, fails: false, service: None },
+        JobBehaviour { job: 3, run_ms: None, fails: false, service: Some("shop".to_owned()) },
+        JobBehaviour { job: 4, run_ms: None, fails: false, service: None },
     ]);
     worker.call(at(0), call(1, vec![start(TASK, None), start(OTHER, None)]), SOUND);
     worker.tick(at(200));
--- a/src/demo/fleet.rs
+++ b/src/demo/fleet.rs
@@ -14,7 +14,7 @@
     platform,
     platform::VmChange,
     worker,
-    worker::{JobRun, WorkerOptions},
+    worker::{JobBehaviour, WorkerOptions},
 };
 use daisy_wire::{headers, platform::VmJson};
 use http::Request;
@@ -109,7 +109,7 @@
     async fn add_worker(&mut self, dc: DcId, at: u32) -> anyhow::Result<()> {
         let id = FIRST_WORKER + u32::from(dc.0) * WORKERS + at;
         let name = format!("worker-{id}");
-        let serves = JobRun {
+        let serves = JobBehaviour {
             job: SERVICE_JOB,
             run_ms: None,
             fails: false,
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -47,7 +47,7 @@
     options.vms = it.vms.as_deref().map(read_json).transpose()?.unwrap_or_default();
     options.vm_lag = Duration::from_millis(it.vm_lag_ms);
     options.log.keep_records = it.keep_records;
-    options.log.appends_a_second = it.appends;
+    options.log.appends_per_second = it.appends;
     options.history = it.history;
     Ok(options)
 }
@@ -95,17 +95,17 @@
     Ok(link::Options {
         name: it.name,
         control: it.control,
-        pairs: it.pair.iter().map(|text| pair(text)).collect::<anyhow::Result<_>>()?,
+        forward_rules: it.pair.iter().map(|text| pair(text)).collect::<anyhow::Result<_>>()?,
         faults: link::LinkFaults::default(),
         history: it.history,
     })
 }
 
-fn pair(text: &str) -> anyhow::Result<link::Pair> {
+fn pair(text: &str) -> anyhow::Result<link::ForwardRule> {
     let (listen, to) = text
         .split_once('=')
         .with_context(|| format!("--pair {text}: expected LISTEN=TO, two addresses"))?;
-    Ok(link::Pair { listen: address(listen)?, to: address(to)? })
+    Ok(link::ForwardRule { listen: address(listen)?, to: address(to)? })
 }
 
 fn address(text: &str) -> anyhow::Result<SocketAddr> {
@@ -117,7 +117,7 @@
         entries: it.entry,
         service: it.service,
         rate: it.rate,
-        count: load::Options::count_of(it.rate, it.seconds),
+        count: load::Options::request_count(it.rate, it.seconds),
         keyed_per_mille: it.keyed,
         deadline: Duration::from_millis(it.deadline_ms),
         attempts: it.attempts,
--- a/tests/proofs/cuts.rs
+++ b/tests/proofs/cuts.rs
@@ -5,8 +5,8 @@
 use daisy_history::EventKind;
 use daisy_standin::{
     Faults, Link,
-    link::{self, LinkFaults, Pair},
-    platform::View,
+    link::{self, ForwardRule, LinkFaults},
+    platform::AddressOverride,
 };
 use daisy_wire::platform::{RoleJson, VmJson};
 use tokio::time::sleep;
@@ -47,25 +47,35 @@
     /// Puts one link between all pairs of an entry VM and another VM that `between` chooses.
     async fn link(&self, between: impl Fn(&VmJson, &VmJson) -> bool) -> Link {
         let vms = || self.entries.iter().chain(&self.workers).map(|(vm, _)| vm);
-        let (mut pairs, mut views) = (Vec::new(), Vec::new());
+        let (mut forward_rules, mut views) = (Vec::new(), Vec::new());
         for (from, _) in &self.entries {
             for vm in vms().filter(|vm| between(from, vm)) {
                 let mut through = |to: SocketAddr| {
-                    let listen = self.at.link(u32::try_from(pairs.len()).expect("few pairs"));
-                    pairs.push(Pair { listen, to });
+                    let listen =
+                        self.at.link(u32::try_from(forward_rules.len()).expect("few pairs"));
+                    forward_rules.push(ForwardRule { listen, to });
                     listen
                 };
                 let control = through(vm.control);
                 let backend = vm.backend.map(&mut through);
-                let view =
-                    View { from: from.name.clone(), vm: vm.id, control: Some(control), backend };
+                let view = AddressOverride {
+                    from: from.name.clone(),
+                    vm: vm.id,
+                    control: Some(control),
+                    backend,
+                };
                 views.push(view);
             }
         }
         let control = SocketAddr::from(([127, 0, 0, 1], 0));
         let faults = LinkFaults::default();
-        let options =
-            link::Options { name: "link".to_owned(), control, pairs, faults, history: None };
+        let options = link::Options {
+            name: "link".to_owned(),
+            control,
+            forward_rules,
+            faults,
+            history: None,
+        };
         let link = Link::start(options).await.expect("a link");
         let body = serde_json::to_vec(&views).expect("JSON");
         let answer = self.client.post(self.at.platform(), "/standin/views", body, SOON).await;
--- a/tests/proofs/shape.rs
+++ b/tests/proofs/shape.rs
@@ -5,7 +5,7 @@
     sync::atomic::{AtomicU8, Ordering},
 };
 
-use daisy_standin::worker::JobRun;
+use daisy_standin::worker::JobBehaviour;
 use daisy_wire::platform::{ResourcesJson, RoleJson, StatusJson, VmJson};
 use serde_json::json;
 
@@ -19,7 +19,7 @@
     /// How long batch tasks run.
     pub run_ms: u64,
     /// How tasks of particular jobs run.
-    pub jobs: Vec<JobRun>,
+    pub jobs: Vec<JobBehaviour>,
     /// `timing.heartbeat_ms`.
     pub heartbeat_ms: u64,
     /// `timing.holder_timeout_ms`.
@@ -58,8 +58,8 @@
 }
 
 /// How tasks of the tests' service run: until they are stopped, answering requests.
-pub fn service_run() -> JobRun {
-    JobRun { job: 0, run_ms: None, fails: false, service: Some(SERVICE.to_owned()) }
+pub fn service_run() -> JobBehaviour {
+    JobBehaviour { job: 0, run_ms: None, fails: false, service: Some(SERVICE.to_owned()) }
 }
 
 /// The addresses of one test, apart from those of all others.
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -10,7 +10,7 @@
 use daisy_platform_standin::{Log, LogFault, Seen, Worker, WorkerFault};
 use daisy_standin::{
     Link,
-    link::{LinkFaults, Options, Pair},
+    link::{ForwardRule, LinkFaults, Options},
 };
 use http::Method;
 use nix::sys::signal::Signal;
@@ -294,11 +294,11 @@
 
 async fn link_to(to: SocketAddr) -> Link {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
-    let pairs = vec![Pair { listen: loopback, to }];
+    let forward_rules = vec![ForwardRule { listen: loopback, to }];
     let options = Options {
         name: "link".to_owned(),
         control: loopback,
-        pairs,
+        forward_rules,
         faults: LinkFaults::default(),
         history: None,
     };
