--- a/daisy-history/src/configuration.rs
+++ b/daisy-history/src/configuration.rs
@@ -1,35 +1,40 @@
-//! Point 9: an accepted configuration is in force everywhere within seconds and never reverts.
+//! Checks guarantee 9: an accepted configuration is in force everywhere within seconds and never
+//! reverts.
 
 use std::{collections::BTreeMap, time::Duration};
 
-use crate::{Event, EventKind, History, Point, Violation};
+use crate::{Event, EventKind, Guarantee, History, Violation};
 
-/// What the checker takes for granted.
+/// Settings of the checker.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// How long after its acceptance a configuration may take (5 s in the users' size plan).
+    /// The longest time from a configuration's acceptance until it is in force (5 s in the users'
+    /// size plan).
     pub time_limit: Duration,
 }
 
-/// What one process has in force.
+/// The configuration that one process has in force.
 #[derive(Debug, Default)]
 struct Process<'a> {
-    /// The newest version that it showed.
-    shown: Option<(u64, &'a Event)>,
-    /// Since when it is frozen or cut off.
-    cut_off: bool,
-    /// When it was last healed.
-    healed_us: u64,
-    gone: bool,
+    /// The version that it reported last, and the event that reported it.
+    last_reported: Option<(u64, &'a Event)>,
+    /// Whether it is frozen or cut off.
+    is_cut_off: bool,
+    /// When it was last healed, in microseconds since 1970.
+    last_healed_us: u64,
+    /// Whether it is stopping, has stopped or was killed.
+    has_stopped: bool,
 }
 
-/// Finds processes that went back to an older version, or that showed an older one too late.
+/// Finds processes that reverted to an older version, or that reported an outdated version after
+/// the time limit.
 ///
-/// A process that is frozen or cut off has `time_limit` from when it is healed; one that stops or
-/// is killed owes nothing from then on. Lateness is judged where a process shows its version,
-/// so each has to be asked until `time_limit` after the last change.
+/// For a process that was frozen or cut off, the time limit counts from when it was healed. A
+/// process that stops or is killed is not checked from then on. A delay is detected only in an
+/// event in which a process reports its version, so each process must be queried until the time
+/// limit after the last change has passed.
 pub fn check(history: &History, options: &Options) -> Vec<Violation> {
-    let within_us = u64::try_from(options.time_limit.as_micros()).unwrap_or(u64::MAX);
+    let time_limit_us = u64::try_from(options.time_limit.as_micros()).unwrap_or(u64::MAX);
     let mut processes: BTreeMap<&str, Process<'_>> = BTreeMap::new();
     let mut accepted: Vec<(u64, &Event)> = Vec::new();
     let mut violations = Vec::new();
@@ -37,17 +42,17 @@
         let process = processes.entry(&event.who).or_default();
         match &event.kind {
             EventKind::ConfigAccepted { version } => accepted.push((*version, event)),
-            EventKind::ConfigInForce { version } if !process.gone => {
-                violations.extend(process.revert(*version, event));
-                violations.extend(process.late(*version, event, &accepted, within_us));
-                process.shown = Some((*version, event));
+            EventKind::ConfigInForce { version } if !process.has_stopped => {
+                violations.extend(process.check_revert(*version, event));
+                violations.extend(process.check_delay(*version, event, &accepted, time_limit_us));
+                process.last_reported = Some((*version, event));
             }
-            EventKind::CutOff => process.cut_off = true,
+            EventKind::CutOff => process.is_cut_off = true,
             EventKind::Healed => {
-                process.cut_off = false;
-                process.healed_us = event.at_us;
+                process.is_cut_off = false;
+                process.last_healed_us = event.at_us;
             }
-            EventKind::Stopping { .. } | EventKind::Killed { .. } => process.gone = true,
+            EventKind::Stopping { .. } | EventKind::Killed { .. } => process.has_stopped = true,
             _ => {}
         }
     }
@@ -55,33 +60,38 @@
 }
 
 impl Process<'_> {
-    fn revert(&self, version: u64, event: &Event) -> Option<Violation> {
-        let (shown, before) = self.shown?;
-        let what = format!("{} went back from version {shown} to {version}", event.who);
-        (version < shown).then(|| violation(what, vec![before.clone(), event.clone()]))
+    fn check_revert(&self, version: u64, event: &Event) -> Option<Violation> {
+        let (reported, before) = self.last_reported?;
+        let what = format!("{} reverted from version {reported} to {version}", event.who);
+        (version < reported).then(|| violation(what, vec![before.clone(), event.clone()]))
     }
 
-    fn late(
+    fn check_delay(
         &self,
         version: u64,
         event: &Event,
         accepted: &[(u64, &Event)],
-        within_us: u64,
+        time_limit_us: u64,
     ) -> Option<Violation> {
-        if self.cut_off {
+        if self.is_cut_off {
             return None;
         }
-        let due = |news: &Event| news.at_us.max(self.healed_us).saturating_add(within_us);
-        let missed =
-            accepted.iter().find(|(wanted, news)| *wanted > version && event.at_us > due(news));
-        let (wanted, news) = missed?;
-        let after_ms = (event.at_us - news.at_us) / 1000;
+        let deadline_us = |acceptance: &Event| {
+            acceptance.at_us.max(self.last_healed_us).saturating_add(time_limit_us)
+        };
+        let overdue = accepted.iter().find(|(wanted, acceptance)| {
+            *wanted > version && event.at_us > deadline_us(acceptance)
+        });
+        let (wanted, acceptance) = overdue?;
+        let after_ms = (event.at_us - acceptance.at_us) / 1000;
         let who = &event.who;
-        let what = format!("{who} has version {version}, not {wanted}, {after_ms} ms after it");
-        Some(violation(what, vec![(*news).clone(), event.clone()]))
+        let what = format!(
+            "{who} has version {version}, not {wanted}, {after_ms} ms after it was accepted"
+        );
+        Some(violation(what, vec![(*acceptance).clone(), event.clone()]))
     }
 }
 
 fn violation(what: String, events: Vec<Event>) -> Violation {
-    Violation { point: Point::Configuration, what, events }
+    Violation { guarantee: Guarantee::Configuration, what, events }
 }
--- a/daisy-history/src/event.rs
+++ b/daisy-history/src/event.rs
@@ -1,152 +1,153 @@
-//! The one format of recorded events: JSON lines.
+//! The format of recorded events: one JSON object per line.
 
 use serde::{Deserialize, Serialize};
 
-/// One thing that one process saw or did.
+/// Something that one process observed or did.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Microseconds since 1970 UTC by the machine's clock; all processes of a run share it.
+    /// Microseconds since 1970 UTC by the clock of the machine, which all processes of a test run
+    /// share.
     pub at_us: u64,
     /// The process that recorded the event.
     pub who: String,
-    /// What happened.
+    /// What happened, with its details.
     #[serde(flatten)]
     pub kind: EventKind,
 }
 
-/// Processors, memory and accelerators.
+/// An amount of processors, memory and accelerators: a capacity or a task's size.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Size {
     /// Thousandths of a core.
     pub cpu_milli: u32,
-    /// MiB.
+    /// Memory in MiB.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
-/// One incarnation of a task.
+/// Identifies one incarnation of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Run {
     /// The job's number.
     pub job: u32,
     /// The task's index in its job.
     pub index: u32,
-    /// Which start of the task this is.
+    /// The number of this start of the task.
     pub incarnation: u32,
 }
 
-/// How an incarnation ended.
+/// How an incarnation of a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunEnd {
-    /// Did its work.
+    /// It finished its work.
     Done,
-    /// Ended with an error.
+    /// It ended with an error.
     Failed,
-    /// Checkpointed, with the checkpoint's token.
+    /// It was checkpointed; holds the checkpoint's token.
     Checkpointed(u64),
-    /// Stopped by its holder.
+    /// Its holder stopped it.
     Stopped,
-    /// Its lease lapsed.
+    /// Its lease expired.
     LeaseLapsed,
 }
 
-/// How a call ended for its caller.
+/// How an attempt of a call ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallOutcome {
-    /// The answer came.
+    /// The caller received an answer.
     Answered,
-    /// The system said that the request was not run.
+    /// The system reported that the request was not run.
     NotRun,
-    /// The system said that it does not know.
+    /// The system reported that it does not know whether the request was run.
     Unknown,
-    /// The connection broke or the time ran out before a whole answer.
+    /// The connection broke or the timeout expired before the whole answer arrived.
     Broken,
     /// No connection could be made, so nothing was sent.
     Unreachable,
 }
 
-/// What an operator learnt of a change.
+/// What an operator was told about the outcome of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeOutcome {
-    /// Accepted as this generation.
+    /// The change was accepted as this generation.
     Accepted(u64),
-    /// Refused, because another change came first.
+    /// The change was refused because another change was accepted before it.
     Refused,
-    /// No answer came.
+    /// The operator received no answer.
     Unknown,
 }
 
-/// What happened.
+/// What happened, with its details.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum EventKind {
-    /// A worker began; it holds this much.
+    /// A worker started.
     WorkerBegan {
-        /// What it holds in all.
+        /// Its total capacity.
         capacity: Size,
     },
-    /// A worker saw a new highest epoch.
+    /// A worker received a call with a higher epoch than any before.
     EpochSeen {
         /// The epoch.
         epoch: u64,
     },
-    /// A worker refused a call because its epoch was stale.
+    /// A worker refused a call because the call's epoch was stale.
     EpochRefused {
         /// The call's epoch.
         epoch: u64,
-        /// The highest epoch seen.
+        /// The highest epoch that the worker has seen.
         seen: u64,
     },
-    /// A worker started an incarnation.
+    /// A worker started an incarnation of a task.
     TaskStarted {
-        /// Which.
+        /// The incarnation.
         #[serde(flatten)]
         run: Run,
-        /// The epoch of the call.
+        /// The epoch of the call that ordered the start.
         epoch: u64,
-        /// What it takes.
+        /// The resources that it takes.
         size: Size,
-        /// The checkpoint that it resumed from.
+        /// The token of the checkpoint that it resumed from, if any.
         checkpoint: Option<u64>,
     },
-    /// A worker's incarnation ended.
+    /// An incarnation of a task ended on a worker.
     TaskEnded {
-        /// Which.
+        /// The incarnation.
         #[serde(flatten)]
         run: Run,
-        /// How.
+        /// How it ended.
         end: RunEnd,
     },
-    /// The platform appended a record.
+    /// The platform appended a record to its log.
     Appended {
-        /// The append's id as the sender gave it.
+        /// The id that the sender gave to the append.
         id: String,
-        /// Where it stands.
+        /// The record's offset in the log.
         offset: u64,
-        /// Who appended.
+        /// The process that sent the append.
         from: String,
     },
-    /// The platform took in a change of one VM.
+    /// The platform accepted a change to one VM.
     VmChanged {
         /// The VM's name.
         vm: String,
-        /// `live`, `leaving` or `gone`.
+        /// The VM's new status: `live`, `leaving` or `gone`.
         status: String,
     },
     /// A backend server began to run a request.
     RequestBegan {
-        /// The request's id, as the header gave it.
+        /// The request's id, from its header.
         request: String,
         /// The number that the caller wrote into the body.
         call: Option<u64>,
         /// The idempotency key.
         key: Option<String>,
     },
-    /// A backend server came to the end of a request, whether or not its answer arrived.
+    /// A backend server finished a request, whether or not its answer arrived.
     RequestEnded {
         /// The request's id.
         request: String,
@@ -158,13 +159,13 @@
         /// The number that the caller wrote into the body.
         call: Option<u64>,
     },
-    /// A backend server was told that it is going to leave.
+    /// A backend server was told that it is about to leave.
     Leaving,
     /// A caller sent one attempt of a call.
     CallSent {
-        /// The call's number, the same for all attempts.
+        /// The call's number, which all its attempts share.
         call: u64,
-        /// From 1.
+        /// The number of the attempt, from 1.
         attempt: u32,
         /// The idempotency key.
         key: Option<String>,
@@ -175,63 +176,64 @@
     CallEnded {
         /// The call's number.
         call: u64,
-        /// The attempt.
+        /// The number of the attempt, from 1.
         attempt: u32,
         /// How it ended.
         outcome: CallOutcome,
-        /// The HTTP status, if one came.
+        /// The HTTP status of the answer, if one arrived.
         status: Option<u16>,
-        /// The request id that the answer shows.
+        /// The request id in the answer's header.
         request: Option<String>,
-        /// For `answered`: whether the body was whole and the call's own.
+        /// For `answered`: whether the body is complete and belongs to this call.
         own: bool,
     },
-    /// An entry VM has a configuration in force.
+    /// A process reported the configuration that it has in force.
     ConfigInForce {
-        /// The generation; higher is newer.
+        /// The configuration's generation; higher is newer.
         version: u64,
     },
-    /// A configuration was accepted; it has to be in force everywhere soon.
+    /// The system accepted a configuration, which must be in force everywhere within a time limit.
     ConfigAccepted {
-        /// Its generation.
+        /// The configuration's generation.
         version: u64,
     },
-    /// An operator sent a change.
+    /// An operator sent a change of the declared state.
     ChangeSent {
-        /// Numbers the change.
+        /// The number of the change.
         change: u64,
-        /// The generation that it depends on.
+        /// The generation that the change depends on, if any.
         expected: Option<u64>,
     },
-    /// An operator learnt what came of a change.
+    /// An operator learnt the outcome of a change.
     ChangeEnded {
-        /// Numbers the change.
+        /// The number of the change.
         change: u64,
-        /// What came of it.
+        /// The outcome.
         verdict: ChangeOutcome,
     },
-    /// A process began a planned stop.
+    /// A process began a planned stop (a graceful shutdown).
     Stopping {
-        /// An entry VM's address for callers.
+        /// For an entry VM: its address for callers.
         entry: Option<String>,
     },
     /// A process was killed.
     Killed {
-        /// An entry VM's address for callers.
+        /// For an entry VM: its address for callers.
         entry: Option<String>,
     },
-    /// A process was frozen, or cut off from what tells it of changes.
+    /// A process was frozen, or cut off from the sources of configuration changes.
     CutOff,
-    /// A process that was frozen or cut off is no longer so.
+    /// A process that was frozen or cut off runs and is connected again.
     Healed,
-    /// Operators drained a VM, and the system accepted it.
+    /// Operators drained a VM, and the system accepted the drain.
     Drained {
         /// The VM's name.
         vm: String,
     },
-    /// The test brought about a fault or took it back; for people who read the history.
+    /// The test injected or ended faults. No checker reads this; it helps people who read the
+    /// history.
     Fault {
-        /// What.
+        /// The faults that are now in effect, as text.
         what: String,
     },
 }
--- a/daisy-history/src/lib.rs
+++ b/daisy-history/src/lib.rs
@@ -1,8 +1,8 @@
-//! Recorded histories of daisyshift runs and their checkers.
+//! Recorded histories of daisyshift test runs, and checkers for them.
 //!
-//! All processes of a run record [`Event`]s in one format; [`History`] reads and merges them.
-//! Each module with a `check` function finds the [`Violation`]s of one thing that must always
-//! hold. A checker judges what the history shows: what no process recorded, it cannot see.
+//! All processes of a test run record [`Event`]s in one format; [`History`] reads and merges them.
+//! Each module with a `check` function finds the [`Violation`]s of one [`Guarantee`]. A checker
+//! sees only the events in the history: what no process recorded goes unnoticed.
 
 #![deny(missing_docs, unsafe_code)]
 
@@ -24,5 +24,5 @@
 pub use crate::{
     event::{CallOutcome, ChangeOutcome, Event, EventKind, Run, RunEnd, Size},
     history::{History, ReadError},
-    violation::{Point, Violation},
+    violation::{Guarantee, Violation},
 };
--- a/daisy-history/src/one_place.rs
+++ b/daisy-history/src/one_place.rs
@@ -1,36 +1,38 @@
-//! Point 2: no task ever runs in two places at once, or again after it has done its work.
+//! Checks guarantee 2: no task runs in two places at once, or again after it has finished its work.
 
 use std::collections::BTreeMap;
 
-use crate::{Event, EventKind, History, Point, Run, RunEnd, Violation};
+use crate::{Event, EventKind, Guarantee, History, Run, RunEnd, Violation};
 
-/// One incarnation on one worker.
+/// The time during which one incarnation ran on one worker.
 #[derive(Debug)]
 struct Interval<'a> {
     run: Run,
     started: &'a Event,
-    /// `None` while it runs.
+    /// The time of its end, how it ended (`None` if its worker was killed or restarted), and the
+    /// event. `None` while it runs.
     ended: Option<(u64, Option<RunEnd>, &'a Event)>,
 }
 
-/// Finds tasks that run on two workers at one time, incarnations that are started twice, and
-/// tasks that are started after they were done.
+/// Finds tasks that run on two workers at the same time, incarnations that are started twice, and
+/// tasks that are started again after they were done.
 ///
-/// An incarnation whose end is not in the history runs until its worker is killed or begins
-/// anew, else to the end of time.
+/// An incarnation whose end is not in the history is assumed to run until its worker is killed or
+/// restarts, otherwise forever.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for intervals in by_task(history).values() {
-        for (at, later) in intervals.iter().enumerate() {
-            let found = intervals[..at].iter().filter_map(|earlier| clash(earlier, later));
-            violations.extend(found);
+    for intervals in intervals_by_task(history).values() {
+        for (index, later) in intervals.iter().enumerate() {
+            let conflicts =
+                intervals[..index].iter().filter_map(|earlier| find_conflict(earlier, later));
+            violations.extend(conflicts);
         }
     }
     violations
 }
 
-/// Intervals of each task in the order of their starts.
-fn by_task(history: &History) -> BTreeMap<(u32, u32), Vec<Interval<'_>>> {
+/// Returns the intervals of each task, keyed by job and index, in the order of their starts.
+fn intervals_by_task(history: &History) -> BTreeMap<(u32, u32), Vec<Interval<'_>>> {
     let mut tasks: BTreeMap<(u32, u32), Vec<Interval<'_>>> = BTreeMap::new();
     for event in history.events() {
         match &event.kind {
@@ -40,14 +42,15 @@
             }
             EventKind::TaskEnded { run, end } => {
                 let intervals = tasks.entry((run.job, run.index)).or_default();
-                let own = |it: &&mut Interval<'_>| it.run == *run && it.runs_on(&event.who);
-                if let Some(interval) = intervals.iter_mut().find(own) {
+                let is_this_run =
+                    |it: &&mut Interval<'_>| it.run == *run && it.is_running_on(&event.who);
+                if let Some(interval) = intervals.iter_mut().find(is_this_run) {
                     interval.ended = Some((event.at_us, Some(*end), event));
                 }
             }
             EventKind::Killed { .. } | EventKind::WorkerBegan { .. } => {
                 let all = tasks.values_mut().flatten();
-                for interval in all.filter(|interval| interval.runs_on(&event.who)) {
+                for interval in all.filter(|interval| interval.is_running_on(&event.who)) {
                     interval.ended = Some((event.at_us, None, event));
                 }
             }
@@ -58,7 +61,7 @@
 }
 
 impl Interval<'_> {
-    fn runs_on(&self, worker: &str) -> bool {
+    fn is_running_on(&self, worker: &str) -> bool {
         self.ended.is_none() && self.started.who == worker
     }
 
@@ -68,10 +71,11 @@
     }
 }
 
-fn clash(earlier: &Interval<'_>, later: &Interval<'_>) -> Option<Violation> {
+/// Returns the violation if `later` must not have started as it did after `earlier`.
+fn find_conflict(earlier: &Interval<'_>, later: &Interval<'_>) -> Option<Violation> {
     let ended_at = earlier.ended.map_or(u64::MAX, |(at, ..)| at);
     let done = earlier.ended.is_some_and(|(_, end, _)| end == Some(RunEnd::Done));
-    // An end and a start at the same instant are no overlap: the end is not part of the run.
+    // An end and a start at the same instant do not overlap: an interval does not include its end.
     let what = if later.started.at_us < ended_at {
         "a task runs in two places at once"
     } else if earlier.run == later.run {
@@ -82,5 +86,5 @@
         return None;
     };
     let events = earlier.events().chain(later.events()).collect();
-    Some(Violation { point: Point::OnePlace, what: what.to_owned(), events })
+    Some(Violation { guarantee: Guarantee::OnePlace, what: what.to_owned(), events })
 }
--- a/daisy-history/src/own_answer.rs
+++ b/daisy-history/src/own_answer.rs
@@ -1,13 +1,14 @@
-//! Point 4: every caller receives the whole answer to its own request.
+//! Checks guarantee 4: every caller receives the complete answer to its own request.
 
 use std::collections::BTreeMap;
 
-use crate::{CallOutcome, Event, EventKind, History, Point, Violation};
+use crate::{CallOutcome, Event, EventKind, Guarantee, History, Violation};
 
-/// Finds answers that were not whole, not the caller's own, or made by a run of another call.
+/// Finds answers that are incomplete, belong to another caller, or come from the run of another
+/// call.
 ///
-/// The callers compare each body with the one that their request must give; here the id that
-/// an answer shows is compared with the run that bore it.
+/// The callers themselves compare each body with the expected one and record the result. This
+/// checker also compares the request id in an answer with the run that had this id.
 pub fn check(history: &History) -> Vec<Violation> {
     let runs = runs_by_request(history);
     let mut violations = Vec::new();
@@ -18,13 +19,17 @@
             continue;
         };
         if !own {
-            violations.push(violation("an answer is not whole or not the call's own", event, None));
+            violations.push(violation(
+                "an answer is incomplete or belongs to another call",
+                event,
+                None,
+            ));
         }
         let run = request.as_deref().and_then(|request| runs.get(request));
         if let Some((ran_for, run)) = run
             && ran_for != call
         {
-            let what = "an answer shows the id of another call's run";
+            let what = "an answer has the request id of another call's run";
             violations.push(violation(what, event, Some(run)));
         }
     }
@@ -43,5 +48,5 @@
 
 fn violation(what: &str, event: &Event, run: Option<&Event>) -> Violation {
     let events = run.into_iter().chain([event]).cloned().collect();
-    Violation { point: Point::OwnAnswer, what: what.to_owned(), events }
+    Violation { guarantee: Guarantee::OwnAnswer, what: what.to_owned(), events }
 }
--- a/daisy-history/tests/checkers/capacity.rs
+++ b/daisy-history/tests/checkers/capacity.rs
@@ -1,4 +1,4 @@
-//! Point 1.
+//! Guarantee 1: no VM is given more work than its capacity.
 
 use daisy_history::{EventKind, Run, RunEnd, capacity::check};
 
@@ -7,7 +7,7 @@
 const A: Run = Run { job: 1, index: 0, incarnation: 1 };
 const B: Run = Run { job: 2, index: 0, incarnation: 1 };
 
-fn began() -> EventKind {
+fn worker_began() -> EventKind {
     EventKind::WorkerBegan { capacity: cores(1) }
 }
 
@@ -16,8 +16,12 @@
 }
 
 #[test]
-fn refuses_two_tasks_where_one_fits() {
-    let bad = history(&[(0, "w", began()), (1, "w", started(A, None)), (2, "w", started(B, None))]);
+fn reports_two_tasks_on_a_worker_with_capacity_for_one() {
+    let bad = history(&[
+        (0, "w", worker_began()),
+        (1, "w", started(A, None)),
+        (2, "w", started(B, None)),
+    ]);
 
     let violations = check(&bad);
 
@@ -26,9 +30,9 @@
 }
 
 #[test]
-fn accepts_one_after_the_other_also_at_the_same_instant() {
+fn accepts_a_task_that_starts_at_the_instant_at_which_the_one_before_ends() {
     let good = history(&[
-        (0, "w", began()),
+        (0, "w", worker_began()),
         (1, "w", started(A, None)),
         (2, "w", done(A)),
         (2, "w", started(B, None)),
@@ -38,11 +42,11 @@
 }
 
 #[test]
-fn accepts_a_worker_that_began_anew() {
+fn accepts_a_new_task_after_the_worker_restarted() {
     let good = history(&[
-        (0, "w", began()),
+        (0, "w", worker_began()),
         (1, "w", started(A, None)),
-        (2, "w", began()),
+        (2, "w", worker_began()),
         (3, "w", started(B, None)),
     ]);
 
@@ -50,7 +54,7 @@
 }
 
 #[test]
-fn refuses_a_worker_of_unknown_capacity() {
+fn reports_a_task_on_a_worker_of_unknown_capacity() {
     let bad = history(&[(1, "w", started(A, None))]);
 
     assert_eq!(check(&bad).len(), 1);
--- a/daisy-history/tests/checkers/configuration.rs
+++ b/daisy-history/tests/checkers/configuration.rs
@@ -1,4 +1,4 @@
-//! Point 9, one process after the other.
+//! Guarantee 9, for each process: an accepted configuration is in force in time and never reverts.
 
 use std::time::Duration;
 
@@ -15,45 +15,45 @@
     EventKind::ConfigAccepted { version }
 }
 
-fn shows(version: u64) -> EventKind {
+fn in_force(version: u64) -> EventKind {
     EventKind::ConfigInForce { version }
 }
 
 #[test]
-fn refuses_a_version_that_reverts() {
-    let bad = history(&[(1, "e", shows(2)), (2, "e", shows(1))]);
+fn reports_a_version_that_reverts() {
+    let bad = history(&[(1, "e", in_force(2)), (2, "e", in_force(1))]);
 
     assert_eq!(check(&bad, &OPTIONS).len(), 1);
 }
 
 #[test]
-fn refuses_a_process_that_is_late() {
-    let bad = history(&[(0, "o", accepted(2)), (5_000_001, "e", shows(1))]);
+fn reports_a_process_with_an_outdated_version_after_the_time_limit() {
+    let bad = history(&[(0, "o", accepted(2)), (5_000_001, "e", in_force(1))]);
 
     assert_eq!(check(&bad, &OPTIONS).len(), 1);
 }
 
 #[test]
-fn refuses_a_process_that_is_late_after_it_was_healed() {
+fn reports_a_process_with_an_outdated_version_after_the_time_limit_from_its_healing() {
     let bad = history(&[
         (0, "o", accepted(2)),
         (1, "e", EventKind::CutOff),
         (9_000_000, "e", EventKind::Healed),
-        (15_000_000, "e", shows(1)),
+        (15_000_000, "e", in_force(1)),
     ]);
 
     assert_eq!(check(&bad, &OPTIONS).len(), 1);
 }
 
 #[test]
-fn accepts_a_cut_off_process_until_its_time_after_the_heal() {
+fn accepts_an_outdated_version_of_a_cut_off_process_until_the_time_limit_from_its_healing() {
     let good = history(&[
         (0, "o", accepted(2)),
         (1, "e", EventKind::CutOff),
-        (8_000_000, "e", shows(1)),
+        (8_000_000, "e", in_force(1)),
         (9_000_000, "e", EventKind::Healed),
-        (13_000_000, "e", shows(1)),
-        (14_000_000, "e", shows(2)),
+        (13_000_000, "e", in_force(1)),
+        (14_000_000, "e", in_force(2)),
     ]);
 
     assert!(check(&good, &OPTIONS).is_empty());
--- a/daisy-history/tests/checkers/generation.rs
+++ b/daisy-history/tests/checkers/generation.rs
@@ -1,4 +1,4 @@
-//! Point 9, racing operators.
+//! Guarantee 9, for concurrent operators: their changes are linearizable.
 
 use daisy_history::{ChangeOutcome, EventKind, generation::check};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn refuses_two_winners_of_one_generation() {
+fn reports_two_accepted_changes_that_expected_the_same_generation() {
     let bad = history(&[
         (1, "a", sent(1, 5)),
         (1, "b", sent(2, 5)),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn refuses_a_loser_without_a_winner() {
+fn reports_a_refused_change_without_another_one_that_was_accepted() {
     let bad = history(&[
         (1, "a", sent(1, 5)),
         (2, "a", ended(1, ChangeOutcome::Accepted(6))),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn accepts_one_winner_and_the_next_generation() {
+fn accepts_one_accepted_change_per_generation() {
     let good = history(&[
         (1, "a", sent(1, 5)),
         (1, "b", sent(2, 5)),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_change_without_an_answer_may_have_won() {
+fn a_change_without_an_answer_may_have_taken_effect() {
     let good = history(&[
         (1, "a", sent(1, 5)),
         (2, "a", ended(1, ChangeOutcome::Accepted(6))),
--- a/daisy-history/tests/checkers/history.rs
+++ b/daisy-history/tests/checkers/history.rs
@@ -1,4 +1,4 @@
-//! Reading and merging of events.
+//! Reads, merges and writes histories.
 
 use daisy_history::{Event, EventKind, History};
 
@@ -7,7 +7,7 @@
 const LINE: &str = r#"{"at_us":5,"who":"e","event":"healed"}"#;
 
 #[test]
-fn a_last_line_that_was_cut_short_is_passed_over_and_said_so() {
+fn an_incomplete_last_line_is_skipped_and_the_history_is_marked_as_truncated() {
     let text = format!("{LINE}\n{}", &LINE[..20]);
 
     let read = History::parse(&text).unwrap();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_bad_line_in_the_middle_is_an_error_at_its_place() {
+fn a_malformed_line_in_the_middle_is_an_error_with_its_line_number() {
     let text = format!("{LINE}\nnonsense\n{LINE}\n");
 
     let refused = History::parse(&text).unwrap_err();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_again() {
+fn a_written_history_can_be_read_back() {
     let run = daisy_history::Run { job: 1, index: 2, incarnation: 3 };
     let end = daisy_history::RunEnd::Checkpointed(u64::MAX);
     let kind = EventKind::TaskEnded { run, end };
--- a/daisy-history/tests/checkers/leaving.rs
+++ b/daisy-history/tests/checkers/leaving.rs
@@ -1,4 +1,4 @@
-//! Point 7.
+//! Guarantee 7: a backend server that is leaving receives no new work after a few seconds.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn refuses_new_work_long_after_the_news() {
+fn reports_new_work_after_the_time_limit() {
     let bad = history(&[(0, "p", vm("leaving")), (2_000_001, "b", request_began(1, 1, None))]);
 
     assert_eq!(check(&bad, &OPTIONS).len(), 1);
 }
 
 #[test]
-fn counts_work_that_the_server_itself_refuses() {
+fn reports_late_requests_even_if_the_server_refuses_them() {
     let refused = EventKind::RequestRefused { request: "1".to_owned(), call: None };
     let bad = history(&[(0, "b", EventKind::Leaving), (3_000_000, "b", refused)]);
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn repeated_news_does_not_put_the_bound_off() {
+fn a_second_notice_does_not_extend_the_time_limit() {
     let drained = EventKind::Drained { vm: "b".to_owned() };
     let bad = history(&[
         (0, "o", drained),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn accepts_work_within_the_bound_and_after_the_vm_is_live_again() {
+fn accepts_work_within_the_time_limit_and_after_the_vm_is_live_again() {
     let good = history(&[
         (0, "p", vm("leaving")),
         (2_000_000, "b", request_began(1, 1, None)),
--- a/daisy-history/tests/checkers/main.rs
+++ b/daisy-history/tests/checkers/main.rs
@@ -1,4 +1,4 @@
-//! Each checker refuses a planted bad history and accepts a good one.
+//! Tests that each checker reports a violation in a bad history and none in a good one.
 
 mod at_most_once;
 mod capacity;
@@ -14,7 +14,7 @@
 
 use daisy_history::{Event, EventKind, History, Run, Size};
 
-/// A history of events at these times.
+/// Returns a history of events, each with its time in microseconds and its process.
 fn history(events: &[(u64, &str, EventKind)]) -> History {
     let events = events.iter().map(|(at_us, who, kind)| Event {
         at_us: *at_us,
--- a/daisy-history/tests/checkers/not_run.rs
+++ b/daisy-history/tests/checkers/not_run.rs
@@ -1,11 +1,11 @@
-//! Point 5.
+//! Guarantee 5: a request that is reported as not run was not run.
 
 use daisy_history::{CallOutcome, EventKind, not_run::check};
 
 use crate::{call_ended, call_sent, history, request_began};
 
 #[test]
-fn refuses_a_request_that_runs_after_it_was_said_not_to_have() {
+fn reports_a_request_that_runs_after_it_was_reported_as_not_run() {
     let bad = history(&[
         (1, "c", call_sent(1, 1)),
         (2, "c", call_ended(1, 1, CallOutcome::NotRun)),
@@ -18,22 +18,22 @@
 }
 
 #[test]
-fn refuses_a_run_of_a_call_that_was_never_admitted_to() {
-    let mut nameless = call_ended(1, 1, CallOutcome::NotRun);
-    if let EventKind::CallEnded { request, .. } = &mut nameless {
+fn reports_a_run_of_a_call_whose_every_attempt_was_reported_as_not_run() {
+    let mut without_request_id = call_ended(1, 1, CallOutcome::NotRun);
+    if let EventKind::CallEnded { request, .. } = &mut without_request_id {
         *request = None;
     }
     let bad = history(&[
         (1, "c", call_sent(1, 1)),
         (2, "b", request_began(1, 1, None)),
-        (3, "c", nameless),
+        (3, "c", without_request_id),
     ]);
 
     assert_eq!(check(&bad).len(), 1);
 }
 
 #[test]
-fn accepts_a_denial_beside_another_attempt_that_ran() {
+fn accepts_a_not_run_attempt_of_a_call_with_another_attempt_that_ran() {
     let good = history(&[
         (1, "c", call_sent(1, 1)),
         (2, "c", call_ended(1, 1, CallOutcome::NotRun)),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_attempt_that_never_ended_says_nothing() {
+fn a_call_with_an_unfinished_attempt_may_have_run() {
     let good = history(&[(1, "c", call_sent(1, 1)), (2, "b", request_began(1, 1, None))]);
 
     assert!(check(&good).is_empty());
--- a/daisy-history/tests/checkers/one_place.rs
+++ b/daisy-history/tests/checkers/one_place.rs
@@ -1,4 +1,4 @@
-//! Point 2.
+//! Guarantee 2: no task runs in two places at once, or again after it is done.
 
 use daisy_history::{EventKind, RunEnd, one_place::check};
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn refuses_a_task_that_runs_on_two_workers() {
+fn reports_a_task_that_runs_on_two_workers_at_once() {
     let bad = history(&[
         (1, "w1", started(run(1), None)),
         (2, "w2", started(run(2), None)),
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn an_end_that_was_never_recorded_lies_at_the_end_of_time() {
+fn an_incarnation_without_a_recorded_end_is_assumed_to_run_forever() {
     let bad = history(&[(1, "w1", started(run(1), None)), (9, "w2", started(run(2), None))]);
 
     assert_eq!(check(&bad).len(), 1);
 }
 
 #[test]
-fn refuses_an_incarnation_that_is_started_twice() {
+fn reports_an_incarnation_that_is_started_twice() {
     let bad = history(&[
         (1, "w1", started(run(1), None)),
         (2, "w1", ended(1, RunEnd::LeaseLapsed)),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn refuses_a_task_that_runs_again_after_it_was_done() {
+fn reports_a_task_that_runs_again_after_it_was_done() {
     let bad = history(&[
         (1, "w1", started(run(1), None)),
         (2, "w1", ended(1, RunEnd::Done)),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn accepts_a_restart_after_the_lease_lapsed_at_the_same_instant() {
+fn accepts_a_restart_at_the_instant_at_which_the_lease_expired() {
     let good = history(&[
         (1, "w1", started(run(1), None)),
         (2, "w1", ended(1, RunEnd::LeaseLapsed)),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn accepts_a_restart_after_the_worker_was_killed_or_began_anew() {
+fn accepts_a_restart_after_the_worker_was_killed_or_restarted() {
     let began = EventKind::WorkerBegan { capacity: cores(1) };
     let good = history(&[
         (1, "w1", started(run(1), None)),
--- a/daisy-history/tests/checkers/own_answer.rs
+++ b/daisy-history/tests/checkers/own_answer.rs
@@ -1,11 +1,11 @@
-//! Point 4.
+//! Guarantee 4: every caller receives the complete answer to its own request.
 
 use daisy_history::{CallOutcome, EventKind, own_answer::check};
 
 use crate::{call_ended, call_sent, history, request_began};
 
 #[test]
-fn refuses_a_body_that_is_not_the_calls_own() {
+fn reports_a_body_that_does_not_belong_to_the_call() {
     let mut ended = call_ended(1, 1, CallOutcome::Answered);
     if let EventKind::CallEnded { own, .. } = &mut ended {
         *own = false;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn refuses_an_answer_of_another_calls_run() {
+fn reports_an_answer_from_the_run_of_another_call() {
     let mut ended = call_ended(1, 1, CallOutcome::Answered);
     if let EventKind::CallEnded { request, .. } = &mut ended {
         *request = Some("2-1".to_owned());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn accepts_an_answer_to_its_own_request() {
+fn accepts_the_answer_to_the_callers_own_request() {
     let good = history(&[
         (1, "c", call_sent(1, 1)),
         (2, "b", request_began(1, 1, None)),
--- a/daisy-history/tests/checkers/planned_stop.rs
+++ b/daisy-history/tests/checkers/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Point 8.
+//! Guarantee 8: a planned stop cuts off no request in flight.
 
 use daisy_history::{CallOutcome, EventKind, planned_stop::check};
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn refuses_a_request_that_a_planned_stop_cut_off() {
+fn reports_a_request_that_a_planned_stop_cut_off() {
     for outcome in [CallOutcome::Broken, CallOutcome::Unknown, CallOutcome::Unreachable] {
         let bad = history(&[
             (1, "c", call_sent(1, 1)),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_kill_is_no_planned_stop() {
+fn a_request_cut_off_by_a_kill_does_not_violate_the_guarantee() {
     let good = history(&[
         (1, "c", call_sent(1, 1)),
         (2, "e", EventKind::Stopping { entry: entry() }),
--- a/daisy-history/tests/checkers/resume.rs
+++ b/daisy-history/tests/checkers/resume.rs
@@ -1,4 +1,4 @@
-//! Point 3.
+//! Guarantee 3: evicted work resumes exactly once.
 
 use daisy_history::{
     EventKind, RunEnd,
@@ -13,10 +13,12 @@
     EventKind::TaskEnded { run: run(incarnation), end }
 }
 
+/// Returns the events of a task that starts and is evicted with the checkpoint `TOKEN`.
 fn evicted() -> Vec<(u64, &'static str, EventKind)> {
     vec![(1, "w1", started(run(1), None)), (2, "w1", ended(1, RunEnd::Checkpointed(TOKEN)))]
 }
 
+/// Returns what the checker finds in an eviction followed by the events `more`.
 fn violations(more: &[(u64, &'static str, EventKind)], options: &Options) -> Vec<String> {
     let mut events = evicted();
     events.extend_from_slice(more);
@@ -24,7 +26,7 @@
 }
 
 #[test]
-fn refuses_work_that_resumes_twice() {
+fn reports_work_that_resumes_twice() {
     let more = [
         (3, "w2", started(run(2), Some(TOKEN))),
         (4, "w2", ended(2, RunEnd::Done)),
@@ -37,31 +39,31 @@
 }
 
 #[test]
-fn refuses_work_that_begins_anew() {
+fn reports_evicted_work_that_starts_from_the_beginning() {
     let more = [(3, "w2", started(run(2), None))];
 
     assert_eq!(violations(&more, &Options::default()).len(), 1);
 }
 
 #[test]
-fn refuses_an_unknown_checkpoint() {
+fn reports_a_resumption_from_an_unknown_checkpoint() {
     let more = [(3, "w2", started(run(2), Some(TOKEN + 1)))];
 
     assert_eq!(violations(&more, &Options::default()).len(), 1);
 }
 
 #[test]
-fn refuses_work_left_behind_in_a_complete_run_only() {
-    let all_must_resume = Options { all_must_resume: true, ..Options::default() };
+fn reports_work_that_never_resumed_only_if_all_must_resume() {
+    let must_resume = Options { all_must_resume: true, ..Options::default() };
     let cancelled = Options { all_must_resume: true, cancelled: vec![1] };
 
-    assert_eq!(violations(&[], &all_must_resume), ["evicted work never resumed"]);
+    assert_eq!(violations(&[], &must_resume), ["evicted work never resumed"]);
     assert!(violations(&[], &Options::default()).is_empty());
     assert!(violations(&[], &cancelled).is_empty());
 }
 
 #[test]
-fn accepts_one_resumption_and_another_after_its_work_was_lost() {
+fn accepts_a_second_resumption_after_the_work_of_the_first_was_lost() {
     let more = [
         (3, "w2", started(run(2), Some(TOKEN))),
         (4, "w2", ended(2, RunEnd::LeaseLapsed)),
