--- a/daisy-http/src/client.rs
+++ b/daisy-http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client and its answers.
+//! The client, its responses and its errors.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,55 +11,56 @@
     rt::{TokioExecutor, TokioTimer},
 };
 
-/// How long a connection may take to come about.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long an unused connection is kept.
+/// How long an idle connection stays in the pool.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Unused connections to one address that are kept.
+/// Maximum number of idle connections to one address in the pool.
 ///
-/// A burst of calls to a worker opens a connection for each of them. Kept all, they are ten for each
-/// worker, and a process that owns three shards runs out of descriptors: half of its workers then
-/// seem silent to it, and their tasks end with their leases.
-const IDLE_MAX: usize = 5;
+/// A burst of calls to a worker opens a connection for each call. If all of them stayed open, there
+/// would be ten for each worker, and a process that owns three shards would run out of file
+/// descriptors: half of its workers would then seem unreachable, and their tasks would end when their
+/// leases expire.
+const MAX_IDLE_CONNECTIONS: usize = 5;
 
-/// How long sent bytes may stay unacknowledged before a connection counts as dead.
+/// How long sent bytes may stay unacknowledged before a connection is treated as dead.
 ///
-/// A partition sends no reset: without this bound, a pooled connection across it would be taken
-/// for good until the kernel gave up after many minutes.
+/// A network partition sends no reset. Without this limit, a pooled connection across the partition
+/// would be considered usable until the kernel gives up after many minutes.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Reply {
-    /// The answer's status.
+    /// The status of the response.
     pub status: StatusCode,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why there is no whole answer.
+/// Why no complete response was received.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// No connection came about: the request cannot have had an effect.
-    #[error("not connected: {0}")]
+    /// No connection could be established, so the request cannot have had an effect.
+    #[error("connection failed: {0}")]
     Connect(String),
-    /// The connection broke, or the answer was too long.
-    #[error("no whole answer: {0}")]
+    /// The connection broke, or the response was longer than the limit.
+    #[error("incomplete answer: {0}")]
     Broken(String),
-    /// The answer took too long.
+    /// The response did not arrive within this time.
     #[error("no answer in {0:?}")]
     Timeout(Duration),
 }
 
 impl HttpError {
-    /// Whether the request may have reached the other side.
+    /// Returns whether the request may have reached the server.
     pub fn sent(&self) -> bool {
         !matches!(self, HttpError::Connect(_))
     }
 }
 
-/// A client with a pool of connections, for calls that carry small bodies.
+/// An HTTP client with a connection pool, for requests with small bodies.
 #[derive(Debug, Clone)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -67,7 +68,7 @@
 }
 
 impl Http {
-    /// A client whose requests carry `header`, if one is given.
+    /// Creates a client that adds `header`, if given, to each request.
     pub fn new(header: Option<(HeaderName, HeaderValue)>) -> Http {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -76,15 +77,16 @@
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
-            .pool_max_idle_per_host(IDLE_MAX)
-            // A request that may have had an effect is repeated only by whoever knows that
-            // it is idempotent.
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
+            // The client must not retry a request that may have had an effect: only the caller
+            // knows whether it is idempotent.
             .retry_canceled_requests(false)
             .build(connector);
         Http { client, header }
     }
 
-    /// A request to `target`, such as `/v1/log`, at `address`.
+    /// Returns a builder of a request for the path and query `target`, such as `/v1/log`, to
+    /// `address`.
     pub fn request(&self, method: Method, address: SocketAddr, target: &str) -> request::Builder {
         let uri = Uri::builder()
             .scheme("http")
@@ -99,25 +101,29 @@
         }
     }
 
-    /// Sends `req` and reads its answer of at most `limit` bytes within `timeout`.
+    /// Sends `req` and reads the response, of at most `limit` bytes, within `timeout`.
+    ///
+    /// # Errors
+    ///
+    /// If no complete response arrived in time.
     pub async fn call(
         &self,
         req: Request<Full<Bytes>>,
         timeout: Duration,
         limit: usize,
     ) -> Result<Reply, HttpError> {
-        within(timeout, self.exchange(req, limit)).await
+        with_timeout(timeout, self.exchange(req, limit)).await
     }
 
-    /// Sends `req`, whose answer of at most `limit` bytes may come slowly: it has to begin within
-    /// `timeout`, and each of its parts to come within `gap` after the one before.
+    /// Sends `req` and reads a response of at most `limit` bytes that may arrive slowly: its head must
+    /// arrive within `timeout`, and each part of its body within `gap` after the one before.
     ///
-    /// Given up by the whole time that it takes, a large answer over a link that is busy is begun anew
-    /// again and again, by all who wait for it, and keeps the link busy.
+    /// With a limit on the total time, a large response over a busy link would be aborted and requested
+    /// again and again by all clients that wait for it, which keeps the link busy.
     ///
     /// # Errors
     ///
-    /// If no whole answer came.
+    /// If no complete response arrived.
     pub async fn fetch(
         &self,
         req: Request<Full<Bytes>>,
@@ -125,11 +131,13 @@
         gap: Duration,
         limit: usize,
     ) -> Result<Reply, HttpError> {
-        let res = within(timeout, self.begin(req)).await?;
+        let res = with_timeout(timeout, self.send(req)).await?;
         let status = res.status();
-        let mut rest = Limited::new(res.into_body(), limit);
+        let mut remaining_body = Limited::new(res.into_body(), limit);
         let mut body = BytesMut::new();
-        while let Some(frame) = within(gap, async { Ok(rest.frame().await) }).await? {
+        while let Some(frame) =
+            with_timeout(gap, async { Ok(remaining_body.frame().await) }).await?
+        {
             let frame = frame.map_err(|e| HttpError::Broken(e.to_string()))?;
             if let Ok(data) = frame.into_data() {
                 body.extend_from_slice(&data);
@@ -139,15 +147,15 @@
     }
 
     async fn exchange(&self, req: Request<Full<Bytes>>, limit: usize) -> Result<Reply, HttpError> {
-        let res = self.begin(req).await?;
+        let res = self.send(req).await?;
         let status = res.status();
         let body = Limited::new(res.into_body(), limit).collect().await;
         let body = body.map_err(|e| HttpError::Broken(e.to_string()))?.to_bytes();
         Ok(Reply { status, body })
     }
 
-    /// Sends `req`, up to the beginning of its answer.
-    async fn begin(&self, req: Request<Full<Bytes>>) -> Result<Response<Incoming>, HttpError> {
+    /// Sends `req` and waits for the head of the response.
+    async fn send(&self, req: Request<Full<Bytes>>) -> Result<Response<Incoming>, HttpError> {
         self.client.request(req).await.map_err(|e| match e.is_connect() {
             true => HttpError::Connect(e.to_string()),
             false => HttpError::Broken(e.to_string()),
@@ -155,8 +163,8 @@
     }
 }
 
-/// The outcome of `call`, if it comes within `timeout`.
-async fn within<T>(
+/// Returns the result of `call`, or an error if it takes longer than `timeout`.
+async fn with_timeout<T>(
     timeout: Duration,
     call: impl Future<Output = Result<T, HttpError>>,
 ) -> Result<T, HttpError> {
--- a/daisy-http/src/lib.rs
+++ b/daisy-http/src/lib.rs
@@ -1,4 +1,5 @@
-//! A small HTTP client: one request, one whole answer, bounded in time and size.
+//! A small HTTP client. It sends one request and reads its complete response, with limits on time and
+//! size.
 
 #![deny(missing_docs, unsafe_code)]
 
