--- a/daisy-standin/src/answer.rs
+++ b/daisy-standin/src/answer.rs
@@ -18,13 +18,13 @@
 }
 
 /// The number of the call that a body belongs to.
-pub(crate) fn call_of(body: &[u8]) -> Option<u64> {
+pub(crate) fn call_number(body: &[u8]) -> Option<u64> {
     let digits = std::str::from_utf8(body.get(..CALL_DIGITS)?).ok()?;
     u64::from_str_radix(digits, 16).ok()
 }
 
 /// The whole answer to a request with this body: a line that names both, then `size` bytes.
-pub(crate) fn compose(body: &[u8], size: usize) -> Bytes {
+pub(crate) fn expected_answer(body: &[u8], size: usize) -> Bytes {
     let digest = digest(body);
     let mut answer = format!("{digest:016x} {size}\n").into_bytes();
     let mut rng = fastrand::Rng::with_seed(digest);
--- a/daisy-standin/src/backend.rs
+++ b/daisy-standin/src/backend.rs
@@ -22,18 +22,21 @@
 
 use crate::{
     FaultError, Faults, Recorder, answer,
-    fault::Switches,
-    http::{Abort, Body, Handler, Reply, Server, header_of, pass, query, read_body, standin, text},
-    repeat::Repeat,
-    run::until_stopped,
+    fault::FaultSwitches,
+    http::{
+        Abort, Body, Handler, HandlerResult, Server, apply_faults, handle_common_paths, header_of,
+        query, read_body, text,
+    },
+    repeat::RepeatSwitch,
+    run::wait_for_stop_signal,
 };
 
 use self::{
-    admission::{Refusal, Slot, Slots},
-    reply::Shape,
+    admission::{RejectReason, Slot, Slots},
+    reply::AnswerOptions,
 };
 
-pub use self::admission::{Presence, Served};
+pub use self::admission::{ServiceState, ServiceStates};
 
 /// How a backend server stand-in works.
 #[derive(Debug, Clone)]
@@ -75,20 +78,20 @@
 #[derive(Debug)]
 struct Shared {
     recorder: Recorder,
-    switches: Switches,
+    switches: FaultSwitches,
     slots: Slots,
-    presence: Presence,
+    service_states: ServiceStates,
     service_time: Duration,
     body_bytes: usize,
     /// The answer before, for the switch that reorders.
-    previous: Mutex<Option<(String, Bytes)>>,
+    previous_answer: Mutex<Option<(String, Bytes)>>,
 }
 
 /// Serves until SIGTERM.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let backend = Backend::start(options).await?;
     log::info!("event=backend-started address={}", backend.address());
-    until_stopped().await?;
+    wait_for_stop_signal().await?;
     backend.stop().await;
     Ok(())
 }
@@ -102,23 +105,23 @@
     /// Fails if the address or the history's file cannot be had.
     pub async fn start(options: Options) -> anyhow::Result<Backend> {
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
-        Backend::start_with(options, recorder, Presence::default()).await
+        Backend::start_with(options, recorder, ServiceStates::default()).await
     }
 
-    /// Listens and serves the services that `presence` has.
+    /// Listens and serves the services that `service_states` has.
     pub(crate) async fn start_with(
         options: Options,
         recorder: Recorder,
-        presence: Presence,
+        service_states: ServiceStates,
     ) -> anyhow::Result<Backend> {
         let shared = Arc::new(Shared {
-            switches: Switches::new(&recorder, "backend server", OWN_SWITCHES),
+            switches: FaultSwitches::new(&recorder, "backend server", OWN_SWITCHES),
             recorder,
             slots: Slots::new(options.slots),
-            presence,
+            service_states,
             service_time: options.service_time,
             body_bytes: options.body_bytes,
-            previous: Mutex::new(None),
+            previous_answer: Mutex::new(None),
         });
         let server = Server::bind(options.listen, shared.clone()).await?;
         Ok(Backend { shared, server })
@@ -147,7 +150,7 @@
 
 /// What a request names.
 #[derive(Debug, Clone)]
-struct Named {
+struct RequestIds {
     request: String,
     call: Option<u64>,
     key: Option<String>,
@@ -155,14 +158,14 @@
 
 impl Handler for Shared {
     /// Of the users' backend servers.
-    const CONNECTIONS: usize = 64;
+    const MAX_CONNECTIONS: usize = 64;
 
-    async fn handle(&self, req: Request<Incoming>) -> Reply {
-        let req = match standin(req, &self.switches, &self.recorder).await {
+    async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
+        let req = match handle_common_paths(req, &self.switches, &self.recorder).await {
             Ok(reply) => return reply,
             Err(req) => req,
         };
-        if let Err(reply) = pass(&req, &self.switches).await {
+        if let Err(reply) = apply_faults(&req, &self.switches).await {
             return reply;
         }
         let Some(request) = header_of(&req, headers::REQUEST_ID).map(str::to_owned) else {
@@ -170,57 +173,63 @@
         };
         let service = header_of(&req, headers::SERVICE).unwrap_or("").to_owned();
         let key = header_of(&req, headers::IDEMPOTENCY_KEY).map(str::to_owned);
-        let mut shape = Shape::of(&req, self.service_time);
-        let repeat = req.extensions().get::<Repeat>().cloned().unwrap_or_default();
+        let mut options = AnswerOptions::of(&req, self.service_time);
+        let repeat = req.extensions().get::<RepeatSwitch>().cloned().unwrap_or_default();
         let body = match read_body(req.into_body(), self.body_bytes).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
-        let named = Named { request, call: answer::call_of(&body), key };
+        let ids = RequestIds { request, call: answer::call_number(&body), key };
         match self.admit(&service) {
             Ok((slot, slowdown)) => {
-                shape.slow_down(slowdown);
-                self.answer(named, body, shape, slot, repeat).await
+                options.slow_down(slowdown);
+                self.answer(ids, body, options, slot, repeat).await
             }
-            Err(refusal) => Ok(self.refuse(named, refusal)),
+            Err(reason) => Ok(self.reject(ids, reason)),
         }
     }
 }
 
 impl Shared {
-    fn admit(&self, service: &str) -> Result<(Slot, u32), Refusal> {
+    fn admit(&self, service: &str) -> Result<(Slot, u32), RejectReason> {
         let faults = self.switches.get();
         if faults.leaving {
-            return Err(Refusal::Leaving);
+            return Err(RejectReason::Leaving);
         }
         if faults.absent.iter().any(|absent| absent == service) {
-            return Err(Refusal::Absent);
+            return Err(RejectReason::ServiceAbsent);
         }
-        let slowdown = self.presence.slowdown(service).ok_or(Refusal::Absent)?;
-        let slot = self.slots.try_take().ok_or(Refusal::Full)?;
+        let slowdown = self.service_states.slowdown(service).ok_or(RejectReason::ServiceAbsent)?;
+        let slot = self.slots.try_acquire().ok_or(RejectReason::NoFreeSlot)?;
         Ok((slot, slowdown))
     }
 
-    fn refuse(&self, named: Named, refusal: Refusal) -> Response<Body> {
-        let Named { request, call, .. } = named;
-        let mut response = text(StatusCode::SERVICE_UNAVAILABLE, &refusal.to_string());
-        reply::mark(&mut response, &request, "not-run", &self.slots, refusal == Refusal::Leaving);
+    fn reject(&self, ids: RequestIds, reason: RejectReason) -> Response<Body> {
+        let RequestIds { request, call, .. } = ids;
+        let mut response = text(StatusCode::SERVICE_UNAVAILABLE, &reason.to_string());
+        reply::set_protocol_headers(
+            &mut response,
+            &request,
+            "not-run",
+            &self.slots,
+            reason == RejectReason::Leaving,
+        );
         self.recorder.record(EventKind::RequestRefused { request, call });
         response
     }
 
     async fn answer(
         &self,
-        named: Named,
+        ids: RequestIds,
         body: Bytes,
-        shape: Shape,
+        options: AnswerOptions,
         slot: Slot,
-        repeat: Repeat,
-    ) -> Reply {
-        let Named { request, call, key } = named;
+        repeat: RepeatSwitch,
+    ) -> HandlerResult {
+        let RequestIds { request, call, key } = ids;
         self.recorder.record(EventKind::RequestBegan { request: request.clone(), call, key });
         let (recorder, id) = (self.recorder.clone(), request.clone());
-        let service_time = shape.service_time;
+        let service_time = options.service_time;
         // A task of its own: the work is done also when nobody waits for it any more.
         let work = tokio::spawn(async move {
             sleep(service_time).await;
@@ -230,15 +239,15 @@
         work.await.map_err(|_| Abort)?;
         let late_ms = self.switches.with(|faults| faults.late_ms);
         sleep(Duration::from_millis(late_ms)).await;
-        if self.switches.loses_answer() {
+        if self.switches.should_lose_answer() {
             return Err(Abort);
         }
-        let whole = answer::compose(&body, shape.size);
-        Ok(self.deliver(request, whole, shape, &repeat))
+        let complete_answer = answer::expected_answer(&body, options.size);
+        Ok(self.build_response(request, complete_answer, options, &repeat))
     }
 }
 
 /// A number of the query, or `default`.
-fn number<B>(req: &Request<B>, name: &str, default: u64) -> u64 {
+fn query_number<B>(req: &Request<B>, name: &str, default: u64) -> u64 {
     query(req, name).unwrap_or(default)
 }
--- a/daisy-standin/src/backend/admission.rs
+++ b/daisy-standin/src/backend/admission.rs
@@ -8,25 +8,25 @@
     },
 };
 
-use crate::recorder::locked;
+use crate::recorder::lock;
 
 /// Why a request is not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Refusal {
+pub(super) enum RejectReason {
     /// All slots are taken.
-    Full,
+    NoFreeSlot,
     /// No task of the service runs here.
-    Absent,
+    ServiceAbsent,
     /// The server takes nothing new.
     Leaving,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Refusal::Full => "all slots are taken",
-            Refusal::Absent => "the service is not here",
-            Refusal::Leaving => "leaving",
+            RejectReason::NoFreeSlot => "all slots are taken",
+            RejectReason::ServiceAbsent => "the service is not here",
+            RejectReason::Leaving => "leaving",
         })
     }
 }
@@ -50,7 +50,7 @@
     }
 
     /// A slot, if one is free.
-    pub(super) fn try_take(&self) -> Option<Slot> {
+    pub(super) fn try_acquire(&self) -> Option<Slot> {
         let more = |taken: u32| (taken < self.limit).then_some(taken + 1);
         self.taken.fetch_update(Ordering::AcqRel, Ordering::Acquire, more).ok()?;
         Some(Slot { taken: self.taken.clone() })
@@ -70,7 +70,7 @@
 
 /// A service that a worker knows of.
 #[derive(Debug, Clone)]
-pub struct Served {
+pub struct ServiceState {
     /// The service's name.
     pub service: String,
     /// How much it is slowed down, in thousandths; `None` while no task of it runs here.
@@ -81,22 +81,22 @@
 ///
 /// A service that the list does not name is served as if it ran undisturbed.
 #[derive(Debug, Clone, Default)]
-pub struct Presence {
-    services: Arc<Mutex<Vec<Served>>>,
+pub struct ServiceStates {
+    services: Arc<Mutex<Vec<ServiceState>>>,
 }
 
-const UNDISTURBED: u32 = 1000;
+const NO_SLOWDOWN: u32 = 1000;
 
-impl Presence {
+impl ServiceStates {
     /// Replaces all that is known.
-    pub fn set(&self, services: Vec<Served>) {
-        *locked(&self.services) = services;
+    pub fn set(&self, services: Vec<ServiceState>) {
+        *lock(&self.services) = services;
     }
 
     /// How much a service is slowed down, in thousandths; `None` if it is not here.
     pub fn slowdown(&self, service: &str) -> Option<u32> {
-        let services = locked(&self.services);
+        let services = lock(&self.services);
         let known = services.iter().find(|it| it.service == service);
-        known.map_or(Some(UNDISTURBED), |it| it.slowdown)
+        known.map_or(Some(NO_SLOWDOWN), |it| it.slowdown)
     }
 }
--- a/daisy-standin/src/backend/reply.rs
+++ b/daisy-standin/src/backend/reply.rs
@@ -10,17 +10,17 @@
 use hyper::body::Frame;
 use tokio::time::sleep;
 
-use super::{Shared, Slots, number};
+use super::{Shared, Slots, query_number};
 use crate::{
     fault::count_down,
     http::{Abort, Body, BodyError, answer},
-    recorder::locked,
-    repeat::Repeat,
+    recorder::lock,
+    repeat::RepeatSwitch,
 };
 
 /// What a request asks its answer to be.
 #[derive(Debug, Clone)]
-pub(super) struct Shape {
+pub(super) struct AnswerOptions {
     /// Time that the request takes.
     pub(super) service_time: Duration,
     /// Bytes of the answer after its first line.
@@ -29,18 +29,18 @@
     gap: Duration,
 }
 
-const SIZE_MAX: u64 = 16 << 20;
-const CHUNKS_MAX: u64 = 1_000;
+const MAX_SIZE: u64 = 16 << 20;
+const MAX_CHUNKS: u64 = 1_000;
 
-impl Shape {
+impl AnswerOptions {
     /// Reads the query of `req`.
-    pub(super) fn of<B>(req: &Request<B>, service_time: Duration) -> Shape {
+    pub(super) fn of<B>(req: &Request<B>, service_time: Duration) -> AnswerOptions {
         let default_ms = service_time.as_millis() as u64;
-        Shape {
-            service_time: Duration::from_millis(number(req, "ms", default_ms)),
-            size: number(req, "size", 0).min(SIZE_MAX) as usize,
-            chunks: number(req, "chunks", 1).clamp(1, CHUNKS_MAX) as usize,
-            gap: Duration::from_millis(number(req, "gap_ms", 0)),
+        AnswerOptions {
+            service_time: Duration::from_millis(query_number(req, "ms", default_ms)),
+            size: query_number(req, "size", 0).min(MAX_SIZE) as usize,
+            chunks: query_number(req, "chunks", 1).clamp(1, MAX_CHUNKS) as usize,
+            gap: Duration::from_millis(query_number(req, "gap_ms", 0)),
         }
     }
 
@@ -51,7 +51,7 @@
 }
 
 /// Sets the headers that every answer of a backend server bears.
-pub(super) fn mark(
+pub(super) fn set_protocol_headers(
     response: &mut Response<Body>,
     request: &str,
     outcome: &'static str,
@@ -71,7 +71,7 @@
 
 /// What the switches do to one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mishap {
+enum AnswerFault {
     None,
     Truncated,
     Doubled,
@@ -81,46 +81,53 @@
 
 impl Shared {
     /// The answer to `request`, mangled if a switch is on.
-    pub(super) fn deliver(
+    pub(super) fn build_response(
         &self,
         request: String,
-        whole: Bytes,
-        shape: Shape,
-        repeat: &Repeat,
+        complete_answer: Bytes,
+        options: AnswerOptions,
+        repeat: &RepeatSwitch,
     ) -> Response<Body> {
-        let previous = locked(&self.previous).replace((request.clone(), whole.clone()));
-        let mishap = self.next_mishap(previous.is_some());
-        let (id, body) = match (mishap, previous) {
-            (Mishap::Reordered, Some(other)) => other,
-            (Mishap::WrongId, _) => (other_id(&request), whole),
-            _ => (request, whole),
+        let previous_answer =
+            lock(&self.previous_answer).replace((request.clone(), complete_answer.clone()));
+        let fault = self.next_answer_fault(previous_answer.is_some());
+        let (id, body) = match (fault, previous_answer) {
+            (AnswerFault::Reordered, Some(other)) => other,
+            (AnswerFault::WrongId, _) => (other_id(&request), complete_answer),
+            _ => (request, complete_answer),
         };
-        if mishap == Mishap::Doubled {
+        if fault == AnswerFault::Doubled {
             repeat.arm();
         }
-        let mut response = if mishap == Mishap::Truncated {
-            truncated(body)
-        } else if shape.chunks > 1 {
-            streamed(body, &shape)
+        let mut response = if fault == AnswerFault::Truncated {
+            truncated_response(body)
+        } else if options.chunks > 1 {
+            streamed_response(body, &options)
         } else {
             answer(StatusCode::OK, "text/plain", body)
         };
-        mark(&mut response, &id, "answered", &self.slots, self.switches.with(|it| it.leaving));
+        set_protocol_headers(
+            &mut response,
+            &id,
+            "answered",
+            &self.slots,
+            self.switches.with(|it| it.leaving),
+        );
         response
     }
 
-    fn next_mishap(&self, has_previous: bool) -> Mishap {
+    fn next_answer_fault(&self, has_previous: bool) -> AnswerFault {
         self.switches.with(|faults| {
             if count_down(&mut faults.truncate) {
-                Mishap::Truncated
+                AnswerFault::Truncated
             } else if count_down(&mut faults.doubled) {
-                Mishap::Doubled
+                AnswerFault::Doubled
             } else if count_down(&mut faults.wrong_id) {
-                Mishap::WrongId
+                AnswerFault::WrongId
             } else if has_previous && count_down(&mut faults.reorder) {
-                Mishap::Reordered
+                AnswerFault::Reordered
             } else {
-                Mishap::None
+                AnswerFault::None
             }
         })
     }
@@ -132,7 +139,7 @@
 }
 
 /// Half of the body under the length of the whole, then the end of the connection.
-fn truncated(body: Bytes) -> Response<Body> {
+fn truncated_response(body: Bytes) -> Response<Body> {
     let length = body.len();
     let half = body.slice(..length / 2);
     let broken: BodyError = Box::new(Abort);
@@ -147,16 +154,16 @@
     response
 }
 
-fn streamed(body: Bytes, shape: &Shape) -> Response<Body> {
-    let piece = body.len().div_ceil(shape.chunks).max(1);
-    let pieces: Vec<Bytes> = (0..body.len())
-        .step_by(piece)
-        .map(|at| body.slice(at..(at + piece).min(body.len())))
+fn streamed_response(body: Bytes, options: &AnswerOptions) -> Response<Body> {
+    let chunk_size = body.len().div_ceil(options.chunks).max(1);
+    let chunks: Vec<Bytes> = (0..body.len())
+        .step_by(chunk_size)
+        .map(|at| body.slice(at..(at + chunk_size).min(body.len())))
         .collect();
-    let gap = shape.gap;
-    let frames = stream::iter(pieces).then(move |piece| async move {
+    let gap = options.gap;
+    let frames = stream::iter(chunks).then(move |chunk| async move {
         sleep(gap).await;
-        Ok::<_, BodyError>(Frame::data(piece))
+        Ok::<_, BodyError>(Frame::data(chunk))
     });
     Response::new(BodyExt::boxed_unsync(StreamBody::new(frames)))
 }
--- a/daisy-standin/src/client.rs
+++ b/daisy-standin/src/client.rs
@@ -46,7 +46,7 @@
 }
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Client {
     /// A client without connections.
@@ -55,7 +55,7 @@
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let pool = Pool::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .build(connector);
         Client { pool }
@@ -65,9 +65,9 @@
     pub async fn send(
         &self,
         req: Request<Full<Bytes>>,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<Answer, CallError> {
-        let whole = async {
+        let exchange = async {
             let response = self.pool.request(req).await.map_err(|error| {
                 let text = format!("{error:?}");
                 if error.is_connect() {
@@ -80,7 +80,7 @@
             let body = body.collect().await.map_err(|e| CallError::Broken(e.to_string()))?;
             Ok(Answer { status: parts.status, headers: parts.headers, body: body.to_bytes() })
         };
-        timeout(within, whole).await.unwrap_or(Err(CallError::TimedOut(within)))
+        timeout(time_limit, exchange).await.unwrap_or(Err(CallError::TimedOut(time_limit)))
     }
 
     /// `GET` of a path.
@@ -88,9 +88,9 @@
         &self,
         address: SocketAddr,
         path: &str,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<Answer, CallError> {
-        self.send(request(Method::GET, address, path, Bytes::new()), within).await
+        self.send(request(Method::GET, address, path, Bytes::new()), time_limit).await
     }
 
     /// `POST` of a body to a path.
@@ -99,9 +99,9 @@
         address: SocketAddr,
         path: &str,
         body: impl Into<Bytes>,
-        within: Duration,
+        time_limit: Duration,
     ) -> Result<Answer, CallError> {
-        self.send(request(Method::POST, address, path, body.into()), within).await
+        self.send(request(Method::POST, address, path, body.into()), time_limit).await
     }
 
     /// Replaces the fault switches of a stand-in.
--- a/daisy-standin/src/fault.rs
+++ b/daisy-standin/src/fault.rs
@@ -5,7 +5,7 @@
 use daisy_history::EventKind;
 use serde::{Deserialize, Serialize};
 
-use crate::recorder::{Recorder, locked};
+use crate::recorder::{Recorder, lock};
 
 /// All fault switches; what a stand-in has no use for, it refuses by name.
 ///
@@ -67,7 +67,7 @@
     Malformed(#[from] serde_json::Error),
     /// A switch that this stand-in does not have.
     #[error("faults: a {standin} has no switch {field}")]
-    NotHere {
+    Unsupported {
         /// The kind of stand-in.
         standin: &'static str,
         /// The field's name.
@@ -77,21 +77,21 @@
 
 /// What to do with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Pass {
+pub(crate) enum RequestDecision {
     /// Handle it.
-    Through,
+    Handle,
     /// Answer 503.
-    Down,
+    Unavailable,
     /// Close the connection.
     Close,
 }
 
 /// The switches of one stand-in.
 #[derive(Debug)]
-pub(crate) struct Switches {
+pub(crate) struct FaultSwitches {
     recorder: Recorder,
     standin: &'static str,
-    own: &'static [&'static str],
+    own_switches: &'static [&'static str],
     state: Mutex<State>,
 }
 
@@ -101,25 +101,30 @@
     rng: fastrand::Rng,
 }
 
-const EVERYWHERE: [&str; 7] =
+const COMMON_SWITCHES: [&str; 7] =
     ["down", "refuse", "slow_ms", "cut", "lose_answers", "lose_per_mille", "seed"];
 
-impl Switches {
-    /// Switches, all off, of a stand-in that has those of every stand-in and its `own`.
+impl FaultSwitches {
+    /// Switches, all off, of a stand-in that has those of every stand-in and its `own_switches`.
     pub(crate) fn new(
         recorder: &Recorder,
         standin: &'static str,
-        own: &'static [&'static str],
-    ) -> Switches {
+        own_switches: &'static [&'static str],
+    ) -> FaultSwitches {
         let state = State { faults: Faults::default(), rng: fastrand::Rng::with_seed(0) };
-        Switches { recorder: recorder.clone(), standin, own, state: Mutex::new(state) }
+        FaultSwitches {
+            recorder: recorder.clone(),
+            standin,
+            own_switches,
+            state: Mutex::new(state),
+        }
     }
 
     /// Replaces all switches.
     pub(crate) fn set(&self, faults: Faults) -> Result<(), FaultError> {
         self.check(&faults)?;
         self.recorder.record(EventKind::Fault { what: serde_json::to_string(&faults)? });
-        let mut state = locked(&self.state);
+        let mut state = lock(&self.state);
         if faults.leaving && !state.faults.leaving {
             self.recorder.record(EventKind::Leaving);
         }
@@ -135,33 +140,33 @@
 
     /// The switches as they are.
     pub(crate) fn get(&self) -> Faults {
-        locked(&self.state).faults.clone()
+        lock(&self.state).faults.clone()
     }
 
     /// Looks at the switches with `f`, which may count them down.
     pub(crate) fn with<T>(&self, f: impl FnOnce(&mut Faults) -> T) -> T {
-        f(&mut locked(&self.state).faults)
+        f(&mut lock(&self.state).faults)
     }
 
     /// Decides on a request of the process `from`, after the wait that is set.
-    pub(crate) async fn pass(&self, from: &str) -> Pass {
-        let slow_ms = locked(&self.state).faults.slow_ms;
+    pub(crate) async fn decide(&self, from: &str) -> RequestDecision {
+        let slow_ms = lock(&self.state).faults.slow_ms;
         if slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(slow_ms)).await;
         }
-        let faults = &locked(&self.state).faults;
+        let faults = &lock(&self.state).faults;
         if faults.refuse || faults.cut.iter().any(|name| name == from) {
-            Pass::Close
+            RequestDecision::Close
         } else if faults.down {
-            Pass::Down
+            RequestDecision::Unavailable
         } else {
-            Pass::Through
+            RequestDecision::Handle
         }
     }
 
     /// Whether the answer to a request that has taken effect is lost.
-    pub(crate) fn loses_answer(&self) -> bool {
-        let state = &mut *locked(&self.state);
+    pub(crate) fn should_lose_answer(&self) -> bool {
+        let state = &mut *lock(&self.state);
         if count_down(&mut state.faults.lose_answers) {
             return true;
         }
@@ -176,9 +181,13 @@
             return Ok(());
         };
         for (field, value) in given {
-            let known = EVERYWHERE.contains(&field.as_str()) || self.own.contains(&field.as_str());
+            let known = COMMON_SWITCHES.contains(&field.as_str())
+                || self.own_switches.contains(&field.as_str());
             if !known && off.get(field) != Some(value) {
-                return Err(FaultError::NotHere { standin: self.standin, field: field.clone() });
+                return Err(FaultError::Unsupported {
+                    standin: self.standin,
+                    field: field.clone(),
+                });
             }
         }
         Ok(())
--- a/daisy-standin/src/http.rs
+++ b/daisy-standin/src/http.rs
@@ -19,9 +19,9 @@
 };
 
 use crate::{
-    fault::{Pass, Switches},
+    fault::{FaultSwitches, RequestDecision},
     recorder::Recorder,
-    repeat::{Repeat, RepeatIo},
+    repeat::{RepeatIo, RepeatSwitch},
 };
 
 /// Why a body breaks off.
@@ -36,15 +36,15 @@
 pub(crate) struct Abort;
 
 /// An answer, or the end of the connection.
-pub(crate) type Reply = Result<Response<Body>, Abort>;
+pub(crate) type HandlerResult = Result<Response<Body>, Abort>;
 
 /// What stands behind a server.
 pub(crate) trait Handler: Send + Sync + 'static {
     /// Connections open at one time; more are closed at once.
-    const CONNECTIONS: usize = 4096;
+    const MAX_CONNECTIONS: usize = 4096;
 
     /// Answers one request.
-    fn handle(&self, req: Request<Incoming>) -> impl Future<Output = Reply> + Send;
+    fn handle(&self, req: Request<Incoming>) -> impl Future<Output = HandlerResult> + Send;
 }
 
 /// A server that runs until it is stopped.
@@ -91,7 +91,7 @@
             accepted = listener.accept() => {
                 while connections.try_join_next().is_some() {}
                 match accepted {
-                    Ok((stream, _)) if connections.len() < H::CONNECTIONS => {
+                    Ok((stream, _)) if connections.len() < H::MAX_CONNECTIONS => {
                         connections.spawn(serve(stream, handler.clone()));
                     }
                     Ok(_) => log::warn!("event=connection-refused cause=too-many"),
@@ -106,7 +106,7 @@
 
 async fn serve<H: Handler>(stream: TcpStream, handler: Arc<H>) {
     let _ = stream.set_nodelay(true);
-    let repeat = Repeat::default();
+    let repeat = RepeatSwitch::default();
     let io = RepeatIo::new(stream, repeat.clone());
     let service = service_fn(move |mut req: Request<Incoming>| {
         let handler = handler.clone();
@@ -121,7 +121,7 @@
 }
 
 /// The name of the calling process.
-pub(crate) fn from(req: &Request<Incoming>) -> &str {
+pub(crate) fn caller_name(req: &Request<Incoming>) -> &str {
     header_of(req, headers::FROM).unwrap_or("")
 }
 
@@ -137,7 +137,7 @@
 }
 
 /// The whole body, or the answer that says why there is none.
-pub(crate) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Reply> {
+pub(crate) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, HandlerResult> {
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
@@ -170,11 +170,11 @@
 }
 
 /// Answers the paths that all stand-ins have; gives the request back if it is none of them.
-pub(crate) async fn standin(
+pub(crate) async fn handle_common_paths(
     req: Request<Incoming>,
-    switches: &Switches,
+    switches: &FaultSwitches,
     recorder: &Recorder,
-) -> Result<Reply, Request<Incoming>> {
+) -> Result<HandlerResult, Request<Incoming>> {
     match (req.method().clone(), req.uri().path()) {
         (Method::GET, "/standin/history") => Ok(Ok(history(recorder))),
         (Method::GET, "/standin/faults") => Ok(Ok(json(StatusCode::OK, &switches.get()))),
@@ -184,17 +184,20 @@
 }
 
 /// Lets a request through to its effect, or answers as the switches say.
-pub(crate) async fn pass(req: &Request<Incoming>, switches: &Switches) -> Result<(), Reply> {
-    match switches.pass(from(req)).await {
-        Pass::Through => Ok(()),
-        Pass::Down => Err(Ok(text(StatusCode::SERVICE_UNAVAILABLE, "down"))),
-        Pass::Close => Err(Err(Abort)),
+pub(crate) async fn apply_faults(
+    req: &Request<Incoming>,
+    switches: &FaultSwitches,
+) -> Result<(), HandlerResult> {
+    match switches.decide(caller_name(req)).await {
+        RequestDecision::Handle => Ok(()),
+        RequestDecision::Unavailable => Err(Ok(text(StatusCode::SERVICE_UNAVAILABLE, "down"))),
+        RequestDecision::Close => Err(Err(Abort)),
     }
 }
 
 const FAULTS_LIMIT: usize = 64 << 10;
 
-async fn set_faults(req: Request<Incoming>, switches: &Switches) -> Reply {
+async fn set_faults(req: Request<Incoming>, switches: &FaultSwitches) -> HandlerResult {
     let body = match read_body(req.into_body(), FAULTS_LIMIT).await {
         Ok(body) => body,
         Err(reply) => return reply,
--- a/daisy-standin/src/link.rs
+++ b/daisy-standin/src/link.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     Recorder,
-    http::{Handler, Reply, Server, json, read_body, text},
-    run::until_stopped,
+    http::{Handler, HandlerResult, Server, json, read_body, text},
+    run::wait_for_stop_signal,
 };
 
 /// One forwarded address.
@@ -82,7 +82,7 @@
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let link = Link::start(options).await?;
     log::info!("event=link-started control={} addresses={:?}", link.control(), link.addresses());
-    until_stopped().await?;
+    wait_for_stop_signal().await?;
     link.stop().await;
     Ok(())
 }
@@ -140,7 +140,7 @@
 const FAULTS_LIMIT: usize = 4 << 10;
 
 impl Handler for Shared {
-    async fn handle(&self, req: Request<Incoming>) -> Reply {
+    async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/standin/history") => Ok(crate::http::history(&self.recorder)),
             (&Method::GET, "/standin/faults") => Ok(json(StatusCode::OK, &*self.faults.borrow())),
@@ -151,7 +151,7 @@
 }
 
 impl Shared {
-    async fn post_faults(&self, req: Request<Incoming>) -> Reply {
+    async fn post_faults(&self, req: Request<Incoming>) -> HandlerResult {
         let body = match read_body(req.into_body(), FAULTS_LIMIT).await {
             Ok(body) => body,
             Err(reply) => return reply,
@@ -184,40 +184,40 @@
     }
 }
 
-async fn forward(near: TcpStream, to: SocketAddr, mut faults: watch::Receiver<LinkFaults>) {
+async fn forward(client: TcpStream, to: SocketAddr, mut faults: watch::Receiver<LinkFaults>) {
     // A connection that is made during a cut gets through when the cut ends.
-    let open = faults.wait_for(|faults| !faults.cut || faults.reset).await;
-    if open.map_or(true, |faults| faults.reset) {
+    let current = faults.wait_for(|faults| !faults.cut || faults.reset).await;
+    if current.map_or(true, |faults| faults.reset) {
         return;
     }
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_rx, near_tx) = near.into_split();
-    let (far_rx, far_tx) = far.into_split();
+    let Ok(target) = TcpStream::connect(to).await else { return };
+    let _ = (client.set_nodelay(true), target.set_nodelay(true));
+    let (client_rx, client_tx) = client.into_split();
+    let (target_rx, target_tx) = target.into_split();
     let mut resets = faults.clone();
     tokio::select! {
         _ = async {
             tokio::join!(
-                copy(near_rx, far_tx, faults.clone(), |it| it.cut),
-                copy(far_rx, near_tx, faults.clone(), |it| it.cut || it.cut_back),
+                copy_direction(client_rx, target_tx, faults.clone(), |it| it.cut),
+                copy_direction(target_rx, client_tx, faults.clone(), |it| it.cut || it.cut_back),
             )
         } => {}
         _ = resets.wait_for(|faults| faults.reset) => {}
     }
 }
 
-const PIECE: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 /// Pieces on their way; more wait at the sender, as in a full link.
-const PIECES: usize = 64;
+const MAX_QUEUED_BUFFERS: usize = 64;
 
 /// Copies one way; `is_cut` says whether that way is cut.
-async fn copy(
+async fn copy_direction(
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
     faults: watch::Receiver<LinkFaults>,
     is_cut: fn(&LinkFaults) -> bool,
 ) {
-    let (tx, rx) = mpsc::channel(PIECES);
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_BUFFERS);
     let _ = tokio::join!(read(from, tx, faults.clone()), write(to, rx, faults, is_cut));
 }
 
@@ -226,7 +226,7 @@
     tx: mpsc::Sender<(Instant, Vec<u8>)>,
     faults: watch::Receiver<LinkFaults>,
 ) -> io::Result<()> {
-    let mut buf = vec![0; PIECE];
+    let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let length = from.read(&mut buf).await?;
         if length == 0 {
@@ -245,14 +245,15 @@
     mut faults: watch::Receiver<LinkFaults>,
     is_cut: fn(&LinkFaults) -> bool,
 ) -> io::Result<()> {
-    while let Some((due, piece)) = rx.recv().await {
-        sleep_until(due).await;
-        let Ok(open) = faults.wait_for(|faults| !is_cut(faults)).await.map(|faults| *faults) else {
+    while let Some((deliver_at, buffer)) = rx.recv().await {
+        sleep_until(deliver_at).await;
+        let Ok(current) = faults.wait_for(|faults| !is_cut(faults)).await.map(|faults| *faults)
+        else {
             return Ok(());
         };
-        let micros = (piece.len() as u64 * 1_000_000).checked_div(open.bytes_a_second);
+        let micros = (buffer.len() as u64 * 1_000_000).checked_div(current.bytes_a_second);
         sleep(Duration::from_micros(micros.unwrap_or(0))).await;
-        to.write_all(&piece).await?;
+        to.write_all(&buffer).await?;
     }
     to.shutdown().await
 }
--- a/daisy-standin/src/load.rs
+++ b/daisy-standin/src/load.rs
@@ -134,22 +134,22 @@
     let client = Client::new();
     let balancer = Balancer::start(options.entries.clone(), client.clone()).await;
     let count = options.count;
-    let between = Duration::from_secs_f64(1.0 / options.rate);
+    let interval = Duration::from_secs_f64(1.0 / options.rate);
     let caller = Arc::new(Caller::new(options, client, balancer, recorder));
     let mut rng = fastrand::Rng::with_seed(caller.options().seed);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut calls = JoinSet::new();
-    for number in 0..count {
-        let due = began + between.mul_f64(number as f64);
-        sleep_until(due).await;
-        let key = caller.draw_key(&mut rng, number);
+    for index in 0..count {
+        let due_at = started_at + interval.mul_f64(index as f64);
+        sleep_until(due_at).await;
+        let key = caller.choose_key(&mut rng, index);
         let caller = caller.clone();
-        calls.spawn(async move { caller.call(number, key, due).await });
+        calls.spawn(async move { caller.call(index, key, due_at).await });
     }
     let mut report = Report::new();
-    while let Some(done) = calls.join_next().await {
-        match done {
-            Ok(done) => report.add(done),
+    while let Some(result) = calls.join_next().await {
+        match result {
+            Ok(result) => report.add(result),
             Err(error) => log::error!("event=caller-failed error={error:?}"),
         }
     }
--- a/daisy-standin/src/load/balancer.rs
+++ b/daisy-standin/src/load/balancer.rs
@@ -12,36 +12,36 @@
 use http::StatusCode;
 use tokio::{task::JoinHandle, time::sleep};
 
-use crate::{client::Client, recorder::locked};
+use crate::{client::Client, recorder::lock};
 
 /// Sends callers to ready entry VMs.
 #[derive(Debug)]
 pub(super) struct Balancer {
     ready: Arc<Mutex<Vec<SocketAddr>>>,
-    turn: AtomicUsize,
+    next_index: AtomicUsize,
     poller: JoinHandle<()>,
 }
 
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const POLL_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Balancer {
     /// Looks at all entry VMs once and goes on doing so.
     pub(super) async fn start(entries: Vec<SocketAddr>, client: Client) -> Balancer {
-        let ready = Arc::new(Mutex::new(poll(&entries, &client).await));
-        let poller = tokio::spawn(poll_always(entries, client, ready.clone()));
-        Balancer { ready, turn: AtomicUsize::new(0), poller }
+        let ready = Arc::new(Mutex::new(poll_ready(&entries, &client).await));
+        let poller = tokio::spawn(poll_forever(entries, client, ready.clone()));
+        Balancer { ready, next_index: AtomicUsize::new(0), poller }
     }
 
-    /// The next ready entry VM, another than `not` if there is one.
-    pub(super) fn next(&self, not: Option<SocketAddr>) -> Option<SocketAddr> {
-        let ready = locked(&self.ready);
-        let others: Vec<_> = ready.iter().filter(|entry| Some(**entry) != not).collect();
-        let from: &[&SocketAddr] = &others;
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        match from.len() {
+    /// The next ready entry VM, another than `excluded` if there is one.
+    pub(super) fn next(&self, excluded: Option<SocketAddr>) -> Option<SocketAddr> {
+        let ready = lock(&self.ready);
+        let candidates: Vec<_> = ready.iter().filter(|entry| Some(**entry) != excluded).collect();
+        let choices: &[&SocketAddr] = &candidates;
+        let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
+        match choices.len() {
             0 => ready.first().copied(),
-            length => Some(*from[turn % length]),
+            length => Some(*choices[next_index % length]),
         }
     }
 }
@@ -52,15 +52,19 @@
     }
 }
 
-async fn poll_always(entries: Vec<SocketAddr>, client: Client, ready: Arc<Mutex<Vec<SocketAddr>>>) {
+async fn poll_forever(
+    entries: Vec<SocketAddr>,
+    client: Client,
+    ready: Arc<Mutex<Vec<SocketAddr>>>,
+) {
     loop {
-        sleep(POLL).await;
-        let found = poll(&entries, &client).await;
-        *locked(&ready) = found;
+        sleep(POLL_INTERVAL).await;
+        let found = poll_ready(&entries, &client).await;
+        *lock(&ready) = found;
     }
 }
 
-async fn poll(entries: &[SocketAddr], client: &Client) -> Vec<SocketAddr> {
+async fn poll_ready(entries: &[SocketAddr], client: &Client) -> Vec<SocketAddr> {
     let polls = entries.iter().map(|entry| client.get(*entry, "/readyz", POLL_TIMEOUT));
     let answers = futures::future::join_all(polls).await;
     let ok = |answer: &Result<crate::client::Answer, _>| {
--- a/daisy-standin/src/load/report.rs
+++ b/daisy-standin/src/load/report.rs
@@ -7,7 +7,7 @@
 
 /// How one call ended with all its attempts.
 #[derive(Debug)]
-pub(super) struct Done {
+pub(super) struct CallResult {
     pub(super) outcome: CallOutcome,
     pub(super) own: bool,
     pub(super) latency: Duration,
@@ -33,8 +33,8 @@
     pub latency: Histogram<u64>,
 }
 
-const MINUTE_US: u64 = 60_000_000;
-const DIGITS: u8 = 3;
+const MAX_LATENCY_US: u64 = 60_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 impl Report {
     pub(super) fn new() -> Report {
@@ -45,17 +45,18 @@
             refused: 0,
             unknown: 0,
             retries: 0,
-            latency: Histogram::new_with_max(MINUTE_US, DIGITS).expect("constant bounds are valid"),
+            latency: Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .expect("constant bounds are valid"),
         }
     }
 
-    pub(super) fn add(&mut self, done: Done) {
+    pub(super) fn add(&mut self, result: CallResult) {
         self.requests += 1;
-        self.retries += u64::from(done.attempts.saturating_sub(1));
-        match done.outcome {
-            CallOutcome::Answered if done.own => {
+        self.retries += u64::from(result.attempts.saturating_sub(1));
+        match result.outcome {
+            CallOutcome::Answered if result.own => {
                 self.answered += 1;
-                self.latency.saturating_record(done.latency.as_micros() as u64);
+                self.latency.saturating_record(result.latency.as_micros() as u64);
             }
             CallOutcome::Answered => self.wrong += 1,
             CallOutcome::NotRun | CallOutcome::Unreachable => self.refused += 1,
--- a/daisy-standin/src/platform.rs
+++ b/daisy-standin/src/platform.rs
@@ -29,17 +29,18 @@
 
 use crate::{
     FaultError, Faults, Recorder,
-    fault::{Switches, count_down},
+    fault::{FaultSwitches, count_down},
     http::{
-        Abort, Body, Handler, Reply, Server, header_of, json, pass, query, read_body, standin, text,
+        Abort, Body, Handler, HandlerResult, Server, apply_faults, handle_common_paths, header_of,
+        json, query, read_body, text,
     },
-    recorder::locked,
-    run::until_stopped,
+    recorder::lock,
+    run::wait_for_stop_signal,
 };
 
 pub use self::{
     log::{Log, LogError, LogOptions},
-    vms::{AddressOverride, VmBook, VmChange, VmError},
+    vms::{AddressOverride, VmChange, VmError, VmRegistry},
 };
 
 /// How a platform stand-in works.
@@ -83,19 +84,19 @@
 #[derive(Debug)]
 struct Shared {
     recorder: Recorder,
-    switches: Switches,
+    switches: FaultSwitches,
     body_bytes: usize,
     log: Mutex<Log>,
-    vms: Mutex<VmBook>,
+    vms: Mutex<VmRegistry>,
     /// The offset after the last record, for reads that wait.
-    next: watch::Sender<u64>,
+    next_offset: watch::Sender<u64>,
 }
 
 /// Serves until SIGTERM.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let platform = Platform::start(options).await?;
     ::log::info!("event=platform-started address={}", platform.address());
-    until_stopped().await?;
+    wait_for_stop_signal().await?;
     platform.stop().await;
     Ok(())
 }
@@ -106,19 +107,19 @@
     /// Fails if the address or the history's file cannot be had.
     pub async fn start(options: Options) -> anyhow::Result<Platform> {
         let recorder = Recorder::open("platform", options.history.as_deref())?;
-        let mut vms = VmBook::new(options.vm_lag);
+        let mut vms = VmRegistry::new(options.vm_lag);
         let now = recorder.now();
         for vm in options.vms {
             vms.change(now, VmChange::Put(vm))?;
         }
-        vms.publish_at_once();
+        vms.publish_now();
         let shared = Arc::new(Shared {
-            switches: Switches::new(&recorder, "platform", &["double_appends", "late_ms"]),
+            switches: FaultSwitches::new(&recorder, "platform", &["double_appends", "late_ms"]),
             recorder,
             body_bytes: options.body_bytes,
             log: Mutex::new(Log::new(options.log)),
             vms: Mutex::new(vms),
-            next: watch::Sender::new(0),
+            next_offset: watch::Sender::new(0),
         });
         let server = Server::bind(options.listen, shared.clone()).await?;
         Ok(Platform { shared, server })
@@ -150,12 +151,12 @@
     }
 }
 
-const WAIT_MAX: Duration = Duration::from_secs(60);
-const RECORDS_MAX: usize = 1_000;
+const MAX_WAIT: Duration = Duration::from_secs(60);
+const MAX_RECORDS_PER_PAGE: usize = 1_000;
 
 impl Handler for Shared {
-    async fn handle(&self, req: Request<Incoming>) -> Reply {
-        let req = match standin(req, &self.switches, &self.recorder).await {
+    async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
+        let req = match handle_common_paths(req, &self.switches, &self.recorder).await {
             Ok(reply) => return reply,
             Err(req) => req,
         };
@@ -164,7 +165,7 @@
             (&Method::POST, "/standin/views") => return self.post_views(req).await,
             _ => {}
         }
-        if let Err(reply) = pass(&req, &self.switches).await {
+        if let Err(reply) = apply_faults(&req, &self.switches).await {
             return reply;
         }
         match (req.method(), req.uri().path()) {
@@ -177,26 +178,26 @@
 }
 
 impl Shared {
-    async fn append(&self, req: Request<Incoming>) -> Reply {
+    async fn append(&self, req: Request<Incoming>) -> HandlerResult {
         let Some(id) = header_of(&req, headers::APPEND_ID).map(str::to_owned) else {
             return Ok(text(StatusCode::BAD_REQUEST, "append-id is missing"));
         };
-        let from = crate::http::from(&req).to_owned();
+        let from = crate::http::caller_name(&req).to_owned();
         let body = match read_body(req.into_body(), self.body_bytes).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
-        let offset = match locked(&self.log).append(self.recorder.now(), &body) {
+        let offset = match lock(&self.log).append(self.recorder.now(), &body) {
             Ok(offset) => offset,
-            Err(wait) => return Ok(too_many(wait)),
+            Err(wait) => return Ok(too_many_appends(wait)),
         };
-        self.appended(&id, &from, offset);
+        self.record_append(&id, &from, offset);
         if self.switches.with(|faults| count_down(&mut faults.double_appends)) {
             // A second copy, as of a request that the network delivered twice.
-            let copy = locked(&self.log).append_anyway(self.recorder.now(), &body);
-            self.appended(&id, &from, copy);
+            let copy = lock(&self.log).append_unlimited(self.recorder.now(), &body);
+            self.record_append(&id, &from, copy);
         }
-        if self.switches.loses_answer() {
+        if self.switches.should_lose_answer() {
             let late_ms = self.switches.with(|faults| faults.late_ms);
             if late_ms > 0 {
                 sleep(Duration::from_millis(late_ms)).await;
@@ -206,29 +207,29 @@
         Ok(json(StatusCode::OK, &Appended { offset }))
     }
 
-    fn appended(&self, id: &str, from: &str, offset: u64) {
+    fn record_append(&self, id: &str, from: &str, offset: u64) {
         let (id, from) = (id.to_owned(), from.to_owned());
         self.recorder.record(EventKind::Appended { id, offset, from });
-        self.next.send_modify(|next| *next = (*next).max(offset + 1));
+        self.next_offset.send_modify(|next| *next = (*next).max(offset + 1));
     }
 
-    async fn read(&self, req: Request<Incoming>) -> Reply {
+    async fn read(&self, req: Request<Incoming>) -> HandlerResult {
         let Some(from) = query::<_, u64>(&req, "from") else {
             return Ok(text(StatusCode::BAD_REQUEST, "from is missing or no number"));
         };
-        let max = query(&req, "max").unwrap_or(RECORDS_MAX).min(RECORDS_MAX);
-        let wait = Duration::from_millis(query(&req, "wait_ms").unwrap_or(0)).min(WAIT_MAX);
-        let mut next = self.next.subscribe();
+        let max = query(&req, "max").unwrap_or(MAX_RECORDS_PER_PAGE).min(MAX_RECORDS_PER_PAGE);
+        let wait = Duration::from_millis(query(&req, "wait_ms").unwrap_or(0)).min(MAX_WAIT);
+        let mut next = self.next_offset.subscribe();
         let _ = timeout(wait, next.wait_for(|next| *next > from)).await;
         // An outage or a cut that began during the wait holds for this answer, too.
-        if let Err(reply) = pass(&req, &self.switches).await {
+        if let Err(reply) = apply_faults(&req, &self.switches).await {
             return reply;
         }
         Ok(self.page(from, max))
     }
 
     fn page(&self, from: u64, max: usize) -> Response<Body> {
-        let mut log = locked(&self.log);
+        let mut log = lock(&self.log);
         match log.read(self.recorder.now(), from, max) {
             Ok(records) => {
                 let records = records.iter().map(|(at, bytes)| LogRecord::new(*at, bytes));
@@ -241,15 +242,15 @@
     }
 
     fn list(&self, req: &Request<Incoming>) -> Response<Body> {
-        let mut vms = locked(&self.vms);
-        let list: VmList = vms.list(self.recorder.now(), crate::http::from(req));
+        let mut vms = lock(&self.vms);
+        let list: VmList = vms.list(self.recorder.now(), crate::http::caller_name(req));
         if query(req, "since") == Some(list.version) {
             return text(StatusCode::NOT_MODIFIED, "");
         }
         json(StatusCode::OK, &list)
     }
 
-    async fn post_vm(&self, req: Request<Incoming>) -> Reply {
+    async fn post_vm(&self, req: Request<Incoming>) -> HandlerResult {
         let change: VmChange = match self.read_json(req).await {
             Ok(change) => change,
             Err(reply) => return reply,
@@ -260,34 +261,37 @@
         }
     }
 
-    async fn post_views(&self, req: Request<Incoming>) -> Reply {
+    async fn post_views(&self, req: Request<Incoming>) -> HandlerResult {
         let views: Vec<AddressOverride> = match self.read_json(req).await {
             Ok(views) => views,
             Err(reply) => return reply,
         };
-        locked(&self.vms).set_views(views);
+        lock(&self.vms).set_overrides(views);
         Ok(text(StatusCode::OK, "set"))
     }
 
-    async fn read_json<T: DeserializeOwned>(&self, req: Request<Incoming>) -> Result<T, Reply> {
+    async fn read_json<T: DeserializeOwned>(
+        &self,
+        req: Request<Incoming>,
+    ) -> Result<T, HandlerResult> {
         let body = read_body(req.into_body(), self.body_bytes).await?;
         let read = serde_json::from_slice(&body);
         read.map_err(|error| Ok(text(StatusCode::BAD_REQUEST, &error.to_string())))
     }
 
     fn change_vm(&self, change: VmChange) -> Result<(), VmError> {
-        let told = locked(&self.vms).change(self.recorder.now(), change)?;
-        let status = match told.status {
+        let applied = lock(&self.vms).change(self.recorder.now(), change)?;
+        let status = match applied.status {
             Some(StatusJson::Live) => "live",
             Some(StatusJson::Leaving) => "leaving",
             None => "gone",
         };
-        self.recorder.record(EventKind::VmChanged { vm: told.name, status: status.to_owned() });
+        self.recorder.record(EventKind::VmChanged { vm: applied.name, status: status.to_owned() });
         Ok(())
     }
 }
 
-fn too_many(wait: Duration) -> Response<Body> {
+fn too_many_appends(wait: Duration) -> Response<Body> {
     let mut response = text(StatusCode::TOO_MANY_REQUESTS, "over the cap of appends a second");
     let seconds = wait.as_secs().max(1);
     response.headers_mut().insert(header::RETRY_AFTER, seconds.into());
--- a/daisy-standin/src/platform/log.rs
+++ b/daisy-standin/src/platform/log.rs
@@ -39,34 +39,40 @@
     first: u64,
     records: VecDeque<(Instant, Vec<u8>)>,
     /// Start of the second that appends are counted in.
-    second: Instant,
-    appends: u32,
+    window_start: Instant,
+    appends_in_window: u32,
 }
 
-const SECOND: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 impl Log {
     /// An empty log.
     pub fn new(options: LogOptions) -> Log {
-        Log { options, first: 0, records: VecDeque::new(), second: Instant(0), appends: 0 }
+        Log {
+            options,
+            first: 0,
+            records: VecDeque::new(),
+            window_start: Instant(0),
+            appends_in_window: 0,
+        }
     }
 
     /// Appends `bytes` and returns its offset; over the cap, how long to wait.
     pub fn append(&mut self, now: Instant, bytes: &[u8]) -> Result<u64, Duration> {
-        let gone = now.since(self.second);
-        if gone >= SECOND {
-            self.second = now;
-            self.appends = 0;
+        let elapsed = now.since(self.window_start);
+        if elapsed >= RATE_WINDOW {
+            self.window_start = now;
+            self.appends_in_window = 0;
         }
-        if self.appends >= self.options.appends_per_second {
-            return Err(SECOND.saturating_sub(gone));
+        if self.appends_in_window >= self.options.appends_per_second {
+            return Err(RATE_WINDOW.saturating_sub(elapsed));
         }
-        self.appends += 1;
-        Ok(self.append_anyway(now, bytes))
+        self.appends_in_window += 1;
+        Ok(self.append_unlimited(now, bytes))
     }
 
     /// Appends `bytes` whatever the cap.
-    pub fn append_anyway(&mut self, now: Instant, bytes: &[u8]) -> u64 {
+    pub fn append_unlimited(&mut self, now: Instant, bytes: &[u8]) -> u64 {
         let offset = self.first + self.records.len() as u64;
         self.records.push_back((now, bytes.to_owned()));
         self.expire(now);
--- a/daisy-standin/src/platform/vms.rs
+++ b/daisy-standin/src/platform/vms.rs
@@ -48,7 +48,7 @@
 
 /// What came of a change.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct AppliedChange {
     /// The VM's name.
     pub name: String,
     /// Its status from now on, `None` for gone.
@@ -57,94 +57,96 @@
 
 /// The truth about VMs and the list of it that lags behind.
 #[derive(Debug)]
-pub struct VmBook {
+pub struct VmRegistry {
     lag: Duration,
-    truth: Vec<VmJson>,
-    gone: Vec<u32>,
+    current: Vec<VmJson>,
+    removed_ids: Vec<u32>,
     version: u64,
     /// Versions that are not yet listed, oldest first.
-    waiting: Vec<(Instant, u64, Vec<VmJson>)>,
-    listed: (u64, Vec<VmJson>),
-    views: Vec<AddressOverride>,
+    pending: Vec<(Instant, u64, Vec<VmJson>)>,
+    published: (u64, Vec<VmJson>),
+    overrides: Vec<AddressOverride>,
 }
 
-impl VmBook {
+impl VmRegistry {
     /// No VMs yet.
-    pub fn new(lag: Duration) -> VmBook {
-        VmBook {
+    pub fn new(lag: Duration) -> VmRegistry {
+        VmRegistry {
             lag,
-            truth: Vec::new(),
-            gone: Vec::new(),
+            current: Vec::new(),
+            removed_ids: Vec::new(),
             version: 1,
-            waiting: Vec::new(),
-            listed: (1, Vec::new()),
-            views: Vec::new(),
+            pending: Vec::new(),
+            published: (1, Vec::new()),
+            overrides: Vec::new(),
         }
     }
 
     /// Takes a change in; the list shows it after the lag.
-    pub fn change(&mut self, now: Instant, change: VmChange) -> Result<Told, VmError> {
-        let told = self.apply(change)?;
+    pub fn change(&mut self, now: Instant, change: VmChange) -> Result<AppliedChange, VmError> {
+        let applied = self.apply(change)?;
         self.version += 1;
-        self.waiting.push((now + self.lag, self.version, self.truth.clone()));
-        Ok(told)
+        self.pending.push((now + self.lag, self.version, self.current.clone()));
+        Ok(applied)
     }
 
     /// Shows all changes so far without the lag.
-    pub fn publish_at_once(&mut self) {
-        self.waiting.clear();
-        self.listed = (self.version, self.truth.clone());
+    pub fn publish_now(&mut self) {
+        self.pending.clear();
+        self.published = (self.version, self.current.clone());
     }
 
     /// Replaces the addresses that particular processes see, at once.
-    pub fn set_views(&mut self, views: Vec<AddressOverride>) {
-        self.views = views;
+    pub fn set_overrides(&mut self, overrides: Vec<AddressOverride>) {
+        self.overrides = overrides;
         self.version += 1;
-        self.listed.0 = self.version;
+        self.published.0 = self.version;
     }
 
     /// The list as it is shown to `from` at `now`.
     pub fn list(&mut self, now: Instant, from: &str) -> VmList {
-        let due = self.waiting.iter().take_while(|(at, ..)| *at <= now).count();
-        if let Some((_, version, vms)) = self.waiting.drain(..due).next_back() {
-            self.listed = (version.max(self.listed.0), vms);
+        let due_count = self.pending.iter().take_while(|(due_at, ..)| *due_at <= now).count();
+        if let Some((_, version, vms)) = self.pending.drain(..due_count).next_back() {
+            self.published = (version.max(self.published.0), vms);
         }
-        let mut vms = self.listed.1.clone();
-        for view in self.views.iter().filter(|view| view.from == from) {
-            for vm in vms.iter_mut().filter(|vm| vm.id == view.vm) {
-                vm.control = view.control.unwrap_or(vm.control);
-                vm.backend = view.backend.or(vm.backend);
+        let mut vms = self.published.1.clone();
+        for address_override in
+            self.overrides.iter().filter(|address_override| address_override.from == from)
+        {
+            for vm in vms.iter_mut().filter(|vm| vm.id == address_override.vm) {
+                vm.control = address_override.control.unwrap_or(vm.control);
+                vm.backend = address_override.backend.or(vm.backend);
             }
         }
-        VmList { version: self.listed.0, vms }
+        VmList { version: self.published.0, vms }
     }
 
-    fn apply(&mut self, change: VmChange) -> Result<Told, VmError> {
+    fn apply(&mut self, change: VmChange) -> Result<AppliedChange, VmError> {
         match change {
-            VmChange::Put(vm) if self.gone.contains(&vm.id) => Err(VmError::Reused(vm.id)),
+            VmChange::Put(vm) if self.removed_ids.contains(&vm.id) => Err(VmError::Reused(vm.id)),
             VmChange::Put(vm) => {
-                let told = Told { name: vm.name.clone(), status: Some(vm.status) };
+                let applied = AppliedChange { name: vm.name.clone(), status: Some(vm.status) };
                 match self.position(vm.id) {
-                    Ok(at) => self.truth[at] = vm,
-                    Err(_) => self.truth.push(vm),
+                    Ok(index) => self.current[index] = vm,
+                    Err(_) => self.current.push(vm),
                 }
-                Ok(told)
+                Ok(applied)
             }
             VmChange::Leave(id) => {
-                let at = self.position(id)?;
-                self.truth[at].status = StatusJson::Leaving;
-                let name = self.truth[at].name.clone();
-                Ok(Told { name, status: Some(StatusJson::Leaving) })
+                let index = self.position(id)?;
+                self.current[index].status = StatusJson::Leaving;
+                let name = self.current[index].name.clone();
+                Ok(AppliedChange { name, status: Some(StatusJson::Leaving) })
             }
             VmChange::Remove(id) => {
-                let at = self.position(id)?;
-                self.gone.push(id);
-                Ok(Told { name: self.truth.remove(at).name, status: None })
+                let index = self.position(id)?;
+                self.removed_ids.push(id);
+                Ok(AppliedChange { name: self.current.remove(index).name, status: None })
             }
         }
     }
 
     fn position(&self, id: u32) -> Result<usize, VmError> {
-        self.truth.iter().position(|vm| vm.id == id).ok_or(VmError::Unknown(id))
+        self.current.iter().position(|vm| vm.id == id).ok_or(VmError::Unknown(id))
     }
 }
--- a/daisy-standin/src/recorder.rs
+++ b/daisy-standin/src/recorder.rs
@@ -19,13 +19,13 @@
 #[derive(Debug)]
 struct Shared {
     who: String,
-    began: Instant,
-    began_us: u64,
-    kept: Mutex<Kept>,
+    started_at: Instant,
+    started_at_us: u64,
+    recorded: Mutex<RecordedEvents>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct RecordedEvents {
     events: Vec<Event>,
     file: Option<File>,
 }
@@ -33,7 +33,7 @@
 impl Recorder {
     /// A recorder for the process `who` that keeps its events in memory.
     pub fn new(who: &str) -> Recorder {
-        Recorder::with(who, None)
+        Recorder::with_file(who, None)
     }
 
     /// A recorder that also writes each event to `path` at once, if there is one.
@@ -41,19 +41,19 @@
     /// What a process saw before it was killed is then in its file.
     pub fn open(who: &str, path: Option<&Path>) -> anyhow::Result<Recorder> {
         let file = path.map(File::create).transpose()?;
-        Ok(Recorder::with(who, file))
+        Ok(Recorder::with_file(who, file))
     }
 
-    fn with(who: &str, file: Option<File>) -> Recorder {
+    fn with_file(who: &str, file: Option<File>) -> Recorder {
         // Wall time once, monotonic time from there: a step of the wall clock during a run
         // must not reorder the events of one process.
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Recorder {
             shared: Arc::new(Shared {
                 who: who.to_owned(),
-                began: Instant::now(),
-                began_us: u64::try_from(since_1970.as_micros()).unwrap_or(u64::MAX),
-                kept: Mutex::new(Kept { events: Vec::new(), file }),
+                started_at: Instant::now(),
+                started_at_us: u64::try_from(since_1970.as_micros()).unwrap_or(u64::MAX),
+                recorded: Mutex::new(RecordedEvents { events: Vec::new(), file }),
             }),
         }
     }
@@ -61,33 +61,33 @@
     /// Records `kind` at the present time.
     pub fn record(&self, kind: EventKind) {
         // The time is read under the lock, so that the order of events is that of their times.
-        let mut kept = locked(&self.shared.kept);
-        kept.keep(self.event(self.now(), kind));
+        let mut recorded = lock(&self.shared.recorded);
+        recorded.add(self.event(self.now(), kind));
     }
 
     /// Records `kind` as of `at` of this recorder's clock.
     pub(crate) fn record_at(&self, at: daisy_model::Instant, kind: EventKind) {
-        locked(&self.shared.kept).keep(self.event(at, kind));
+        lock(&self.shared.recorded).add(self.event(at, kind));
     }
 
     fn event(&self, at: daisy_model::Instant, kind: EventKind) -> Event {
-        Event { at_us: self.shared.began_us + at.0, who: self.shared.who.clone(), kind }
+        Event { at_us: self.shared.started_at_us + at.0, who: self.shared.who.clone(), kind }
     }
 
     /// Time since the recorder was made.
     pub fn now(&self) -> daisy_model::Instant {
-        let micros = self.shared.began.elapsed().as_micros();
+        let micros = self.shared.started_at.elapsed().as_micros();
         daisy_model::Instant(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
     /// The events so far.
     pub fn history(&self) -> History {
-        History::new(locked(&self.shared.kept).events.clone())
+        History::new(lock(&self.shared.recorded).events.clone())
     }
 }
 
-impl Kept {
-    fn keep(&mut self, event: Event) {
+impl RecordedEvents {
+    fn add(&mut self, event: Event) {
         if let Some(file) = &mut self.file
             && let Err(error) = write_line(file, &event)
         {
@@ -105,6 +105,6 @@
 }
 
 /// Locks `mutex`, also after a panic elsewhere: stand-ins go on recording.
-pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/daisy-standin/src/repeat.rs
+++ b/daisy-standin/src/repeat.rs
@@ -17,11 +17,11 @@
 
 /// Arms the repetition of the next answer on one connection.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Repeat {
+pub(crate) struct RepeatSwitch {
     armed: Arc<AtomicBool>,
 }
 
-impl Repeat {
+impl RepeatSwitch {
     /// The next bytes up to a flush are sent twice.
     pub(crate) fn arm(&self) {
         self.armed.store(true, Ordering::Release);
@@ -32,14 +32,14 @@
 #[derive(Debug)]
 pub(crate) struct RepeatIo {
     stream: TcpStream,
-    repeat: Repeat,
-    copy: Vec<u8>,
+    repeat: RepeatSwitch,
+    bytes_to_repeat: Vec<u8>,
 }
 
 impl RepeatIo {
     /// Wraps `stream`.
-    pub(crate) fn new(stream: TcpStream, repeat: Repeat) -> RepeatIo {
-        RepeatIo { stream, repeat, copy: Vec::new() }
+    pub(crate) fn new(stream: TcpStream, repeat: RepeatSwitch) -> RepeatIo {
+        RepeatIo { stream, repeat, bytes_to_repeat: Vec::new() }
     }
 }
 
@@ -61,17 +61,17 @@
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
         if self.repeat.armed.load(Ordering::Acquire) {
-            self.copy.extend_from_slice(&buf[..written]);
+            self.bytes_to_repeat.extend_from_slice(&buf[..written]);
         }
         Poll::Ready(Ok(written))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        while !this.copy.is_empty() {
+        while !this.bytes_to_repeat.is_empty() {
             this.repeat.armed.store(false, Ordering::Release);
-            let written = ready!(Pin::new(&mut this.stream).poll_write(cx, &this.copy))?;
-            this.copy.drain(..written);
+            let written = ready!(Pin::new(&mut this.stream).poll_write(cx, &this.bytes_to_repeat))?;
+            this.bytes_to_repeat.drain(..written);
         }
         Pin::new(&mut this.stream).poll_flush(cx)
     }
--- a/daisy-standin/src/run.rs
+++ b/daisy-standin/src/run.rs
@@ -3,7 +3,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Waits for SIGTERM or SIGINT.
-pub(crate) async fn until_stopped() -> anyhow::Result<()> {
+pub(crate) async fn wait_for_stop_signal() -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/daisy-standin/src/worker.rs
+++ b/daisy-standin/src/worker.rs
@@ -25,13 +25,16 @@
 
 use crate::{
     Backend, FaultError, Faults, Recorder, backend,
-    fault::{Switches, count_down},
-    http::{Abort, Handler, Reply, Server, json, pass, read_body, standin, text},
-    recorder::locked,
-    run::until_stopped,
+    fault::{FaultSwitches, count_down},
+    http::{
+        Abort, Handler, HandlerResult, Server, apply_faults, handle_common_paths, json, read_body,
+        text,
+    },
+    recorder::lock,
+    run::wait_for_stop_signal,
 };
 
-pub use self::state::{Flaws, Interference, JobBehaviour, WorkerOptions, WorkerState};
+pub use self::state::{Interference, JobBehaviour, WorkerFaults, WorkerOptions, WorkerState};
 
 /// How a worker stand-in works.
 #[derive(Debug, Clone)]
@@ -73,13 +76,13 @@
 #[derive(Debug)]
 struct Shared {
     recorder: Recorder,
-    switches: Switches,
+    switches: FaultSwitches,
     state: Mutex<WorkerState>,
     /// The call before, for the replay switch.
     previous: Mutex<Option<WorkerCall>>,
     /// Calls that are carried out late, and when.
-    late: Mutex<Vec<(daisy_model::Instant, WorkerCall)>>,
-    presence: backend::Presence,
+    delayed_calls: Mutex<Vec<(daisy_model::Instant, WorkerCall)>>,
+    service_states: backend::ServiceStates,
 }
 
 /// Serves until SIGTERM.
@@ -87,18 +90,18 @@
     let worker = Worker::start(options).await?;
     let (control, backend) = (worker.address(), worker.backend_address());
     log::info!("event=worker-started control={control} backend={backend:?}");
-    until_stopped().await?;
+    wait_for_stop_signal().await?;
     worker.stop().await;
     Ok(())
 }
 
 const OWN_SWITCHES: &[&str] =
     &["replay", "late_calls", "late_ms", "fail_everything", "overcommit", "unfenced"];
-const TICK: Duration = Duration::from_millis(10);
-const CALL_BYTES: usize = 4 << 20;
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_CALL_BYTES: usize = 4 << 20;
 /// The longest wait for news.
-const NEWS_WAIT: Duration = Duration::from_secs(60);
-const NEWS_POLL: Duration = Duration::from_millis(20);
+const MAX_UPDATE_WAIT: Duration = Duration::from_secs(60);
+const UPDATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Worker {
     /// Listens and works until [`Worker::stop`].
@@ -106,25 +109,25 @@
     /// Fails if an address or the history's file cannot be had.
     pub async fn start(options: Options) -> anyhow::Result<Worker> {
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
-        let capacity = state::size_of(options.worker.capacity);
+        let capacity = state::history_size(options.worker.capacity);
         recorder.record(EventKind::WorkerBegan { capacity });
-        let presence = backend::Presence::default();
+        let service_states = backend::ServiceStates::default();
         let mut state = WorkerState::new(options.worker);
-        state.set_boot(fastrand::u64(..));
+        state.set_boot_id(fastrand::u64(..));
         let shared = Arc::new(Shared {
             recorder: recorder.clone(),
-            switches: Switches::new(&recorder, "worker", OWN_SWITCHES),
+            switches: FaultSwitches::new(&recorder, "worker", OWN_SWITCHES),
             state: Mutex::new(state),
             previous: Mutex::new(None),
-            late: Mutex::default(),
-            presence: presence.clone(),
+            delayed_calls: Mutex::default(),
+            service_states: service_states.clone(),
         });
         let server = Server::bind(options.control, shared.clone()).await?;
         let backend = match options.backend {
-            Some(backend) => Some(Backend::start_with(backend, recorder, presence).await?),
+            Some(backend) => Some(Backend::start_with(backend, recorder, service_states).await?),
             None => None,
         };
-        shared.settle();
+        shared.advance();
         let ticker = tokio::spawn(tick(shared.clone()));
         Ok(Worker { shared, server, backend, ticker })
     }
@@ -156,7 +159,7 @@
 
     /// Tasks that run on it now.
     pub fn running(&self) -> usize {
-        locked(&self.shared.state).running()
+        lock(&self.shared.state).running()
     }
 
     /// What it saw so far, its backend server included.
@@ -175,50 +178,50 @@
 }
 
 /// What a request for news asks.
-struct News {
+struct UpdatesRequest {
     seen: SeenJson,
     wait: Duration,
 }
 
-impl News {
-    fn try_parse(query: &str) -> Option<News> {
+impl UpdatesRequest {
+    fn try_parse(query: &str) -> Option<UpdatesRequest> {
         let number = |name: &str| -> Option<u64> {
             let mut fields = query.split('&').filter_map(|field| field.split_once('='));
             fields.find(|(key, _)| *key == name)?.1.parse().ok()
         };
         let seen = SeenJson { boot: number("boot")?, version: number("version")? };
-        Some(News { seen, wait: Duration::from_millis(number("wait_ms")?) })
+        Some(UpdatesRequest { seen, wait: Duration::from_millis(number("wait_ms")?) })
     }
 }
 
 async fn tick(shared: Arc<Shared>) {
-    let mut timer = tokio::time::interval(TICK);
+    let mut timer = tokio::time::interval(TICK_INTERVAL);
     loop {
         timer.tick().await;
-        shared.carry_out_late();
-        shared.settle();
+        shared.execute_delayed_calls();
+        shared.advance();
     }
 }
 
 impl Handler for Shared {
-    async fn handle(&self, req: Request<Incoming>) -> Reply {
-        let req = match standin(req, &self.switches, &self.recorder).await {
+    async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
+        let req = match handle_common_paths(req, &self.switches, &self.recorder).await {
             Ok(reply) => return reply,
             Err(req) => req,
         };
         match (req.method(), req.uri().path()) {
             (&Method::POST, "/standin/jobs") => self.post_jobs(req).await,
             (&Method::POST, "/v1/worker") => {
-                if let Err(reply) = pass(&req, &self.switches).await {
+                if let Err(reply) = apply_faults(&req, &self.switches).await {
                     return reply;
                 }
                 self.call(req).await
             }
             (&Method::GET, "/v1/worker/news") => {
-                if let Err(reply) = pass(&req, &self.switches).await {
+                if let Err(reply) = apply_faults(&req, &self.switches).await {
                     return reply;
                 }
-                self.wait_for_news(req.uri().query().unwrap_or_default()).await
+                self.wait_for_updates(req.uri().query().unwrap_or_default()).await
             }
             (_, path) => Ok(text(StatusCode::NOT_FOUND, &format!("no {path} here"))),
         }
@@ -226,8 +229,8 @@
 }
 
 impl Shared {
-    async fn call(&self, req: Request<Incoming>) -> Reply {
-        let body = match read_body(req.into_body(), CALL_BYTES).await {
+    async fn call(&self, req: Request<Incoming>) -> HandlerResult {
+        let body = match read_body(req.into_body(), MAX_CALL_BYTES).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
@@ -236,92 +239,92 @@
             Err(error) => return Ok(text(StatusCode::BAD_REQUEST, &error.to_string())),
         };
         let (seen, call) = (call.seen, WorkerCall::from(call));
-        if self.holds_back(&call) {
+        if self.try_delay(&call) {
             return Err(Abort);
         }
         self.replay_previous(&call);
-        let report = self.carry_out(seen, call);
-        if self.switches.loses_answer() {
+        let report = self.execute(seen, call);
+        if self.switches.should_lose_answer() {
             return Err(Abort);
         }
         Ok(json(StatusCode::OK, &report))
     }
 
-    fn holds_back(&self, call: &WorkerCall) -> bool {
-        let late = self.switches.with(|faults| {
+    fn try_delay(&self, call: &WorkerCall) -> bool {
+        let delay = self.switches.with(|faults| {
             count_down(&mut faults.late_calls).then_some(Duration::from_millis(faults.late_ms))
         });
-        let Some(late) = late else { return false };
-        locked(&self.late).push((self.recorder.now() + late, call.clone()));
+        let Some(delay) = delay else { return false };
+        lock(&self.delayed_calls).push((self.recorder.now() + delay, call.clone()));
         true
     }
 
-    fn carry_out_late(&self) {
+    fn execute_delayed_calls(&self) {
         let now = self.recorder.now();
-        let due: Vec<_> = locked(&self.late).extract_if(.., |(at, _)| *at <= now).collect();
+        let due: Vec<_> = lock(&self.delayed_calls).extract_if(.., |(at, _)| *at <= now).collect();
         for (_, call) in due {
-            self.carry_out(None, call);
+            self.execute(None, call);
         }
     }
 
     fn replay_previous(&self, call: &WorkerCall) {
-        let previous = locked(&self.previous).replace(call.clone());
+        let previous = lock(&self.previous).replace(call.clone());
         let armed =
             previous.is_some() && self.switches.with(|faults| count_down(&mut faults.replay));
         if let Some(previous) = previous.filter(|_| armed) {
-            self.carry_out(None, previous);
+            self.execute(None, previous);
         }
     }
 
-    fn carry_out(&self, seen: Option<SeenJson>, call: WorkerCall) -> ReportJson {
-        let flaws = self.switches.with(|faults| Flaws {
+    fn execute(&self, seen: Option<SeenJson>, call: WorkerCall) -> ReportJson {
+        let faults = self.switches.with(|faults| WorkerFaults {
             fail_everything: faults.fail_everything,
             overcommit: faults.overcommit,
             unfenced: faults.unfenced,
         });
-        let mut state = locked(&self.state);
-        let report = state.call(self.recorder.now(), call, flaws);
-        self.publish(&mut state);
-        state.since(seen, report)
+        let mut state = lock(&self.state);
+        let report = state.call(self.recorder.now(), call, faults);
+        self.publish_state(&mut state);
+        state.changes_since(seen, report)
     }
 
     /// Answers once a task has ended since the version asked about, or after a while.
-    async fn wait_for_news(&self, query: &str) -> Reply {
-        let Some(News { seen, wait }) = News::try_parse(query) else {
+    async fn wait_for_updates(&self, query: &str) -> HandlerResult {
+        let Some(UpdatesRequest { seen, wait }) = UpdatesRequest::try_parse(query) else {
             return Ok(text(StatusCode::BAD_REQUEST, "expected boot=B&version=V&wait_ms=M"));
         };
-        let deadline = Instant::now() + wait.min(NEWS_WAIT);
+        let deadline = Instant::now() + wait.min(MAX_UPDATE_WAIT);
         while Instant::now() < deadline {
-            let news = locked(&self.state).news();
-            if news.boot != seen.boot || news.version > seen.version {
+            let last_update = lock(&self.state).last_update();
+            if last_update.boot != seen.boot || last_update.version > seen.version {
                 return Ok(text(StatusCode::NO_CONTENT, ""));
             }
-            sleep(NEWS_POLL).await;
+            sleep(UPDATE_POLL_INTERVAL).await;
         }
         Ok(text(StatusCode::NOT_MODIFIED, ""))
     }
 
     /// Lets time pass.
-    fn settle(&self) {
-        let mut state = locked(&self.state);
+    fn advance(&self) {
+        let mut state = lock(&self.state);
         state.tick(self.recorder.now());
-        self.publish(&mut state);
+        self.publish_state(&mut state);
     }
 
-    fn publish(&self, state: &mut WorkerState) {
+    fn publish_state(&self, state: &mut WorkerState) {
         for (at, kind) in state.take_events() {
             self.recorder.record_at(at, kind);
         }
-        self.presence.set(state.services());
+        self.service_states.set(state.services());
     }
 
     fn set_jobs(&self, jobs: Vec<JobBehaviour>) {
-        locked(&self.state).set_jobs(jobs);
-        self.settle();
+        lock(&self.state).set_jobs(jobs);
+        self.advance();
     }
 
-    async fn post_jobs(&self, req: Request<Incoming>) -> Reply {
-        let body = match read_body(req.into_body(), CALL_BYTES).await {
+    async fn post_jobs(&self, req: Request<Incoming>) -> HandlerResult {
+        let body = match read_body(req.into_body(), MAX_CALL_BYTES).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
@@ -336,9 +339,9 @@
 }
 
 /// Capacity of one of Confeitaria's workers: 16 cores, 60 GB.
-pub const CONFEITARIA: Resources =
+pub const SMALL_WORKER: Resources =
     Resources { cpu_milli: 16_000, memory_mib: 60 << 10, accelerators: 0 };
 
 /// Capacity of one of Beaulac's workers: 64 cores, 250 GB.
-pub const BEAULAC: Resources =
+pub const LARGE_WORKER: Resources =
     Resources { cpu_milli: 64_000, memory_mib: 250 << 10, accelerators: 0 };
--- a/daisy-standin/src/worker/journal.rs
+++ b/daisy-standin/src/worker/journal.rs
@@ -4,61 +4,65 @@
 use daisy_wire::worker::{ReportJson, SeenJson};
 
 /// The slowdown, in thousandths, of a task that nothing disturbs.
-const UNDISTURBED: u32 = 1000;
+const NO_SLOWDOWN: u32 = 1000;
 
 type Key = (TaskId, Incarnation);
 
 /// Versions of all that a worker reports.
 #[derive(Debug)]
-pub(super) struct Journal {
+pub(super) struct ReportJournal {
     boot: u64,
     version: u64,
     /// The version of the last end of a task, or of a marked change in a slowdown.
-    news: u64,
+    last_update: u64,
     changed: SortedMap<Key, u64>,
     usage: SortedMap<TaskId, (Usage, u64)>,
 }
 
 /// Use is told again when it has changed by more than this part.
-const CHANGE_PART: u32 = 10;
+const USAGE_CHANGE_DIVISOR: u32 = 10;
 /// A slowdown that changed by more than this part is told at once: throttling rests on it.
-const NEWS_PART: u32 = 4;
+const SLOWDOWN_CHANGE_DIVISOR: u32 = 4;
 
-impl Journal {
+impl ReportJournal {
     /// Nothing has changed.
-    pub(super) fn new() -> Journal {
+    pub(super) fn new() -> ReportJournal {
         let (changed, usage) = (SortedMap::new(), SortedMap::new());
-        Journal { boot: 0, version: 1, news: 0, changed, usage }
+        ReportJournal { boot: 0, version: 1, last_update: 0, changed, usage }
     }
 
-    pub(super) fn set_boot(&mut self, boot: u64) {
+    pub(super) fn set_boot_id(&mut self, boot: u64) {
         self.boot = boot;
     }
 
-    pub(super) fn news(&self) -> SeenJson {
-        SeenJson { boot: self.boot, version: self.news }
+    pub(super) fn last_update(&self) -> SeenJson {
+        SeenJson { boot: self.boot, version: self.last_update }
     }
 
     /// A task was started or throttled.
-    pub(super) fn changed(&mut self, key: Key) {
+    pub(super) fn record_change(&mut self, key: Key) {
         self.version += 1;
         self.changed.insert(key, self.version);
     }
 
     /// A task has ended.
-    pub(super) fn ended(&mut self, key: Key) {
-        self.changed(key);
-        self.news = self.version;
+    pub(super) fn record_end(&mut self, key: Key) {
+        self.record_change(key);
+        self.last_update = self.version;
     }
 
     /// An exit report was acknowledged.
-    pub(super) fn forgot(&mut self, key: Key) {
+    pub(super) fn record_acknowledge(&mut self, key: Key) {
         self.changed.remove(&key);
         self.version += 1;
     }
 
     /// Takes out of a whole report what was seen.
-    pub(super) fn reduce(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
+    pub(super) fn reduce_to_changes(
+        &mut self,
+        seen: Option<SeenJson>,
+        report: WorkerReport,
+    ) -> ReportJson {
         let now = SeenJson { boot: self.boot, version: self.version };
         let known = seen.filter(|it| it.boot == self.boot && it.version <= self.version);
         let Some(SeenJson { version, .. }) = known else {
@@ -74,16 +78,16 @@
     }
 
     /// Takes in the use that a report would tell now.
-    pub(super) fn note_usage(&mut self, usage: &[Usage]) {
+    pub(super) fn record_usage(&mut self, usage: &[Usage]) {
         let version = self.version + 1;
         for it in usage {
             let old = self.usage.get(&it.task).map(|(old, _)| *old);
-            if old.is_some_and(|old| is_close(&old, it)) {
+            if old.is_some_and(|old| is_similar(&old, it)) {
                 continue;
             }
-            let slowdown = old.map_or(UNDISTURBED, |old| old.slowdown);
-            if slowdown.abs_diff(it.slowdown) > slowdown / NEWS_PART {
-                self.news = version;
+            let slowdown = old.map_or(NO_SLOWDOWN, |old| old.slowdown);
+            if slowdown.abs_diff(it.slowdown) > slowdown / SLOWDOWN_CHANGE_DIVISOR {
+                self.last_update = version;
             }
             self.usage.insert(it.task, (*it, version));
             self.version = version;
@@ -92,11 +96,11 @@
     }
 }
 
-fn is_close(old: &Usage, new: &Usage) -> bool {
-    let near = |old: u32, new: u32| old.abs_diff(new) <= old / CHANGE_PART;
+fn is_similar(old: &Usage, new: &Usage) -> bool {
+    let is_near = |old: u32, new: u32| old.abs_diff(new) <= old / USAGE_CHANGE_DIVISOR;
     let Resources { cpu_milli, memory_mib, accelerators } = new.used;
-    near(old.used.cpu_milli, cpu_milli)
-        && near(old.used.memory_mib, memory_mib)
+    is_near(old.used.cpu_milli, cpu_milli)
+        && is_near(old.used.memory_mib, memory_mib)
         && old.used.accelerators == accelerators
-        && near(old.slowdown, new.slowdown)
+        && is_near(old.slowdown, new.slowdown)
 }
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -12,8 +12,8 @@
 use daisy_wire::worker::{ReportJson, SeenJson};
 use serde::{Deserialize, Serialize};
 
-use super::journal::Journal;
-use crate::backend::Served;
+use super::journal::ReportJournal;
+use crate::backend::ServiceState;
 
 /// How tasks of one job run on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
 impl Default for WorkerOptions {
     fn default() -> WorkerOptions {
         WorkerOptions {
-            capacity: super::CONFEITARIA,
+            capacity: super::SMALL_WORKER,
             run_time: Some(Duration::from_millis(300)),
             jobs: Vec::new(),
             interference: Vec::new(),
@@ -73,7 +73,7 @@
 
 /// What is wrong with a worker at the moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Flaws {
+pub struct WorkerFaults {
     /// Every start fails.
     pub fail_everything: bool,
     /// Tasks are started whether or not there is room.
@@ -87,7 +87,7 @@
     size: Resources,
     share: u32,
     /// Undisturbed work done, in microseconds.
-    done: u64,
+    work_done_us: u64,
 }
 
 /// One worker.
@@ -104,12 +104,12 @@
     checkpoints: u32,
     worked_until: Instant,
     samples: VecDeque<(Instant, Vec<Usage>)>,
-    journal: Journal,
+    journal: ReportJournal,
     events: Vec<(Instant, EventKind)>,
     now: Instant,
 }
 
-const WHOLE: u32 = 1000;
+const FULL_SHARE: u32 = 1000;
 
 impl WorkerState {
     /// A worker that runs nothing.
@@ -124,7 +124,7 @@
             checkpoints: 0,
             worked_until: Instant(0),
             samples: VecDeque::new(),
-            journal: Journal::new(),
+            journal: ReportJournal::new(),
             events: Vec::new(),
             now: Instant(0),
         }
@@ -136,18 +136,18 @@
     }
 
     /// Makes a whole report one of the changes since `seen`, if they are known.
-    pub fn since(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
-        self.journal.reduce(seen, report)
+    pub fn changes_since(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
+        self.journal.reduce_to_changes(seen, report)
     }
 
     /// Numbers reports as those of the agent's start `boot`.
-    pub fn set_boot(&mut self, boot: u64) {
-        self.journal.set_boot(boot);
+    pub fn set_boot_id(&mut self, boot: u64) {
+        self.journal.set_boot_id(boot);
     }
 
     /// Where the journal stood when a task ended last.
-    pub fn news(&self) -> SeenJson {
-        self.journal.news()
+    pub fn last_update(&self) -> SeenJson {
+        self.journal.last_update()
     }
 
     /// Replaces how tasks of particular jobs run.
@@ -156,21 +156,21 @@
     }
 
     /// Carries a call out at `now`.
-    pub fn call(&mut self, now: Instant, call: WorkerCall, flaws: Flaws) -> WorkerReport {
+    pub fn call(&mut self, now: Instant, call: WorkerCall, faults: WorkerFaults) -> WorkerReport {
         self.tick(now);
-        let accepted = self.accept(call.epoch) || flaws.unfenced;
+        let accepted = self.accept(call.epoch) || faults.unfenced;
         let results = if accepted {
             self.lease_end = now + call.lease;
-            call.orders.into_iter().map(|order| self.order(order, flaws)).collect()
+            call.orders.into_iter().map(|order| self.order(order, faults)).collect()
         } else {
             Vec::new()
         };
         WorkerReport {
-            epoch: if flaws.unfenced { call.epoch } else { self.epoch },
+            epoch: if faults.unfenced { call.epoch } else { self.epoch },
             accepted,
             capacity: self.options.capacity,
             results,
-            running: self.running.iter().map(running).collect(),
+            running: self.running.iter().map(running_report).collect(),
             ended: self.ended.clone(),
             usage: self.usage(now),
         }
@@ -179,7 +179,7 @@
     /// Lets time pass up to `now`: work goes on, ends, or loses its lease.
     pub fn tick(&mut self, now: Instant) {
         self.now = now;
-        self.work(now);
+        self.advance_work(now);
         if now >= self.lease_end {
             // No work was done since the lease's end, however late that is noticed.
             self.now = self.lease_end;
@@ -195,44 +195,44 @@
     }
 
     /// Services that jobs are known to answer for, and how they fare here.
-    pub fn services(&self) -> Vec<Served> {
+    pub fn services(&self) -> Vec<ServiceState> {
         let known = self.options.jobs.iter();
-        let services = known.filter_map(|run| {
-            let slowdown = self.slowdown_of_job(JobId(run.job));
-            Some(Served { service: run.service.clone()?, slowdown })
+        let services = known.filter_map(|behaviour| {
+            let slowdown = self.slowdown_of_job(JobId(behaviour.job));
+            Some(ServiceState { service: behaviour.service.clone()?, slowdown })
         });
         services.collect()
     }
 
-    fn note(&mut self, kind: EventKind) {
+    fn record(&mut self, kind: EventKind) {
         self.events.push((self.now, kind));
     }
 
     fn accept(&mut self, epoch: Epoch) -> bool {
         if epoch < self.epoch {
             let (epoch, seen) = (epoch.0, self.epoch.0);
-            self.note(EventKind::EpochRefused { epoch, seen });
+            self.record(EventKind::EpochRefused { epoch, seen });
             return false;
         }
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.note(EventKind::EpochSeen { epoch: epoch.0 });
+            self.record(EventKind::EpochSeen { epoch: epoch.0 });
         }
         true
     }
 
-    fn order(&mut self, order: Order, flaws: Flaws) -> OrderResult {
+    fn order(&mut self, order: Order, faults: WorkerFaults) -> OrderResult {
         match order {
             Order::Start { task, incarnation, size, checkpoint } => {
-                self.start((task, incarnation), size, checkpoint, flaws)
+                self.start((task, incarnation), size, checkpoint, faults)
             }
             Order::Stop { task, incarnation } => self.stop((task, incarnation)),
             Order::Checkpoint { task, incarnation } => self.checkpoint((task, incarnation)),
             Order::Throttle { task, incarnation, share } => {
                 match self.running.get_mut(&(task, incarnation)) {
                     Some(running) => {
-                        running.share = share.min(WHOLE);
-                        self.journal.changed((task, incarnation));
+                        running.share = share.min(FULL_SHARE);
+                        self.journal.record_change((task, incarnation));
                         OrderResult::Done
                     }
                     None => OrderResult::Unknown,
@@ -240,7 +240,7 @@
             }
             Order::Acknowledge { task, incarnation } => {
                 self.ended.retain(|it| (it.task, it.incarnation) != (task, incarnation));
-                self.journal.forgot((task, incarnation));
+                self.journal.record_acknowledge((task, incarnation));
                 OrderResult::Done
             }
         }
@@ -251,27 +251,27 @@
         key: (TaskId, Incarnation),
         size: Resources,
         checkpoint: Option<u64>,
-        flaws: Flaws,
+        faults: WorkerFaults,
     ) -> OrderResult {
         if self.started.contains_key(&key) {
             return OrderResult::Done;
         }
-        if !flaws.overcommit && !self.has_room(size) {
+        if !faults.overcommit && !self.has_capacity_for(size) {
             return OrderResult::NoRoom;
         }
-        if flaws.fail_everything {
+        if faults.fail_everything {
             return OrderResult::Failed;
         }
         self.started.insert(key, ());
-        let done = checkpoint.map_or(0, work_of_checkpoint);
-        self.running.insert(key, Task { size, share: WHOLE, done });
-        self.journal.changed(key);
-        let (run, size, epoch) = (run_of(key), size_of(size), self.epoch.0);
-        self.note(EventKind::TaskStarted { run, epoch, size, checkpoint });
+        let work_done_us = checkpoint.map_or(0, work_of_token);
+        self.running.insert(key, Task { size, share: FULL_SHARE, work_done_us });
+        self.journal.record_change(key);
+        let (run, size, epoch) = (history_run(key), history_size(size), self.epoch.0);
+        self.record(EventKind::TaskStarted { run, epoch, size, checkpoint });
         OrderResult::Done
     }
 
-    fn has_room(&self, size: Resources) -> bool {
+    fn has_capacity_for(&self, size: Resources) -> bool {
         let used = self.running.iter().try_fold(size, |sum, (_, task)| sum.try_add(task.size));
         used.is_some_and(|used| used.fits(self.options.capacity))
     }
@@ -285,11 +285,11 @@
     }
 
     fn checkpoint(&mut self, key: (TaskId, Incarnation)) -> OrderResult {
-        let Some(done) = self.running.get(&key).map(|task| task.done) else {
+        let Some(work_done_us) = self.running.get(&key).map(|task| task.work_done_us) else {
             return self.end(key, Exit::Stopped);
         };
         self.checkpoints += 1;
-        let token = checkpoint_token(key, self.checkpoints, done);
+        let token = checkpoint_token(key, self.checkpoints, work_done_us);
         self.end(key, Exit::Checkpointed(token))
     }
 
@@ -299,9 +299,9 @@
             return if was_here { OrderResult::Done } else { OrderResult::Unknown };
         }
         self.ended.push(Ended { task: key.0, incarnation: key.1, exit });
-        self.journal.ended(key);
-        if let Some(end) = end_of(exit) {
-            self.note(EventKind::TaskEnded { run: run_of(key), end });
+        self.journal.record_end(key);
+        if let Some(end) = history_end(exit) {
+            self.record(EventKind::TaskEnded { run: history_run(key), end });
         }
         OrderResult::Done
     }
@@ -313,7 +313,7 @@
         }
     }
 
-    fn work(&mut self, now: Instant) {
+    fn advance_work(&mut self, now: Instant) {
         // Work stops where the lease ends, also when the worker itself was frozen past it.
         let until = now.min(self.lease_end);
         let step = until.since(self.worked_until).as_micros() as u64;
@@ -322,16 +322,16 @@
         let slowdowns: Vec<_> = keys.iter().map(|key| self.slowdown(*key)).collect();
         for (key, slowdown) in keys.into_iter().zip(slowdowns) {
             if let Some(task) = self.running.get_mut(&key) {
-                task.done += step * u64::from(task.share) / u64::from(slowdown.max(1));
+                task.work_done_us += step * u64::from(task.share) / u64::from(slowdown.max(1));
             }
         }
-        self.finish();
+        self.end_finished_tasks();
     }
 
-    fn finish(&mut self) {
+    fn end_finished_tasks(&mut self) {
         let due = self.running.iter().filter_map(|(key, task)| {
-            let (run_time, exit) = self.plan(key.0.job);
-            (task.done >= run_time?.as_micros() as u64).then_some((*key, exit))
+            let (run_time, exit) = self.run_time_and_exit(key.0.job);
+            (task.work_done_us >= run_time?.as_micros() as u64).then_some((*key, exit))
         });
         let due: Vec<_> = due.collect();
         for (key, exit) in due {
@@ -339,11 +339,11 @@
         }
     }
 
-    fn plan(&self, job: JobId) -> (Option<Duration>, Exit) {
-        match self.options.jobs.iter().find(|run| run.job == job.0) {
-            Some(run) => {
-                let exit = if run.fails { Exit::Failed } else { Exit::Done };
-                (run.run_ms.map(Duration::from_millis), exit)
+    fn run_time_and_exit(&self, job: JobId) -> (Option<Duration>, Exit) {
+        match self.options.jobs.iter().find(|it| it.job == job.0) {
+            Some(behaviour) => {
+                let exit = if behaviour.fails { Exit::Failed } else { Exit::Done };
+                (behaviour.run_ms.map(Duration::from_millis), exit)
             }
             None => (self.options.run_time, Exit::Done),
         }
@@ -351,33 +351,33 @@
 }
 
 /// A token that no other checkpoint has, and that carries the work done in milliseconds.
-fn checkpoint_token(key: (TaskId, Incarnation), count: u32, done: u64) -> u64 {
+fn checkpoint_token(key: (TaskId, Incarnation), count: u32, work_done_us: u64) -> u64 {
     let (task, incarnation) = key;
     let mut mixed = fastrand::Rng::with_seed(
         u64::from(task.job.0) << 40 ^ u64::from(task.index) << 20 ^ u64::from(incarnation.0),
     );
     let unique = mixed.u32(..) ^ count;
-    u64::from(unique) << 32 | (done / 1000).min(u64::from(u32::MAX))
+    u64::from(unique) << 32 | (work_done_us / 1000).min(u64::from(u32::MAX))
 }
 
-fn work_of_checkpoint(token: u64) -> u64 {
+fn work_of_token(token: u64) -> u64 {
     (token & u64::from(u32::MAX)) * 1000
 }
 
-fn running((key, task): (&(TaskId, Incarnation), &Task)) -> Running {
+fn running_report((key, task): (&(TaskId, Incarnation), &Task)) -> Running {
     Running { task: key.0, incarnation: key.1, size: task.size, share: task.share }
 }
 
-fn run_of((task, incarnation): (TaskId, Incarnation)) -> Run {
+fn history_run((task, incarnation): (TaskId, Incarnation)) -> Run {
     Run { job: task.job.0, index: task.index, incarnation: incarnation.0 }
 }
 
-pub(super) fn size_of(it: Resources) -> Size {
+pub(super) fn history_size(it: Resources) -> Size {
     let Resources { cpu_milli, memory_mib, accelerators } = it;
     Size { cpu_milli, memory_mib, accelerators }
 }
 
-fn end_of(exit: Exit) -> Option<RunEnd> {
+fn history_end(exit: Exit) -> Option<RunEnd> {
     match exit {
         Exit::Done => Some(RunEnd::Done),
         Exit::Failed => Some(RunEnd::Failed),
--- a/daisy-standin/src/worker/state/usage.rs
+++ b/daisy-standin/src/worker/state/usage.rs
@@ -4,19 +4,20 @@
 
 use daisy_model::{Incarnation, Instant, JobId, Resources, TaskId, Usage};
 
-use super::{WHOLE, WorkerState};
+use super::{FULL_SHARE, WorkerState};
 
-const SAMPLE: Duration = Duration::from_millis(100);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl WorkerState {
     pub(super) fn slowdown(&self, victim: (TaskId, Incarnation)) -> u32 {
         let others = self.running.iter().filter(|(key, _)| **key != victim);
         let added = others.map(|(key, task)| {
             let per_core = self.per_core(victim.0.job, key.0.job);
-            let used = u64::from(task.size.cpu_milli) * u64::from(task.share) / u64::from(WHOLE);
+            let used =
+                u64::from(task.size.cpu_milli) * u64::from(task.share) / u64::from(FULL_SHARE);
             (u64::from(per_core) * used / 1000) as u32
         });
-        added.fold(WHOLE, u32::saturating_add)
+        added.fold(FULL_SHARE, u32::saturating_add)
     }
 
     fn per_core(&self, victim: JobId, aggressor: JobId) -> u32 {
@@ -31,12 +32,13 @@
     }
 
     pub(super) fn sample(&mut self, now: Instant) {
-        let fresh = self.samples.back().is_some_and(|(at, _)| now.since(*at) < SAMPLE);
-        if fresh {
+        let is_recent = self.samples.back().is_some_and(|(at, _)| now.since(*at) < SAMPLE_INTERVAL);
+        if is_recent {
             return;
         }
         let usage = self.running.iter().map(|(key, task)| {
-            let cpu = u64::from(task.size.cpu_milli) * u64::from(task.share) / u64::from(WHOLE);
+            let cpu =
+                u64::from(task.size.cpu_milli) * u64::from(task.share) / u64::from(FULL_SHARE);
             let used = Resources { cpu_milli: cpu as u32, ..task.size };
             Usage { task: key.0, used, slowdown: self.slowdown(*key) }
         });
@@ -46,8 +48,8 @@
         while self.samples.get(1).is_some_and(|(at, _)| now.since(*at) >= lag) {
             self.samples.pop_front();
         }
-        let told = self.usage(now);
-        self.journal.note_usage(&told);
+        let reported = self.usage(now);
+        self.journal.record_usage(&reported);
     }
 
     pub(super) fn usage(&self, now: Instant) -> Vec<Usage> {
--- a/daisy-standin/tests/worker.rs
+++ b/daisy-standin/tests/worker.rs
@@ -6,11 +6,12 @@
 use daisy_model::{
     Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, TaskId, WorkerCall,
 };
-use daisy_standin::worker::{Flaws, Interference, JobBehaviour, WorkerOptions, WorkerState};
+use daisy_standin::worker::{Interference, JobBehaviour, WorkerFaults, WorkerOptions, WorkerState};
 
 const TASK: TaskId = TaskId { job: JobId(3), index: 0 };
 const OTHER: TaskId = TaskId { job: JobId(4), index: 0 };
-const SOUND: Flaws = Flaws { fail_everything: false, overcommit: false, unfenced: false };
+const NO_FAULTS: WorkerFaults =
+    WorkerFaults { fail_everything: false, overcommit: false, unfenced: false };
 const FIRST: Incarnation = Incarnation(1);
 const CORE: Resources = Resources { cpu_milli: 1000, memory_mib: 1024, accelerators: 0 };
 
@@ -34,9 +35,9 @@
 #[test]
 fn refuses_a_stale_epoch_and_carries_nothing_out() {
     let mut worker = worker(100);
-    worker.call(at(0), call(5, vec![]), SOUND);
+    worker.call(at(0), call(5, vec![]), NO_FAULTS);
 
-    let report = worker.call(at(1), call(4, vec![start(TASK, None)]), SOUND);
+    let report = worker.call(at(1), call(4, vec![start(TASK, None)]), NO_FAULTS);
 
     assert!(!report.accepted);
     assert_eq!(report.epoch, Epoch(5));
@@ -46,10 +47,10 @@
 #[test]
 fn starts_an_incarnation_once_ever() {
     let mut worker = worker(100);
-    worker.call(at(0), call(1, vec![start(TASK, None)]), SOUND);
+    worker.call(at(0), call(1, vec![start(TASK, None)]), NO_FAULTS);
     worker.tick(at(200));
 
-    let again = worker.call(at(201), call(1, vec![start(TASK, None)]), SOUND);
+    let again = worker.call(at(201), call(1, vec![start(TASK, None)]), NO_FAULTS);
 
     assert_eq!(again.results, [OrderResult::Done]);
     assert!(again.running.is_empty());
@@ -62,9 +63,9 @@
 fn a_stopped_incarnation_that_never_started_never_starts() {
     let mut worker = worker(1000);
     let stop = Order::Stop { task: TASK, incarnation: FIRST };
-    worker.call(at(0), call(1, vec![stop]), SOUND);
+    worker.call(at(0), call(1, vec![stop]), NO_FAULTS);
 
-    let report = worker.call(at(1), call(1, vec![start(TASK, None)]), SOUND);
+    let report = worker.call(at(1), call(1, vec![start(TASK, None)]), NO_FAULTS);
 
     assert!(report.running.is_empty() && report.ended.is_empty());
 }
@@ -75,7 +76,7 @@
     let size = Resources { cpu_milli: 64_001, ..CORE };
 
     let order = Order::Start { task: TASK, incarnation: FIRST, size, checkpoint: None };
-    let report = worker.call(at(0), call(1, vec![order]), SOUND);
+    let report = worker.call(at(0), call(1, vec![order]), NO_FAULTS);
 
     assert_eq!(report.results, [OrderResult::NoRoom]);
     assert!(report.running.is_empty());
@@ -84,10 +85,10 @@
 #[test]
 fn a_lapsed_lease_ends_tasks_as_of_its_end_and_is_not_revived() {
     let mut worker = worker(60_000);
-    worker.call(at(0), call(1, vec![start(TASK, None)]), SOUND);
+    worker.call(at(0), call(1, vec![start(TASK, None)]), NO_FAULTS);
 
     // A frozen worker wakes long after the lease's end, at its holder's call.
-    let report = worker.call(at(30_000), call(1, vec![]), SOUND);
+    let report = worker.call(at(30_000), call(1, vec![]), NO_FAULTS);
 
     assert!(report.running.is_empty());
     assert_eq!(report.ended[0].exit, Exit::LeaseLapsed);
@@ -100,12 +101,12 @@
 #[test]
 fn keeps_an_exit_report_until_it_is_acknowledged() {
     let mut worker = worker(100);
-    worker.call(at(0), call(1, vec![start(TASK, None)]), SOUND);
-    let first = worker.call(at(150), call(1, vec![]), SOUND);
-    let second = worker.call(at(160), call(2, vec![]), SOUND);
+    worker.call(at(0), call(1, vec![start(TASK, None)]), NO_FAULTS);
+    let first = worker.call(at(150), call(1, vec![]), NO_FAULTS);
+    let second = worker.call(at(160), call(2, vec![]), NO_FAULTS);
 
     let acknowledge = Order::Acknowledge { task: TASK, incarnation: FIRST };
-    let third = worker.call(at(170), call(2, vec![acknowledge]), SOUND);
+    let third = worker.call(at(170), call(2, vec![acknowledge]), NO_FAULTS);
 
     assert_eq!(first.ended, second.ended);
     assert_eq!(first.ended[0].exit, Exit::Done);
@@ -115,15 +116,15 @@
 #[test]
 fn a_checkpoint_carries_the_work_done_to_another_worker() {
     let (mut here, mut there) = (worker(1_000), worker(1_000));
-    here.call(at(0), call(1, vec![start(TASK, None)]), SOUND);
+    here.call(at(0), call(1, vec![start(TASK, None)]), NO_FAULTS);
     let order = Order::Checkpoint { task: TASK, incarnation: FIRST };
-    let report = here.call(at(800), call(1, vec![order]), SOUND);
+    let report = here.call(at(800), call(1, vec![order]), NO_FAULTS);
     let Exit::Checkpointed(token) = report.ended[0].exit else { panic!("{report:?}") };
 
-    there.call(at(0), call(1, vec![start(TASK, Some(token))]), SOUND);
+    there.call(at(0), call(1, vec![start(TASK, Some(token))]), NO_FAULTS);
     there.tick(at(150));
-    let early = there.call(at(150), call(1, vec![]), SOUND);
-    let late = there.call(at(250), call(1, vec![]), SOUND);
+    let early = there.call(at(150), call(1, vec![]), NO_FAULTS);
+    let late = there.call(at(250), call(1, vec![]), NO_FAULTS);
 
     assert_eq!(early.running.len(), 1);
     assert_eq!(late.ended[0].exit, Exit::Done);
@@ -132,12 +133,12 @@
 #[test]
 fn a_throttled_task_takes_longer() {
     let mut worker = worker(100);
-    worker.call(at(0), call(1, vec![start(TASK, None)]), SOUND);
+    worker.call(at(0), call(1, vec![start(TASK, None)]), NO_FAULTS);
     let throttle = Order::Throttle { task: TASK, incarnation: FIRST, share: 500 };
-    worker.call(at(0), call(1, vec![throttle]), SOUND);
+    worker.call(at(0), call(1, vec![throttle]), NO_FAULTS);
 
-    let early = worker.call(at(150), call(1, vec![]), SOUND);
-    let late = worker.call(at(201), call(1, vec![]), SOUND);
+    let early = worker.call(at(150), call(1, vec![]), NO_FAULTS);
+    let late = worker.call(at(201), call(1, vec![]), NO_FAULTS);
 
     assert_eq!((early.running.len(), late.running.len()), (1, 0));
 }
@@ -152,11 +153,11 @@
         JobBehaviour { job: 3, run_ms: None, fails: false, service: Some("shop".to_owned()) },
         JobBehaviour { job: 4, run_ms: None, fails: false, service: None },
     ]);
-    worker.call(at(0), call(1, vec![start(TASK, None), start(OTHER, None)]), SOUND);
+    worker.call(at(0), call(1, vec![start(TASK, None), start(OTHER, None)]), NO_FAULTS);
     worker.tick(at(200));
 
-    let early = worker.call(at(900), call(1, vec![]), SOUND);
-    let late = worker.call(at(1_300), call(1, vec![]), SOUND);
+    let early = worker.call(at(900), call(1, vec![]), NO_FAULTS);
+    let late = worker.call(at(1_300), call(1, vec![]), NO_FAULTS);
 
     assert!(early.usage.iter().all(|usage| usage.task != TASK));
     let usage = late.usage.iter().find(|usage| usage.task == TASK).unwrap();
@@ -171,7 +172,7 @@
     let report = worker.call(
         at(0),
         call(1, vec![start(TASK, None)]),
-        Flaws { fail_everything: true, ..SOUND },
+        WorkerFaults { fail_everything: true, ..NO_FAULTS },
     );
 
     assert_eq!(report.results, [OrderResult::Failed]);
@@ -181,10 +182,10 @@
 #[test]
 fn an_unfenced_worker_accepts_a_stale_epoch() {
     let mut worker = worker(100);
-    worker.call(at(0), call(5, vec![]), SOUND);
+    worker.call(at(0), call(5, vec![]), NO_FAULTS);
 
-    let flaws = Flaws { unfenced: true, ..SOUND };
-    let report = worker.call(at(1), call(4, vec![start(TASK, None)]), flaws);
+    let faults = WorkerFaults { unfenced: true, ..NO_FAULTS };
+    let report = worker.call(at(1), call(4, vec![start(TASK, None)]), faults);
 
     assert!(report.accepted);
     assert_eq!(report.running.len(), 1);
@@ -196,8 +197,8 @@
     let size = Resources { cpu_milli: 64_001, ..CORE };
     let order = Order::Start { task: TASK, incarnation: FIRST, size, checkpoint: None };
 
-    let flaws = Flaws { overcommit: true, ..SOUND };
-    let report = worker.call(at(0), call(1, vec![order]), flaws);
+    let faults = WorkerFaults { overcommit: true, ..NO_FAULTS };
+    let report = worker.call(at(0), call(1, vec![order]), faults);
 
     assert_eq!(report.running.len(), 1);
 }
