--- a/daisy-standin/src/backend.rs
+++ b/daisy-standin/src/backend.rs
@@ -1,7 +1,8 @@
-//! A backend server: answers requests to the services on its VM.
+//! Stand-in for a backend server, which answers requests to the services on its VM.
 //!
-//! The query of a request chooses what it costs: `ms` of service time, `size` bytes of
-//! answer, `chunks` in which the answer is streamed, `gap_ms` between them.
+//! The query of a request chooses its cost: `ms` is the service time, `size` the length of the answer
+//! in bytes, `chunks` the number of chunks in which the answer is streamed, and `gap_ms` the time
+//! before each of them.
 
 mod admission;
 mod reply;
@@ -38,20 +39,20 @@
 
 pub use self::admission::{ServiceState, ServiceStates};
 
-/// How a backend server stand-in works.
+/// Settings of a backend server stand-in.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Its name in the history.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 chooses a free port.
     pub listen: SocketAddr,
-    /// Requests that it works on at one time (8 at the users').
+    /// Maximum number of concurrent requests (8 at the users' sites).
     pub slots: u32,
-    /// Service time of requests that do not choose one.
+    /// Service time of requests whose query does not choose one.
     pub service_time: Duration,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// The file that each event is written to at once.
+    /// The file to which each event is written as soon as it is recorded.
     pub history: Option<PathBuf>,
 }
 
@@ -83,11 +84,15 @@
     service_states: ServiceStates,
     service_time: Duration,
     body_bytes: usize,
-    /// The answer before, for the switch that reorders.
+    /// The request id and body of the answer before, for the switch `reorder`.
     previous_answer: Mutex<Option<(String, Bytes)>>,
 }
 
-/// Serves until SIGTERM.
+/// Serves until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If the stand-in cannot be started.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let backend = Backend::start(options).await?;
     log::info!("event=backend-started address={}", backend.address());
@@ -102,13 +107,15 @@
 impl Backend {
     /// Listens and serves every service until [`Backend::stop`].
     ///
-    /// Fails if the address or the history's file cannot be had.
+    /// # Errors
+    ///
+    /// If the address cannot be bound or the history file cannot be created.
     pub async fn start(options: Options) -> anyhow::Result<Backend> {
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
         Backend::start_with(options, recorder, ServiceStates::default()).await
     }
 
-    /// Listens and serves the services that `service_states` has.
+    /// Listens and serves the services according to `service_states`.
     pub(crate) async fn start_with(
         options: Options,
         recorder: Recorder,
@@ -127,17 +134,21 @@
         Ok(Backend { shared, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
     /// Replaces all fault switches.
+    ///
+    /// # Errors
+    ///
+    /// If a switch is set that this stand-in does not have.
     pub fn set_faults(&self, faults: Faults) -> Result<(), FaultError> {
         self.shared.switches.set(faults)
     }
 
-    /// What it saw so far.
+    /// Returns the events recorded so far.
     pub fn history(&self) -> History {
         self.shared.recorder.history()
     }
@@ -148,7 +159,7 @@
     }
 }
 
-/// What a request names.
+/// The identifiers in a request: its id, the number of its call and its idempotency key.
 #[derive(Debug, Clone)]
 struct RequestIds {
     request: String,
@@ -157,7 +168,7 @@
 }
 
 impl Handler for Shared {
-    /// Of the users' backend servers.
+    /// The limit of the users' backend servers.
     const MAX_CONNECTIONS: usize = 64;
 
     async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
@@ -169,7 +180,7 @@
             return reply;
         }
         let Some(request) = header_of(&req, headers::REQUEST_ID).map(str::to_owned) else {
-            return Ok(text(StatusCode::BAD_REQUEST, "daisy-request-id is missing"));
+            return Ok(text(StatusCode::BAD_REQUEST, "header daisy-request-id is missing"));
         };
         let service = header_of(&req, headers::SERVICE).unwrap_or("").to_owned();
         let key = header_of(&req, headers::IDEMPOTENCY_KEY).map(str::to_owned);
@@ -230,7 +241,7 @@
         self.recorder.record(EventKind::RequestBegan { request: request.clone(), call, key });
         let (recorder, id) = (self.recorder.clone(), request.clone());
         let service_time = options.service_time;
-        // A task of its own: the work is done also when nobody waits for it any more.
+        // The work runs in a task of its own so that it finishes even if the caller disconnects.
         let work = tokio::spawn(async move {
             sleep(service_time).await;
             drop(slot);
@@ -247,7 +258,7 @@
     }
 }
 
-/// A number of the query, or `default`.
+/// Returns the number in the query parameter `name`, or `default`.
 fn query_number<B>(req: &Request<B>, name: &str, default: u64) -> u64 {
     query(req, name).unwrap_or(default)
 }
--- a/daisy-standin/src/backend/admission.rs
+++ b/daisy-standin/src/backend/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests a backend server works on.
+//! Decides which requests a backend server runs.
 
 use std::{
     fmt,
@@ -10,35 +10,35 @@
 
 use crate::recorder::lock;
 
-/// Why a request is not run.
+/// Why a request is rejected without being run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RejectReason {
-    /// All slots are taken.
+    /// All slots are in use.
     NoFreeSlot,
-    /// No task of the service runs here.
+    /// No task of the service runs on this VM.
     ServiceAbsent,
-    /// The server takes nothing new.
+    /// The server is leaving and accepts no new requests.
     Leaving,
 }
 
 impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RejectReason::NoFreeSlot => "all slots are taken",
-            RejectReason::ServiceAbsent => "the service is not here",
-            RejectReason::Leaving => "leaving",
+            RejectReason::NoFreeSlot => "all slots are in use",
+            RejectReason::ServiceAbsent => "no task of the service runs here",
+            RejectReason::Leaving => "the server is leaving",
         })
     }
 }
 
-/// Requests in progress, up to a bound.
+/// Counts the requests in progress, up to a limit.
 #[derive(Debug)]
 pub(super) struct Slots {
     limit: u32,
     taken: Arc<AtomicU32>,
 }
 
-/// One request in progress; given back when dropped.
+/// The slot of one request in progress, released when dropped.
 #[derive(Debug)]
 pub(super) struct Slot {
     taken: Arc<AtomicU32>,
@@ -49,14 +49,14 @@
         Slots { limit, taken: Arc::default() }
     }
 
-    /// A slot, if one is free.
+    /// Takes a slot, if one is free.
     pub(super) fn try_acquire(&self) -> Option<Slot> {
         let more = |taken: u32| (taken < self.limit).then_some(taken + 1);
         self.taken.fetch_update(Ordering::AcqRel, Ordering::Acquire, more).ok()?;
         Some(Slot { taken: self.taken.clone() })
     }
 
-    /// Slots taken.
+    /// Returns the number of slots in use.
     pub(super) fn taken(&self) -> u32 {
         self.taken.load(Ordering::Acquire)
     }
@@ -68,32 +68,34 @@
     }
 }
 
-/// A service that a worker knows of.
+/// The state of a service on a worker.
 #[derive(Debug, Clone)]
 pub struct ServiceState {
     /// The service's name.
     pub service: String,
-    /// How much it is slowed down, in thousandths; `None` while no task of it runs here.
+    /// Its service time relative to that of an undisturbed task, in thousandths; `None` while none of
+    /// its tasks runs here.
     pub slowdown: Option<u32>,
 }
 
-/// Services whose tasks may or may not run on a worker; clones share the list.
+/// The states of the services on a worker; clones share the list.
 ///
-/// A service that the list does not name is served as if it ran undisturbed.
+/// A service that is not in the list is served as if a task of it ran undisturbed.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceStates {
     services: Arc<Mutex<Vec<ServiceState>>>,
 }
 
+/// The slowdown, in thousandths, of an undisturbed task.
 const NO_SLOWDOWN: u32 = 1000;
 
 impl ServiceStates {
-    /// Replaces all that is known.
+    /// Replaces the states of all services.
     pub fn set(&self, services: Vec<ServiceState>) {
         *lock(&self.services) = services;
     }
 
-    /// How much a service is slowed down, in thousandths; `None` if it is not here.
+    /// Returns the slowdown of a service in thousandths, or `None` if no task of it runs here.
     pub fn slowdown(&self, service: &str) -> Option<u32> {
         let services = lock(&self.services);
         let known = services.iter().find(|it| it.service == service);
--- a/daisy-standin/src/backend/reply.rs
+++ b/daisy-standin/src/backend/reply.rs
@@ -1,4 +1,4 @@
-//! Sends an answer, whole or as the fault switches say.
+//! Builds the answers of a backend server, with the faults that the fault switches ask for.
 
 use std::time::Duration;
 
@@ -18,14 +18,16 @@
     repeat::RepeatSwitch,
 };
 
-/// What a request asks its answer to be.
+/// The service time and the form of the answer that a request asks for.
 #[derive(Debug, Clone)]
 pub(super) struct AnswerOptions {
-    /// Time that the request takes.
+    /// The service time of the request.
     pub(super) service_time: Duration,
-    /// Bytes of the answer after its first line.
+    /// Length of the answer in bytes, without its first line.
     pub(super) size: usize,
+    /// Number of chunks in which the answer is streamed.
     chunks: usize,
+    /// Delay before each chunk.
     gap: Duration,
 }
 
@@ -33,7 +35,7 @@
 const MAX_CHUNKS: u64 = 1_000;
 
 impl AnswerOptions {
-    /// Reads the query of `req`.
+    /// Parses the query of `req`; `service_time` is the default.
     pub(super) fn of<B>(req: &Request<B>, service_time: Duration) -> AnswerOptions {
         let default_ms = service_time.as_millis() as u64;
         AnswerOptions {
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Stretches the service time by `slowdown` thousandths.
+    /// Multiplies the service time by `slowdown` thousandths.
     pub(super) fn slow_down(&mut self, slowdown: u32) {
         self.service_time = self.service_time * slowdown / 1000;
     }
 }
 
-/// Sets the headers that every answer of a backend server bears.
+/// Sets the protocol headers that every answer of a backend server has.
 pub(super) fn set_protocol_headers(
     response: &mut Response<Body>,
     request: &str,
@@ -69,7 +71,7 @@
     }
 }
 
-/// What the switches do to one answer.
+/// A fault that the switches inject into one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AnswerFault {
     None,
@@ -80,7 +82,7 @@
 }
 
 impl Shared {
-    /// The answer to `request`, mangled if a switch is on.
+    /// Returns the answer to `request`, with a fault if a switch asks for one.
     pub(super) fn build_response(
         &self,
         request: String,
@@ -138,13 +140,14 @@
     format!("{other:016x}")
 }
 
-/// Half of the body under the length of the whole, then the end of the connection.
+/// Returns a response that announces the length of the whole body, sends half of it, and then breaks
+/// the connection.
 fn truncated_response(body: Bytes) -> Response<Body> {
     let length = body.len();
     let half = body.slice(..length / 2);
     let broken: BodyError = Box::new(Abort);
     let frames = stream::iter([Ok(Frame::data(half)), Err(broken)]);
-    // The pause lets the half go out before the connection breaks.
+    // The pause lets the first half be sent before the connection breaks.
     let frames = frames.then(|frame| async {
         sleep(Duration::from_millis(1)).await;
         frame
--- a/daisy-standin/src/client.rs
+++ b/daisy-standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP client for callers, tests and the fault switches.
+//! A simple HTTP client for callers, tests and setting fault switches.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,34 +14,34 @@
 
 use crate::Faults;
 
-/// Calls stand-ins and entry VMs; clones share their connections.
+/// An HTTP client for stand-ins and entry VMs; clones share a connection pool.
 #[derive(Debug, Clone)]
 pub struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why no whole answer came.
+/// Why no complete answer was received.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection could be made: nothing was sent.
+    /// No connection could be established, so nothing was sent.
     #[error("no connection: {0}")]
     Unreachable(String),
-    /// The connection broke after something may have been sent.
+    /// The connection broke, and the request may have been sent.
     #[error("connection broke: {0}")]
     Broken(String),
-    /// The time ran out.
-    #[error("no whole answer within {0:?}")]
+    /// No complete answer arrived within this time.
+    #[error("no complete answer within {0:?}")]
     TimedOut(Duration),
 }
 
@@ -49,7 +49,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client with an empty connection pool.
     pub fn new() -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -61,7 +61,11 @@
         Client { pool }
     }
 
-    /// Sends `req` and waits for the whole answer.
+    /// Sends `req` and waits up to `time_limit` for the complete answer.
+    ///
+    /// # Errors
+    ///
+    /// If no complete answer arrived in time.
     pub async fn send(
         &self,
         req: Request<Full<Bytes>>,
@@ -83,7 +87,11 @@
         timeout(time_limit, exchange).await.unwrap_or(Err(CallError::TimedOut(time_limit)))
     }
 
-    /// `GET` of a path.
+    /// Sends a `GET` request for `path`.
+    ///
+    /// # Errors
+    ///
+    /// If no complete answer arrived in time.
     pub async fn get(
         &self,
         address: SocketAddr,
@@ -93,7 +101,11 @@
         self.send(request(Method::GET, address, path, Bytes::new()), time_limit).await
     }
 
-    /// `POST` of a body to a path.
+    /// Sends a `POST` request with `body` to `path`.
+    ///
+    /// # Errors
+    ///
+    /// If no complete answer arrived in time.
     pub async fn post(
         &self,
         address: SocketAddr,
@@ -104,7 +116,11 @@
         self.send(request(Method::POST, address, path, body.into()), time_limit).await
     }
 
-    /// Replaces the fault switches of a stand-in.
+    /// Replaces all fault switches of the stand-in at `address`.
+    ///
+    /// # Errors
+    ///
+    /// If the stand-in does not answer or refuses the switches.
     pub async fn set_faults(&self, address: SocketAddr, faults: &Faults) -> anyhow::Result<()> {
         let body = serde_json::to_vec(faults)?;
         let answer = self.post(address, "/standin/faults", body, CONNECT_TIMEOUT).await?;
@@ -113,7 +129,11 @@
         Ok(())
     }
 
-    /// The history of a stand-in so far.
+    /// Returns the events that the stand-in at `address` has recorded so far.
+    ///
+    /// # Errors
+    ///
+    /// If the stand-in does not answer or its answer is not a history.
     pub async fn history(&self, address: SocketAddr) -> anyhow::Result<History> {
         let answer = self.get(address, "/standin/history", CONNECT_TIMEOUT).await?;
         Ok(History::parse(std::str::from_utf8(&answer.body)?)?)
@@ -126,7 +146,7 @@
     }
 }
 
-/// A request to `address`.
+/// Returns a request to `address` for a path and query.
 pub(crate) fn request(
     method: Method,
     address: SocketAddr,
--- a/daisy-standin/src/fault.rs
+++ b/daisy-standin/src/fault.rs
@@ -7,90 +7,94 @@
 
 use crate::recorder::{Recorder, lock};
 
-/// All fault switches; what a stand-in has no use for, it refuses by name.
+/// The fault switches of all stand-ins. A stand-in refuses a switch that it does not have, with an
+/// error that names the switch.
 ///
-/// Setting the switches replaces all of them, so that `{}` heals everything.
+/// Setting the switches replaces all of them, so `{}` ends all faults.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Answers 503 to everything, without effect.
+    /// Answers 503 to every request, without carrying it out.
     pub down: bool,
-    /// Closes each connection at the first request, without effect.
+    /// Closes each connection at its first request, without carrying it out.
     pub refuse: bool,
-    /// Milliseconds before a request is looked at.
+    /// Delay in milliseconds before a request is handled.
     pub slow_ms: u64,
-    /// Closes connections of requests with one of these names in `daisy-from`, without effect.
+    /// Closes the connection of each request with one of these names in `daisy-from`, without carrying
+    /// it out.
     pub cut: Vec<String>,
-    /// Loses the answers of the next so many requests after they have taken effect.
+    /// Number of next requests that are carried out but whose answers are lost.
     pub lose_answers: u32,
-    /// Loses this share of answers after their effect, in thousandths.
+    /// Share of requests, in thousandths, that are carried out but whose answers are lost.
     pub lose_per_mille: u32,
-    /// Seeds `lose_per_mille`.
+    /// Seed of the random choice for `lose_per_mille`.
     pub seed: u64,
-    /// Platform: takes the next so many appends twice.
+    /// Platform: number of next appends that are appended twice.
     pub double_appends: u32,
-    /// Worker: before each of the next so many calls, carries out the call before it once more.
+    /// Worker: number of next calls before which the preceding call is carried out once more.
     pub replay: u32,
-    /// Worker: the next so many calls get no answer and are carried out `late_ms` later, as
-    /// when the network holds them back.
+    /// Worker: number of next calls that get no answer and are carried out `late_ms` later, as if the
+    /// network had delayed them.
     pub late_calls: u32,
-    /// Worker: every task that it is told to start fails.
+    /// Worker: every start of a task fails.
     pub fail_everything: bool,
-    /// Worker: starts tasks that it has no room for, so that only its holder's sums stand
-    /// between it and too much work.
+    /// Worker: starts tasks that exceed its free capacity, so that only its holder's accounting
+    /// prevents too much work on it.
     pub overcommit: bool,
-    /// Worker: accepts stale epochs and tells of no newer ones, to show what fencing is for.
+    /// Worker: accepts stale epochs and does not report newer ones, to show what happens without
+    /// fencing.
     pub unfenced: bool,
-    /// Backend server: refuses new requests as not run and says in its answers that it leaves.
+    /// Backend server: rejects new requests as not run and announces in its answers that it is leaving.
     pub leaving: bool,
-    /// Backend server: refuses these services as not run.
+    /// Backend server: rejects requests to these services as not run.
     pub absent: Vec<String>,
-    /// Backend server: breaks off the next so many answers in the middle of the body.
+    /// Backend server: number of next answers that are cut off in the middle of the body.
     pub truncate: u32,
-    /// Backend server: sends the next so many answers twice on their connection.
+    /// Backend server: number of next answers that are sent twice on their connection.
     pub doubled: u32,
-    /// Backend server: sends the next so many answers with another request's id.
+    /// Backend server: number of next answers that are sent with the id of another request.
     pub wrong_id: u32,
-    /// Backend server: sends the next so many requests the whole answer of another one.
+    /// Backend server: number of next requests that get the complete answer, with its id, of the request
+    /// answered before.
     pub reorder: u32,
-    /// Worker: milliseconds by which `late_calls` are late. Backend server: milliseconds by
-    /// which each answer is held back after the run. Platform: milliseconds from an append's
-    /// effect to the loss of its answer.
+    /// Worker: delay of `late_calls` in milliseconds. Backend server: delay of each answer after the
+    /// run, in milliseconds. Platform: milliseconds between an append and the loss of its answer.
     pub late_ms: u64,
 }
 
-/// Why fault switches are refused; nothing was changed.
+/// Why fault switches are refused. No switch was changed.
 #[derive(Debug, thiserror::Error)]
 pub enum FaultError {
     /// The JSON does not parse or has an unknown field.
     #[error("faults: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A switch that this stand-in does not have.
+    /// The stand-in does not have this switch.
     #[error("faults: a {standin} has no switch {field}")]
     Unsupported {
         /// The kind of stand-in.
         standin: &'static str,
-        /// The field's name.
+        /// The name of the switch.
         field: String,
     },
 }
 
-/// What to do with a request.
+/// How a stand-in treats a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestDecision {
-    /// Handle it.
+    /// Handles it normally.
     Handle,
-    /// Answer 503.
+    /// Answers 503.
     Unavailable,
-    /// Close the connection.
+    /// Closes the connection.
     Close,
 }
 
-/// The switches of one stand-in.
+/// The fault switches of one stand-in.
 #[derive(Debug)]
 pub(crate) struct FaultSwitches {
     recorder: Recorder,
     standin: &'static str,
+    /// Names of the switches that not every stand-in has.
     own_switches: &'static [&'static str],
     state: Mutex<State>,
 }
@@ -101,11 +105,12 @@
     rng: fastrand::Rng,
 }
 
+/// Names of the switches that every stand-in has.
 const COMMON_SWITCHES: [&str; 7] =
     ["down", "refuse", "slow_ms", "cut", "lose_answers", "lose_per_mille", "seed"];
 
 impl FaultSwitches {
-    /// Switches, all off, of a stand-in that has those of every stand-in and its `own_switches`.
+    /// Returns the switches, all off, of a stand-in that has the common switches and `own_switches`.
     pub(crate) fn new(
         recorder: &Recorder,
         standin: &'static str,
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Replaces all switches.
+    /// Replaces all switches by `faults`.
     pub(crate) fn set(&self, faults: Faults) -> Result<(), FaultError> {
         self.check(&faults)?;
         self.recorder.record(EventKind::Fault { what: serde_json::to_string(&faults)? });
@@ -138,17 +143,17 @@
         self.set(serde_json::from_slice(json)?)
     }
 
-    /// The switches as they are.
+    /// Returns a copy of the current switches.
     pub(crate) fn get(&self) -> Faults {
         lock(&self.state).faults.clone()
     }
 
-    /// Looks at the switches with `f`, which may count them down.
+    /// Calls `f` with the current switches, which it may change.
     pub(crate) fn with<T>(&self, f: impl FnOnce(&mut Faults) -> T) -> T {
         f(&mut lock(&self.state).faults)
     }
 
-    /// Decides on a request of the process `from`, after the wait that is set.
+    /// Decides how to treat a request from the process `from`, after the delay `slow_ms`.
     pub(crate) async fn decide(&self, from: &str) -> RequestDecision {
         let slow_ms = lock(&self.state).faults.slow_ms;
         if slow_ms > 0 {
@@ -164,7 +169,8 @@
         }
     }
 
-    /// Whether the answer to a request that has taken effect is lost.
+    /// Returns whether the answer to a request that was carried out must be lost, and counts
+    /// `lose_answers` down.
     pub(crate) fn should_lose_answer(&self) -> bool {
         let state = &mut *lock(&self.state);
         if count_down(&mut state.faults.lose_answers) {
@@ -194,7 +200,7 @@
     }
 }
 
-/// Takes one from a counter that is not zero.
+/// Decrements a counter unless it is zero, and returns whether it was above zero.
 pub(crate) fn count_down(counter: &mut u32) -> bool {
     let armed = *counter > 0;
     *counter = counter.saturating_sub(1);
--- a/daisy-standin/src/http.rs
+++ b/daisy-standin/src/http.rs
@@ -1,7 +1,7 @@
-//! A small HTTP/1.1 server whose handlers can break a connection off.
+//! A small HTTP/1.1 server whose handlers can close a connection without an answer.
 //!
-//! The stand-ins stay on hyper itself: a router that turns each error into an answer could
-//! not lose one.
+//! The stand-ins use hyper directly: a router that converts each error into a response could not
+//! lose an answer.
 
 use std::{error::Error, future::Future, net::SocketAddr, sync::Arc};
 
@@ -24,30 +24,30 @@
     repeat::{RepeatIo, RepeatSwitch},
 };
 
-/// Why a body breaks off.
+/// The error that ends a body early.
 pub(crate) type BodyError = Box<dyn Error + Send + Sync>;
 
-/// The body of an answer.
+/// The body of a response.
 pub(crate) type Body = UnsyncBoxBody<Bytes, BodyError>;
 
 /// Closes the connection without an answer.
 #[derive(Debug, thiserror::Error)]
-#[error("connection broken off on purpose")]
+#[error("connection closed on purpose")]
 pub(crate) struct Abort;
 
-/// An answer, or the end of the connection.
+/// A response, or an order to close the connection without one.
 pub(crate) type HandlerResult = Result<Response<Body>, Abort>;
 
-/// What stands behind a server.
+/// Handles the requests of a server.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Connections open at one time; more are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     const MAX_CONNECTIONS: usize = 4096;
 
-    /// Answers one request.
+    /// Handles one request.
     fn handle(&self, req: Request<Incoming>) -> impl Future<Output = HandlerResult> + Send;
 }
 
-/// A server that runs until it is stopped.
+/// A running server.
 #[derive(Debug)]
 pub(crate) struct Server {
     address: SocketAddr,
@@ -56,7 +56,7 @@
 }
 
 impl Server {
-    /// Listens on `listen` and serves.
+    /// Listens on `listen` and passes the requests to `handler`.
     pub(crate) async fn bind(
         listen: SocketAddr,
         handler: Arc<impl Handler>,
@@ -68,7 +68,7 @@
         Ok(Server { address, stop, task })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
@@ -120,39 +120,44 @@
     }
 }
 
-/// The name of the calling process.
+/// Returns the name of the calling process, or an empty string.
 pub(crate) fn caller_name(req: &Request<Incoming>) -> &str {
     header_of(req, headers::FROM).unwrap_or("")
 }
 
-/// A header as text.
+/// Returns a header as text, if it is present.
 pub(crate) fn header_of<'a, B>(req: &'a Request<B>, name: &str) -> Option<&'a str> {
     req.headers().get(name)?.to_str().ok()
 }
 
-/// A parameter of the query.
+/// Returns a query parameter, if it is present and can be parsed.
 pub(crate) fn query<B, T: std::str::FromStr>(req: &Request<B>, name: &str) -> Option<T> {
     let pairs = req.uri().query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
 }
 
-/// The whole body, or the answer that says why there is none.
+/// Reads the whole body, of at most `limit` bytes.
+///
+/// # Errors
+///
+/// If the body is too long or incomplete; the error is what the handler returns.
 pub(crate) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, HandlerResult> {
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => {
-            Err(Ok(text(StatusCode::PAYLOAD_TOO_LARGE, &format!("more than {limit} bytes"))))
-        }
+        Err(error) if error.is::<LengthLimitError>() => Err(Ok(text(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            &format!("the body is longer than {limit} bytes"),
+        ))),
         Err(_) => Err(Err(Abort)),
     }
 }
 
-/// An answer of one line of text.
+/// Returns a response with one line of text.
 pub(crate) fn text(status: StatusCode, line: &str) -> Response<Body> {
     answer(status, "text/plain", format!("{line}\n").into())
 }
 
-/// An answer in JSON.
+/// Returns a response with `value` as JSON.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(body) => answer(status, "application/json", body.into()),
@@ -160,7 +165,7 @@
     }
 }
 
-/// An answer of `body`.
+/// Returns a response with `body`, of the content type `kind`.
 pub(crate) fn answer(status: StatusCode, kind: &'static str, body: Bytes) -> Response<Body> {
     let mut response =
         Response::new(Full::new(body).map_err(|never| match never {}).boxed_unsync());
@@ -169,7 +174,7 @@
     response
 }
 
-/// Answers the paths that all stand-ins have; gives the request back if it is none of them.
+/// Handles the paths that all stand-ins have, and returns any other request as the error.
 pub(crate) async fn handle_common_paths(
     req: Request<Incoming>,
     switches: &FaultSwitches,
@@ -183,7 +188,11 @@
     }
 }
 
-/// Lets a request through to its effect, or answers as the switches say.
+/// Applies the fault switches to a request before it is carried out.
+///
+/// # Errors
+///
+/// If the request must not be carried out; the error is what the handler returns.
 pub(crate) async fn apply_faults(
     req: &Request<Incoming>,
     switches: &FaultSwitches,
@@ -211,7 +220,7 @@
     }
 }
 
-/// All events so far as JSON lines.
+/// Returns a response with all events so far as JSON lines.
 pub(crate) fn history(recorder: &Recorder) -> Response<Body> {
     let mut lines = Vec::new();
     match recorder.history().write(&mut lines) {
--- a/daisy-standin/src/lib.rs
+++ b/daisy-standin/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-ins for the platform, workers, backend servers and callers of daisyshift.
 //!
-//! Each has an in-process handle (`X::start(options)`) and a `run(options)` for a process
-//! of its own, records what it saw as [`daisy_history::Event`]s, and takes fault switches
-//! ([`Faults`]) on its handle and by `POST /standin/faults`. `GET /standin/history` gives
-//! the events so far as JSON lines.
+//! Each stand-in can be started within a process (`X::start(options)` returns a handle) or run as a
+//! process of its own (`run(options)`). It records what it observes as [`daisy_history::Event`]s.
+//! Its fault switches ([`Faults`]) are set with the handle or by `POST /standin/faults`.
+//! `GET /standin/history` returns the events so far as JSON lines.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-standin/src/link.rs
+++ b/daisy-standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A TCP forwarder between pairs of addresses that can be cut, delayed and narrowed.
+//! A TCP forwarder that can simulate a partition, delay and limited bandwidth.
 
 use std::{io, net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
@@ -23,43 +23,44 @@
     run::wait_for_stop_signal,
 };
 
-/// One forwarded address.
+/// An address to listen on and the address to which its connections are forwarded.
 #[derive(Debug, Clone, Copy)]
 pub struct ForwardRule {
-    /// Where the link listens; port 0 takes a free one.
+    /// The address that the link listens on; port 0 chooses a free port.
     pub listen: SocketAddr,
-    /// Where it forwards to.
+    /// The address that it forwards to.
     pub to: SocketAddr,
 }
 
-/// How a link works.
+/// Settings of a link.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Its name in the history.
     pub name: String,
-    /// Where `POST /standin/faults` is taken.
+    /// The control address, which serves `POST /standin/faults`.
     pub control: SocketAddr,
-    /// What is forwarded; the switches hold for all pairs together.
+    /// The addresses to forward; the switches apply to all of them.
     pub forward_rules: Vec<ForwardRule>,
-    /// The switches at the start.
+    /// The initial state of the switches.
     pub faults: LinkFaults,
-    /// The file that each event is written to at once.
+    /// The file to which each event is written as soon as it is recorded.
     pub history: Option<PathBuf>,
 }
 
-/// Switches of a link.
+/// The fault switches of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkFaults {
-    /// Passes no byte on while it is set; connections stay open, as in a partition.
+    /// Forwards no bytes while it is set. Connections stay open, as in a network partition.
     pub cut: bool,
-    /// Passes nothing back: what is sent arrives, and its answer does not.
+    /// Forwards no bytes from the target back to the client: requests arrive, but their answers do
+    /// not.
     pub cut_back: bool,
-    /// Closes all connections and new ones at once.
+    /// Closes all connections, and new ones immediately.
     pub reset: bool,
-    /// Milliseconds added each way.
+    /// Delay in milliseconds that is added in each direction.
     pub delay_ms: u64,
-    /// Bytes a second of each connection and way; 0 for no bound.
+    /// Bandwidth of each connection in each direction, in bytes per second; 0 for no limit.
     pub bytes_a_second: u64,
 }
 
@@ -78,7 +79,11 @@
     faults: watch::Sender<LinkFaults>,
 }
 
-/// Forwards until SIGTERM.
+/// Forwards until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If the link cannot be started.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let link = Link::start(options).await?;
     log::info!("event=link-started control={} addresses={:?}", link.control(), link.addresses());
@@ -90,7 +95,9 @@
 impl Link {
     /// Listens and forwards until [`Link::stop`].
     ///
-    /// Fails if an address or the history's file cannot be had.
+    /// # Errors
+    ///
+    /// If an address cannot be bound or the history file cannot be created.
     pub async fn start(options: Options) -> anyhow::Result<Link> {
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
         let shared = Arc::new(Shared { recorder, faults: watch::Sender::new(options.faults) });
@@ -105,17 +112,17 @@
         Ok(Link { shared, server, addresses, forwarders })
     }
 
-    /// Where its switches are.
+    /// Returns the address at which its switches are set.
     pub fn control(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// The first address that it listens on; its control address if it forwards nothing.
+    /// Returns the first address that it forwards, or its control address if there is none.
     pub fn address(&self) -> SocketAddr {
         self.addresses.first().copied().unwrap_or_else(|| self.control())
     }
 
-    /// Where it listens, in the order of its pairs.
+    /// Returns the addresses that it forwards, in the order of its rules.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
@@ -125,7 +132,7 @@
         self.shared.set(faults);
     }
 
-    /// When its switches were set.
+    /// Returns the events so far: one each time that its switches were set.
     pub fn history(&self) -> History {
         self.shared.recorder.history()
     }
@@ -185,7 +192,7 @@
 }
 
 async fn forward(client: TcpStream, to: SocketAddr, mut faults: watch::Receiver<LinkFaults>) {
-    // A connection that is made during a cut gets through when the cut ends.
+    // A connection that is opened during a cut is forwarded when the cut ends.
     let current = faults.wait_for(|faults| !faults.cut || faults.reset).await;
     if current.map_or(true, |faults| faults.reset) {
         return;
@@ -206,11 +213,13 @@
     }
 }
 
+/// Maximum number of bytes that are read and forwarded at once.
 const BUFFER_BYTES: usize = 16 << 10;
-/// Pieces on their way; more wait at the sender, as in a full link.
+/// Maximum number of buffers in transit in one direction; the sender waits while the queue is full, as
+/// on a saturated link.
 const MAX_QUEUED_BUFFERS: usize = 64;
 
-/// Copies one way; `is_cut` says whether that way is cut.
+/// Copies bytes in one direction; `is_cut` returns whether this direction is cut.
 async fn copy_direction(
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
--- a/daisy-standin/src/load.rs
+++ b/daisy-standin/src/load.rs
@@ -1,7 +1,7 @@
-//! Callers: an open loop of requests that checks every answer.
+//! Callers that send requests in an open loop and check every answer.
 //!
-//! Requests are due at fixed times whatever became of the ones before; latencies count from
-//! when a request was due, so that a stalled system cannot hide its waiting callers.
+//! Requests are due at fixed times, whether or not the ones before have ended. Latencies are measured
+//! from when a request was due, so that a stalled system cannot hide its waiting callers.
 
 mod balancer;
 mod caller;
@@ -21,52 +21,54 @@
 
 pub use self::report::Report;
 
-/// What the callers do.
+/// Settings of the callers.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Its name in the history.
+    /// The callers' name in the history.
     pub name: String,
     /// The entry VMs' addresses for callers.
     pub entries: Vec<SocketAddr>,
-    /// The service.
+    /// The service that the requests address.
     pub service: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests in all.
+    /// Total number of requests.
     pub count: u64,
-    /// Share of requests that are non-idempotent and bear a key, in thousandths.
+    /// Share of requests, in thousandths, that are non-idempotent and have an idempotency key.
     pub keyed_per_mille: u32,
-    /// How long a caller waits for a call with all its attempts.
+    /// Time limit of a call, including all its attempts.
     pub deadline: Duration,
-    /// Attempts of a call at most.
+    /// Maximum number of attempts of a call.
     pub attempts: u32,
     /// `critical`, `normal` or `low`; `None` sends no priority.
     pub priority: Option<String>,
-    /// Service time asked of the backend server; `None` leaves it to the server.
+    /// The service time, in milliseconds, that a request asks for; `None` for the backend server's
+    /// default.
     pub service_ms: Option<u64>,
-    /// Bytes of a request's body.
+    /// Size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Bytes of an answer asked for.
+    /// Length, in bytes, of the answer that a request asks for.
     pub answer_bytes: usize,
-    /// Pieces that the answer is streamed in, and milliseconds between them.
+    /// The number of chunks in which the answer is streamed, and the milliseconds before each chunk.
     pub stream: Option<(u32, u64)>,
-    /// Numbers of calls begin here; runs side by side must not share numbers.
+    /// The number of the first call. Concurrent loads must not use the same numbers.
     pub first_call: u64,
-    /// Seeds keys and which requests bear one.
+    /// Seed of the random choice of keys and of the requests that have one.
     pub seed: u64,
-    /// The file that each event is written to at once.
+    /// The file to which each event is written as soon as it is recorded.
     pub history: Option<PathBuf>,
 }
 
 impl Options {
-    /// Requests in `seconds` at `rate`.
+    /// Returns the number of requests in `seconds` at `rate` requests per second.
     pub fn request_count(rate: f64, seconds: f64) -> u64 {
         (rate * seconds).round() as u64
     }
 }
 
 impl Default for Options {
-    /// 100 requests at 100 a second, 2 s of patience and four attempts each.
+    /// Returns settings for 100 requests at 100 per second, with a time limit of 2 s and four attempts
+    /// each.
     fn default() -> Options {
         Options {
             name: "load".to_owned(),
@@ -89,42 +91,51 @@
     }
 }
 
-/// Callers at work.
+/// Running callers.
 #[derive(Debug)]
 pub struct Load {
     recorder: Recorder,
     task: tokio::task::JoinHandle<Report>,
 }
 
-/// Sends all requests and reports.
+/// Sends all requests and returns the report.
+///
+/// # Errors
+///
+/// If the settings are invalid or the history file cannot be created.
 pub async fn run(options: Options) -> anyhow::Result<Report> {
     Load::start(options).await?.finish().await
 }
 
 impl Load {
-    /// Begins to send.
+    /// Starts to send requests.
     ///
-    /// Fails without an entry VM, at a rate that is not above zero, or if the history's file
-    /// cannot be had.
+    /// # Errors
+    ///
+    /// If there is no entry VM, the rate is not above zero, or the history file cannot be created.
     pub async fn start(options: Options) -> anyhow::Result<Load> {
-        anyhow::ensure!(!options.entries.is_empty(), "no entry VM to send to");
+        anyhow::ensure!(!options.entries.is_empty(), "no entry VM is given");
         anyhow::ensure!(options.rate > 0.0, "the rate must be above zero");
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
         let task = tokio::spawn(send_all(options, recorder.clone()));
         Ok(Load { recorder, task })
     }
 
-    /// Where the callers record what they see; it outlives the load.
+    /// Returns the callers' recorder, which stays usable after the load has finished.
     pub fn recorder(&self) -> Recorder {
         self.recorder.clone()
     }
 
-    /// What the callers saw so far.
+    /// Returns the events that the callers have recorded so far.
     pub fn history(&self) -> History {
         self.recorder.history()
     }
 
-    /// Waits for the last answer and reports.
+    /// Waits until all calls have ended and returns the report.
+    ///
+    /// # Errors
+    ///
+    /// If the task that sends the requests panicked.
     pub async fn finish(self) -> anyhow::Result<Report> {
         Ok(self.task.await?)
     }
--- a/daisy-standin/src/load/balancer.rs
+++ b/daisy-standin/src/load/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer: entry VMs that are ready, in turn.
+//! Stand-in for the platform's load balancer, which sends callers to ready entry VMs in turn.
 
 use std::{
     net::SocketAddr,
@@ -14,7 +14,7 @@
 
 use crate::{client::Client, recorder::lock};
 
-/// Sends callers to ready entry VMs.
+/// Polls the readiness of entry VMs and chooses a ready one for each call.
 #[derive(Debug)]
 pub(super) struct Balancer {
     ready: Arc<Mutex<Vec<SocketAddr>>>,
@@ -26,14 +26,14 @@
 const POLL_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Balancer {
-    /// Looks at all entry VMs once and goes on doing so.
+    /// Polls all entry VMs once, then continues to poll them in a background task.
     pub(super) async fn start(entries: Vec<SocketAddr>, client: Client) -> Balancer {
         let ready = Arc::new(Mutex::new(poll_ready(&entries, &client).await));
         let poller = tokio::spawn(poll_forever(entries, client, ready.clone()));
         Balancer { ready, next_index: AtomicUsize::new(0), poller }
     }
 
-    /// The next ready entry VM, another than `excluded` if there is one.
+    /// Returns the next ready entry VM, if possible a different one than `excluded`.
     pub(super) fn next(&self, excluded: Option<SocketAddr>) -> Option<SocketAddr> {
         let ready = lock(&self.ready);
         let candidates: Vec<_> = ready.iter().filter(|entry| Some(**entry) != excluded).collect();
--- a/daisy-standin/src/load/caller.rs
+++ b/daisy-standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One careful caller: retries what the protocol's promises allow.
+//! A caller that retries only as far as the protocol's guarantees allow.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,7 +15,7 @@
     client::{Answer, CallError, Client, request},
 };
 
-/// Sends calls with their retries.
+/// Makes calls and retries them.
 #[derive(Debug)]
 pub(super) struct Caller {
     options: Options,
@@ -24,7 +24,7 @@
     recorder: Recorder,
 }
 
-/// A call on its way.
+/// A call in progress.
 #[derive(Debug)]
 struct Call {
     number: u64,
@@ -33,7 +33,7 @@
     due_at: Instant,
 }
 
-/// How one attempt ended.
+/// The result of one attempt of a call.
 #[derive(Debug)]
 struct AttemptResult {
     outcome: CallOutcome,
@@ -43,9 +43,10 @@
     retry_after: Option<Duration>,
 }
 
+/// Delay before a retry if the answer does not name one, and while no entry VM is ready.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A caller waits this much longer than the deadline that it tells the entry VM: an answer
-/// made in time still has to travel (3 ms at the users').
+/// How much longer a caller waits than the deadline that it sends to the entry VM: an answer that was
+/// sent in time still has to be transmitted (3 ms at the users' sites).
 const RESPONSE_GRACE: Duration = Duration::from_millis(250);
 
 impl Caller {
@@ -62,14 +63,14 @@
         &self.options
     }
 
-    /// The key of the `number`th call, if it is to be non-idempotent.
+    /// Returns the idempotency key of the `number`th call, if it is chosen to be non-idempotent.
     pub(super) fn choose_key(&self, rng: &mut fastrand::Rng, number: u64) -> Option<String> {
         let keyed = rng.u32(0..1000) < self.options.keyed_per_mille;
         let call = self.options.first_call + number;
         keyed.then(|| format!("{}-{call}-{:08x}", self.options.name, rng.u32(..)))
     }
 
-    /// Makes the `number`th call, due at `due_at`, to its end.
+    /// Makes the `number`th call, which is due at `due_at`, with all its attempts.
     pub(super) async fn call(
         &self,
         number: u64,
@@ -84,7 +85,8 @@
         for attempt in 1..=self.options.attempts.max(1) {
             let Some(entry) = self.next_entry(&call, last_entry).await else { break };
             last_entry = Some(entry);
-            // Attempts that are known not to have run do not count (docs/PROTOCOL.md).
+            // Attempts that are known not to have run do not count in the attempt header
+            // (docs/PROTOCOL.md).
             let header_attempt = if summary.unknown { attempt } else { 1 };
             let ended = self.attempt(&call, attempt, header_attempt, entry).await;
             summary.add(&ended);
@@ -118,8 +120,10 @@
         }
     }
 
-    /// A keyed call may be repeated under its key; one without a key is idempotent.
-    /// What must not happen is a repetition of a keyed call under another key.
+    /// Returns whether attempts and time are left for a retry.
+    ///
+    /// Any call may be retried: a call with a key is retried with the same key, and a call without one
+    /// is idempotent. A call with a key must never be retried with another key.
     fn may_retry(&self, call: &Call, summary: &CallSummary) -> bool {
         summary.attempts < self.options.attempts && !self.time_left(call).is_zero()
     }
@@ -201,7 +205,7 @@
     }
 }
 
-/// What the attempts of a call come to.
+/// The combined result of the attempts of a call so far.
 #[derive(Debug, Default)]
 struct CallSummary {
     attempts: u32,
--- a/daisy-standin/src/load/report.rs
+++ b/daisy-standin/src/load/report.rs
@@ -1,11 +1,11 @@
-//! What came of all calls.
+//! The report on all calls of a load.
 
 use std::{fmt, time::Duration};
 
 use daisy_history::CallOutcome;
 use hdrhistogram::Histogram;
 
-/// How one call ended with all its attempts.
+/// The result of one call, including all its attempts.
 #[derive(Debug)]
 pub(super) struct CallResult {
     pub(super) outcome: CallOutcome,
@@ -14,22 +14,23 @@
     pub(super) attempts: u32,
 }
 
-/// What came of all calls; the counts add up to `requests`.
+/// The report on all calls. The counts of answered, wrong, refused and unknown calls add up to
+/// `requests`.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// Calls made.
+    /// Number of calls made.
     pub requests: u64,
-    /// Answered, whole and with the call's own answer.
+    /// Number of calls that received their own complete answer.
     pub answered: u64,
-    /// Answered with something else: another's answer or a part of one.
+    /// Number of calls that received a wrong answer: one of another call or an incomplete one.
     pub wrong: u64,
-    /// Refused as not run, or nobody could be reached, in every attempt.
+    /// Number of calls of which each attempt was refused as not run or could not be sent.
     pub refused: u64,
-    /// Never answered, and at least one attempt may have run.
+    /// Number of calls that received no answer and of which at least one attempt may have run.
     pub unknown: u64,
-    /// Attempts beyond the first of each call.
+    /// Number of attempts beyond the first of each call.
     pub retries: u64,
-    /// Latencies of answered calls in microseconds from when they were due.
+    /// Latencies of answered calls in microseconds, measured from when they were due.
     pub latency: Histogram<u64>,
 }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The latency in milliseconds below which this share of answers stayed.
+    /// Returns the given quantile of the latencies, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1000.0
     }
--- a/daisy-standin/src/platform.rs
+++ b/daisy-standin/src/platform.rs
@@ -1,8 +1,9 @@
-//! The platform: its log and its list of VMs, over HTTP.
+//! Stand-in for the platform, which serves its log and its list of VMs over HTTP.
 //!
-//! The paths are those of [`daisy_wire::platform`]. Besides, `POST /standin/vms` with a
-//! [`VmChange`] adds, replaces, marks or removes a VM, and `POST /standin/views` with a list
-//! of [`AddressOverride`]s lets particular processes see other addresses.
+//! The paths are those of [`daisy_wire::platform`]. In addition, `POST /standin/vms` with a
+//! [`VmChange`] adds or replaces a VM, marks it as leaving, or removes it, and
+//! `POST /standin/views` with a list of [`AddressOverride`]s shows other addresses of VMs to
+//! particular processes.
 
 mod log;
 mod vms;
@@ -43,25 +44,26 @@
     vms::{AddressOverride, VmChange, VmError, VmRegistry},
 };
 
-/// How a platform stand-in works.
+/// Settings of a platform stand-in.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 chooses a free port.
     pub listen: SocketAddr,
-    /// Records kept and appends taken.
+    /// Limits of the log: records retained and appends per second.
     pub log: LogOptions,
-    /// Bytes of one record.
+    /// Maximum size of a record in bytes.
     pub body_bytes: usize,
-    /// How far the VM list lags behind.
+    /// Delay until a change of a VM is visible in the VM list.
     pub vm_lag: Duration,
-    /// VMs from the start.
+    /// The initial VMs.
     pub vms: Vec<daisy_wire::platform::VmJson>,
-    /// The file that each event is written to at once.
+    /// The file to which each event is written as soon as it is recorded.
     pub history: Option<PathBuf>,
 }
 
 impl Default for Options {
-    /// A free port, the users' few hundred appends a second, nothing expires by age.
+    /// Returns settings with a free port, the users' few hundred appends per second, and records that do
+    /// not expire by age.
     fn default() -> Options {
         Options {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -88,11 +90,15 @@
     body_bytes: usize,
     log: Mutex<Log>,
     vms: Mutex<VmRegistry>,
-    /// The offset after the last record, for reads that wait.
+    /// The offset after the last record; reads that wait for a record watch it.
     next_offset: watch::Sender<u64>,
 }
 
-/// Serves until SIGTERM.
+/// Serves until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If the stand-in cannot be started.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let platform = Platform::start(options).await?;
     ::log::info!("event=platform-started address={}", platform.address());
@@ -104,7 +110,10 @@
 impl Platform {
     /// Listens and serves until [`Platform::stop`].
     ///
-    /// Fails if the address or the history's file cannot be had.
+    /// # Errors
+    ///
+    /// If the address cannot be bound, the history file cannot be created, or the initial VMs are
+    /// invalid.
     pub async fn start(options: Options) -> anyhow::Result<Platform> {
         let recorder = Recorder::open("platform", options.history.as_deref())?;
         let mut vms = VmRegistry::new(options.vm_lag);
@@ -125,22 +134,30 @@
         Ok(Platform { shared, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
     /// Replaces all fault switches.
+    ///
+    /// # Errors
+    ///
+    /// If a switch is set that this stand-in does not have.
     pub fn set_faults(&self, faults: Faults) -> Result<(), FaultError> {
         self.shared.switches.set(faults)
     }
 
-    /// Changes the list of VMs; visible after the lag.
+    /// Changes the list of VMs; the change is visible after the lag.
+    ///
+    /// # Errors
+    ///
+    /// If the VM does not exist, or the number of a new VM was used before.
     pub fn change_vm(&self, change: VmChange) -> Result<(), VmError> {
         self.shared.change_vm(change)
     }
 
-    /// What it saw so far.
+    /// Returns the events recorded so far.
     pub fn history(&self) -> History {
         self.shared.recorder.history()
     }
@@ -180,7 +197,7 @@
 impl Shared {
     async fn append(&self, req: Request<Incoming>) -> HandlerResult {
         let Some(id) = header_of(&req, headers::APPEND_ID).map(str::to_owned) else {
-            return Ok(text(StatusCode::BAD_REQUEST, "append-id is missing"));
+            return Ok(text(StatusCode::BAD_REQUEST, "header append-id is missing"));
         };
         let from = crate::http::caller_name(&req).to_owned();
         let body = match read_body(req.into_body(), self.body_bytes).await {
@@ -193,7 +210,7 @@
         };
         self.record_append(&id, &from, offset);
         if self.switches.with(|faults| count_down(&mut faults.double_appends)) {
-            // A second copy, as of a request that the network delivered twice.
+            // Appends a second copy, as if the network had delivered the request twice.
             let copy = lock(&self.log).append_unlimited(self.recorder.now(), &body);
             self.record_append(&id, &from, copy);
         }
@@ -215,13 +232,16 @@
 
     async fn read(&self, req: Request<Incoming>) -> HandlerResult {
         let Some(from) = query::<_, u64>(&req, "from") else {
-            return Ok(text(StatusCode::BAD_REQUEST, "from is missing or no number"));
+            return Ok(text(
+                StatusCode::BAD_REQUEST,
+                "the parameter from is missing or not a number",
+            ));
         };
         let max = query(&req, "max").unwrap_or(MAX_RECORDS_PER_PAGE).min(MAX_RECORDS_PER_PAGE);
         let wait = Duration::from_millis(query(&req, "wait_ms").unwrap_or(0)).min(MAX_WAIT);
         let mut next = self.next_offset.subscribe();
         let _ = timeout(wait, next.wait_for(|next| *next > from)).await;
-        // An outage or a cut that began during the wait holds for this answer, too.
+        // A fault switch that was set during the wait also applies to this answer.
         if let Err(reply) = apply_faults(&req, &self.switches).await {
             return reply;
         }
@@ -292,7 +312,7 @@
 }
 
 fn too_many_appends(wait: Duration) -> Response<Body> {
-    let mut response = text(StatusCode::TOO_MANY_REQUESTS, "over the cap of appends a second");
+    let mut response = text(StatusCode::TOO_MANY_REQUESTS, "too many appends per second");
     let seconds = wait.as_secs().max(1);
     response.headers_mut().insert(header::RETRY_AFTER, seconds.into());
     response
--- a/daisy-standin/src/platform/log.rs
+++ b/daisy-standin/src/platform/log.rs
@@ -1,17 +1,17 @@
-//! The log itself, without input or output.
+//! The platform's log as a data structure, without I/O.
 
 use std::{collections::VecDeque, time::Duration};
 
 use daisy_model::Instant;
 
-/// What the log keeps and takes.
+/// Limits of the log.
 #[derive(Debug, Clone)]
 pub struct LogOptions {
-    /// Records kept; older ones expire.
+    /// Maximum number of records retained; older ones expire.
     pub keep_records: usize,
-    /// Age at which records expire; `None` for never.
+    /// Age at which records expire; `None` if they do not expire by age.
     pub keep_age: Option<Duration>,
-    /// Appends taken a second; the users' platform takes a few hundred.
+    /// Maximum number of appends per second; the users' platform accepts a few hundred.
     pub appends_per_second: u32,
 }
 
@@ -21,32 +21,33 @@
     }
 }
 
-/// Why records cannot be read.
+/// Why records cannot be read from the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// The offset lies below the first record kept.
+    /// The offset is below that of the first record retained.
     #[error("records below {first} have expired")]
     Expired {
-        /// The first record kept.
+        /// The offset of the first record retained.
         first: u64,
     },
 }
 
-/// An append-only log that dedupes nothing and forgets old records.
+/// An append-only log that does not deduplicate and drops old records.
 #[derive(Debug)]
 pub struct Log {
     options: LogOptions,
     first: u64,
     records: VecDeque<(Instant, Vec<u8>)>,
-    /// Start of the second that appends are counted in.
+    /// Start of the current second, in which appends are counted.
     window_start: Instant,
     appends_in_window: u32,
 }
 
+/// The period to which the limit on appends applies.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 impl Log {
-    /// An empty log.
+    /// Creates an empty log.
     pub fn new(options: LogOptions) -> Log {
         Log {
             options,
@@ -57,7 +58,11 @@
         }
     }
 
-    /// Appends `bytes` and returns its offset; over the cap, how long to wait.
+    /// Appends `bytes` and returns the offset of the record.
+    ///
+    /// # Errors
+    ///
+    /// If there were too many appends in this second; the error is the time to wait.
     pub fn append(&mut self, now: Instant, bytes: &[u8]) -> Result<u64, Duration> {
         let elapsed = now.since(self.window_start);
         if elapsed >= RATE_WINDOW {
@@ -71,7 +76,7 @@
         Ok(self.append_unlimited(now, bytes))
     }
 
-    /// Appends `bytes` whatever the cap.
+    /// Appends `bytes` regardless of the limit on appends, and returns the offset of the record.
     pub fn append_unlimited(&mut self, now: Instant, bytes: &[u8]) -> u64 {
         let offset = self.first + self.records.len() as u64;
         self.records.push_back((now, bytes.to_owned()));
@@ -79,7 +84,11 @@
         offset
     }
 
-    /// Up to `max` records from the offset `from`.
+    /// Returns up to `max` records, with their offsets, from the offset `from` on.
+    ///
+    /// # Errors
+    ///
+    /// If the record at `from` has expired.
     pub fn read(
         &mut self,
         now: Instant,
@@ -95,7 +104,7 @@
         Ok((from..).zip(records.map(|(_, bytes)| bytes.clone())).collect())
     }
 
-    /// The first offset kept and the offset after the last.
+    /// Returns the offset of the first record retained and the offset after the last record.
     pub fn bounds(&self) -> (u64, u64) {
         (self.first, self.first + self.records.len() as u64)
     }
--- a/daisy-standin/src/platform/vms.rs
+++ b/daisy-standin/src/platform/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, without input or output.
+//! The platform's list of VMs as a data structure, without I/O.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,70 +6,73 @@
 use daisy_wire::platform::{StatusJson, VmJson, VmList};
 use serde::{Deserialize, Serialize};
 
-/// A change of the list.
+/// A change of the list of VMs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmChange {
     /// Adds a VM, or replaces the one with the same number.
     Put(VmJson),
-    /// Marks the VM of this number as leaving.
+    /// Marks the VM with this number as leaving.
     Leave(u32),
-    /// Takes the VM of this number away.
+    /// Removes the VM with this number.
     Remove(u32),
 }
 
-/// Other addresses of a VM for one process, so that a [`Link`](crate::Link) stands between
-/// just these two.
+/// Replaces the addresses of a VM in the list that one process sees, so that a
+/// [`Link`](crate::Link) can be placed between just this process and this VM.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AddressOverride {
-    /// The process by its `daisy-from`.
+    /// The name of the process, as in its header `daisy-from`.
     pub from: String,
     /// The VM's number.
     pub vm: u32,
-    /// Its control address as that process sees it; absent for the real one.
+    /// The control address that the process sees; absent for the real one.
     #[serde(default)]
     pub control: Option<SocketAddr>,
-    /// Its backend address as that process sees it; absent for the real one.
+    /// The backend address that the process sees; absent for the real one.
     #[serde(default)]
     pub backend: Option<SocketAddr>,
 }
 
-/// Why a change is refused.
+/// Why a change of the list is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum VmError {
     /// No VM has this number.
     #[error("no VM has the number {0}")]
     Unknown(u32),
-    /// The number belonged to a VM that is gone; numbers are never given twice.
-    #[error("the number {0} belonged to a VM that is gone")]
+    /// The number belonged to a VM that was removed; numbers are never reused.
+    #[error("the number {0} belonged to a VM that was removed")]
     Reused(u32),
 }
 
-/// What came of a change.
+/// The result of a change of the list.
 #[derive(Debug, Clone)]
 pub struct AppliedChange {
     /// The VM's name.
     pub name: String,
-    /// Its status from now on, `None` for gone.
+    /// Its new status; `None` if it was removed.
     pub status: Option<StatusJson>,
 }
 
-/// The truth about VMs and the list of it that lags behind.
+/// The current VMs, and the published list of them, which lags behind.
 #[derive(Debug)]
 pub struct VmRegistry {
     lag: Duration,
+    /// The VMs with all changes so far.
     current: Vec<VmJson>,
+    /// Numbers of removed VMs, which must not be reused.
     removed_ids: Vec<u32>,
     version: u64,
-    /// Versions that are not yet listed, oldest first.
+    /// Versions that are not yet published, oldest first: when each is due, its number, and its VMs.
     pending: Vec<(Instant, u64, Vec<VmJson>)>,
+    /// The version that is shown, and its VMs.
     published: (u64, Vec<VmJson>),
     overrides: Vec<AddressOverride>,
 }
 
 impl VmRegistry {
-    /// No VMs yet.
+    /// Creates a list without VMs, whose changes are published after `lag`.
     pub fn new(lag: Duration) -> VmRegistry {
         VmRegistry {
             lag,
@@ -82,7 +85,11 @@
         }
     }
 
-    /// Takes a change in; the list shows it after the lag.
+    /// Applies a change; the published list shows it after the lag.
+    ///
+    /// # Errors
+    ///
+    /// If the VM does not exist, or the number of a new VM was used before.
     pub fn change(&mut self, now: Instant, change: VmChange) -> Result<AppliedChange, VmError> {
         let applied = self.apply(change)?;
         self.version += 1;
@@ -90,20 +97,20 @@
         Ok(applied)
     }
 
-    /// Shows all changes so far without the lag.
+    /// Publishes all changes so far without the lag.
     pub fn publish_now(&mut self) {
         self.pending.clear();
         self.published = (self.version, self.current.clone());
     }
 
-    /// Replaces the addresses that particular processes see, at once.
+    /// Replaces the addresses that particular processes see, without the lag.
     pub fn set_overrides(&mut self, overrides: Vec<AddressOverride>) {
         self.overrides = overrides;
         self.version += 1;
         self.published.0 = self.version;
     }
 
-    /// The list as it is shown to `from` at `now`.
+    /// Returns the list that the process `from` sees at `now`.
     pub fn list(&mut self, now: Instant, from: &str) -> VmList {
         let due_count = self.pending.iter().take_while(|(due_at, ..)| *due_at <= now).count();
         if let Some((_, version, vms)) = self.pending.drain(..due_count).next_back() {
--- a/daisy-standin/src/recorder.rs
+++ b/daisy-standin/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Keeps what a stand-in saw.
+//! Records the events of a stand-in.
 
 use std::{
     fs::File,
@@ -10,7 +10,7 @@
 
 use daisy_history::{Event, EventKind, History};
 
-/// Records events of one process; clones share the events.
+/// Records the events of one process; clones share the events.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     shared: Arc<Shared>,
@@ -31,22 +31,27 @@
 }
 
 impl Recorder {
-    /// A recorder for the process `who` that keeps its events in memory.
+    /// Creates a recorder for the process `who` that keeps its events in memory only.
     pub fn new(who: &str) -> Recorder {
         Recorder::with_file(who, None)
     }
 
-    /// A recorder that also writes each event to `path` at once, if there is one.
+    /// Creates a recorder that, if `path` is given, also writes each event to this file as soon as it is
+    /// recorded.
     ///
-    /// What a process saw before it was killed is then in its file.
+    /// The file then has all events that the process recorded before it was killed.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be created.
     pub fn open(who: &str, path: Option<&Path>) -> anyhow::Result<Recorder> {
         let file = path.map(File::create).transpose()?;
         Ok(Recorder::with_file(who, file))
     }
 
     fn with_file(who: &str, file: Option<File>) -> Recorder {
-        // Wall time once, monotonic time from there: a step of the wall clock during a run
-        // must not reorder the events of one process.
+        // The wall clock is read once, and monotonic time is added to it: a step of the wall clock
+        // during a run must not reorder the events of one process.
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Recorder {
             shared: Arc::new(Shared {
@@ -58,14 +63,14 @@
         }
     }
 
-    /// Records `kind` at the present time.
+    /// Records `kind` with the current time.
     pub fn record(&self, kind: EventKind) {
-        // The time is read under the lock, so that the order of events is that of their times.
+        // The time is read while the lock is held, so that events are in the order of their times.
         let mut recorded = lock(&self.shared.recorded);
         recorded.add(self.event(self.now(), kind));
     }
 
-    /// Records `kind` as of `at` of this recorder's clock.
+    /// Records `kind` with the time `at` of this recorder's clock.
     pub(crate) fn record_at(&self, at: daisy_model::Instant, kind: EventKind) {
         lock(&self.shared.recorded).add(self.event(at, kind));
     }
@@ -74,13 +79,13 @@
         Event { at_us: self.shared.started_at_us + at.0, who: self.shared.who.clone(), kind }
     }
 
-    /// Time since the recorder was made.
+    /// Returns the time since the recorder was created.
     pub fn now(&self) -> daisy_model::Instant {
         let micros = self.shared.started_at.elapsed().as_micros();
         daisy_model::Instant(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// The events so far.
+    /// Returns the events recorded so far.
     pub fn history(&self) -> History {
         History::new(lock(&self.shared.recorded).events.clone())
     }
@@ -104,7 +109,8 @@
     file.write_all(&line)
 }
 
-/// Locks `mutex`, also after a panic elsewhere: stand-ins go on recording.
+/// Locks `mutex` even if it is poisoned, so that a stand-in continues to record after a panic in
+/// another task.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/daisy-standin/src/repeat.rs
+++ b/daisy-standin/src/repeat.rs
@@ -1,4 +1,4 @@
-//! A connection that can send one answer twice.
+//! A connection that can send an answer twice.
 
 use std::{
     io,
@@ -15,24 +15,25 @@
     net::TcpStream,
 };
 
-/// Arms the repetition of the next answer on one connection.
+/// Orders that the next answer on one connection is sent twice.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RepeatSwitch {
     armed: Arc<AtomicBool>,
 }
 
 impl RepeatSwitch {
-    /// The next bytes up to a flush are sent twice.
+    /// Orders that the bytes written until the next flush are sent twice.
     pub(crate) fn arm(&self) {
         self.armed.store(true, Ordering::Release);
     }
 }
 
-/// Sends what is written between arming and the next flush twice.
+/// A TCP stream that sends the bytes written between [`RepeatSwitch::arm`] and the next flush twice.
 #[derive(Debug)]
 pub(crate) struct RepeatIo {
     stream: TcpStream,
     repeat: RepeatSwitch,
+    /// Copies of the bytes written since the switch was armed.
     bytes_to_repeat: Vec<u8>,
 }
 
--- a/daisy-standin/src/worker.rs
+++ b/daisy-standin/src/worker.rs
@@ -1,7 +1,7 @@
-//! A worker: its control address, and the backend server of the services on it.
+//! Stand-in for a worker, with a control address and a backend server for the services on it.
 //!
-//! `POST /v1/worker` and `GET /v1/worker/news` are those of [`daisy_wire::worker`]. Besides, `POST /standin/jobs` with a
-//! list of [`JobBehaviour`]s says how long the tasks of which jobs run.
+//! `POST /v1/worker` and `GET /v1/worker/news` are those of [`daisy_wire::worker`]. In addition,
+//! `POST /standin/jobs` with a list of [`JobBehaviour`]s sets how the tasks of particular jobs run.
 
 mod journal;
 mod state;
@@ -36,23 +36,24 @@
 
 pub use self::state::{Interference, JobBehaviour, WorkerFaults, WorkerOptions, WorkerState};
 
-/// How a worker stand-in works.
+/// Settings of a worker stand-in.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Its name in the history.
     pub name: String,
-    /// Where it listens for its holder; port 0 takes a free one.
+    /// The control address, on which it listens for its holder; port 0 chooses a free port.
     pub control: SocketAddr,
-    /// Capacity, run times, interference.
+    /// Its capacity, and the run times and interference of its tasks.
     pub worker: WorkerOptions,
-    /// The backend server beside it; `None` for none.
+    /// Settings of the backend server on the same VM; `None` for no server.
     pub backend: Option<backend::Options>,
-    /// The file that each event is written to at once.
+    /// The file to which each event is written as soon as it is recorded.
     pub history: Option<PathBuf>,
 }
 
 impl Default for Options {
-    /// Free ports, 16 cores and 60 GiB (one of the users' workers), a backend server.
+    /// Returns settings with free ports, 16 cores and 60 GiB (one of the users' workers), and a backend
+    /// server.
     fn default() -> Options {
         Options {
             name: "worker".to_owned(),
@@ -78,14 +79,18 @@
     recorder: Recorder,
     switches: FaultSwitches,
     state: Mutex<WorkerState>,
-    /// The call before, for the replay switch.
+    /// The previous call, for the switch `replay`.
     previous: Mutex<Option<WorkerCall>>,
-    /// Calls that are carried out late, and when.
+    /// Calls that are carried out later, each with its time, for the switch `late_calls`.
     delayed_calls: Mutex<Vec<(daisy_model::Instant, WorkerCall)>>,
     service_states: backend::ServiceStates,
 }
 
-/// Serves until SIGTERM.
+/// Serves until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If the stand-in cannot be started.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let worker = Worker::start(options).await?;
     let (control, backend) = (worker.address(), worker.backend_address());
@@ -97,16 +102,19 @@
 
 const OWN_SWITCHES: &[&str] =
     &["replay", "late_calls", "late_ms", "fail_everything", "overcommit", "unfenced"];
+/// How often the state is advanced.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_CALL_BYTES: usize = 4 << 20;
-/// The longest wait for news.
+/// Maximum time that a request for updates waits.
 const MAX_UPDATE_WAIT: Duration = Duration::from_secs(60);
 const UPDATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Worker {
     /// Listens and works until [`Worker::stop`].
     ///
-    /// Fails if an address or the history's file cannot be had.
+    /// # Errors
+    ///
+    /// If an address cannot be bound or the history file cannot be created.
     pub async fn start(options: Options) -> anyhow::Result<Worker> {
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
         let capacity = state::history_size(options.worker.capacity);
@@ -132,37 +140,41 @@
         Ok(Worker { shared, server, backend, ticker })
     }
 
-    /// Where it listens for its holder.
+    /// Returns the control address, on which it listens for its holder.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where its backend server listens.
+    /// Returns the address of its backend server, if it has one.
     pub fn backend_address(&self) -> Option<SocketAddr> {
         self.backend.as_ref().map(Backend::address)
     }
 
-    /// The backend server beside it.
+    /// Returns its backend server, if it has one.
     pub fn backend(&self) -> Option<&Backend> {
         self.backend.as_ref()
     }
 
     /// Replaces all fault switches.
+    ///
+    /// # Errors
+    ///
+    /// If a switch is set that this stand-in does not have.
     pub fn set_faults(&self, faults: Faults) -> Result<(), FaultError> {
         self.shared.switches.set(faults)
     }
 
-    /// Says how tasks of these jobs run from now on.
+    /// Replaces the list of jobs whose tasks run in a particular way.
     pub fn set_jobs(&self, jobs: Vec<JobBehaviour>) {
         self.shared.set_jobs(jobs);
     }
 
-    /// Tasks that run on it now.
+    /// Returns the number of tasks that are running.
     pub fn running(&self) -> usize {
         lock(&self.shared.state).running()
     }
 
-    /// What it saw so far, its backend server included.
+    /// Returns the events recorded so far, including those of its backend server.
     pub fn history(&self) -> History {
         self.shared.recorder.history()
     }
@@ -177,7 +189,7 @@
     }
 }
 
-/// What a request for news asks.
+/// A request that waits for updates: the version that the holder has seen, and how long to wait.
 struct UpdatesRequest {
     seen: SeenJson,
     wait: Duration,
@@ -288,7 +300,8 @@
         state.changes_since(seen, report)
     }
 
-    /// Answers once a task has ended since the version asked about, or after a while.
+    /// Answers as soon as there is an important change (see [`WorkerState::last_update`]) after the
+    /// version in the query, or when the wait is over.
     async fn wait_for_updates(&self, query: &str) -> HandlerResult {
         let Some(UpdatesRequest { seen, wait }) = UpdatesRequest::try_parse(query) else {
             return Ok(text(StatusCode::BAD_REQUEST, "expected boot=B&version=V&wait_ms=M"));
@@ -304,7 +317,7 @@
         Ok(text(StatusCode::NOT_MODIFIED, ""))
     }
 
-    /// Lets time pass.
+    /// Advances the state to the current time.
     fn advance(&self) {
         let mut state = lock(&self.state);
         state.tick(self.recorder.now());
@@ -338,10 +351,10 @@
     }
 }
 
-/// Capacity of one of Confeitaria's workers: 16 cores, 60 GB.
+/// Capacity of one of Confeitaria's workers: 16 cores and 60 GiB.
 pub const SMALL_WORKER: Resources =
     Resources { cpu_milli: 16_000, memory_mib: 60 << 10, accelerators: 0 };
 
-/// Capacity of one of Beaulac's workers: 64 cores, 250 GB.
+/// Capacity of one of Beaulac's workers: 64 cores and 250 GiB.
 pub const LARGE_WORKER: Resources =
     Resources { cpu_milli: 64_000, memory_mib: 250 << 10, accelerators: 0 };
--- a/daisy-standin/src/worker/journal.rs
+++ b/daisy-standin/src/worker/journal.rs
@@ -1,4 +1,5 @@
-//! What a worker has changed since which report.
+//! Tracks what has changed since a worker's earlier reports, so that a report can be reduced to the
+//! changes.
 
 use daisy_model::{Incarnation, Resources, SortedMap, TaskId, Usage, WorkerReport};
 use daisy_wire::worker::{ReportJson, SeenJson};
@@ -8,24 +9,28 @@
 
 type Key = (TaskId, Incarnation);
 
-/// Versions of all that a worker reports.
+/// The versions at which the parts of a worker's report changed last.
 #[derive(Debug)]
 pub(super) struct ReportJournal {
+    /// Identifies the start of the worker to which the versions belong.
     boot: u64,
     version: u64,
-    /// The version of the last end of a task, or of a marked change in a slowdown.
+    /// The version at which a task ended last, or a slowdown changed considerably.
     last_update: u64,
+    /// The version at which each incarnation changed last.
     changed: SortedMap<Key, u64>,
+    /// The usage of each task as reported last, and the version of this report.
     usage: SortedMap<TaskId, (Usage, u64)>,
 }
 
-/// Use is told again when it has changed by more than this part.
+/// Usage is reported again when it has changed by more than 1/10.
 const USAGE_CHANGE_DIVISOR: u32 = 10;
-/// A slowdown that changed by more than this part is told at once: throttling rests on it.
+/// A slowdown that has changed by more than 1/4 is reported immediately, because throttling depends on
+/// it.
 const SLOWDOWN_CHANGE_DIVISOR: u32 = 4;
 
 impl ReportJournal {
-    /// Nothing has changed.
+    /// Creates a journal without changes.
     pub(super) fn new() -> ReportJournal {
         let (changed, usage) = (SortedMap::new(), SortedMap::new());
         ReportJournal { boot: 0, version: 1, last_update: 0, changed, usage }
@@ -39,25 +44,26 @@
         SeenJson { boot: self.boot, version: self.last_update }
     }
 
-    /// A task was started or throttled.
+    /// Records that an incarnation was started or throttled.
     pub(super) fn record_change(&mut self, key: Key) {
         self.version += 1;
         self.changed.insert(key, self.version);
     }
 
-    /// A task has ended.
+    /// Records that an incarnation has ended.
     pub(super) fn record_end(&mut self, key: Key) {
         self.record_change(key);
         self.last_update = self.version;
     }
 
-    /// An exit report was acknowledged.
+    /// Records that the exit report of an incarnation was acknowledged.
     pub(super) fn record_acknowledge(&mut self, key: Key) {
         self.changed.remove(&key);
         self.version += 1;
     }
 
-    /// Takes out of a whole report what was seen.
+    /// Reduces a complete report to the changes since `seen`, or leaves it complete if that version is
+    /// not known.
     pub(super) fn reduce_to_changes(
         &mut self,
         seen: Option<SeenJson>,
@@ -77,7 +83,7 @@
         ReportJson { now: Some(now), since: Some(version), capacity: None, ..json }
     }
 
-    /// Takes in the use that a report would tell now.
+    /// Records the usage that a report would contain now.
     pub(super) fn record_usage(&mut self, usage: &[Usage]) {
         let version = self.version + 1;
         for it in usage {
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -1,4 +1,4 @@
-//! What runs on a worker, without input or output.
+//! The tasks on a worker, without I/O.
 
 mod usage;
 
@@ -21,41 +21,41 @@
 pub struct JobBehaviour {
     /// The job's number.
     pub job: u32,
-    /// Undisturbed run time in milliseconds; absent for until it is stopped.
+    /// Undisturbed run time in milliseconds; absent if tasks run until they are stopped.
     #[serde(default)]
     pub run_ms: Option<u64>,
-    /// Whether tasks end as failed.
+    /// Whether the tasks fail at the end of their run time.
     #[serde(default)]
     pub fails: bool,
-    /// The service whose requests a task of this job answers.
+    /// The service whose requests the tasks of this job answer.
     #[serde(default)]
     pub service: Option<String>,
 }
 
-/// How much tasks of one job slow those of another down on the same worker.
+/// How much the tasks of one job slow down those of another job on the same worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interference {
     /// The job that is slowed down.
     pub victim: u32,
-    /// The job that disturbs it.
+    /// The job that slows it down.
     pub aggressor: u32,
-    /// Added slowdown in thousandths for each whole core that the aggressor uses.
+    /// Added slowdown, in thousandths, for each whole core that the aggressor uses.
     pub per_core: u32,
 }
 
-/// What a worker is and how its tasks go.
+/// The capacity of a worker and the behaviour of its tasks.
 #[derive(Debug, Clone)]
 pub struct WorkerOptions {
-    /// What it holds in all.
+    /// Its total capacity.
     pub capacity: Resources,
-    /// Undisturbed run time of tasks of jobs that `jobs` does not name; `None` for
-    /// until it is stopped.
+    /// Undisturbed run time of the tasks of jobs that are not in `jobs`; `None` if they run until they
+    /// are stopped.
     pub run_time: Option<Duration>,
     /// How tasks of particular jobs run.
     pub jobs: Vec<JobBehaviour>,
-    /// Who disturbs whom.
+    /// The pairs of jobs of which one slows down the other.
     pub interference: Vec<Interference>,
-    /// How old the reported usage is.
+    /// Age of the usage in reports.
     pub usage_lag: Duration,
 }
 
@@ -71,35 +71,36 @@
     }
 }
 
-/// What is wrong with a worker at the moment.
+/// The faults that are currently injected into a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerFaults {
     /// Every start fails.
     pub fail_everything: bool,
-    /// Tasks are started whether or not there is room.
+    /// Tasks are started even if they exceed the free capacity.
     pub overcommit: bool,
-    /// Epochs mean nothing: stale ones are accepted, and newer ones are not told of.
+    /// Epochs are ignored: stale ones are accepted, and reports do not show newer ones.
     pub unfenced: bool,
 }
 
 #[derive(Debug)]
 struct Task {
     size: Resources,
+    /// The share of processor time that throttling leaves it, in thousandths.
     share: u32,
-    /// Undisturbed work done, in microseconds.
+    /// The work done, in microseconds of undisturbed run time.
     work_done_us: u64,
 }
 
-/// One worker.
+/// The state of one worker.
 #[derive(Debug)]
 pub struct WorkerState {
     options: WorkerOptions,
     epoch: Epoch,
-    /// The lease's end by this worker's own clock.
+    /// When the lease ends by this worker's own clock.
     lease_end: Instant,
     running: SortedMap<(TaskId, Incarnation), Task>,
     ended: Vec<Ended>,
-    /// Every incarnation ever started here: each is started once.
+    /// Every incarnation that was ever started or stopped here, none of which may start again.
     started: SortedMap<(TaskId, Incarnation), ()>,
     checkpoints: u32,
     worked_until: Instant,
@@ -109,10 +110,12 @@
     now: Instant,
 }
 
+/// The share of a task that is not throttled, and the slowdown of one that is not disturbed, in
+/// thousandths.
 const FULL_SHARE: u32 = 1000;
 
 impl WorkerState {
-    /// A worker that runs nothing.
+    /// Creates a worker without tasks.
     pub fn new(options: WorkerOptions) -> WorkerState {
         WorkerState {
             options,
@@ -130,32 +133,32 @@
         }
     }
 
-    /// The number of tasks that run.
+    /// Returns the number of tasks that are running.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Makes a whole report one of the changes since `seen`, if they are known.
+    /// Reduces a complete report to the changes since `seen`, if they are known.
     pub fn changes_since(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
         self.journal.reduce_to_changes(seen, report)
     }
 
-    /// Numbers reports as those of the agent's start `boot`.
+    /// Sets the number that identifies this start of the worker in reports.
     pub fn set_boot_id(&mut self, boot: u64) {
         self.journal.set_boot_id(boot);
     }
 
-    /// Where the journal stood when a task ended last.
+    /// Returns the version at which a task ended last, or a slowdown changed considerably.
     pub fn last_update(&self) -> SeenJson {
         self.journal.last_update()
     }
 
-    /// Replaces how tasks of particular jobs run.
+    /// Replaces the list of jobs whose tasks run in a particular way.
     pub fn set_jobs(&mut self, jobs: Vec<JobBehaviour>) {
         self.options.jobs = jobs;
     }
 
-    /// Carries a call out at `now`.
+    /// Carries out a call at `now` and returns the complete report.
     pub fn call(&mut self, now: Instant, call: WorkerCall, faults: WorkerFaults) -> WorkerReport {
         self.tick(now);
         let accepted = self.accept(call.epoch) || faults.unfenced;
@@ -176,12 +179,12 @@
         }
     }
 
-    /// Lets time pass up to `now`: work goes on, ends, or loses its lease.
+    /// Advances the state to `now`: tasks work, finish, or end because the lease has expired.
     pub fn tick(&mut self, now: Instant) {
         self.now = now;
         self.advance_work(now);
         if now >= self.lease_end {
-            // No work was done since the lease's end, however late that is noticed.
+            // No work was done after the lease's end, even if the end is noticed much later.
             self.now = self.lease_end;
             self.end_all(Exit::LeaseLapsed);
             self.now = now;
@@ -189,12 +192,12 @@
         self.sample(now);
     }
 
-    /// What happened since the last time, and when.
+    /// Returns the events since the last call of this function, with their times.
     pub fn take_events(&mut self) -> Vec<(Instant, EventKind)> {
         std::mem::take(&mut self.events)
     }
 
-    /// Services that jobs are known to answer for, and how they fare here.
+    /// Returns the services of the known jobs, and their states on this worker.
     pub fn services(&self) -> Vec<ServiceState> {
         let known = self.options.jobs.iter();
         let services = known.filter_map(|behaviour| {
@@ -276,8 +279,8 @@
         used.is_some_and(|used| used.fits(self.options.capacity))
     }
 
-    /// Ends an incarnation; one that never started does not start any more, so that a late
-    /// copy of its start runs nothing.
+    /// Stops an incarnation. One that has not started can no longer start, so that a delayed copy of its
+    /// start order has no effect.
     fn stop(&mut self, key: (TaskId, Incarnation)) -> OrderResult {
         let result = self.end(key, Exit::Stopped);
         self.started.insert(key, ());
@@ -314,7 +317,7 @@
     }
 
     fn advance_work(&mut self, now: Instant) {
-        // Work stops where the lease ends, also when the worker itself was frozen past it.
+        // Work stops when the lease ends, even if the worker itself was frozen at that time.
         let until = now.min(self.lease_end);
         let step = until.since(self.worked_until).as_micros() as u64;
         self.worked_until = now;
@@ -350,7 +353,7 @@
     }
 }
 
-/// A token that no other checkpoint has, and that carries the work done in milliseconds.
+/// Returns a token that identifies the checkpoint and contains the work done in milliseconds.
 fn checkpoint_token(key: (TaskId, Incarnation), count: u32, work_done_us: u64) -> u64 {
     let (task, incarnation) = key;
     let mut mixed = fastrand::Rng::with_seed(
@@ -360,6 +363,7 @@
     u64::from(unique) << 32 | (work_done_us / 1000).min(u64::from(u32::MAX))
 }
 
+/// Returns the work done, in microseconds, that a checkpoint's token contains.
 fn work_of_token(token: u64) -> u64 {
     (token & u64::from(u32::MAX)) * 1000
 }
--- a/daisy-standin/src/worker/state/usage.rs
+++ b/daisy-standin/src/worker/state/usage.rs
@@ -1,4 +1,4 @@
-//! What tasks use, how they slow one another down, and what of it is known when.
+//! The resource usage of tasks, their mutual slowdown, and the delayed reports of both.
 
 use std::time::Duration;
 
@@ -6,9 +6,11 @@
 
 use super::{FULL_SHARE, WorkerState};
 
+/// Minimum time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl WorkerState {
+    /// Returns the slowdown of a running task by all others, in thousandths.
     pub(super) fn slowdown(&self, victim: (TaskId, Incarnation)) -> u32 {
         let others = self.running.iter().filter(|(key, _)| **key != victim);
         let added = others.map(|(key, task)| {
@@ -26,11 +28,13 @@
         pair.map(|it| it.per_core).sum()
     }
 
+    /// Returns the slowdown of one task of a job, in thousandths, or `None` if none is running.
     pub(super) fn slowdown_of_job(&self, job: JobId) -> Option<u32> {
         let mut of_job = self.running.iter().filter(|(key, _)| key.0.job == job);
         of_job.next().map(|(key, _)| self.slowdown(*key))
     }
 
+    /// Samples the usage of all tasks, unless the newest sample is recent.
     pub(super) fn sample(&mut self, now: Instant) {
         let is_recent = self.samples.back().is_some_and(|(at, _)| now.since(*at) < SAMPLE_INTERVAL);
         if is_recent {
@@ -52,6 +56,7 @@
         self.journal.record_usage(&reported);
     }
 
+    /// Returns the newest usage that is at least as old as the lag of reports.
     pub(super) fn usage(&self, now: Instant) -> Vec<Usage> {
         let old = self.samples.front().filter(|(at, _)| now.since(*at) >= self.options.usage_lag);
         old.map(|(_, usage)| usage.clone()).unwrap_or_default()
--- a/daisy-standin/tests/backend.rs
+++ b/daisy-standin/tests/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server stand-in over its sockets.
+//! Tests the backend server stand-in over HTTP.
 
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn refuses_as_not_run_when_all_slots_are_taken() {
+async fn rejects_a_request_as_not_run_when_all_slots_are_in_use() {
     let backend = backend().await;
     let client = Client::new();
 
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_was_run() {
+async fn a_request_whose_answer_is_lost_was_run() {
     let backend = backend().await;
     backend.set_faults(Faults { lose_answers: 1, ..Faults::default() }).unwrap();
 
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn work_goes_on_when_the_caller_has_gone() {
+async fn a_request_finishes_after_its_caller_disconnected() {
     let backend = backend().await;
     let client = Client::new();
     let req = Request::post(format!("http://{}/?ms=100", backend.address()))
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn a_truncated_answer_is_seen_as_broken() {
+async fn a_truncated_answer_is_reported_as_a_broken_connection() {
     let backend = backend().await;
     backend.set_faults(Faults { truncate: 1, ..Faults::default() }).unwrap();
 
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn a_doubled_answer_comes_twice_on_its_connection() {
+async fn a_doubled_answer_is_sent_twice_on_its_connection() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let backend = backend().await;
     backend.set_faults(Faults { doubled: 1, ..Faults::default() }).unwrap();
@@ -114,7 +114,7 @@
     while seen.matches("HTTP/1.1 200").count() < 2 {
         let mut buf = [0; 1024];
         let read = tokio::time::timeout(SOON, stream.read(&mut buf)).await.unwrap().unwrap();
-        assert!(read > 0, "closed after {seen}");
+        assert!(read > 0, "connection closed after {seen}");
         seen += std::str::from_utf8(&buf[..read]).unwrap();
     }
 
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn reordered_and_foreign_answers_bear_another_id() {
+async fn reordered_answers_and_answers_with_a_wrong_id_have_the_id_of_another_request() {
     let backend = backend().await;
     let client = Client::new();
     send(&client, &backend, ID, "").await.unwrap();
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn an_absent_service_is_refused_as_not_run() {
+async fn a_request_to_an_absent_service_is_rejected_as_not_run() {
     let backend = backend().await;
     let absent = Faults { absent: vec!["shop".to_owned()], ..Faults::default() };
     backend.set_faults(absent).unwrap();
--- a/daisy-standin/tests/link.rs
+++ b/daisy-standin/tests/link.rs
@@ -1,4 +1,4 @@
-//! A link between two addresses.
+//! Tests the link between a client and a platform stand-in.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_holds_bytes_back_and_its_end_lets_them_through() {
+async fn a_cut_holds_bytes_back_until_it_ends() {
     let (_platform, link) = platform_behind(LinkFaults::default()).await;
     let client = Client::new();
     client.get(link.address(), "/v1/vms", SOON).await.unwrap();
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn a_reset_breaks_open_connections() {
+async fn a_reset_closes_open_connections() {
     let (platform, link) = platform_behind(LinkFaults::default()).await;
     platform.set_faults(daisy_standin::Faults { slow_ms: 1_000, ..Default::default() }).unwrap();
     let client = Client::new();
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_delay_holds_each_way() {
+async fn a_delay_applies_in_each_direction() {
     let (_platform, link) =
         platform_behind(LinkFaults { delay_ms: 50, ..LinkFaults::default() }).await;
     let began = std::time::Instant::now();
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn unknown_switches_are_refused_by_name() {
+async fn the_error_for_an_unknown_switch_names_it() {
     let (_platform, link) = platform_behind(LinkFaults::default()).await;
     let json = r#"{"down": true}"#;
 
--- a/daisy-standin/tests/load.rs
+++ b/daisy-standin/tests/load.rs
@@ -1,4 +1,4 @@
-//! Callers against a small entry VM that does what each test says.
+//! Tests the callers with a minimal entry VM that changes answers as each test needs.
 
 use std::{
     convert::Infallible,
@@ -25,7 +25,8 @@
 
 const SOON: Duration = Duration::from_secs(5);
 
-/// Passes each request on to `backend` under a fresh id; `answer` may mangle the answer.
+/// Starts an entry VM that forwards each request to `backend` under a new id and sends the answer as
+/// changed by the function `answer`. Returns its address.
 async fn entry(
     backend: SocketAddr,
     answer: fn(u64, Response<Full<Bytes>>) -> Response<Full<Bytes>>,
@@ -86,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn counts_whole_own_answers_and_latencies() {
+async fn the_report_counts_complete_own_answers_and_their_latencies() {
     let backend = backend().await;
     let entry = entry(backend.address(), |_, answer| answer).await;
 
@@ -100,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn sees_answers_that_belong_to_others() {
+async fn the_report_counts_answers_that_belong_to_other_calls_as_wrong() {
     let backend = backend().await;
     let entry = entry(backend.address(), |id, mut answer| {
         if id % 5 == 0 {
@@ -119,8 +120,9 @@
 }
 
 #[tokio::test]
-async fn retries_what_was_not_run_and_what_is_idempotent() {
-    // With fewer slots than requests, a busy machine may have it refuse some.
+async fn idempotent_calls_are_retried_after_their_answer_was_lost() {
+    // With fewer slots than requests, the server could reject some on a busy machine, which would
+    // cause further retries.
     let slots = backend::Options { slots: 20, ..backend::Options::default() };
     let backend = Backend::start(slots).await.unwrap();
     backend.set_faults(Faults { lose_answers: 3, ..Faults::default() }).unwrap();
@@ -132,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn the_checkers_see_what_a_careless_entry_does_to_keyed_requests() {
+async fn the_checker_reports_keyed_requests_that_run_twice_because_the_entry_vm_forwards_retries() {
     let backend = backend().await;
     backend.set_faults(Faults { lose_answers: 3, ..Faults::default() }).unwrap();
     let entry = entry(backend.address(), |_, answer| answer).await;
@@ -148,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn without_an_entry_that_is_ready_nothing_is_sent() {
+async fn calls_are_refused_when_no_entry_vm_is_ready() {
     let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     let deadline = Duration::from_millis(100);
     let options = Options { deadline, count: 3, ..options(nobody) };
--- a/daisy-standin/tests/platform.rs
+++ b/daisy-standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in over its sockets.
+//! Tests the platform stand-in over HTTP.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn appends_the_same_id_twice_because_the_log_does_not_dedupe() {
+async fn two_appends_with_the_same_id_are_both_appended() {
     let platform = Platform::start(Options::default()).await.unwrap();
 
     let first = append(platform.address(), "1-1", "a", "x").await.unwrap();
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_long_poll_ends_when_a_record_comes() {
+async fn a_long_poll_ends_when_a_record_is_appended() {
     let platform = Platform::start(Options::default()).await.unwrap();
     let address = platform.address();
 
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn appends_over_the_cap_are_told_when_to_come_back() {
+async fn an_append_over_the_rate_limit_is_refused_with_a_retry_after_header() {
     let log = LogOptions { appends_per_second: 1, ..LogOptions::default() };
     let platform = Platform::start(Options { log, ..Options::default() }).await.unwrap();
     append(platform.address(), "1-1", "a", "x").await.unwrap();
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_record_over_the_limit_is_refused() {
+async fn a_record_over_the_size_limit_is_refused() {
     let options = Options { body_bytes: 4, ..Options::default() };
     let platform = Platform::start(options).await.unwrap();
 
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_has_taken_effect() {
+async fn an_append_whose_answer_is_lost_has_taken_effect() {
     let platform = Platform::start(Options::default()).await.unwrap();
     platform.set_faults(Faults { lose_answers: 1, ..Faults::default() }).unwrap();
 
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_and_a_cut_have_no_effect() {
+async fn appends_during_an_outage_or_a_cut_have_no_effect() {
     let platform = Platform::start(Options::default()).await.unwrap();
     platform.set_faults(Faults { down: true, ..Faults::default() }).unwrap();
     let down = append(platform.address(), "1-1", "a", "x").await.unwrap();
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn the_vm_list_lags_and_has_versions() {
+async fn a_change_is_visible_in_the_vm_list_after_the_lag_with_a_new_version() {
     let options =
         Options { vms: vec![vm(1)], vm_lag: Duration::from_millis(300), ..Options::default() };
     let platform = Platform::start(options).await.unwrap();
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn the_number_of_a_vm_that_is_gone_is_not_given_again() {
+async fn the_number_of_a_removed_vm_cannot_be_reused() {
     let platform =
         Platform::start(Options { vms: vec![vm(1)], ..Options::default() }).await.unwrap();
     platform.change_vm(VmChange::Remove(1)).unwrap();
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn unknown_and_foreign_switches_are_refused_by_name() {
+async fn the_error_for_an_unknown_switch_names_it() {
     let platform = Platform::start(Options::default()).await.unwrap();
     let post = |json: &'static str| async move {
         Client::new().post(platform.address(), "/standin/faults", json, SOON).await.unwrap()
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn switches_of_other_stand_ins_are_refused_by_name() {
+async fn the_error_for_a_switch_of_another_stand_in_names_it() {
     let platform = Platform::start(Options::default()).await.unwrap();
 
     let refused = platform.set_faults(Faults { truncate: 1, ..Faults::default() }).unwrap_err();
@@ -188,7 +188,7 @@
 }
 
 #[tokio::test]
-async fn a_view_shows_one_process_another_address() {
+async fn an_address_override_applies_to_one_process_only() {
     let platform =
         Platform::start(Options { vms: vec![vm(1)], ..Options::default() }).await.unwrap();
     let address = platform.address();
--- a/daisy-standin/tests/worker.rs
+++ b/daisy-standin/tests/worker.rs
@@ -1,4 +1,4 @@
-//! What runs on a worker stand-in.
+//! Tests the state of a worker stand-in.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn refuses_a_stale_epoch_and_carries_nothing_out() {
+fn a_call_with_a_stale_epoch_is_refused_and_has_no_effect() {
     let mut worker = worker(100);
     worker.call(at(0), call(5, vec![]), NO_FAULTS);
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn starts_an_incarnation_once_ever() {
+fn an_incarnation_is_not_started_again_after_it_ended() {
     let mut worker = worker(100);
     worker.call(at(0), call(1, vec![start(TASK, None)]), NO_FAULTS);
     worker.tick(at(200));
@@ -57,10 +57,11 @@
     assert_eq!(again.ended.len(), 1);
 }
 
-/// A holder stops a start whose fate it does not know, then a late copy of the start arrives.
-/// Were it carried out, the task would run here and where the holder starts it next.
+/// A holder stops an incarnation without knowing whether its start order arrived, and then a delayed
+/// copy of the start order arrives. If it were carried out, the task would run both here and where the
+/// holder starts it next.
 #[test]
-fn a_stopped_incarnation_that_never_started_never_starts() {
+fn an_incarnation_that_was_stopped_before_its_start_cannot_start() {
     let mut worker = worker(1000);
     let stop = Order::Stop { task: TASK, incarnation: FIRST };
     worker.call(at(0), call(1, vec![stop]), NO_FAULTS);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn refuses_what_it_has_no_room_for() {
+fn a_task_that_exceeds_the_capacity_is_refused() {
     let mut worker = worker(100);
     let size = Resources { cpu_milli: 64_001, ..CORE };
 
@@ -83,11 +84,11 @@
 }
 
 #[test]
-fn a_lapsed_lease_ends_tasks_as_of_its_end_and_is_not_revived() {
+fn an_expired_lease_ends_tasks_at_its_end_and_a_later_call_does_not_renew_it() {
     let mut worker = worker(60_000);
     worker.call(at(0), call(1, vec![start(TASK, None)]), NO_FAULTS);
 
-    // A frozen worker wakes long after the lease's end, at its holder's call.
+    // The worker was frozen and wakes up long after the lease's end, when its holder calls.
     let report = worker.call(at(30_000), call(1, vec![]), NO_FAULTS);
 
     assert!(report.running.is_empty());
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn keeps_an_exit_report_until_it_is_acknowledged() {
+fn an_exit_report_is_repeated_until_it_is_acknowledged() {
     let mut worker = worker(100);
     worker.call(at(0), call(1, vec![start(TASK, None)]), NO_FAULTS);
     let first = worker.call(at(150), call(1, vec![]), NO_FAULTS);
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn a_disturbed_task_is_slower_and_its_report_lags() {
+fn a_task_under_interference_has_a_slowdown_that_is_reported_after_the_lag() {
     let interference = vec![Interference { victim: 3, aggressor: 4, per_core: 1_000 }];
     let usage_lag = Duration::from_secs(1);
     let options = WorkerOptions { interference, usage_lag, ..WorkerOptions::default() };
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn the_switch_for_bad_workers_makes_every_start_fail() {
+fn fail_everything_makes_every_start_fail() {
     let mut worker = worker(100);
 
     let report = worker.call(
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn an_overcommitted_worker_starts_what_it_has_no_room_for() {
+fn an_overcommitted_worker_starts_a_task_that_exceeds_its_capacity() {
     let mut worker = worker(100);
     let size = Resources { cpu_milli: 64_001, ..CORE };
     let order = Order::Start { task: TASK, incarnation: FIRST, size, checkpoint: None };
