--- a/daisy-standin/src/backend.rs
+++ b/daisy-standin/src/backend.rs
@@ -101,6 +101,7 @@
     Ok(())
 }
 
+/// Names of the fault switches that a backend server has besides the common ones.
 const OWN_SWITCHES: &[&str] =
     &["leaving", "absent", "truncate", "doubled", "wrong_id", "reorder", "late_ms"];
 
@@ -202,6 +203,8 @@
 }
 
 impl Shared {
+    /// Takes a slot for a request to `service`, and returns it with the slowdown of the service in
+    /// thousandths.
     fn admit(&self, service: &str) -> Result<(Slot, u32), RejectReason> {
         let faults = self.switches.get();
         if faults.leaving {
--- a/daisy-standin/src/backend/admission.rs
+++ b/daisy-standin/src/backend/admission.rs
@@ -51,8 +51,8 @@
 
     /// Takes a slot, if one is free.
     pub(super) fn try_acquire(&self) -> Option<Slot> {
-        let more = |taken: u32| (taken < self.limit).then_some(taken + 1);
-        self.taken.fetch_update(Ordering::AcqRel, Ordering::Acquire, more).ok()?;
+        let increment = |taken: u32| (taken < self.limit).then_some(taken + 1);
+        self.taken.fetch_update(Ordering::AcqRel, Ordering::Acquire, increment).ok()?;
         Some(Slot { taken: self.taken.clone() })
     }
 
--- a/daisy-standin/src/fault.rs
+++ b/daisy-standin/src/fault.rs
@@ -94,7 +94,7 @@
 pub(crate) struct FaultSwitches {
     recorder: Recorder,
     standin: &'static str,
-    /// Names of the switches that not every stand-in has.
+    /// Names of the switches that this stand-in has besides the common ones.
     own_switches: &'static [&'static str],
     state: Mutex<State>,
 }
@@ -127,7 +127,7 @@
 
     /// Replaces all switches by `faults`.
     pub(crate) fn set(&self, faults: Faults) -> Result<(), FaultError> {
-        self.check(&faults)?;
+        self.check_supported(&faults)?;
         self.recorder.record(EventKind::Fault { what: serde_json::to_string(&faults)? });
         let mut state = lock(&self.state);
         if faults.leaving && !state.faults.leaving {
@@ -180,7 +180,7 @@
         share > 0 && state.rng.u32(0..1000) < share
     }
 
-    fn check(&self, faults: &Faults) -> Result<(), FaultError> {
+    fn check_supported(&self, faults: &Faults) -> Result<(), FaultError> {
         let given = serde_json::to_value(faults)?;
         let off = serde_json::to_value(Faults::default())?;
         let (Some(given), Some(off)) = (given.as_object(), off.as_object()) else {
--- a/daisy-standin/src/link.rs
+++ b/daisy-standin/src/link.rs
@@ -104,10 +104,10 @@
         let server = Server::bind(options.control, shared.clone()).await?;
         let mut forwarders = JoinSet::new();
         let mut addresses = Vec::new();
-        for pair in options.forward_rules {
-            let listener = TcpListener::bind(pair.listen).await?;
+        for rule in options.forward_rules {
+            let listener = TcpListener::bind(rule.listen).await?;
             addresses.push(listener.local_addr()?);
-            forwarders.spawn(accept(listener, pair.to, shared.faults.subscribe()));
+            forwarders.spawn(accept(listener, rule.to, shared.faults.subscribe()));
         }
         Ok(Link { shared, server, addresses, forwarders })
     }
@@ -129,7 +129,7 @@
 
     /// Replaces all switches.
     pub fn set_faults(&self, faults: LinkFaults) {
-        self.shared.set(faults);
+        self.shared.set_faults(faults);
     }
 
     /// Returns the events so far: one each time that its switches were set.
@@ -165,14 +165,14 @@
         };
         match serde_json::from_slice(&body) {
             Ok(faults) => {
-                self.set(faults);
+                self.set_faults(faults);
                 Ok(json(StatusCode::OK, &faults))
             }
             Err(error) => Ok(text(StatusCode::BAD_REQUEST, &format!("faults: {error}"))),
         }
     }
 
-    fn set(&self, faults: LinkFaults) {
+    fn set_faults(&self, faults: LinkFaults) {
         self.recorder.record(EventKind::Fault { what: format!("{faults:?}") });
         self.faults.send_replace(faults);
     }
--- a/daisy-standin/src/load/balancer.rs
+++ b/daisy-standin/src/load/balancer.rs
@@ -67,8 +67,8 @@
 async fn poll_ready(entries: &[SocketAddr], client: &Client) -> Vec<SocketAddr> {
     let polls = entries.iter().map(|entry| client.get(*entry, "/readyz", POLL_TIMEOUT));
     let answers = futures::future::join_all(polls).await;
-    let ok = |answer: &Result<crate::client::Answer, _>| {
+    let is_ready = |answer: &Result<crate::client::Answer, _>| {
         answer.as_ref().is_ok_and(|answer| answer.status == StatusCode::OK)
     };
-    entries.iter().zip(answers).filter(|(_, it)| ok(it)).map(|(entry, _)| *entry).collect()
+    entries.iter().zip(answers).filter(|(_, it)| is_ready(it)).map(|(entry, _)| *entry).collect()
 }
--- a/daisy-standin/src/load/caller.rs
+++ b/daisy-standin/src/load/caller.rs
@@ -39,7 +39,7 @@
     outcome: CallOutcome,
     status: Option<u16>,
     request: Option<String>,
-    own: bool,
+    has_own_answer: bool,
     retry_after: Option<Duration>,
 }
 
@@ -63,21 +63,21 @@
         &self.options
     }
 
-    /// Returns the idempotency key of the `number`th call, if it is chosen to be non-idempotent.
-    pub(super) fn choose_key(&self, rng: &mut fastrand::Rng, number: u64) -> Option<String> {
+    /// Returns the idempotency key of the call with this index, from 0, if it is chosen to be non-idempotent.
+    pub(super) fn choose_key(&self, rng: &mut fastrand::Rng, index: u64) -> Option<String> {
         let keyed = rng.u32(0..1000) < self.options.keyed_per_mille;
-        let call = self.options.first_call + number;
+        let call = self.options.first_call + index;
         keyed.then(|| format!("{}-{call}-{:08x}", self.options.name, rng.u32(..)))
     }
 
-    /// Makes the `number`th call, which is due at `due_at`, with all its attempts.
+    /// Makes the call with this index, from 0, which is due at `due_at`, with all its attempts.
     pub(super) async fn call(
         &self,
-        number: u64,
+        index: u64,
         key: Option<String>,
         due_at: Instant,
     ) -> CallResult {
-        let number = self.options.first_call + number;
+        let number = self.options.first_call + index;
         let body = answer::request_body(number, self.options.body_bytes);
         let call = Call { number, key, body, due_at };
         let mut summary = CallSummary::default();
@@ -102,7 +102,7 @@
         }
         CallResult {
             outcome: summary.outcome(),
-            own: summary.own,
+            has_own_answer: summary.has_own_answer,
             latency: call.due_at.elapsed(),
             attempts: summary.attempts,
         }
@@ -157,7 +157,7 @@
             outcome: ended.outcome,
             status: ended.status,
             request: ended.request.clone(),
-            own: ended.own,
+            own: ended.has_own_answer,
         });
         ended
     }
@@ -171,9 +171,9 @@
             path += &format!("&chunks={chunks}&gap_ms={gap_ms}");
         }
         let mut req = request(Method::POST, entry, &path, call.body.clone());
-        let left_ms = self.time_left(call).as_millis().to_string();
+        let time_left_ms = self.time_left(call).as_millis().to_string();
         insert_header(&mut req, headers::SERVICE, &self.options.service);
-        insert_header(&mut req, headers::DEADLINE_MS, &left_ms);
+        insert_header(&mut req, headers::DEADLINE_MS, &time_left_ms);
         if let Some(key) = &call.key {
             insert_header(&mut req, headers::IDEMPOTENCY_KEY, key);
             insert_header(&mut req, headers::ATTEMPT, &attempt.to_string());
@@ -198,7 +198,7 @@
             outcome,
             status: Some(answer.status.as_u16()),
             request: text(headers::REQUEST_ID).map(str::to_owned),
-            own: outcome == CallOutcome::Answered
+            has_own_answer: outcome == CallOutcome::Answered
                 && answer.body == answer::expected_answer(&call.body, self.options.answer_bytes),
             retry_after: seconds.map(Duration::from_secs),
         }
@@ -210,7 +210,7 @@
 struct CallSummary {
     attempts: u32,
     answered: bool,
-    own: bool,
+    has_own_answer: bool,
     unknown: bool,
 }
 
@@ -218,7 +218,7 @@
     fn add(&mut self, ended: &AttemptResult) {
         self.attempts += 1;
         self.answered |= ended.outcome == CallOutcome::Answered;
-        self.own |= ended.own;
+        self.has_own_answer |= ended.has_own_answer;
         self.unknown |= matches!(ended.outcome, CallOutcome::Unknown | CallOutcome::Broken);
     }
 
@@ -238,7 +238,7 @@
         CallError::Unreachable(_) => CallOutcome::Unreachable,
         CallError::Broken(_) | CallError::TimedOut(_) => CallOutcome::Broken,
     };
-    AttemptResult { outcome, status: None, request: None, own: false, retry_after: None }
+    AttemptResult { outcome, status: None, request: None, has_own_answer: false, retry_after: None }
 }
 
 fn insert_header(req: &mut Request<Full<Bytes>>, name: &'static str, value: &str) {
--- a/daisy-standin/src/load/report.rs
+++ b/daisy-standin/src/load/report.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub(super) struct CallResult {
     pub(super) outcome: CallOutcome,
-    pub(super) own: bool,
+    pub(super) has_own_answer: bool,
     pub(super) latency: Duration,
     pub(super) attempts: u32,
 }
@@ -55,7 +55,7 @@
         self.requests += 1;
         self.retries += u64::from(result.attempts.saturating_sub(1));
         match result.outcome {
-            CallOutcome::Answered if result.own => {
+            CallOutcome::Answered if result.has_own_answer => {
                 self.answered += 1;
                 self.latency.saturating_record(result.latency.as_micros() as u64);
             }
--- a/daisy-standin/src/platform/log.rs
+++ b/daisy-standin/src/platform/log.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub struct Log {
     options: LogOptions,
-    first: u64,
+    first_offset: u64,
     records: VecDeque<(Instant, Vec<u8>)>,
     /// Start of the current second, in which appends are counted.
     window_start: Instant,
@@ -51,7 +51,7 @@
     pub fn new(options: LogOptions) -> Log {
         Log {
             options,
-            first: 0,
+            first_offset: 0,
             records: VecDeque::new(),
             window_start: Instant(0),
             appends_in_window: 0,
@@ -78,7 +78,7 @@
 
     /// Appends `bytes` regardless of the limit on appends, and returns the offset of the record.
     pub fn append_unlimited(&mut self, now: Instant, bytes: &[u8]) -> u64 {
-        let offset = self.first + self.records.len() as u64;
+        let offset = self.first_offset + self.records.len() as u64;
         self.records.push_back((now, bytes.to_owned()));
         self.expire(now);
         offset
@@ -96,17 +96,17 @@
         max: usize,
     ) -> Result<Vec<(u64, Vec<u8>)>, LogError> {
         self.expire(now);
-        if from < self.first {
-            return Err(LogError::Expired { first: self.first });
+        if from < self.first_offset {
+            return Err(LogError::Expired { first: self.first_offset });
         }
-        let skip = usize::try_from(from - self.first).unwrap_or(usize::MAX);
+        let skip = usize::try_from(from - self.first_offset).unwrap_or(usize::MAX);
         let records = self.records.iter().skip(skip).take(max);
         Ok((from..).zip(records.map(|(_, bytes)| bytes.clone())).collect())
     }
 
     /// Returns the offset of the first record retained and the offset after the last record.
     pub fn bounds(&self) -> (u64, u64) {
-        (self.first, self.first + self.records.len() as u64)
+        (self.first_offset, self.first_offset + self.records.len() as u64)
     }
 
     fn expire(&mut self, now: Instant) {
@@ -116,7 +116,7 @@
                 break;
             }
             self.records.pop_front();
-            self.first += 1;
+            self.first_offset += 1;
         }
     }
 }
--- a/daisy-standin/src/worker.rs
+++ b/daisy-standin/src/worker.rs
@@ -80,7 +80,7 @@
     switches: FaultSwitches,
     state: Mutex<WorkerState>,
     /// The previous call, for the switch `replay`.
-    previous: Mutex<Option<WorkerCall>>,
+    previous_call: Mutex<Option<WorkerCall>>,
     /// Calls that are carried out later, each with its time, for the switch `late_calls`.
     delayed_calls: Mutex<Vec<(daisy_model::Instant, WorkerCall)>>,
     service_states: backend::ServiceStates,
@@ -100,6 +100,7 @@
     Ok(())
 }
 
+/// Names of the fault switches that a worker has besides the common ones.
 const OWN_SWITCHES: &[&str] =
     &["replay", "late_calls", "late_ms", "fail_everything", "overcommit", "unfenced"];
 /// How often the state is advanced.
@@ -107,6 +108,7 @@
 const MAX_CALL_BYTES: usize = 4 << 20;
 /// Maximum time that a request for updates waits.
 const MAX_UPDATE_WAIT: Duration = Duration::from_secs(60);
+/// How often a request for updates checks for them.
 const UPDATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Worker {
@@ -126,7 +128,7 @@
             recorder: recorder.clone(),
             switches: FaultSwitches::new(&recorder, "worker", OWN_SWITCHES),
             state: Mutex::new(state),
-            previous: Mutex::new(None),
+            previous_call: Mutex::new(None),
             delayed_calls: Mutex::default(),
             service_states: service_states.clone(),
         });
@@ -262,6 +264,7 @@
         Ok(json(StatusCode::OK, &report))
     }
 
+    /// Schedules a call for later and returns true if the switch `late_calls` is on.
     fn try_delay(&self, call: &WorkerCall) -> bool {
         let delay = self.switches.with(|faults| {
             count_down(&mut faults.late_calls).then_some(Duration::from_millis(faults.late_ms))
@@ -279,8 +282,9 @@
         }
     }
 
+    /// Carries out the previous call once more if the switch `replay` is on.
     fn replay_previous(&self, call: &WorkerCall) {
-        let previous = lock(&self.previous).replace(call.clone());
+        let previous = lock(&self.previous_call).replace(call.clone());
         let armed =
             previous.is_some() && self.switches.with(|faults| count_down(&mut faults.replay));
         if let Some(previous) = previous.filter(|_| armed) {
@@ -324,6 +328,7 @@
         self.publish_state(&mut state);
     }
 
+    /// Records the new events of the worker, and updates the service states of its backend server.
     fn publish_state(&self, state: &mut WorkerState) {
         for (at, kind) in state.take_events() {
             self.recorder.record_at(at, kind);
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -101,11 +101,15 @@
     running: SortedMap<(TaskId, Incarnation), Task>,
     ended: Vec<Ended>,
     /// Every incarnation that was ever started or stopped here, none of which may start again.
-    started: SortedMap<(TaskId, Incarnation), ()>,
+    started_or_stopped: SortedMap<(TaskId, Incarnation), ()>,
+    /// Number of checkpoints made so far.
     checkpoints: u32,
+    /// The time up to which the work of tasks has been accounted for.
     worked_until: Instant,
+    /// The usage of all tasks at past times, oldest first.
     samples: VecDeque<(Instant, Vec<Usage>)>,
     journal: ReportJournal,
+    /// Events that have not been taken yet, with their times.
     events: Vec<(Instant, EventKind)>,
     now: Instant,
 }
@@ -123,7 +127,7 @@
             lease_end: Instant(0),
             running: SortedMap::new(),
             ended: Vec::new(),
-            started: SortedMap::new(),
+            started_or_stopped: SortedMap::new(),
             checkpoints: 0,
             worked_until: Instant(0),
             samples: VecDeque::new(),
@@ -211,6 +215,7 @@
         self.events.push((self.now, kind));
     }
 
+    /// Returns whether a call with this epoch is accepted, and remembers a new highest epoch.
     fn accept(&mut self, epoch: Epoch) -> bool {
         if epoch < self.epoch {
             let (epoch, seen) = (epoch.0, self.epoch.0);
@@ -256,7 +261,7 @@
         checkpoint: Option<u64>,
         faults: WorkerFaults,
     ) -> OrderResult {
-        if self.started.contains_key(&key) {
+        if self.started_or_stopped.contains_key(&key) {
             return OrderResult::Done;
         }
         if !faults.overcommit && !self.has_capacity_for(size) {
@@ -265,7 +270,7 @@
         if faults.fail_everything {
             return OrderResult::Failed;
         }
-        self.started.insert(key, ());
+        self.started_or_stopped.insert(key, ());
         let work_done_us = checkpoint.map_or(0, work_of_token);
         self.running.insert(key, Task { size, share: FULL_SHARE, work_done_us });
         self.journal.record_change(key);
@@ -283,7 +288,7 @@
     /// start order has no effect.
     fn stop(&mut self, key: (TaskId, Incarnation)) -> OrderResult {
         let result = self.end(key, Exit::Stopped);
-        self.started.insert(key, ());
+        self.started_or_stopped.insert(key, ());
         result
     }
 
@@ -298,8 +303,8 @@
 
     fn end(&mut self, key: (TaskId, Incarnation), exit: Exit) -> OrderResult {
         if self.running.remove(&key).is_none() {
-            let was_here = self.started.contains_key(&key);
-            return if was_here { OrderResult::Done } else { OrderResult::Unknown };
+            let is_known = self.started_or_stopped.contains_key(&key);
+            return if is_known { OrderResult::Done } else { OrderResult::Unknown };
         }
         self.ended.push(Ended { task: key.0, incarnation: key.1, exit });
         self.journal.record_end(key);
@@ -318,14 +323,15 @@
 
     fn advance_work(&mut self, now: Instant) {
         // Work stops when the lease ends, even if the worker itself was frozen at that time.
-        let until = now.min(self.lease_end);
-        let step = until.since(self.worked_until).as_micros() as u64;
+        let work_end = now.min(self.lease_end);
+        let elapsed_us = work_end.since(self.worked_until).as_micros() as u64;
         self.worked_until = now;
         let keys: Vec<_> = self.running.iter().map(|(key, _)| *key).collect();
         let slowdowns: Vec<_> = keys.iter().map(|key| self.slowdown(*key)).collect();
         for (key, slowdown) in keys.into_iter().zip(slowdowns) {
             if let Some(task) = self.running.get_mut(&key) {
-                task.work_done_us += step * u64::from(task.share) / u64::from(slowdown.max(1));
+                task.work_done_us +=
+                    elapsed_us * u64::from(task.share) / u64::from(slowdown.max(1));
             }
         }
         self.end_finished_tasks();
@@ -342,6 +348,7 @@
         }
     }
 
+    /// Returns how long the tasks of a job run undisturbed, and how they end then.
     fn run_time_and_exit(&self, job: JobId) -> (Option<Duration>, Exit) {
         match self.options.jobs.iter().find(|it| it.job == job.0) {
             Some(behaviour) => {
--- a/daisy-standin/src/worker/state/usage.rs
+++ b/daisy-standin/src/worker/state/usage.rs
@@ -14,7 +14,7 @@
     pub(super) fn slowdown(&self, victim: (TaskId, Incarnation)) -> u32 {
         let others = self.running.iter().filter(|(key, _)| **key != victim);
         let added = others.map(|(key, task)| {
-            let per_core = self.per_core(victim.0.job, key.0.job);
+            let per_core = self.slowdown_per_core(victim.0.job, key.0.job);
             let used =
                 u64::from(task.size.cpu_milli) * u64::from(task.share) / u64::from(FULL_SHARE);
             (u64::from(per_core) * used / 1000) as u32
@@ -22,10 +22,12 @@
         added.fold(FULL_SHARE, u32::saturating_add)
     }
 
-    fn per_core(&self, victim: JobId, aggressor: JobId) -> u32 {
-        let pairs = self.options.interference.iter();
-        let pair = pairs.filter(|it| (it.victim, it.aggressor) == (victim.0, aggressor.0));
-        pair.map(|it| it.per_core).sum()
+    /// Returns the slowdown, in thousandths, that each core used by `aggressor` adds to `victim`.
+    fn slowdown_per_core(&self, victim: JobId, aggressor: JobId) -> u32 {
+        let interference = self.options.interference.iter();
+        let matching =
+            interference.filter(|it| (it.victim, it.aggressor) == (victim.0, aggressor.0));
+        matching.map(|it| it.per_core).sum()
     }
 
     /// Returns the slowdown of one task of a job, in thousandths, or `None` if none is running.
