--- a/daisy-standin/tests/backend.rs
+++ b/daisy-standin/tests/backend.rs
@@ -83,10 +83,10 @@
         .body(Full::default())
         .unwrap();
 
-    let gone = client.send(req, Duration::from_millis(50)).await;
+    let timed_out = client.send(req, Duration::from_millis(50)).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
 
-    assert!(matches!(gone, Err(CallError::TimedOut(_))));
+    assert!(matches!(timed_out, Err(CallError::TimedOut(_))));
     let ended = |kind: &EventKind| matches!(kind, EventKind::RequestEnded { .. });
     assert!(backend.history().events().iter().any(|event| ended(&event.kind)));
 }
--- a/daisy-standin/tests/platform.rs
+++ b/daisy-standin/tests/platform.rs
@@ -78,10 +78,10 @@
         append(platform.address(), id, "a", id).await.unwrap();
     }
 
-    let gone = get(platform.address(), "/v1/log?from=0").await;
+    let expired = get(platform.address(), "/v1/log?from=0").await;
 
-    assert_eq!(gone.status, StatusCode::GONE);
-    assert_eq!(serde_json::from_slice::<Expired>(&gone.body).unwrap().first, 1);
+    assert_eq!(expired.status, StatusCode::GONE);
+    assert_eq!(serde_json::from_slice::<Expired>(&expired.body).unwrap().first, 1);
 }
 
 #[tokio::test]
