--- a/daisy-standin/src/backend.rs
+++ b/daisy-standin/src/backend.rs
@@ -1,7 +1,8 @@
-//! A backend server: answers requests to the services on its VM.
+//! Stand-in for a backend server, which answers requests to the services on its VM.
 //!
-//! The query of a request chooses what it costs: `ms` of service time, `size` bytes of
-//! answer, `chunks` in which the answer is streamed, `gap_ms` between them.
+//! The query of a request chooses its cost: `ms` is the service time, `size` the length of the answer
+//! in bytes, `chunks` the number of chunks in which the answer is streamed, and `gap_ms` the time
+//! before each of them.
 
 mod admission;
 mod reply;
@@ -14,7 +15,7 @@
 };
 
 use bytes::Bytes;
-use daisy_history::{History, Kind};
+use daisy_history::{EventKind, History};
 use daisy_wire::headers;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -22,33 +23,36 @@
 
 use crate::{
     FaultError, Faults, Recorder, answer,
-    fault::Switches,
-    http::{Abort, Body, Handler, Reply, Server, header_of, pass, query, read_body, standin, text},
-    repeat::Repeat,
-    run::until_stopped,
+    fault::FaultSwitches,
+    http::{
+        Abort, Body, Handler, HandlerResult, Server, apply_faults, handle_common_paths, header_of,
+        query, read_body, text,
+    },
+    repeat::RepeatSwitch,
+    run::wait_for_stop_signal,
 };
 
 use self::{
-    admission::{Refusal, Slot, Slots},
-    reply::Shape,
+    admission::{RejectReason, Slot, Slots},
+    reply::AnswerOptions,
 };
 
-pub use self::admission::{Presence, Served};
+pub use self::admission::{ServiceState, ServiceStates};
 
-/// How a backend server stand-in works.
+/// Settings of a backend server stand-in.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Its name in the history.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 chooses a free port.
     pub listen: SocketAddr,
-    /// Requests that it works on at one time (8 at the users').
+    /// Maximum number of concurrent requests (8 at the users' sites).
     pub slots: u32,
-    /// Service time of requests that do not choose one.
+    /// Service time of requests whose query does not choose one.
     pub service_time: Duration,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// The file that each event is written to at once.
+    /// The file to which each event is written as soon as it is recorded.
     pub history: Option<PathBuf>,
 }
 
@@ -75,66 +79,77 @@
 #[derive(Debug)]
 struct Shared {
     recorder: Recorder,
-    switches: Switches,
+    switches: FaultSwitches,
     slots: Slots,
-    presence: Presence,
+    service_states: ServiceStates,
     service_time: Duration,
     body_bytes: usize,
-    /// The answer before, for the switch that reorders.
-    previous: Mutex<Option<(String, Bytes)>>,
+    /// The request id and body of the answer before, for the switch `reorder`.
+    previous_answer: Mutex<Option<(String, Bytes)>>,
 }
 
-/// Serves until SIGTERM.
+/// Serves until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If the stand-in cannot be started.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let backend = Backend::start(options).await?;
     log::info!("event=backend-started address={}", backend.address());
-    until_stopped().await?;
+    wait_for_stop_signal().await?;
     backend.stop().await;
     Ok(())
 }
 
+/// Names of the fault switches that a backend server has besides the common ones.
 const OWN_SWITCHES: &[&str] =
     &["leaving", "absent", "truncate", "doubled", "wrong_id", "reorder", "late_ms"];
 
 impl Backend {
     /// Listens and serves every service until [`Backend::stop`].
     ///
-    /// Fails if the address or the history's file cannot be had.
+    /// # Errors
+    ///
+    /// If the address cannot be bound or the history file cannot be created.
     pub async fn start(options: Options) -> anyhow::Result<Backend> {
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
-        Backend::start_with(options, recorder, Presence::default()).await
+        Backend::start_with(options, recorder, ServiceStates::default()).await
     }
 
-    /// Listens and serves the services that `presence` has.
+    /// Listens and serves the services according to `service_states`.
     pub(crate) async fn start_with(
         options: Options,
         recorder: Recorder,
-        presence: Presence,
+        service_states: ServiceStates,
     ) -> anyhow::Result<Backend> {
         let shared = Arc::new(Shared {
-            switches: Switches::new(&recorder, "backend server", OWN_SWITCHES),
+            switches: FaultSwitches::new(&recorder, "backend server", OWN_SWITCHES),
             recorder,
             slots: Slots::new(options.slots),
-            presence,
+            service_states,
             service_time: options.service_time,
             body_bytes: options.body_bytes,
-            previous: Mutex::new(None),
+            previous_answer: Mutex::new(None),
         });
         let server = Server::bind(options.listen, shared.clone()).await?;
         Ok(Backend { shared, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
     /// Replaces all fault switches.
+    ///
+    /// # Errors
+    ///
+    /// If a switch is set that this stand-in does not have.
     pub fn set_faults(&self, faults: Faults) -> Result<(), FaultError> {
         self.shared.switches.set(faults)
     }
 
-    /// What it saw so far.
+    /// Returns the events recorded so far.
     pub fn history(&self) -> History {
         self.shared.recorder.history()
     }
@@ -145,100 +160,108 @@
     }
 }
 
-/// What a request names.
+/// The identifiers in a request: its id, the number of its call and its idempotency key.
 #[derive(Debug, Clone)]
-struct Named {
+struct RequestIds {
     request: String,
     call: Option<u64>,
     key: Option<String>,
 }
 
 impl Handler for Shared {
-    /// Of the users' backend servers.
-    const CONNECTIONS: usize = 64;
+    /// The limit of the users' backend servers.
+    const MAX_CONNECTIONS: usize = 64;
 
-    async fn handle(&self, req: Request<Incoming>) -> Reply {
-        let req = match standin(req, &self.switches, &self.recorder).await {
+    async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
+        let req = match handle_common_paths(req, &self.switches, &self.recorder).await {
             Ok(reply) => return reply,
             Err(req) => req,
         };
-        if let Err(reply) = pass(&req, &self.switches).await {
+        if let Err(reply) = apply_faults(&req, &self.switches).await {
             return reply;
         }
         let Some(request) = header_of(&req, headers::REQUEST_ID).map(str::to_owned) else {
-            return Ok(text(StatusCode::BAD_REQUEST, "daisy-request-id is missing"));
+            return Ok(text(StatusCode::BAD_REQUEST, "header daisy-request-id is missing"));
         };
         let service = header_of(&req, headers::SERVICE).unwrap_or("").to_owned();
         let key = header_of(&req, headers::IDEMPOTENCY_KEY).map(str::to_owned);
-        let mut shape = Shape::of(&req, self.service_time);
-        let repeat = req.extensions().get::<Repeat>().cloned().unwrap_or_default();
+        let mut options = AnswerOptions::of(&req, self.service_time);
+        let repeat = req.extensions().get::<RepeatSwitch>().cloned().unwrap_or_default();
         let body = match read_body(req.into_body(), self.body_bytes).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
-        let named = Named { request, call: answer::call_of(&body), key };
+        let ids = RequestIds { request, call: answer::call_number(&body), key };
         match self.admit(&service) {
             Ok((slot, slowdown)) => {
-                shape.slow_down(slowdown);
-                self.answer(named, body, shape, slot, repeat).await
+                options.slow_down(slowdown);
+                self.answer(ids, body, options, slot, repeat).await
             }
-            Err(refusal) => Ok(self.refuse(named, refusal)),
+            Err(reason) => Ok(self.reject(ids, reason)),
         }
     }
 }
 
 impl Shared {
-    fn admit(&self, service: &str) -> Result<(Slot, u32), Refusal> {
+    /// Takes a slot for a request to `service`, and returns it with the slowdown of the service in
+    /// thousandths.
+    fn admit(&self, service: &str) -> Result<(Slot, u32), RejectReason> {
         let faults = self.switches.get();
         if faults.leaving {
-            return Err(Refusal::Leaving);
+            return Err(RejectReason::Leaving);
         }
         if faults.absent.iter().any(|absent| absent == service) {
-            return Err(Refusal::Absent);
+            return Err(RejectReason::ServiceAbsent);
         }
-        let slowdown = self.presence.slowdown(service).ok_or(Refusal::Absent)?;
-        let slot = self.slots.try_take().ok_or(Refusal::Full)?;
+        let slowdown = self.service_states.slowdown(service).ok_or(RejectReason::ServiceAbsent)?;
+        let slot = self.slots.try_acquire().ok_or(RejectReason::NoFreeSlot)?;
         Ok((slot, slowdown))
     }
 
-    fn refuse(&self, named: Named, refusal: Refusal) -> Response<Body> {
-        let Named { request, call, .. } = named;
-        let mut response = text(StatusCode::SERVICE_UNAVAILABLE, &refusal.to_string());
-        reply::mark(&mut response, &request, "not-run", &self.slots, refusal == Refusal::Leaving);
-        self.recorder.record(Kind::RequestRefused { request, call });
+    fn reject(&self, ids: RequestIds, reason: RejectReason) -> Response<Body> {
+        let RequestIds { request, call, .. } = ids;
+        let mut response = text(StatusCode::SERVICE_UNAVAILABLE, &reason.to_string());
+        reply::set_protocol_headers(
+            &mut response,
+            &request,
+            "not-run",
+            &self.slots,
+            reason == RejectReason::Leaving,
+        );
+        self.recorder.record(EventKind::RequestRefused { request, call });
         response
     }
 
     async fn answer(
         &self,
-        named: Named,
+        ids: RequestIds,
         body: Bytes,
-        shape: Shape,
+        options: AnswerOptions,
         slot: Slot,
-        repeat: Repeat,
-    ) -> Reply {
-        let Named { request, call, key } = named;
-        self.recorder.record(Kind::RequestBegan { request: request.clone(), call, key });
+        repeat: RepeatSwitch,
+    ) -> HandlerResult {
+        let RequestIds { request, call, key } = ids;
+        self.recorder.record(EventKind::RequestBegan { request: request.clone(), call, key });
         let (recorder, id) = (self.recorder.clone(), request.clone());
-        let service_time = shape.service_time;
-        // A task of its own: the work is done also when nobody waits for it any more.
+        let service_time = options.service_time;
+        // The work runs in a task of its own so that it finishes even if the caller disconnects.
         let work = tokio::spawn(async move {
             sleep(service_time).await;
             drop(slot);
-            recorder.record(Kind::RequestEnded { request: id });
+            recorder.record(EventKind::RequestEnded { request: id });
         });
         work.await.map_err(|_| Abort)?;
         let late_ms = self.switches.with(|faults| faults.late_ms);
         sleep(Duration::from_millis(late_ms)).await;
-        if self.switches.loses_answer() {
+        if self.switches.should_lose_answer() {
             return Err(Abort);
         }
-        let whole = answer::compose(&body, shape.size);
-        Ok(self.deliver(request, whole, shape, &repeat))
+        let complete_answer = answer::expected_answer(&body, options.size);
+        Ok(self.build_response(request, complete_answer, options, &repeat))
     }
 }
 
-/// A number of the query, or `default`.
-fn number<B>(req: &Request<B>, name: &str, default: u64) -> u64 {
+/// Returns the number in the query parameter `name`, or `default`.
+fn query_number<B>(req: &Request<B>, name: &str, default: u64) -> u64 {
     query(req, name).unwrap_or(default)
 }
--- a/daisy-standin/src/link.rs
+++ b/daisy-standin/src/link.rs
@@ -1,8 +1,8 @@
-//! A TCP forwarder between pairs of addresses that can be cut, delayed and narrowed.
+//! A TCP forwarder that can simulate a partition, delay and limited bandwidth.
 
 use std::{io, net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
-use daisy_history::{History, Kind};
+use daisy_history::{EventKind, History};
 use http::{Method, Request, StatusCode};
 use hyper::body::Incoming;
 use serde::{Deserialize, Serialize};
@@ -19,47 +19,48 @@
 
 use crate::{
     Recorder,
-    http::{Handler, Reply, Server, json, read_body, text},
-    run::until_stopped,
+    http::{Handler, HandlerResult, Server, json, read_body, text},
+    run::wait_for_stop_signal,
 };
 
-/// One forwarded address.
+/// An address to listen on and the address to which its connections are forwarded.
 #[derive(Debug, Clone, Copy)]
-pub struct Pair {
-    /// Where the link listens; port 0 takes a free one.
+pub struct ForwardRule {
+    /// The address that the link listens on; port 0 chooses a free port.
     pub listen: SocketAddr,
-    /// Where it forwards to.
+    /// The address that it forwards to.
     pub to: SocketAddr,
 }
 
-/// How a link works.
+/// Settings of a link.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Its name in the history.
     pub name: String,
-    /// Where `POST /standin/faults` is taken.
+    /// The control address, which serves `POST /standin/faults`.
     pub control: SocketAddr,
-    /// What is forwarded; the switches hold for all pairs together.
-    pub pairs: Vec<Pair>,
-    /// The switches at the start.
+    /// The addresses to forward; the switches apply to all of them.
+    pub forward_rules: Vec<ForwardRule>,
+    /// The initial state of the switches.
     pub faults: LinkFaults,
-    /// The file that each event is written to at once.
+    /// The file to which each event is written as soon as it is recorded.
     pub history: Option<PathBuf>,
 }
 
-/// Switches of a link.
+/// The fault switches of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkFaults {
-    /// Passes no byte on while it is set; connections stay open, as in a partition.
+    /// Forwards no bytes while it is set. Connections stay open, as in a network partition.
     pub cut: bool,
-    /// Passes nothing back: what is sent arrives, and its answer does not.
+    /// Forwards no bytes from the target back to the client: requests arrive, but their answers do
+    /// not.
     pub cut_back: bool,
-    /// Closes all connections and new ones at once.
+    /// Closes all connections, and new ones immediately.
     pub reset: bool,
-    /// Milliseconds added each way.
+    /// Delay in milliseconds that is added in each direction.
     pub delay_ms: u64,
-    /// Bytes a second of each connection and way; 0 for no bound.
+    /// Bandwidth of each connection in each direction, in bytes per second; 0 for no limit.
     pub bytes_a_second: u64,
 }
 
@@ -78,11 +79,15 @@
     faults: watch::Sender<LinkFaults>,
 }
 
-/// Forwards until SIGTERM.
+/// Forwards until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If the link cannot be started.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let link = Link::start(options).await?;
     log::info!("event=link-started control={} addresses={:?}", link.control(), link.addresses());
-    until_stopped().await?;
+    wait_for_stop_signal().await?;
     link.stop().await;
     Ok(())
 }
@@ -90,42 +95,44 @@
 impl Link {
     /// Listens and forwards until [`Link::stop`].
     ///
-    /// Fails if an address or the history's file cannot be had.
+    /// # Errors
+    ///
+    /// If an address cannot be bound or the history file cannot be created.
     pub async fn start(options: Options) -> anyhow::Result<Link> {
         let recorder = Recorder::open(&options.name, options.history.as_deref())?;
         let shared = Arc::new(Shared { recorder, faults: watch::Sender::new(options.faults) });
         let server = Server::bind(options.control, shared.clone()).await?;
         let mut forwarders = JoinSet::new();
         let mut addresses = Vec::new();
-        for pair in options.pairs {
-            let listener = TcpListener::bind(pair.listen).await?;
+        for rule in options.forward_rules {
+            let listener = TcpListener::bind(rule.listen).await?;
             addresses.push(listener.local_addr()?);
-            forwarders.spawn(accept(listener, pair.to, shared.faults.subscribe()));
+            forwarders.spawn(accept(listener, rule.to, shared.faults.subscribe()));
         }
         Ok(Link { shared, server, addresses, forwarders })
     }
 
-    /// Where its switches are.
+    /// Returns the address at which its switches are set.
     pub fn control(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// The first address that it listens on; its control address if it forwards nothing.
+    /// Returns the first address that it forwards, or its control address if there is none.
     pub fn address(&self) -> SocketAddr {
         self.addresses.first().copied().unwrap_or_else(|| self.control())
     }
 
-    /// Where it listens, in the order of its pairs.
+    /// Returns the addresses that it forwards, in the order of its rules.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
     /// Replaces all switches.
     pub fn set_faults(&self, faults: LinkFaults) {
-        self.shared.set(faults);
+        self.shared.set_faults(faults);
     }
 
-    /// When its switches were set.
+    /// Returns the events so far: one each time that its switches were set.
     pub fn history(&self) -> History {
         self.shared.recorder.history()
     }
@@ -140,7 +147,7 @@
 const FAULTS_LIMIT: usize = 4 << 10;
 
 impl Handler for Shared {
-    async fn handle(&self, req: Request<Incoming>) -> Reply {
+    async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/standin/history") => Ok(crate::http::history(&self.recorder)),
             (&Method::GET, "/standin/faults") => Ok(json(StatusCode::OK, &*self.faults.borrow())),
@@ -151,22 +158,22 @@
 }
 
 impl Shared {
-    async fn post_faults(&self, req: Request<Incoming>) -> Reply {
+    async fn post_faults(&self, req: Request<Incoming>) -> HandlerResult {
         let body = match read_body(req.into_body(), FAULTS_LIMIT).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
         match serde_json::from_slice(&body) {
             Ok(faults) => {
-                self.set(faults);
+                self.set_faults(faults);
                 Ok(json(StatusCode::OK, &faults))
             }
             Err(error) => Ok(text(StatusCode::BAD_REQUEST, &format!("faults: {error}"))),
         }
     }
 
-    fn set(&self, faults: LinkFaults) {
-        self.recorder.record(Kind::Fault { what: format!("{faults:?}") });
+    fn set_faults(&self, faults: LinkFaults) {
+        self.recorder.record(EventKind::Fault { what: format!("{faults:?}") });
         self.faults.send_replace(faults);
     }
 }
@@ -184,40 +191,42 @@
     }
 }
 
-async fn forward(near: TcpStream, to: SocketAddr, mut faults: watch::Receiver<LinkFaults>) {
-    // A connection that is made during a cut gets through when the cut ends.
-    let open = faults.wait_for(|faults| !faults.cut || faults.reset).await;
-    if open.map_or(true, |faults| faults.reset) {
+async fn forward(client: TcpStream, to: SocketAddr, mut faults: watch::Receiver<LinkFaults>) {
+    // A connection that is opened during a cut is forwarded when the cut ends.
+    let current = faults.wait_for(|faults| !faults.cut || faults.reset).await;
+    if current.map_or(true, |faults| faults.reset) {
         return;
     }
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_rx, near_tx) = near.into_split();
-    let (far_rx, far_tx) = far.into_split();
+    let Ok(target) = TcpStream::connect(to).await else { return };
+    let _ = (client.set_nodelay(true), target.set_nodelay(true));
+    let (client_rx, client_tx) = client.into_split();
+    let (target_rx, target_tx) = target.into_split();
     let mut resets = faults.clone();
     tokio::select! {
         _ = async {
             tokio::join!(
-                copy(near_rx, far_tx, faults.clone(), |it| it.cut),
-                copy(far_rx, near_tx, faults.clone(), |it| it.cut || it.cut_back),
+                copy_direction(client_rx, target_tx, faults.clone(), |it| it.cut),
+                copy_direction(target_rx, client_tx, faults.clone(), |it| it.cut || it.cut_back),
             )
         } => {}
         _ = resets.wait_for(|faults| faults.reset) => {}
     }
 }
 
-const PIECE: usize = 16 << 10;
-/// Pieces on their way; more wait at the sender, as in a full link.
-const PIECES: usize = 64;
+/// Maximum number of bytes that are read and forwarded at once.
+const BUFFER_BYTES: usize = 16 << 10;
+/// Maximum number of buffers in transit in one direction; the sender waits while the queue is full, as
+/// on a saturated link.
+const MAX_QUEUED_BUFFERS: usize = 64;
 
-/// Copies one way; `is_cut` says whether that way is cut.
-async fn copy(
+/// Copies bytes in one direction; `is_cut` returns whether this direction is cut.
+async fn copy_direction(
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
     faults: watch::Receiver<LinkFaults>,
     is_cut: fn(&LinkFaults) -> bool,
 ) {
-    let (tx, rx) = mpsc::channel(PIECES);
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_BUFFERS);
     let _ = tokio::join!(read(from, tx, faults.clone()), write(to, rx, faults, is_cut));
 }
 
@@ -226,7 +235,7 @@
     tx: mpsc::Sender<(Instant, Vec<u8>)>,
     faults: watch::Receiver<LinkFaults>,
 ) -> io::Result<()> {
-    let mut buf = vec![0; PIECE];
+    let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let length = from.read(&mut buf).await?;
         if length == 0 {
@@ -245,14 +254,15 @@
     mut faults: watch::Receiver<LinkFaults>,
     is_cut: fn(&LinkFaults) -> bool,
 ) -> io::Result<()> {
-    while let Some((due, piece)) = rx.recv().await {
-        sleep_until(due).await;
-        let Ok(open) = faults.wait_for(|faults| !is_cut(faults)).await.map(|faults| *faults) else {
+    while let Some((deliver_at, buffer)) = rx.recv().await {
+        sleep_until(deliver_at).await;
+        let Ok(current) = faults.wait_for(|faults| !is_cut(faults)).await.map(|faults| *faults)
+        else {
             return Ok(());
         };
-        let micros = (piece.len() as u64 * 1_000_000).checked_div(open.bytes_a_second);
+        let micros = (buffer.len() as u64 * 1_000_000).checked_div(current.bytes_a_second);
         sleep(Duration::from_micros(micros.unwrap_or(0))).await;
-        to.write_all(&piece).await?;
+        to.write_all(&buffer).await?;
     }
     to.shutdown().await
 }
--- a/daisy-standin/src/load/report.rs
+++ b/daisy-standin/src/load/report.rs
@@ -1,40 +1,41 @@
-//! What came of all calls.
+//! The report on all calls of a load.
 
 use std::{fmt, time::Duration};
 
-use daisy_history::Outcome;
+use daisy_history::CallOutcome;
 use hdrhistogram::Histogram;
 
-/// How one call ended with all its attempts.
+/// The result of one call, including all its attempts.
 #[derive(Debug)]
-pub(super) struct Done {
-    pub(super) outcome: Outcome,
-    pub(super) own: bool,
+pub(super) struct CallResult {
+    pub(super) outcome: CallOutcome,
+    pub(super) has_own_answer: bool,
     pub(super) latency: Duration,
     pub(super) attempts: u32,
 }
 
-/// What came of all calls; the counts add up to `requests`.
+/// The report on all calls. The counts of answered, wrong, refused and unknown calls add up to
+/// `requests`.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// Calls made.
+    /// Number of calls made.
     pub requests: u64,
-    /// Answered, whole and with the call's own answer.
+    /// Number of calls that received their own complete answer.
     pub answered: u64,
-    /// Answered with something else: another's answer or a part of one.
+    /// Number of calls that received a wrong answer: one of another call or an incomplete one.
     pub wrong: u64,
-    /// Refused as not run, or nobody could be reached, in every attempt.
+    /// Number of calls of which each attempt was refused as not run or could not be sent.
     pub refused: u64,
-    /// Never answered, and at least one attempt may have run.
+    /// Number of calls that received no answer and of which at least one attempt may have run.
     pub unknown: u64,
-    /// Attempts beyond the first of each call.
+    /// Number of attempts beyond the first of each call.
     pub retries: u64,
-    /// Latencies of answered calls in microseconds from when they were due.
+    /// Latencies of answered calls in microseconds, measured from when they were due.
     pub latency: Histogram<u64>,
 }
 
-const MINUTE_US: u64 = 60_000_000;
-const DIGITS: u8 = 3;
+const MAX_LATENCY_US: u64 = 60_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 impl Report {
     pub(super) fn new() -> Report {
@@ -45,25 +46,26 @@
             refused: 0,
             unknown: 0,
             retries: 0,
-            latency: Histogram::new_with_max(MINUTE_US, DIGITS).expect("constant bounds are valid"),
+            latency: Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .expect("constant bounds are valid"),
         }
     }
 
-    pub(super) fn add(&mut self, done: Done) {
+    pub(super) fn add(&mut self, result: CallResult) {
         self.requests += 1;
-        self.retries += u64::from(done.attempts.saturating_sub(1));
-        match done.outcome {
-            Outcome::Answered if done.own => {
+        self.retries += u64::from(result.attempts.saturating_sub(1));
+        match result.outcome {
+            CallOutcome::Answered if result.has_own_answer => {
                 self.answered += 1;
-                self.latency.saturating_record(done.latency.as_micros() as u64);
+                self.latency.saturating_record(result.latency.as_micros() as u64);
             }
-            Outcome::Answered => self.wrong += 1,
-            Outcome::NotRun | Outcome::Unreachable => self.refused += 1,
-            Outcome::Unknown | Outcome::Broken => self.unknown += 1,
+            CallOutcome::Answered => self.wrong += 1,
+            CallOutcome::NotRun | CallOutcome::Unreachable => self.refused += 1,
+            CallOutcome::Unknown | CallOutcome::Broken => self.unknown += 1,
         }
     }
 
-    /// The latency in milliseconds below which this share of answers stayed.
+    /// Returns the given quantile of the latencies, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1000.0
     }
--- a/daisy-standin/src/platform.rs
+++ b/daisy-standin/src/platform.rs
@@ -1,8 +1,9 @@
-//! The platform: its log and its list of VMs, over HTTP.
+//! Stand-in for the platform, which serves its log and its list of VMs over HTTP.
 //!
-//! The paths are those of [`daisy_wire::platform`]. Besides, `POST /standin/vms` with a
-//! [`VmChange`] adds, replaces, marks or removes a VM, and `POST /standin/views` with a list
-//! of [`View`]s lets particular processes see other addresses.
+//! The paths are those of [`daisy_wire::platform`]. In addition, `POST /standin/vms` with a
+//! [`VmChange`] adds or replaces a VM, marks it as leaving, or removes it, and
+//! `POST /standin/views` with a list of [`AddressOverride`]s shows other addresses of VMs to
+//! particular processes.
 
 mod log;
 mod vms;
@@ -14,7 +15,7 @@
     time::Duration,
 };
 
-use daisy_history::{History, Kind};
+use daisy_history::{EventKind, History};
 use daisy_wire::{
     headers,
     platform::{Appended, Expired, LogPage, LogRecord, StatusJson, VmList},
@@ -29,38 +30,40 @@
 
 use crate::{
     FaultError, Faults, Recorder,
-    fault::{Switches, count_down},
+    fault::{FaultSwitches, count_down},
     http::{
-        Abort, Body, Handler, Reply, Server, header_of, json, pass, query, read_body, standin, text,
+        Abort, Body, Handler, HandlerResult, Server, apply_faults, handle_common_paths, header_of,
+        json, query, read_body, text,
     },
-    recorder::locked,
-    run::until_stopped,
+    recorder::lock,
+    run::wait_for_stop_signal,
 };
 
 pub use self::{
     log::{Log, LogError, LogOptions},
-    vms::{View, VmBook, VmChange, VmError},
+    vms::{AddressOverride, VmChange, VmError, VmRegistry},
 };
 
-/// How a platform stand-in works.
+/// Settings of a platform stand-in.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 chooses a free port.
     pub listen: SocketAddr,
-    /// Records kept and appends taken.
+    /// Limits of the log: records retained and appends per second.
     pub log: LogOptions,
-    /// Bytes of one record.
+    /// Maximum size of a record in bytes.
     pub body_bytes: usize,
-    /// How far the VM list lags behind.
+    /// Delay until a change of a VM is visible in the VM list.
     pub vm_lag: Duration,
-    /// VMs from the start.
+    /// The initial VMs.
     pub vms: Vec<daisy_wire::platform::VmJson>,
-    /// The file that each event is written to at once.
+    /// The file to which each event is written as soon as it is recorded.
     pub history: Option<PathBuf>,
 }
 
 impl Default for Options {
-    /// A free port, the users' few hundred appends a second, nothing expires by age.
+    /// Returns settings with a free port, the users' few hundred appends per second, and records that do
+    /// not expire by age.
     fn default() -> Options {
         Options {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -83,19 +86,23 @@
 #[derive(Debug)]
 struct Shared {
     recorder: Recorder,
-    switches: Switches,
+    switches: FaultSwitches,
     body_bytes: usize,
     log: Mutex<Log>,
-    vms: Mutex<VmBook>,
-    /// The offset after the last record, for reads that wait.
-    next: watch::Sender<u64>,
+    vms: Mutex<VmRegistry>,
+    /// The offset after the last record; reads that wait for a record watch it.
+    next_offset: watch::Sender<u64>,
 }
 
-/// Serves until SIGTERM.
+/// Serves until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If the stand-in cannot be started.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let platform = Platform::start(options).await?;
     ::log::info!("event=platform-started address={}", platform.address());
-    until_stopped().await?;
+    wait_for_stop_signal().await?;
     platform.stop().await;
     Ok(())
 }
@@ -103,43 +110,54 @@
 impl Platform {
     /// Listens and serves until [`Platform::stop`].
     ///
-    /// Fails if the address or the history's file cannot be had.
+    /// # Errors
+    ///
+    /// If the address cannot be bound, the history file cannot be created, or the initial VMs are
+    /// invalid.
     pub async fn start(options: Options) -> anyhow::Result<Platform> {
         let recorder = Recorder::open("platform", options.history.as_deref())?;
-        let mut vms = VmBook::new(options.vm_lag);
+        let mut vms = VmRegistry::new(options.vm_lag);
         let now = recorder.now();
         for vm in options.vms {
             vms.change(now, VmChange::Put(vm))?;
         }
-        vms.publish_at_once();
+        vms.publish_now();
         let shared = Arc::new(Shared {
-            switches: Switches::new(&recorder, "platform", &["double_appends", "late_ms"]),
+            switches: FaultSwitches::new(&recorder, "platform", &["double_appends", "late_ms"]),
             recorder,
             body_bytes: options.body_bytes,
             log: Mutex::new(Log::new(options.log)),
             vms: Mutex::new(vms),
-            next: watch::Sender::new(0),
+            next_offset: watch::Sender::new(0),
         });
         let server = Server::bind(options.listen, shared.clone()).await?;
         Ok(Platform { shared, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
     /// Replaces all fault switches.
+    ///
+    /// # Errors
+    ///
+    /// If a switch is set that this stand-in does not have.
     pub fn set_faults(&self, faults: Faults) -> Result<(), FaultError> {
         self.shared.switches.set(faults)
     }
 
-    /// Changes the list of VMs; visible after the lag.
+    /// Changes the list of VMs; the change is visible after the lag.
+    ///
+    /// # Errors
+    ///
+    /// If the VM does not exist, or the number of a new VM was used before.
     pub fn change_vm(&self, change: VmChange) -> Result<(), VmError> {
         self.shared.change_vm(change)
     }
 
-    /// What it saw so far.
+    /// Returns the events recorded so far.
     pub fn history(&self) -> History {
         self.shared.recorder.history()
     }
@@ -150,12 +168,12 @@
     }
 }
 
-const WAIT_MAX: Duration = Duration::from_secs(60);
-const RECORDS_MAX: usize = 1_000;
+const MAX_WAIT: Duration = Duration::from_secs(60);
+const MAX_RECORDS_PER_PAGE: usize = 1_000;
 
 impl Handler for Shared {
-    async fn handle(&self, req: Request<Incoming>) -> Reply {
-        let req = match standin(req, &self.switches, &self.recorder).await {
+    async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
+        let req = match handle_common_paths(req, &self.switches, &self.recorder).await {
             Ok(reply) => return reply,
             Err(req) => req,
         };
@@ -164,7 +182,7 @@
             (&Method::POST, "/standin/views") => return self.post_views(req).await,
             _ => {}
         }
-        if let Err(reply) = pass(&req, &self.switches).await {
+        if let Err(reply) = apply_faults(&req, &self.switches).await {
             return reply;
         }
         match (req.method(), req.uri().path()) {
@@ -177,26 +195,26 @@
 }
 
 impl Shared {
-    async fn append(&self, req: Request<Incoming>) -> Reply {
+    async fn append(&self, req: Request<Incoming>) -> HandlerResult {
         let Some(id) = header_of(&req, headers::APPEND_ID).map(str::to_owned) else {
-            return Ok(text(StatusCode::BAD_REQUEST, "append-id is missing"));
+            return Ok(text(StatusCode::BAD_REQUEST, "header append-id is missing"));
         };
-        let from = crate::http::from(&req).to_owned();
+        let from = crate::http::caller_name(&req).to_owned();
         let body = match read_body(req.into_body(), self.body_bytes).await {
             Ok(body) => body,
             Err(reply) => return reply,
         };
-        let offset = match locked(&self.log).append(self.recorder.now(), &body) {
+        let offset = match lock(&self.log).append(self.recorder.now(), &body) {
             Ok(offset) => offset,
-            Err(wait) => return Ok(too_many(wait)),
+            Err(wait) => return Ok(too_many_appends(wait)),
         };
-        self.appended(&id, &from, offset);
+        self.record_append(&id, &from, offset);
         if self.switches.with(|faults| count_down(&mut faults.double_appends)) {
-            // A second copy, as of a request that the network delivered twice.
-            let copy = locked(&self.log).append_anyway(self.recorder.now(), &body);
-            self.appended(&id, &from, copy);
+            // Appends a second copy, as if the network had delivered the request twice.
+            let copy = lock(&self.log).append_unlimited(self.recorder.now(), &body);
+            self.record_append(&id, &from, copy);
         }
-        if self.switches.loses_answer() {
+        if self.switches.should_lose_answer() {
             let late_ms = self.switches.with(|faults| faults.late_ms);
             if late_ms > 0 {
                 sleep(Duration::from_millis(late_ms)).await;
@@ -206,29 +224,32 @@
         Ok(json(StatusCode::OK, &Appended { offset }))
     }
 
-    fn appended(&self, id: &str, from: &str, offset: u64) {
+    fn record_append(&self, id: &str, from: &str, offset: u64) {
         let (id, from) = (id.to_owned(), from.to_owned());
-        self.recorder.record(Kind::Appended { id, offset, from });
-        self.next.send_modify(|next| *next = (*next).max(offset + 1));
+        self.recorder.record(EventKind::Appended { id, offset, from });
+        self.next_offset.send_modify(|next| *next = (*next).max(offset + 1));
     }
 
-    async fn read(&self, req: Request<Incoming>) -> Reply {
+    async fn read(&self, req: Request<Incoming>) -> HandlerResult {
         let Some(from) = query::<_, u64>(&req, "from") else {
-            return Ok(text(StatusCode::BAD_REQUEST, "from is missing or no number"));
+            return Ok(text(
+                StatusCode::BAD_REQUEST,
+                "the parameter from is missing or not a number",
+            ));
         };
-        let max = query(&req, "max").unwrap_or(RECORDS_MAX).min(RECORDS_MAX);
-        let wait = Duration::from_millis(query(&req, "wait_ms").unwrap_or(0)).min(WAIT_MAX);
-        let mut next = self.next.subscribe();
+        let max = query(&req, "max").unwrap_or(MAX_RECORDS_PER_PAGE).min(MAX_RECORDS_PER_PAGE);
+        let wait = Duration::from_millis(query(&req, "wait_ms").unwrap_or(0)).min(MAX_WAIT);
+        let mut next = self.next_offset.subscribe();
         let _ = timeout(wait, next.wait_for(|next| *next > from)).await;
-        // An outage or a cut that began during the wait holds for this answer, too.
-        if let Err(reply) = pass(&req, &self.switches).await {
+        // A fault switch that was set during the wait also applies to this answer.
+        if let Err(reply) = apply_faults(&req, &self.switches).await {
             return reply;
         }
         Ok(self.page(from, max))
     }
 
     fn page(&self, from: u64, max: usize) -> Response<Body> {
-        let mut log = locked(&self.log);
+        let mut log = lock(&self.log);
         match log.read(self.recorder.now(), from, max) {
             Ok(records) => {
                 let records = records.iter().map(|(at, bytes)| LogRecord::new(*at, bytes));
@@ -241,15 +262,15 @@
     }
 
     fn list(&self, req: &Request<Incoming>) -> Response<Body> {
-        let mut vms = locked(&self.vms);
-        let list: VmList = vms.list(self.recorder.now(), crate::http::from(req));
+        let mut vms = lock(&self.vms);
+        let list: VmList = vms.list(self.recorder.now(), crate::http::caller_name(req));
         if query(req, "since") == Some(list.version) {
             return text(StatusCode::NOT_MODIFIED, "");
         }
         json(StatusCode::OK, &list)
     }
 
-    async fn post_vm(&self, req: Request<Incoming>) -> Reply {
+    async fn post_vm(&self, req: Request<Incoming>) -> HandlerResult {
         let change: VmChange = match self.read_json(req).await {
             Ok(change) => change,
             Err(reply) => return reply,
@@ -260,35 +281,38 @@
         }
     }
 
-    async fn post_views(&self, req: Request<Incoming>) -> Reply {
-        let views: Vec<View> = match self.read_json(req).await {
+    async fn post_views(&self, req: Request<Incoming>) -> HandlerResult {
+        let views: Vec<AddressOverride> = match self.read_json(req).await {
             Ok(views) => views,
             Err(reply) => return reply,
         };
-        locked(&self.vms).set_views(views);
+        lock(&self.vms).set_overrides(views);
         Ok(text(StatusCode::OK, "set"))
     }
 
-    async fn read_json<T: DeserializeOwned>(&self, req: Request<Incoming>) -> Result<T, Reply> {
+    async fn read_json<T: DeserializeOwned>(
+        &self,
+        req: Request<Incoming>,
+    ) -> Result<T, HandlerResult> {
         let body = read_body(req.into_body(), self.body_bytes).await?;
         let read = serde_json::from_slice(&body);
         read.map_err(|error| Ok(text(StatusCode::BAD_REQUEST, &error.to_string())))
     }
 
     fn change_vm(&self, change: VmChange) -> Result<(), VmError> {
-        let told = locked(&self.vms).change(self.recorder.now(), change)?;
-        let status = match told.status {
+        let applied = lock(&self.vms).change(self.recorder.now(), change)?;
+        let status = match applied.status {
             Some(StatusJson::Live) => "live",
             Some(StatusJson::Leaving) => "leaving",
             None => "gone",
         };
-        self.recorder.record(Kind::VmChanged { vm: told.name, status: status.to_owned() });
+        self.recorder.record(EventKind::VmChanged { vm: applied.name, status: status.to_owned() });
         Ok(())
     }
 }
 
-fn too_many(wait: Duration) -> Response<Body> {
-    let mut response = text(StatusCode::TOO_MANY_REQUESTS, "over the cap of appends a second");
+fn too_many_appends(wait: Duration) -> Response<Body> {
+    let mut response = text(StatusCode::TOO_MANY_REQUESTS, "too many appends per second");
     let seconds = wait.as_secs().max(1);
     response.headers_mut().insert(header::RETRY_AFTER, seconds.into());
     response
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -1,10 +1,10 @@
-//! What runs on a worker, without input or output.
+//! The tasks on a worker, without I/O.
 
 mod usage;
 
 use std::{collections::VecDeque, time::Duration};
 
-use daisy_history::{End, Kind, Run, Size};
+use daisy_history::{EventKind, Run, RunEnd, Size};
 use daisy_model::{
     Ended, Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, Running,
     SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
@@ -12,57 +12,57 @@
 use daisy_wire::worker::{ReportJson, SeenJson};
 use serde::{Deserialize, Serialize};
 
-use super::journal::Journal;
-use crate::backend::Served;
+use super::journal::ReportJournal;
+use crate::backend::ServiceState;
 
 /// How tasks of one job run on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct JobRun {
+pub struct JobBehaviour {
     /// The job's number.
     pub job: u32,
-    /// Undisturbed run time in milliseconds; absent for until it is stopped.
+    /// Undisturbed run time in milliseconds; absent if tasks run until they are stopped.
     #[serde(default)]
     pub run_ms: Option<u64>,
-    /// Whether tasks end as failed.
+    /// Whether the tasks fail at the end of their run time.
     #[serde(default)]
     pub fails: bool,
-    /// The service whose requests a task of this job answers.
+    /// The service whose requests the tasks of this job answer.
     #[serde(default)]
     pub service: Option<String>,
 }
 
-/// How much tasks of one job slow those of another down on the same worker.
+/// How much the tasks of one job slow down those of another job on the same worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interference {
     /// The job that is slowed down.
     pub victim: u32,
-    /// The job that disturbs it.
+    /// The job that slows it down.
     pub aggressor: u32,
-    /// Added slowdown in thousandths for each whole core that the aggressor uses.
+    /// Added slowdown, in thousandths, for each whole core that the aggressor uses.
     pub per_core: u32,
 }
 
-/// What a worker is and how its tasks go.
+/// The capacity of a worker and the behaviour of its tasks.
 #[derive(Debug, Clone)]
 pub struct WorkerOptions {
-    /// What it holds in all.
+    /// Its total capacity.
     pub capacity: Resources,
-    /// Undisturbed run time of tasks of jobs that `jobs` does not name; `None` for
-    /// until it is stopped.
+    /// Undisturbed run time of the tasks of jobs that are not in `jobs`; `None` if they run until they
+    /// are stopped.
     pub run_time: Option<Duration>,
     /// How tasks of particular jobs run.
-    pub jobs: Vec<JobRun>,
-    /// Who disturbs whom.
+    pub jobs: Vec<JobBehaviour>,
+    /// The pairs of jobs of which one slows down the other.
     pub interference: Vec<Interference>,
-    /// How old the reported usage is.
+    /// Age of the usage in reports.
     pub usage_lag: Duration,
 }
 
 impl Default for WorkerOptions {
     fn default() -> WorkerOptions {
         WorkerOptions {
-            capacity: super::CONFEITARIA,
+            capacity: super::SMALL_WORKER,
             run_time: Some(Duration::from_millis(300)),
             jobs: Vec::new(),
             interference: Vec::new(),
@@ -71,48 +71,55 @@
     }
 }
 
-/// What is wrong with a worker at the moment.
+/// The faults that are currently injected into a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Flaws {
+pub struct WorkerFaults {
     /// Every start fails.
     pub fail_everything: bool,
-    /// Tasks are started whether or not there is room.
+    /// Tasks are started even if they exceed the free capacity.
     pub overcommit: bool,
-    /// Epochs mean nothing: stale ones are accepted, and newer ones are not told of.
+    /// Epochs are ignored: stale ones are accepted, and reports do not show newer ones.
     pub unfenced: bool,
 }
 
 #[derive(Debug)]
 struct Task {
     size: Resources,
+    /// The share of processor time that throttling leaves it, in thousandths.
     share: u32,
-    /// Undisturbed work done, in microseconds.
-    done: u64,
+    /// The work done, in microseconds of undisturbed run time.
+    work_done_us: u64,
 }
 
-/// One worker.
+/// The state of one worker.
 #[derive(Debug)]
 pub struct WorkerState {
     options: WorkerOptions,
     epoch: Epoch,
-    /// The lease's end by this worker's own clock.
+    /// When the lease ends by this worker's own clock.
     lease_end: Instant,
     running: SortedMap<(TaskId, Incarnation), Task>,
     ended: Vec<Ended>,
-    /// Every incarnation ever started here: each is started once.
-    started: SortedMap<(TaskId, Incarnation), ()>,
+    /// Every incarnation that was ever started or stopped here, none of which may start again.
+    started_or_stopped: SortedMap<(TaskId, Incarnation), ()>,
+    /// Number of checkpoints made so far.
     checkpoints: u32,
+    /// The time up to which the work of tasks has been accounted for.
     worked_until: Instant,
+    /// The usage of all tasks at past times, oldest first.
     samples: VecDeque<(Instant, Vec<Usage>)>,
-    journal: Journal,
-    events: Vec<(Instant, Kind)>,
+    journal: ReportJournal,
+    /// Events that have not been taken yet, with their times.
+    events: Vec<(Instant, EventKind)>,
     now: Instant,
 }
 
-const WHOLE: u32 = 1000;
+/// The share of a task that is not throttled, and the slowdown of one that is not disturbed, in
+/// thousandths.
+const FULL_SHARE: u32 = 1000;
 
 impl WorkerState {
-    /// A worker that runs nothing.
+    /// Creates a worker without tasks.
     pub fn new(options: WorkerOptions) -> WorkerState {
         WorkerState {
             options,
@@ -120,68 +127,68 @@
             lease_end: Instant(0),
             running: SortedMap::new(),
             ended: Vec::new(),
-            started: SortedMap::new(),
+            started_or_stopped: SortedMap::new(),
             checkpoints: 0,
             worked_until: Instant(0),
             samples: VecDeque::new(),
-            journal: Journal::new(),
+            journal: ReportJournal::new(),
             events: Vec::new(),
             now: Instant(0),
         }
     }
 
-    /// The number of tasks that run.
+    /// Returns the number of tasks that are running.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Makes a whole report one of the changes since `seen`, if they are known.
-    pub fn since(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
-        self.journal.reduce(seen, report)
+    /// Reduces a complete report to the changes since `seen`, if they are known.
+    pub fn changes_since(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
+        self.journal.reduce_to_changes(seen, report)
     }
 
-    /// Numbers reports as those of the agent's start `boot`.
-    pub fn set_boot(&mut self, boot: u64) {
-        self.journal.set_boot(boot);
+    /// Sets the number that identifies this start of the worker in reports.
+    pub fn set_boot_id(&mut self, boot: u64) {
+        self.journal.set_boot_id(boot);
     }
 
-    /// Where the journal stood when a task ended last.
-    pub fn news(&self) -> SeenJson {
-        self.journal.news()
+    /// Returns the version at which a task ended last, or a slowdown changed considerably.
+    pub fn last_update(&self) -> SeenJson {
+        self.journal.last_update()
     }
 
-    /// Replaces how tasks of particular jobs run.
-    pub fn set_jobs(&mut self, jobs: Vec<JobRun>) {
+    /// Replaces the list of jobs whose tasks run in a particular way.
+    pub fn set_jobs(&mut self, jobs: Vec<JobBehaviour>) {
         self.options.jobs = jobs;
     }
 
-    /// Carries a call out at `now`.
-    pub fn call(&mut self, now: Instant, call: WorkerCall, flaws: Flaws) -> WorkerReport {
+    /// Carries out a call at `now` and returns the complete report.
+    pub fn call(&mut self, now: Instant, call: WorkerCall, faults: WorkerFaults) -> WorkerReport {
         self.tick(now);
-        let accepted = self.accept(call.epoch) || flaws.unfenced;
+        let accepted = self.accept(call.epoch) || faults.unfenced;
         let results = if accepted {
             self.lease_end = now + call.lease;
-            call.orders.into_iter().map(|order| self.order(order, flaws)).collect()
+            call.orders.into_iter().map(|order| self.order(order, faults)).collect()
         } else {
             Vec::new()
         };
         WorkerReport {
-            epoch: if flaws.unfenced { call.epoch } else { self.epoch },
+            epoch: if faults.unfenced { call.epoch } else { self.epoch },
             accepted,
             capacity: self.options.capacity,
             results,
-            running: self.running.iter().map(running).collect(),
+            running: self.running.iter().map(running_report).collect(),
             ended: self.ended.clone(),
             usage: self.usage(now),
         }
     }
 
-    /// Lets time pass up to `now`: work goes on, ends, or loses its lease.
+    /// Advances the state to `now`: tasks work, finish, or end because the lease has expired.
     pub fn tick(&mut self, now: Instant) {
         self.now = now;
-        self.work(now);
+        self.advance_work(now);
         if now >= self.lease_end {
-            // No work was done since the lease's end, however late that is noticed.
+            // No work was done after the lease's end, even if the end is noticed much later.
             self.now = self.lease_end;
             self.end_all(Exit::LeaseLapsed);
             self.now = now;
@@ -189,50 +196,51 @@
         self.sample(now);
     }
 
-    /// What happened since the last time, and when.
-    pub fn take_events(&mut self) -> Vec<(Instant, Kind)> {
+    /// Returns the events since the last call of this function, with their times.
+    pub fn take_events(&mut self) -> Vec<(Instant, EventKind)> {
         std::mem::take(&mut self.events)
     }
 
-    /// Services that jobs are known to answer for, and how they fare here.
-    pub fn services(&self) -> Vec<Served> {
+    /// Returns the services of the known jobs, and their states on this worker.
+    pub fn services(&self) -> Vec<ServiceState> {
         let known = self.options.jobs.iter();
-        let services = known.filter_map(|run| {
-            let slowdown = self.slowdown_of_job(JobId(run.job));
-            Some(Served { service: run.service.clone()?, slowdown })
+        let services = known.filter_map(|behaviour| {
+            let slowdown = self.slowdown_of_job(JobId(behaviour.job));
+            Some(ServiceState { service: behaviour.service.clone()?, slowdown })
         });
         services.collect()
     }
 
-    fn note(&mut self, kind: Kind) {
+    fn record(&mut self, kind: EventKind) {
         self.events.push((self.now, kind));
     }
 
+    /// Returns whether a call with this epoch is accepted, and remembers a new highest epoch.
     fn accept(&mut self, epoch: Epoch) -> bool {
         if epoch < self.epoch {
             let (epoch, seen) = (epoch.0, self.epoch.0);
-            self.note(Kind::EpochRefused { epoch, seen });
+            self.record(EventKind::EpochRefused { epoch, seen });
             return false;
         }
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.note(Kind::EpochSeen { epoch: epoch.0 });
+            self.record(EventKind::EpochSeen { epoch: epoch.0 });
         }
         true
     }
 
-    fn order(&mut self, order: Order, flaws: Flaws) -> OrderResult {
+    fn order(&mut self, order: Order, faults: WorkerFaults) -> OrderResult {
         match order {
             Order::Start { task, incarnation, size, checkpoint } => {
-                self.start((task, incarnation), size, checkpoint, flaws)
+                self.start((task, incarnation), size, checkpoint, faults)
             }
             Order::Stop { task, incarnation } => self.stop((task, incarnation)),
             Order::Checkpoint { task, incarnation } => self.checkpoint((task, incarnation)),
             Order::Throttle { task, incarnation, share } => {
                 match self.running.get_mut(&(task, incarnation)) {
                     Some(running) => {
-                        running.share = share.min(WHOLE);
-                        self.journal.changed((task, incarnation));
+                        running.share = share.min(FULL_SHARE);
+                        self.journal.record_change((task, incarnation));
                         OrderResult::Done
                     }
                     None => OrderResult::Unknown,
@@ -240,7 +248,7 @@
             }
             Order::Acknowledge { task, incarnation } => {
                 self.ended.retain(|it| (it.task, it.incarnation) != (task, incarnation));
-                self.journal.forgot((task, incarnation));
+                self.journal.record_acknowledge((task, incarnation));
                 OrderResult::Done
             }
         }
@@ -251,57 +259,57 @@
         key: (TaskId, Incarnation),
         size: Resources,
         checkpoint: Option<u64>,
-        flaws: Flaws,
+        faults: WorkerFaults,
     ) -> OrderResult {
-        if self.started.contains_key(&key) {
+        if self.started_or_stopped.contains_key(&key) {
             return OrderResult::Done;
         }
-        if !flaws.overcommit && !self.has_room(size) {
+        if !faults.overcommit && !self.has_capacity_for(size) {
             return OrderResult::NoRoom;
         }
-        if flaws.fail_everything {
+        if faults.fail_everything {
             return OrderResult::Failed;
         }
-        self.started.insert(key, ());
-        let done = checkpoint.map_or(0, work_of_checkpoint);
-        self.running.insert(key, Task { size, share: WHOLE, done });
-        self.journal.changed(key);
-        let (run, size, epoch) = (run_of(key), size_of(size), self.epoch.0);
-        self.note(Kind::TaskStarted { run, epoch, size, checkpoint });
+        self.started_or_stopped.insert(key, ());
+        let work_done_us = checkpoint.map_or(0, work_of_token);
+        self.running.insert(key, Task { size, share: FULL_SHARE, work_done_us });
+        self.journal.record_change(key);
+        let (run, size, epoch) = (history_run(key), history_size(size), self.epoch.0);
+        self.record(EventKind::TaskStarted { run, epoch, size, checkpoint });
         OrderResult::Done
     }
 
-    fn has_room(&self, size: Resources) -> bool {
+    fn has_capacity_for(&self, size: Resources) -> bool {
         let used = self.running.iter().try_fold(size, |sum, (_, task)| sum.try_add(task.size));
         used.is_some_and(|used| used.fits(self.options.capacity))
     }
 
-    /// Ends an incarnation; one that never started does not start any more, so that a late
-    /// copy of its start runs nothing.
+    /// Stops an incarnation. One that has not started can no longer start, so that a delayed copy of its
+    /// start order has no effect.
     fn stop(&mut self, key: (TaskId, Incarnation)) -> OrderResult {
         let result = self.end(key, Exit::Stopped);
-        self.started.insert(key, ());
+        self.started_or_stopped.insert(key, ());
         result
     }
 
     fn checkpoint(&mut self, key: (TaskId, Incarnation)) -> OrderResult {
-        let Some(done) = self.running.get(&key).map(|task| task.done) else {
+        let Some(work_done_us) = self.running.get(&key).map(|task| task.work_done_us) else {
             return self.end(key, Exit::Stopped);
         };
         self.checkpoints += 1;
-        let token = checkpoint_token(key, self.checkpoints, done);
+        let token = checkpoint_token(key, self.checkpoints, work_done_us);
         self.end(key, Exit::Checkpointed(token))
     }
 
     fn end(&mut self, key: (TaskId, Incarnation), exit: Exit) -> OrderResult {
         if self.running.remove(&key).is_none() {
-            let was_here = self.started.contains_key(&key);
-            return if was_here { OrderResult::Done } else { OrderResult::Unknown };
+            let is_known = self.started_or_stopped.contains_key(&key);
+            return if is_known { OrderResult::Done } else { OrderResult::Unknown };
         }
         self.ended.push(Ended { task: key.0, incarnation: key.1, exit });
-        self.journal.ended(key);
-        if let Some(end) = end_of(exit) {
-            self.note(Kind::TaskEnded { run: run_of(key), end });
+        self.journal.record_end(key);
+        if let Some(end) = history_end(exit) {
+            self.record(EventKind::TaskEnded { run: history_run(key), end });
         }
         OrderResult::Done
     }
@@ -313,25 +321,26 @@
         }
     }
 
-    fn work(&mut self, now: Instant) {
-        // Work stops where the lease ends, also when the worker itself was frozen past it.
-        let until = now.min(self.lease_end);
-        let step = until.since(self.worked_until).as_micros() as u64;
+    fn advance_work(&mut self, now: Instant) {
+        // Work stops when the lease ends, even if the worker itself was frozen at that time.
+        let work_end = now.min(self.lease_end);
+        let elapsed_us = work_end.since(self.worked_until).as_micros() as u64;
         self.worked_until = now;
         let keys: Vec<_> = self.running.iter().map(|(key, _)| *key).collect();
         let slowdowns: Vec<_> = keys.iter().map(|key| self.slowdown(*key)).collect();
         for (key, slowdown) in keys.into_iter().zip(slowdowns) {
             if let Some(task) = self.running.get_mut(&key) {
-                task.done += step * u64::from(task.share) / u64::from(slowdown.max(1));
+                task.work_done_us +=
+                    elapsed_us * u64::from(task.share) / u64::from(slowdown.max(1));
             }
         }
-        self.finish();
+        self.end_finished_tasks();
     }
 
-    fn finish(&mut self) {
+    fn end_finished_tasks(&mut self) {
         let due = self.running.iter().filter_map(|(key, task)| {
-            let (run_time, exit) = self.plan(key.0.job);
-            (task.done >= run_time?.as_micros() as u64).then_some((*key, exit))
+            let (run_time, exit) = self.run_time_and_exit(key.0.job);
+            (task.work_done_us >= run_time?.as_micros() as u64).then_some((*key, exit))
         });
         let due: Vec<_> = due.collect();
         for (key, exit) in due {
@@ -339,51 +348,53 @@
         }
     }
 
-    fn plan(&self, job: JobId) -> (Option<Duration>, Exit) {
-        match self.options.jobs.iter().find(|run| run.job == job.0) {
-            Some(run) => {
-                let exit = if run.fails { Exit::Failed } else { Exit::Done };
-                (run.run_ms.map(Duration::from_millis), exit)
+    /// Returns how long the tasks of a job run undisturbed, and how they end then.
+    fn run_time_and_exit(&self, job: JobId) -> (Option<Duration>, Exit) {
+        match self.options.jobs.iter().find(|it| it.job == job.0) {
+            Some(behaviour) => {
+                let exit = if behaviour.fails { Exit::Failed } else { Exit::Done };
+                (behaviour.run_ms.map(Duration::from_millis), exit)
             }
             None => (self.options.run_time, Exit::Done),
         }
     }
 }
 
-/// A token that no other checkpoint has, and that carries the work done in milliseconds.
-fn checkpoint_token(key: (TaskId, Incarnation), count: u32, done: u64) -> u64 {
+/// Returns a token that identifies the checkpoint and contains the work done in milliseconds.
+fn checkpoint_token(key: (TaskId, Incarnation), count: u32, work_done_us: u64) -> u64 {
     let (task, incarnation) = key;
     let mut mixed = fastrand::Rng::with_seed(
         u64::from(task.job.0) << 40 ^ u64::from(task.index) << 20 ^ u64::from(incarnation.0),
     );
     let unique = mixed.u32(..) ^ count;
-    u64::from(unique) << 32 | (done / 1000).min(u64::from(u32::MAX))
+    u64::from(unique) << 32 | (work_done_us / 1000).min(u64::from(u32::MAX))
 }
 
-fn work_of_checkpoint(token: u64) -> u64 {
+/// Returns the work done, in microseconds, that a checkpoint's token contains.
+fn work_of_token(token: u64) -> u64 {
     (token & u64::from(u32::MAX)) * 1000
 }
 
-fn running((key, task): (&(TaskId, Incarnation), &Task)) -> Running {
+fn running_report((key, task): (&(TaskId, Incarnation), &Task)) -> Running {
     Running { task: key.0, incarnation: key.1, size: task.size, share: task.share }
 }
 
-fn run_of((task, incarnation): (TaskId, Incarnation)) -> Run {
+fn history_run((task, incarnation): (TaskId, Incarnation)) -> Run {
     Run { job: task.job.0, index: task.index, incarnation: incarnation.0 }
 }
 
-pub(super) fn size_of(it: Resources) -> Size {
+pub(super) fn history_size(it: Resources) -> Size {
     let Resources { cpu_milli, memory_mib, accelerators } = it;
     Size { cpu_milli, memory_mib, accelerators }
 }
 
-fn end_of(exit: Exit) -> Option<End> {
+fn history_end(exit: Exit) -> Option<RunEnd> {
     match exit {
-        Exit::Done => Some(End::Done),
-        Exit::Failed => Some(End::Failed),
-        Exit::Checkpointed(token) => Some(End::Checkpointed(token)),
-        Exit::Stopped => Some(End::Stopped),
-        Exit::LeaseLapsed => Some(End::LeaseLapsed),
+        Exit::Done => Some(RunEnd::Done),
+        Exit::Failed => Some(RunEnd::Failed),
+        Exit::Checkpointed(token) => Some(RunEnd::Checkpointed(token)),
+        Exit::Stopped => Some(RunEnd::Stopped),
+        Exit::LeaseLapsed => Some(RunEnd::LeaseLapsed),
         Exit::Refused | Exit::Unknown => None,
     }
 }
--- a/tests/proofs/cuts.rs
+++ b/tests/proofs/cuts.rs
@@ -2,11 +2,11 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use daisy_history::Kind;
+use daisy_history::EventKind;
 use daisy_standin::{
     Faults, Link,
-    link::{self, LinkFaults, Pair},
-    platform::View,
+    link::{self, ForwardRule, LinkFaults},
+    platform::AddressOverride,
 };
 use daisy_wire::platform::{RoleJson, VmJson};
 use tokio::time::sleep;
@@ -32,7 +32,7 @@
     /// Cuts one entry VM off from the others and from the platform, but not from its workers.
     pub async fn cut_entry(&self, link: &Link, at: usize) {
         let (vm, process) = &self.entries[at];
-        process.record(Kind::CutOff);
+        process.record(EventKind::CutOff);
         link.set_faults(LinkFaults { cut: true, ..LinkFaults::default() });
         self.platform_faults(Faults { cut: vec![vm.name.clone()], ..Faults::default() }).await;
     }
@@ -41,31 +41,41 @@
     pub async fn heal_entry(&self, link: &Link, at: usize) {
         self.platform_faults(Faults::default()).await;
         link.set_faults(LinkFaults::default());
-        self.entries[at].1.record(Kind::Healed);
+        self.entries[at].1.record(EventKind::Healed);
     }
 
     /// Puts one link between all pairs of an entry VM and another VM that `between` chooses.
     async fn link(&self, between: impl Fn(&VmJson, &VmJson) -> bool) -> Link {
         let vms = || self.entries.iter().chain(&self.workers).map(|(vm, _)| vm);
-        let (mut pairs, mut views) = (Vec::new(), Vec::new());
+        let (mut forward_rules, mut views) = (Vec::new(), Vec::new());
         for (from, _) in &self.entries {
             for vm in vms().filter(|vm| between(from, vm)) {
                 let mut through = |to: SocketAddr| {
-                    let listen = self.at.link(u32::try_from(pairs.len()).expect("few pairs"));
-                    pairs.push(Pair { listen, to });
+                    let listen =
+                        self.at.link(u32::try_from(forward_rules.len()).expect("few pairs"));
+                    forward_rules.push(ForwardRule { listen, to });
                     listen
                 };
                 let control = through(vm.control);
                 let backend = vm.backend.map(&mut through);
-                let view =
-                    View { from: from.name.clone(), vm: vm.id, control: Some(control), backend };
+                let view = AddressOverride {
+                    from: from.name.clone(),
+                    vm: vm.id,
+                    control: Some(control),
+                    backend,
+                };
                 views.push(view);
             }
         }
         let control = SocketAddr::from(([127, 0, 0, 1], 0));
         let faults = LinkFaults::default();
-        let options =
-            link::Options { name: "link".to_owned(), control, pairs, faults, history: None };
+        let options = link::Options {
+            name: "link".to_owned(),
+            control,
+            forward_rules,
+            faults,
+            history: None,
+        };
         let link = Link::start(options).await.expect("a link");
         let body = serde_json::to_vec(&views).expect("JSON");
         let answer = self.client.post(self.at.platform(), "/standin/views", body, SOON).await;
@@ -78,7 +88,7 @@
     pub async fn cut(&self, link: &Link, dc: u16) {
         let inside = || self.entries.iter().filter(|(vm, _)| vm.dc == dc);
         let cut = inside().map(|(vm, _)| vm.name.clone()).collect();
-        inside().for_each(|(_, process)| process.record(Kind::CutOff));
+        inside().for_each(|(_, process)| process.record(EventKind::CutOff));
         link.set_faults(LinkFaults { cut: true, ..LinkFaults::default() });
         self.platform_faults(Faults { cut, ..Faults::default() }).await;
     }
@@ -88,6 +98,6 @@
         self.platform_faults(Faults::default()).await;
         link.set_faults(LinkFaults::default());
         let inside = self.entries.iter().filter(|(vm, _)| vm.dc == dc);
-        inside.for_each(|(_, process)| process.record(Kind::Healed));
+        inside.for_each(|(_, process)| process.record(EventKind::Healed));
     }
 }
