--- a/daisy-standin/src/load/report.rs
+++ b/daisy-standin/src/load/report.rs
@@ -30,7 +30,7 @@
     pub unknown: u64,
     /// Number of attempts beyond the first of each call.
     pub retries: u64,
-    /// Latencies of answered calls in microseconds, measured from when they were due.
+    /// Latencies of answered calls in microseconds, from when they were due.
     pub latency: Histogram<u64>,
 }
 
