--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -24,7 +24,7 @@
 use daisy_placement::LeaseRenewerEvent;
 use daisy_routing::{KeyAnswer, KeyQuery, Routes};
 use daisy_wire::{
-    peer::{Answer, Question},
+    peer::{PeerAnswer, PeerQuery},
     snapshot::Restore,
 };
 use tokio::{
@@ -208,7 +208,7 @@
                 self.worker_answered(now, (by, epoch), vm, outcome);
             }
             Input::WorkerUpdate { epoch, vm, news } => self.worker_news(now, epoch, vm, news),
-            Input::Question { question, reply } => {
+            Input::PeerQuery { question, reply } => {
                 let _ = reply.send(self.answer(now, question));
             }
             Input::Encode { reply } => {
@@ -311,16 +311,16 @@
         self.care(now, LeaseRenewerEvent::Vms(&vms));
     }
 
-    fn answer(&mut self, now: Instant, question: Question) -> Answer {
+    fn answer(&mut self, now: Instant, question: PeerQuery) -> PeerAnswer {
         match question {
-            Question::Vms { known } if !self.vms.is_empty() && known < Some(self.vms_version) => {
-                Answer::Vms { version: self.vms_version, vms: self.vms.to_vec() }
+            PeerQuery::Vms { known } if !self.vms.is_empty() && known < Some(self.vms_version) => {
+                PeerAnswer::Vms { version: self.vms_version, vms: self.vms.to_vec() }
             }
-            Question::Live => match self.live(now) {
-                Some(live) => Answer::Live(Box::new(live)),
-                None => Answer::Unable,
+            PeerQuery::LiveView => match self.live(now) {
+                Some(live) => PeerAnswer::LiveView(Box::new(live)),
+                None => PeerAnswer::Unable,
             },
-            Question::Vms { .. } | Question::Key(_) => Answer::Unable,
+            PeerQuery::Vms { .. } | PeerQuery::Key(_) => PeerAnswer::Unable,
         }
     }
 
--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -6,7 +6,7 @@
     Action, DataCentre, Event, Holder, LeaseRenewer, LeaseRenewerEvent, Options,
 };
 use daisy_routing::{KeyAnswer, KeyQuery};
-use daisy_wire::mirror::Mirror;
+use daisy_wire::report_merger::ReportMerger;
 
 use crate::{
     boundary::RequestSide,
@@ -24,7 +24,7 @@
     unheard: Vec<VmId>,
     caretaker: Option<(Epoch, LeaseRenewer)>,
     /// What each worker has told, so that it tells changes only.
-    mirrors: SortedMap<VmId, Mirror>,
+    report_mergers: SortedMap<VmId, ReportMerger>,
     /// Workers whose news are waited for; one wait a worker.
     watched: SortedMap<VmId, ()>,
 }
@@ -104,7 +104,7 @@
             match action {
                 Action::Append(record) => self.append(record),
                 Action::Call { vm, call } => {
-                    let seen = self.driver.mirrors.get(&vm).and_then(Mirror::seen);
+                    let seen = self.driver.report_mergers.get(&vm).and_then(ReportMerger::seen);
                     worker_calls::spawn(self.line(vm), by, call, seen);
                 }
             }
@@ -148,13 +148,15 @@
 
     /// Makes a worker's whole report of what it has told before and what it tells now.
     fn complete(&mut self, vm: VmId, answered: Answered) -> Result<WorkerReport, Silence> {
-        let mirror = self.driver.mirrors.get_or_insert_with(vm, Mirror::new);
-        mirror.take(&answered.orders, answered.report).ok_or(Silence { sent: true })
+        let report_merger = self.driver.report_mergers.get_or_insert_with(vm, ReportMerger::new);
+        report_merger.take(&answered.orders, answered.report).ok_or(Silence { sent: true })
     }
 
     /// Waits for a worker's news, unless somebody does already.
     fn watch(&mut self, vm: VmId, epoch: Epoch) {
-        let Some(seen) = self.driver.mirrors.get(&vm).and_then(Mirror::seen) else { return };
+        let Some(seen) = self.driver.report_mergers.get(&vm).and_then(ReportMerger::seen) else {
+            return;
+        };
         if !self.driver.watched.contains_key(&vm) {
             self.driver.watched.insert(vm, ());
             worker_calls::watch(self.line(vm), epoch, seen);
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -6,7 +6,7 @@
 use daisy_ledger::Record;
 use daisy_membership::{Heartbeat, Source};
 use daisy_model::{Epoch, Instant, Offset, VmId};
-use daisy_wire::peer::{Answer, Question};
+use daisy_wire::peer::{PeerAnswer, PeerQuery};
 use tokio::sync::oneshot;
 
 use crate::{
@@ -77,11 +77,11 @@
         news: WorkerUpdate,
     },
     /// A peer asks.
-    Question {
+    PeerQuery {
         /// The question.
-        question: Question,
+        question: PeerQuery,
         /// Told the answer.
-        reply: oneshot::Sender<Answer>,
+        reply: oneshot::Sender<PeerAnswer>,
     },
     /// A peer asks for the whole state.
     Encode {
--- a/daisy-entry/src/control/look.rs
+++ b/daisy-entry/src/control/look.rs
@@ -5,7 +5,7 @@
 use daisy_ledger::State;
 use daisy_model::{Instant, Name, Vm, VmId, WallTime};
 use daisy_placement::{Holder, TaskStatus, TimedReason, WorkerStatus};
-use daisy_query::{Live, LiveTask, LiveWorker, Reason, Subject, WorkerState};
+use daisy_query::{LiveTask, LiveView, LiveWorker, Reason, Subject, WorkerState};
 use daisy_routing::{KeyAnswer, KeyQuery};
 
 use crate::{boundary::RequestSide, control::Control};
@@ -20,7 +20,7 @@
     /// Names of data centres.
     pub dcs: Vec<Name>,
     /// What this entry VM knows, if it is a holder.
-    pub own: Live,
+    pub own: LiveView,
     /// The holders of other data centres, and of the own one if it is another entry VM.
     pub holders: Vec<VmId>,
 }
@@ -41,7 +41,7 @@
     }
 
     /// What this entry VM knows as a holder; `None` if it is none.
-    pub(super) fn live(&mut self, now: Instant) -> Option<Live> {
+    pub(super) fn live(&mut self, now: Instant) -> Option<LiveView> {
         let wall = self.clock.wall();
         let holder = self.driver.active()?;
         Some(live_of(holder, &Times { now, wall }))
@@ -66,8 +66,8 @@
     }
 }
 
-fn live_of(holder: &Holder, times: &Times) -> Live {
-    let mut live = Live::default();
+fn live_of(holder: &Holder, times: &Times) -> LiveView {
+    let mut live = LiveView::default();
     for task in holder.checked_out_tasks() {
         let notes = holder.reasons(task.task);
         let subject = Subject::Task(task.task);
@@ -86,7 +86,7 @@
         let state = match worker.status {
             WorkerStatus::Open => WorkerState::Ready,
             WorkerStatus::Draining | WorkerStatus::Unlisted => WorkerState::Leaving,
-            WorkerStatus::Quarantined => WorkerState::PutAside,
+            WorkerStatus::Quarantined => WorkerState::Quarantined,
             WorkerStatus::NeverAnswered | WorkerStatus::Silent => WorkerState::Silent,
         };
         let known = LiveWorker {
--- a/daisy-entry/src/operators/look.rs
+++ b/daisy-entry/src/operators/look.rs
@@ -4,10 +4,10 @@
 
 use daisy_language::Statement;
 use daisy_model::{JobSpec, Vm};
-use daisy_query::Live;
+use daisy_query::LiveView;
 use daisy_wire::{
     operator::ResultJson,
-    peer::{Answer, Question},
+    peer::{PeerAnswer, PeerQuery},
 };
 use futures::future::join_all;
 use tokio::sync::oneshot;
@@ -31,9 +31,9 @@
     let mut live = own;
     live.dcs = dcs;
     live.vms = vms.iter().map(|vm| (vm.id, vm.clone())).collect();
-    let asked = holders.iter().map(|vm| port.links.ask(*vm, Question::Live, HOLDER_TIMEOUT));
+    let asked = holders.iter().map(|vm| port.links.ask(*vm, PeerQuery::LiveView, HOLDER_TIMEOUT));
     for answer in join_all(asked).await {
-        if let Some(Answer::Live(theirs)) = answer {
+        if let Some(PeerAnswer::LiveView(theirs)) = answer {
             merge(&mut live, *theirs);
         }
     }
@@ -57,10 +57,14 @@
         let name = dcs.get(usize::from(vm.dc.0));
         spec.data_centres.is_empty() || name.is_some_and(|it| spec.data_centres.contains(it))
     };
-    Some(daisy_query::try_misfit(vms.iter().filter(is_allowed), spec.size).into_iter().collect())
+    Some(
+        daisy_query::describe_misfit(vms.iter().filter(is_allowed), spec.size)
+            .into_iter()
+            .collect(),
+    )
 }
 
-fn merge(live: &mut Live, theirs: Live) {
+fn merge(live: &mut LiveView, theirs: LiveView) {
     for (task, it) in theirs.tasks.iter() {
         live.tasks.insert(*task, *it);
     }
--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_language::{Located, Statement};
+use daisy_language::{LocatedStatement, Statement};
 use daisy_ledger::{Outcome, Record};
 use daisy_model::{Change, Command, Condition, Name};
 use daisy_wire::operator::ResultJson;
@@ -32,7 +32,7 @@
         }
     };
     let mut results = Vec::new();
-    for Located { statement, span } in statements {
+    for LocatedStatement { statement, span } in statements {
         let source = text.get(span).unwrap_or_default().trim();
         let result = match statement {
             Statement::Change { command, condition } => {
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -8,8 +8,8 @@
 use daisy_wire::{
     headers,
     peer::{
-        Answer, AnswerWire, MAX_FRAME, Notice, NoticeWire, Pushed, PushedWire, Question,
-        QuestionWire, RecordsFrom, Replica, ReplicaChange,
+        MAX_FRAME, Notice, NoticeWire, PeerAnswer, PeerAnswerWire, PeerQuery, PeerQueryWire,
+        RecordStreamMessage, RecordStreamMessageWire, RecordsRequest, Replica, ReplicaChange,
     },
 };
 use h2::client::{self, SendRequest};
@@ -57,7 +57,7 @@
     /// Tell the peer.
     Tell(Told),
     /// Ask the peer.
-    Ask(Question, oneshot::Sender<Option<Answer>>),
+    Ask(PeerQuery, oneshot::Sender<Option<PeerAnswer>>),
     /// Read the log's records from the peer.
     Records(Offset, oneshot::Sender<Option<Records>>),
     /// Give the connection up: the peer seems to hear nothing through it.
@@ -72,8 +72,8 @@
 
 impl Records {
     /// The next message; `None` when the stream is of no further use.
-    pub async fn next(&mut self) -> Option<Pushed> {
-        match self.receiver.next::<PushedWire>().await {
+    pub async fn next(&mut self) -> Option<RecordStreamMessage> {
+        match self.receiver.next::<RecordStreamMessageWire>().await {
             Ok(Some(pushed)) => Some(pushed.into()),
             Ok(None) => None,
             Err(e) => {
@@ -234,13 +234,13 @@
 async fn ask(
     mut sender: Sender,
     response: client::ResponseFuture,
-    question: Question,
-    reply: oneshot::Sender<Option<Answer>>,
+    question: PeerQuery,
+    reply: oneshot::Sender<Option<PeerAnswer>>,
 ) {
     let exchange = async {
-        sender.send(&QuestionWire::from(question), true).await?;
+        sender.send(&PeerQueryWire::from(question), true).await?;
         let mut receiver = Receiver::new(response.await?.into_body(), MAX_FRAME);
-        Ok::<_, StreamError>(Answer::try_from(receiver.only::<AnswerWire>().await?)?)
+        Ok::<_, StreamError>(PeerAnswer::try_from(receiver.only::<PeerAnswerWire>().await?)?)
     };
     let answer = match timeout(ANSWER_TIMEOUT, exchange).await {
         Ok(Ok(answer)) => Some(answer),
@@ -260,7 +260,7 @@
     reply: oneshot::Sender<Option<Records>>,
 ) {
     let exchange = async {
-        sender.send(&RecordsFrom { offset: from.0 }, true).await?;
+        sender.send(&RecordsRequest { offset: from.0 }, true).await?;
         Ok::<_, StreamError>(Receiver::new(response.await?.into_body(), MAX_FRAME))
     };
     let records = timeout(ANSWER_TIMEOUT, exchange).await.ok().and_then(Result::ok);
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -9,7 +9,7 @@
 use daisy_ledger::{Outcome, Record};
 use daisy_model::{Offset, SortedMap, VmId};
 use daisy_routing::{KeyAnswer, KeyQuery};
-use daisy_wire::peer::{Answer, Question};
+use daisy_wire::peer::{PeerAnswer, PeerQuery};
 use tokio::{
     sync::{mpsc, oneshot},
     time::timeout,
@@ -77,7 +77,12 @@
     }
 
     /// Asks `peer`; `None` when no answer came within `limit`.
-    pub async fn ask(&self, peer: VmId, question: Question, limit: Duration) -> Option<Answer> {
+    pub async fn ask(
+        &self,
+        peer: VmId,
+        question: PeerQuery,
+        limit: Duration,
+    ) -> Option<PeerAnswer> {
         let (reply, answer) = oneshot::channel();
         if !self.send(peer, Command::Ask(question, reply)) {
             return None;
@@ -122,8 +127,8 @@
 
 impl PeerKeys<KeyQuery, KeyAnswer> for Keys {
     async fn ask(&self, peer: VmId, query: KeyQuery, timeout: Duration) -> Option<KeyAnswer> {
-        match self.links.ask(peer, Question::Key(query), timeout).await? {
-            Answer::Key(answer) => Some(answer),
+        match self.links.ask(peer, PeerQuery::Key(query), timeout).await? {
+            PeerAnswer::Key(answer) => Some(answer),
             _ => None,
         }
     }
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -13,8 +13,8 @@
 use daisy_wire::{
     headers,
     peer::{
-        Answer, AnswerWire, Notice, NoticeWire, Pushed, PushedWire, Question, QuestionWire,
-        RecordsFrom, Replica, ReplicaChange,
+        Notice, NoticeWire, PeerAnswer, PeerAnswerWire, PeerQuery, PeerQueryWire,
+        RecordStreamMessage, RecordStreamMessageWire, RecordsRequest, Replica, ReplicaChange,
     },
 };
 use h2::{
@@ -195,7 +195,7 @@
         mut receiver: Receiver,
         mut respond: SendResponse<Bytes>,
     ) -> anyhow::Result<()> {
-        let RecordsFrom { offset } = receiver.only().await?;
+        let RecordsRequest { offset } = receiver.only().await?;
         let mut from = Offset(offset);
         let stream = respond.send_response(Response::new(()), false)?;
         let mut sender = Sender::new(stream);
@@ -214,16 +214,16 @@
                     let first = from;
                     from = Offset(from.0 + records.len() as u64);
                     let bodies = records.iter().map(|it| it.to_vec()).collect();
-                    Pushed::Records { first, bodies }
+                    RecordStreamMessage::Records { first, bodies }
                 }
                 Chunk::TooOld => {
                     let (next, bytes) = self.snapshot().await?;
                     from = next;
-                    Pushed::Snapshot { next, bytes }
+                    RecordStreamMessage::Snapshot { next, bytes }
                 }
             };
             // The peer's end of the stream shows as an error here, and ends the task.
-            sender.send(&PushedWire::from(pushed), false).await?;
+            sender.send(&RecordStreamMessageWire::from(pushed), false).await?;
         }
     }
 
@@ -240,8 +240,8 @@
         mut respond: SendResponse<Bytes>,
     ) -> anyhow::Result<()> {
         let question = async {
-            let wire = receiver.only::<QuestionWire>().await?;
-            Ok::<_, StreamError>(Question::try_from(wire)?)
+            let wire = receiver.only::<PeerQueryWire>().await?;
+            Ok::<_, StreamError>(PeerQuery::try_from(wire)?)
         };
         let question = match timeout(QUESTION_TIMEOUT, question).await.context("too slow")? {
             Ok(question) => question,
@@ -253,17 +253,17 @@
         let answer = timeout(QUESTION_TIMEOUT, self.answer(from, question)).await?;
         let stream = respond.send_response(Response::new(()), false)?;
         let mut sender = Sender::new(stream);
-        Ok(sender.send(&AnswerWire::from(answer), true).await?)
+        Ok(sender.send(&PeerAnswerWire::from(answer), true).await?)
     }
 
-    async fn answer(&self, from: VmId, question: Question) -> Answer {
-        if let Question::Key(query) = question {
-            return Answer::Key(self.requests.answer(from, query).await);
+    async fn answer(&self, from: VmId, question: PeerQuery) -> PeerAnswer {
+        if let PeerQuery::Key(query) = question {
+            return PeerAnswer::Key(self.requests.answer(from, query).await);
         }
         let (reply, answer) = oneshot::channel();
-        match self.control.send(Input::Question { question, reply }).await {
-            Ok(()) => answer.await.unwrap_or(Answer::Unable),
-            Err(_) => Answer::Unable,
+        match self.control.send(Input::PeerQuery { question, reply }).await {
+            Ok(()) => answer.await.unwrap_or(PeerAnswer::Unable),
+            Err(_) => PeerAnswer::Unable,
         }
     }
 }
--- a/daisy-entry/src/peers/stream.rs
+++ b/daisy-entry/src/peers/stream.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use daisy_wire::{
     WireError,
-    peer::{Frames, frame},
+    peer::{FrameDecoder, frame},
 };
 use h2::{RecvStream, SendStream};
 
@@ -28,13 +28,13 @@
 #[derive(Debug)]
 pub(crate) struct Receiver {
     stream: RecvStream,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 impl Receiver {
     /// Refuses messages of more than `limit` bytes.
     pub fn new(stream: RecvStream, limit: usize) -> Receiver {
-        Receiver { stream, frames: Frames::new(limit) }
+        Receiver { stream, frames: FrameDecoder::new(limit) }
     }
 
     /// The next message; `None` at the stream's regular end.
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -4,7 +4,7 @@
 
 use daisy_membership::Source;
 use daisy_model::{Offset, VmId};
-use daisy_wire::peer::Pushed;
+use daisy_wire::peer::RecordStreamMessage;
 use tokio::{
     sync::{mpsc, oneshot, watch},
     time::sleep,
@@ -107,13 +107,13 @@
             };
             let asked = self.clock.now();
             match pushed {
-                Some(Pushed::Records { first, bodies }) => {
+                Some(RecordStreamMessage::Records { first, bodies }) => {
                     let offsets = (first.0..).map(Offset);
                     let records = offsets.zip(bodies.into_iter().map(Into::into)).collect();
                     let page = Page { asked, bounds: None, records };
                     self.pass(next, |ack| Input::Page(page, ack)).await?;
                 }
-                Some(Pushed::Snapshot { bytes, .. }) => {
+                Some(RecordStreamMessage::Snapshot { bytes, .. }) => {
                     self.pass(next, |ack| Input::Snapshot { bytes, ack }).await?;
                 }
                 None => {
--- a/daisy-entry/src/vm_list.rs
+++ b/daisy-entry/src/vm_list.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_wire::peer::{Answer, Question};
+use daisy_wire::peer::{PeerAnswer, PeerQuery};
 use tokio::{sync::mpsc, time::sleep};
 
 use crate::{
@@ -56,8 +56,8 @@
 /// another one is asked each time.
 async fn from_peer(links: &Links, known: Option<u64>) -> Option<Listing> {
     let peer = links.any_peer()?;
-    match links.ask(peer, Question::Vms { known }, PEER_TIMEOUT).await? {
-        Answer::Vms { version, vms } => {
+    match links.ask(peer, PeerQuery::Vms { known }, PEER_TIMEOUT).await? {
+        PeerAnswer::Vms { version, vms } => {
             log::info!("event=vm_list_from_peer peer={peer} version={version}");
             Some(Listing { version, vms })
         }
--- a/daisy-entry/src/worker_calls.rs
+++ b/daisy-entry/src/worker_calls.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use daisy_http::Http;
 use daisy_model::{Epoch, Order, VmId, WorkerCall};
-use daisy_wire::worker::{CallJson, ReportJson, SeenJson};
+use daisy_wire::worker::{CallJson, ReportJson, ReportVersionJson};
 use http::{Method, StatusCode};
 use http_body_util::Full;
 use tokio::sync::mpsc;
@@ -34,7 +34,7 @@
 }
 
 /// Calls a worker, telling it what was `seen` of its reports.
-pub(crate) fn spawn(line: Line, by: By, call: WorkerCall, seen: Option<SeenJson>) {
+pub(crate) fn spawn(line: Line, by: By, call: WorkerCall, seen: Option<ReportVersionJson>) {
     tokio::spawn(async move {
         let (epoch, vm) = (call.epoch, line.vm);
         let outcome = match line.address {
@@ -46,7 +46,7 @@
 }
 
 /// Waits until a worker has something to report that was not `seen`.
-pub(crate) fn watch(line: Line, epoch: Epoch, seen: SeenJson) {
+pub(crate) fn watch(line: Line, epoch: Epoch, seen: ReportVersionJson) {
     tokio::spawn(async move {
         let news = match line.address {
             Some(address) => wait_for_news(&line.http, address, seen).await,
@@ -94,7 +94,7 @@
     http: &Http,
     address: SocketAddr,
     call: WorkerCall,
-    seen: Option<SeenJson>,
+    seen: Option<ReportVersionJson>,
 ) -> Result<Answered, Silence> {
     let orders = call.orders.clone();
     let call = CallJson { seen, ..CallJson::from(call) };
@@ -112,8 +112,8 @@
     Ok(Answered { orders, report })
 }
 
-async fn wait_for_news(http: &Http, address: SocketAddr, seen: SeenJson) -> WorkerUpdate {
-    let SeenJson { boot, version } = seen;
+async fn wait_for_news(http: &Http, address: SocketAddr, seen: ReportVersionJson) -> WorkerUpdate {
+    let ReportVersionJson { boot, version } = seen;
     let wait = NEWS_WAIT.as_millis();
     let target = format!("/v1/worker/news?boot={boot}&version={version}&wait_ms={wait}");
     let req = http.request(Method::GET, address, &target).body(Full::new(Bytes::new()));
--- a/daisy-entry/tests/control/cluster.rs
+++ b/daisy-entry/tests/control/cluster.rs
@@ -71,7 +71,7 @@
         timing: Timing {
             heartbeat: Duration::from_millis(200),
             holder_timeout: Duration::from_millis(1_000),
-            balancer: Duration::from_millis(100),
+            balancer_delay: Duration::from_millis(100),
             vm_list: Duration::from_millis(100),
             ..Timing::default()
         },
--- a/daisy-language/src/lib.rs
+++ b/daisy-language/src/lib.rs
@@ -19,7 +19,7 @@
     column::Target,
     finding::{Finding, Findings},
     parse::{MAX_LEN, parse, parse_located},
-    statement::{Count, Filter, Located, OrderBy, Show, Statement, TaskRef, Test, Why},
+    statement::{Count, Filter, LocatedStatement, OrderBy, Show, Statement, TaskRef, Test, Why},
     token::Span,
     value::{Amount, amount},
 };
--- a/daisy-language/src/parse.rs
+++ b/daisy-language/src/parse.rs
@@ -7,7 +7,7 @@
 use daisy_model::{Command, Condition, Generation, JobKind, Name, Priority, WorkClass};
 
 use crate::{
-    Finding, Findings, Located, Statement, TaskRef, Why,
+    Finding, Findings, LocatedStatement, Statement, TaskRef, Why,
     cursor::Cursor,
     lex::lex,
     token::{Kind, Token},
@@ -34,7 +34,7 @@
 }
 
 /// Reads all statements of `source` with their places, for the audit trail.
-pub fn parse_located(source: &str) -> Result<Vec<Located>, Findings> {
+pub fn parse_located(source: &str) -> Result<Vec<LocatedStatement>, Findings> {
     if source.len() > MAX_LEN {
         let expected = format!("at most {MAX_LEN} bytes, not {}", source.len());
         return Err(Findings(vec![Finding::new(source, 0..0, expected)]));
@@ -47,7 +47,7 @@
         match parse_one(source, tokens) {
             Ok(statement) => {
                 let span = first.span.start..last.span.end;
-                statements.push(Located { statement, span });
+                statements.push(LocatedStatement { statement, span });
             }
             Err(more) => findings.extend(more),
         }
--- a/daisy-language/src/statement.rs
+++ b/daisy-language/src/statement.rs
@@ -29,7 +29,7 @@
 
 /// A statement and where it stands in the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Located {
+pub struct LocatedStatement {
     /// The statement.
     pub statement: Statement,
     /// Its place.
--- a/daisy-measure/src/ledger/size.rs
+++ b/daisy-measure/src/ledger/size.rs
@@ -6,7 +6,7 @@
 };
 
 use daisy_ledger::{Intents, Record, State};
-use daisy_query::Live;
+use daisy_query::LiveView;
 use daisy_wire::snapshot::{self, Restore};
 
 use crate::ledger::{
@@ -130,7 +130,7 @@
 /// Milliseconds to answer the one statement of `source`.
 fn ask(state: &State, source: &str) -> anyhow::Result<f64> {
     let statements = daisy_language::parse(source)?;
-    let live = Live::default();
+    let live = LiveView::default();
     let began = Instant::now();
     for statement in &statements {
         black_box(daisy_query::run(state, &live, statement)?);
--- a/daisy-query/src/explain.rs
+++ b/daisy-query/src/explain.rs
@@ -6,8 +6,8 @@
 use daisy_ledger::{AppendId, Batch, Outcome, Record, State};
 use daisy_model::{Change, Command, Condition, Name, WallTime};
 
-pub use self::room::try_misfit;
-use crate::{Live, Table, words};
+pub use self::room::describe_misfit;
+use crate::{LiveView, Table, words};
 
 /// Columns of the answer: what is affected, and how.
 const COLUMNS: &[&str] = &["about", "effect"];
@@ -15,7 +15,7 @@
 /// Answers `explain` by folding the change into a copy of the state.
 pub(crate) fn explain(
     state: &State,
-    live: &Live,
+    live: &LiveView,
     command: &Command,
     condition: Option<Condition>,
 ) -> Table {
--- a/daisy-query/src/explain/effect.rs
+++ b/daisy-query/src/explain/effect.rs
@@ -4,7 +4,7 @@
 use daisy_model::{Command, JobSpec, Name, Resources, VmId, WorkClass};
 
 use crate::{
-    Live, Table,
+    LiveView, Table,
     explain::{count, room, say_before, say_changed, say_quota},
     show::work::{Tally, policy_parts, tally},
     words,
@@ -15,7 +15,7 @@
     table: &mut Table,
     before: &State,
     after: &State,
-    live: &Live,
+    live: &LiveView,
     command: &Command,
 ) {
     match command {
@@ -34,7 +34,7 @@
     }
 }
 
-fn create(table: &mut Table, after: &State, live: &Live, spec: &JobSpec) {
+fn create(table: &mut Table, after: &State, live: &LiveView, spec: &JobSpec) {
     table.say("tasks", format!("{} would wait to start", count(spec.tasks as usize, "task")));
     say_quota(table, after, &spec.team);
     say_startable(table, after, spec);
@@ -59,7 +59,7 @@
         .min(part(size.accelerators, room.accelerators))
 }
 
-fn change(table: &mut Table, before: &State, after: &State, live: &Live, name: &Name) {
+fn change(table: &mut Table, before: &State, after: &State, live: &LiveView, name: &Name) {
     let (Some((_, old)), Some((_, new))) = (before.jobs.by_name(name), after.jobs.by_name(name))
     else {
         return;
@@ -113,7 +113,7 @@
     table.say("tasks", format!("{} of the team", count(waiting, "waiting task")));
 }
 
-fn drain(table: &mut Table, before: &State, live: &Live, name: &Name) {
+fn drain(table: &mut Table, before: &State, live: &LiveView, name: &Name) {
     let Some(vm) = live.vm_by_name(name) else {
         table.say("vm", format!("{name} is not in the platform's list"));
         return;
--- a/daisy-query/src/explain/room.rs
+++ b/daisy-query/src/explain/room.rs
@@ -2,10 +2,10 @@
 
 use daisy_model::{Resources, Vm, VmRole};
 
-use crate::{Live, LiveWorker, Table, WorkerState};
+use crate::{LiveView, LiveWorker, Table, WorkerState};
 
 /// Adds on how many workers a task of `size` fits, now and ever, or the nearest miss.
-pub(crate) fn say(table: &mut Table, live: &Live, size: Resources) {
+pub(crate) fn say(table: &mut Table, live: &LiveView, size: Resources) {
     if live.workers.is_empty() {
         table.say("room", "no worker is known to this process");
         return;
@@ -25,7 +25,7 @@
 
 /// Says that a task of `size` fits on no worker of `vms`, whatever else runs there, with the
 /// nearest miss; `None` if it fits on one, or if there is no worker.
-pub fn try_misfit<'a>(
+pub fn describe_misfit<'a>(
     vms: impl Iterator<Item = &'a Vm> + Clone,
     size: Resources,
 ) -> Option<String> {
--- a/daisy-query/src/lib.rs
+++ b/daisy-query/src/lib.rs
@@ -1,5 +1,5 @@
 //! Answers to `show`, `why` and `explain` over the ledger's [`State`](daisy_ledger::State) and
-//! a [`Live`] view of what runs now.
+//! a [`LiveView`] view of what runs now.
 //!
 //! [`run`] takes both as plain data and gives a [`Table`]; nothing is changed.
 
@@ -14,8 +14,8 @@
 mod words;
 
 pub use crate::{
-    explain::try_misfit,
-    live::{Live, LiveTask, LiveWorker, Reason, Subject, WorkerState},
+    explain::describe_misfit,
+    live::{LiveTask, LiveView, LiveWorker, Reason, Subject, WorkerState},
     run::{Error, run},
     table::Table,
 };
--- a/daisy-query/src/live.rs
+++ b/daisy-query/src/live.rs
@@ -9,7 +9,7 @@
 /// What runs now, as the process that answers knows it; parts that it does not know are left
 /// out, and answers then say so.
 #[derive(Debug, Clone, Default)]
-pub struct Live {
+pub struct LiveView {
     /// Names of data centres, by [`DcId`].
     pub dcs: Vec<Name>,
     /// The platform's VM list.
@@ -56,7 +56,7 @@
     /// The platform takes it away, or operators drain it.
     Leaving,
     /// It fails what it starts and is tried again later.
-    PutAside,
+    Quarantined,
     /// It does not answer; what it may run is blocked until it does.
     Silent,
 }
@@ -85,7 +85,7 @@
     pub text: Box<str>,
 }
 
-impl Live {
+impl LiveView {
     /// The name of a data centre, or its number.
     pub(crate) fn dc(&self, dc: DcId) -> String {
         match self.dcs.get(usize::from(dc.0)) {
--- a/daisy-query/src/run.rs
+++ b/daisy-query/src/run.rs
@@ -4,7 +4,7 @@
 use daisy_ledger::State;
 use daisy_model::Name;
 
-use crate::{Live, Table, explain, show, why};
+use crate::{LiveView, Table, explain, show, why};
 
 /// Why a statement has no answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -24,7 +24,7 @@
 }
 
 /// Answers `statement` from the state and what runs now.
-pub fn run(state: &State, live: &Live, statement: &Statement) -> Result<Table, Error> {
+pub fn run(state: &State, live: &LiveView, statement: &Statement) -> Result<Table, Error> {
     match statement {
         Statement::Change { .. } => Err(Error::Change),
         Statement::Show(query) => Ok(show::show(state, live, query)),
--- a/daisy-query/src/show.rs
+++ b/daisy-query/src/show.rs
@@ -7,7 +7,7 @@
 use daisy_language::{Count, OrderBy, Show, Target, amount};
 use daisy_ledger::State;
 
-use crate::{Live, Table};
+use crate::{LiveView, Table};
 
 /// A row: the cell of each of its table's columns, worked out when it is asked for.
 type Row<'a> = &'a dyn Fn(&str) -> String;
@@ -17,7 +17,7 @@
 type Sink<'a> = &'a mut dyn FnMut(Row<'_>);
 
 /// Answers `show`.
-pub(crate) fn show(state: &State, live: &Live, query: &Show) -> Table {
+pub(crate) fn show(state: &State, live: &LiveView, query: &Show) -> Table {
     let columns = kept_columns(query);
     let mut table = Table::new(&columns);
     let mut matches = 0;
@@ -54,7 +54,7 @@
     }
 }
 
-fn rows(state: &State, live: &Live, target: Target, sink: Sink<'_>) {
+fn rows(state: &State, live: &LiveView, target: Target, sink: Sink<'_>) {
     match target {
         Target::Tasks => work::tasks(state, live, sink),
         Target::Jobs => work::jobs(state, |_| true, sink),
--- a/daisy-query/src/show/fleet.rs
+++ b/daisy-query/src/show/fleet.rs
@@ -3,9 +3,9 @@
 use daisy_ledger::State;
 use daisy_model::{Vm, VmRole, VmStatus};
 
-use crate::{Live, LiveWorker, Subject, WorkerState, show::Sink, table::NONE, words};
+use crate::{LiveView, LiveWorker, Subject, WorkerState, show::Sink, table::NONE, words};
 
-pub(crate) fn workers(state: &State, live: &Live, sink: Sink<'_>) {
+pub(crate) fn workers(state: &State, live: &LiveView, sink: Sink<'_>) {
     for (&id, vm) in live.vms.iter().filter(|(_, vm)| vm.role == VmRole::Worker) {
         let worker = live.workers.get(&id);
         sink(&|column| worker_cell(state, live, vm, worker, column));
@@ -14,7 +14,7 @@
 
 fn worker_cell(
     state: &State,
-    live: &Live,
+    live: &LiveView,
     vm: &Vm,
     worker: Option<&LiveWorker>,
     column: &str,
@@ -50,13 +50,13 @@
     match worker.map(|it| it.state) {
         Some(WorkerState::Ready) => "ready",
         Some(WorkerState::Leaving) => "leaving",
-        Some(WorkerState::PutAside) => "put-aside",
+        Some(WorkerState::Quarantined) => "put-aside",
         Some(WorkerState::Silent) => "silent",
         None => "not-seen",
     }
 }
 
-pub(crate) fn vms(state: &State, live: &Live, sink: Sink<'_>) {
+pub(crate) fn vms(state: &State, live: &LiveView, sink: Sink<'_>) {
     for (&id, vm) in live.vms.iter() {
         sink(&|column| match column {
             "vm" => vm.name.to_string(),
@@ -85,14 +85,14 @@
     }
 }
 
-fn vm_state(state: &State, live: &Live, vm: &Vm) -> String {
+fn vm_state(state: &State, live: &LiveView, vm: &Vm) -> String {
     match vm.role {
         VmRole::Worker => worker_state(state, vm, live.workers.get(&vm.id)).to_owned(),
         VmRole::Entry => entry_state(state, live, vm),
     }
 }
 
-fn entry_state(state: &State, live: &Live, vm: &Vm) -> String {
+fn entry_state(state: &State, live: &LiveView, vm: &Vm) -> String {
     let held = state.holders.iter().find(|(_, it)| it.holder == vm.id && !it.released);
     match held {
         Some((&dc, _)) => format!("holds {}", live.dc(dc)),
@@ -101,7 +101,7 @@
     }
 }
 
-pub(crate) fn holders(state: &State, live: &Live, sink: Sink<'_>) {
+pub(crate) fn holders(state: &State, live: &LiveView, sink: Sink<'_>) {
     for (&dc, holding) in state.holders.iter() {
         sink(&|column| match column {
             "dc" => live.dc(dc),
--- a/daisy-query/src/show/work.rs
+++ b/daisy-query/src/show/work.rs
@@ -5,13 +5,13 @@
 };
 use daisy_model::{JobId, JobKind, Policy, Resources, SortedMap, TaskId, VmId};
 
-use crate::{Live, LiveTask, Subject, show::Sink, table::NONE, words};
+use crate::{LiveTask, LiveView, Subject, show::Sink, table::NONE, words};
 
 pub(crate) fn is_service(job: &Job) -> bool {
     job.spec.kind == JobKind::Service
 }
 
-pub(crate) fn tasks(state: &State, live: &Live, sink: Sink<'_>) {
+pub(crate) fn tasks(state: &State, live: &LiveView, sink: Sink<'_>) {
     let reasons = newest_reasons(live);
     for (id, job) in state.jobs.iter() {
         let of_job = live.reasons_of(&Subject::Job(id)).next_back().map(|it| &*it.text);
@@ -28,7 +28,7 @@
 }
 
 /// The newest decision about each task, found in one pass: there are many of both.
-fn newest_reasons(live: &Live) -> SortedMap<TaskId, &str> {
+fn newest_reasons(live: &LiveView) -> SortedMap<TaskId, &str> {
     let mut reasons: Vec<(TaskId, usize)> = Vec::new();
     for (at, reason) in live.reasons.iter().enumerate() {
         if let Subject::Task(task) = reason.subject {
@@ -49,7 +49,7 @@
 }
 
 impl TaskView<'_> {
-    fn cell(&self, state: &State, live: &Live, column: &str) -> String {
+    fn cell(&self, state: &State, live: &LiveView, column: &str) -> String {
         let spec = &self.job.spec;
         match column {
             "task" => format!("{}/{}", spec.name, self.id.index),
@@ -75,7 +75,7 @@
     }
 
     /// The task's state in one word.
-    fn state(&self, state: &State, live: &Live) -> &'static str {
+    fn state(&self, state: &State, live: &LiveView) -> &'static str {
         let spec = &self.job.spec;
         match (self.task.state, self.vm()) {
             (TaskState::Pending, _) if state.is_paused(spec.kind, spec.priority) => "paused",
--- a/daisy-query/src/why.rs
+++ b/daisy-query/src/why.rs
@@ -8,7 +8,7 @@
     task::{job, task},
 };
 
-use crate::{Live, Subject, Table, words};
+use crate::{LiveView, Subject, Table, words};
 
 /// Columns of answers in words: where a line comes from, and what it says.
 pub(crate) const COLUMNS: &[&str] = &["from", "what"];
@@ -17,7 +17,7 @@
 const MAX_REASONS: usize = 10;
 
 /// Adds what was decided about `subject`, oldest first.
-fn say_reasons(table: &mut Table, live: &Live, subject: &Subject) {
+fn say_reasons(table: &mut Table, live: &LiveView, subject: &Subject) {
     let mut newest: Vec<_> = live.reasons_of(subject).rev().take(MAX_REASONS).collect();
     newest.reverse();
     for reason in newest {
--- a/daisy-query/src/why/fleet.rs
+++ b/daisy-query/src/why/fleet.rs
@@ -4,13 +4,13 @@
 use daisy_model::{Command, DcId, Name, Vm, VmId, VmRole, VmStatus};
 
 use crate::{
-    Error, Live, Subject, Table, WorkerState,
+    Error, LiveView, Subject, Table, WorkerState,
     why::{COLUMNS, say_reasons},
     words,
 };
 
 /// Answers `why vm`.
-pub(crate) fn vm(state: &State, live: &Live, name: &Name) -> Result<Table, Error> {
+pub(crate) fn vm(state: &State, live: &LiveView, name: &Name) -> Result<Table, Error> {
     let vm = live.vm_by_name(name).ok_or_else(|| Error::Vm(name.clone()))?;
     let mut table = Table::new(COLUMNS);
     say_platform(&mut table, live, vm);
@@ -30,7 +30,7 @@
     Ok(table)
 }
 
-fn say_platform(table: &mut Table, live: &Live, vm: &Vm) {
+fn say_platform(table: &mut Table, live: &LiveView, vm: &Vm) {
     let role = match vm.role {
         VmRole::Entry => "entry VM",
         VmRole::Worker => "worker",
@@ -44,7 +44,7 @@
     table.say("platform", words);
 }
 
-fn say_holdings(table: &mut Table, state: &State, live: &Live, vm: VmId) {
+fn say_holdings(table: &mut Table, state: &State, live: &LiveView, vm: VmId) {
     let held: Vec<(&DcId, &Holding)> =
         state.holders.iter().filter(|(_, it)| it.holder == vm).collect();
     for (dc, holding) in held {
@@ -54,7 +54,7 @@
     }
 }
 
-fn say_worker(table: &mut Table, state: &State, live: &Live, vm: &Vm) {
+fn say_worker(table: &mut Table, state: &State, live: &LiveView, vm: &Vm) {
     let tasks = state.jobs.iter().flat_map(|(_, job)| &job.tasks);
     let placed = tasks.filter(|task| {
         let out = matches!(task.state, TaskState::Out(_));
@@ -70,14 +70,14 @@
     let words = match worker.state {
         WorkerState::Ready => "takes new tasks",
         WorkerState::Leaving => "takes nothing new, since it is leaving",
-        WorkerState::PutAside => "put aside, since it fails what it starts; tried again later",
+        WorkerState::Quarantined => "put aside, since it fails what it starts; tried again later",
         WorkerState::Silent => "does not answer; what it may run is blocked until it does",
     };
     table.say("live", words);
 }
 
 /// Answers `why request-class`; the class begins with the name of its service.
-pub(crate) fn request_class(state: &State, live: &Live, class: &str) -> Table {
+pub(crate) fn request_class(state: &State, live: &LiveView, class: &str) -> Table {
     let mut table = Table::new(COLUMNS);
     let service = class.split('/').next().unwrap_or_default();
     let job = Name::new(service).ok().and_then(|name| state.jobs.by_name(&name));
--- a/daisy-query/src/why/task.rs
+++ b/daisy-query/src/why/task.rs
@@ -5,14 +5,14 @@
 use daisy_model::{Command, JobId, Name, TaskId, WorkClass};
 
 use crate::{
-    Error, Live, LiveTask, Subject, Table,
+    Error, LiveTask, LiveView, Subject, Table,
     show::work::{Tally, tally},
     why::{COLUMNS, say_reasons},
     words,
 };
 
 /// Answers `why task`.
-pub(crate) fn task(state: &State, live: &Live, name: &TaskRef) -> Result<Table, Error> {
+pub(crate) fn task(state: &State, live: &LiveView, name: &TaskRef) -> Result<Table, Error> {
     let (id, job, task) = find(state, name).ok_or_else(|| Error::Task(name.clone()))?;
     let mut table = Table::new(COLUMNS);
     say_declared(&mut table, state, job);
@@ -40,7 +40,7 @@
 }
 
 /// Answers `why job`.
-pub(crate) fn job(state: &State, live: &Live, name: &Name) -> Result<Table, Error> {
+pub(crate) fn job(state: &State, live: &LiveView, name: &Name) -> Result<Table, Error> {
     let (id, job) = state.jobs.by_name(name).ok_or_else(|| Error::Job(name.clone()))?;
     let mut table = Table::new(COLUMNS);
     say_declared(&mut table, state, job);
@@ -62,7 +62,7 @@
     }
 }
 
-fn say_ledger(table: &mut Table, state: &State, live: &Live, job: &Job, task: &Task) {
+fn say_ledger(table: &mut Table, state: &State, live: &LiveView, job: &Job, task: &Task) {
     match task.state {
         TaskState::Pending => {
             table.say("ledger", "waits: no data centre has checked it out");
@@ -96,7 +96,7 @@
     }
 }
 
-fn say_owner(table: &mut Table, state: &State, live: &Live, owner: Owner, task: &Task) {
+fn say_owner(table: &mut Table, state: &State, live: &LiveView, owner: Owner, task: &Task) {
     let (dc, epoch) = (live.dc(owner.dc), owner.epoch);
     table.say("ledger", format!("checked out by {dc} under epoch {epoch}"));
     match state.holders.get(&owner.dc) {
@@ -143,7 +143,7 @@
     }
 }
 
-fn say_live(table: &mut Table, live: &Live, id: TaskId, task: &Task) {
+fn say_live(table: &mut Table, live: &LiveView, id: TaskId, task: &Task) {
     if !matches!(task.state, TaskState::Out(_)) {
         return;
     }
@@ -165,7 +165,7 @@
     }
 }
 
-fn say_running(table: &mut Table, live: &Live, running: &LiveTask) {
+fn say_running(table: &mut Table, live: &LiveView, running: &LiveTask) {
     let (vm, incarnation) = (live.vm(running.vm), running.incarnation);
     let since = words::duration(running.since);
     let mut words = format!("incarnation {incarnation} has run on {vm} for {since}");
--- a/daisy-query/tests/common/mod.rs
+++ b/daisy-query/tests/common/mod.rs
@@ -8,12 +8,12 @@
     Change, Command, Condition, DcId, Epoch, Incarnation, JobId, Name, Resources, TaskId, Vm, VmId,
     VmRole, VmStatus, WallTime,
 };
-use daisy_query::{Live, LiveTask, LiveWorker, Table, WorkerState, run};
+use daisy_query::{LiveTask, LiveView, LiveWorker, Table, WorkerState, run};
 
 /// A small shop: two data centres, an entry VM each, three workers of 16 cores and 64 GiB.
 pub struct Shop {
     pub state: State,
-    pub live: Live,
+    pub live: LiveView,
 }
 
 impl Shop {
@@ -30,7 +30,10 @@
         let vms = vms.into_iter().map(|vm| (vm.id, vm)).collect();
         let workers = [11, 12, 13].map(|id| (VmId(id), worker(16_000)));
         let workers = workers.into_iter().collect();
-        Shop { state: State::default(), live: Live { dcs, vms, workers, ..Live::default() } }
+        Shop {
+            state: State::default(),
+            live: LiveView { dcs, vms, workers, ..LiveView::default() },
+        }
     }
 
     /// Team `shop`, the service `stock` and the batch job `renders`, one task of which runs on
--- a/daisy-settings/src/read.rs
+++ b/daisy-settings/src/read.rs
@@ -191,7 +191,7 @@
     item.millis("heartbeat_ms", &mut timing.heartbeat, findings);
     item.millis("holder_timeout_ms", &mut timing.holder_timeout, findings);
     item.millis("worker_lease_ms", &mut timing.worker_lease, findings);
-    item.millis("balancer_ms", &mut timing.balancer, findings);
+    item.millis("balancer_ms", &mut timing.balancer_delay, findings);
     item.millis("vm_list_ms", &mut timing.vm_list, findings);
     item.millis("log_retention_ms", &mut timing.log_retention, findings);
     item.finish(KNOWN_TIMING, findings);
--- a/daisy-settings/src/settings.rs
+++ b/daisy-settings/src/settings.rs
@@ -114,7 +114,7 @@
     /// A worker's lease; longer than a change-over of holders.
     pub worker_lease: Duration,
     /// Between not ready and the close of the callers' port in a planned stop.
-    pub balancer: Duration,
+    pub balancer_delay: Duration,
     /// Between reads of the VM list.
     pub vm_list: Duration,
     /// How long the platform's log is sure to keep a record; snapshots come well before.
@@ -127,7 +127,7 @@
             heartbeat: Duration::from_millis(500),
             holder_timeout: Duration::from_secs(2),
             worker_lease: Duration::from_secs(30),
-            balancer: Duration::from_secs(2),
+            balancer_delay: Duration::from_secs(2),
             vm_list: Duration::from_secs(1),
             log_retention: Duration::from_secs(6 * 3_600),
         }
--- a/daisy-standin/src/worker.rs
+++ b/daisy-standin/src/worker.rs
@@ -15,7 +15,7 @@
 
 use daisy_history::{History, Kind};
 use daisy_model::{Resources, WorkerCall};
-use daisy_wire::worker::{CallJson, ReportJson, SeenJson};
+use daisy_wire::worker::{CallJson, ReportJson, ReportVersionJson};
 use http::{Method, Request, StatusCode};
 use hyper::body::Incoming;
 use tokio::{
@@ -176,7 +176,7 @@
 
 /// What a request for news asks.
 struct News {
-    seen: SeenJson,
+    seen: ReportVersionJson,
     wait: Duration,
 }
 
@@ -186,7 +186,7 @@
             let mut fields = query.split('&').filter_map(|field| field.split_once('='));
             fields.find(|(key, _)| *key == name)?.1.parse().ok()
         };
-        let seen = SeenJson { boot: number("boot")?, version: number("version")? };
+        let seen = ReportVersionJson { boot: number("boot")?, version: number("version")? };
         Some(News { seen, wait: Duration::from_millis(number("wait_ms")?) })
     }
 }
@@ -273,7 +273,7 @@
         }
     }
 
-    fn carry_out(&self, seen: Option<SeenJson>, call: WorkerCall) -> ReportJson {
+    fn carry_out(&self, seen: Option<ReportVersionJson>, call: WorkerCall) -> ReportJson {
         let flaws = self.switches.with(|faults| Flaws {
             fail_everything: faults.fail_everything,
             overcommit: faults.overcommit,
--- a/daisy-standin/src/worker/journal.rs
+++ b/daisy-standin/src/worker/journal.rs
@@ -1,7 +1,7 @@
 //! What a worker has changed since which report.
 
 use daisy_model::{Incarnation, Resources, SortedMap, TaskId, Usage, WorkerReport};
-use daisy_wire::worker::{ReportJson, SeenJson};
+use daisy_wire::worker::{ReportJson, ReportVersionJson};
 
 /// The slowdown, in thousandths, of a task that nothing disturbs.
 const UNDISTURBED: u32 = 1000;
@@ -35,8 +35,8 @@
         self.boot = boot;
     }
 
-    pub(super) fn news(&self) -> SeenJson {
-        SeenJson { boot: self.boot, version: self.news }
+    pub(super) fn news(&self) -> ReportVersionJson {
+        ReportVersionJson { boot: self.boot, version: self.news }
     }
 
     /// A task was started or throttled.
@@ -58,10 +58,14 @@
     }
 
     /// Takes out of a whole report what was seen.
-    pub(super) fn reduce(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
-        let now = SeenJson { boot: self.boot, version: self.version };
+    pub(super) fn reduce(
+        &mut self,
+        seen: Option<ReportVersionJson>,
+        report: WorkerReport,
+    ) -> ReportJson {
+        let now = ReportVersionJson { boot: self.boot, version: self.version };
         let known = seen.filter(|it| it.boot == self.boot && it.version <= self.version);
-        let Some(SeenJson { version, .. }) = known else {
+        let Some(ReportVersionJson { version, .. }) = known else {
             return ReportJson { now: Some(now), ..ReportJson::from(report) };
         };
         let is_new = |key: Key| self.changed.get(&key).is_some_and(|&at| at > version);
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -9,7 +9,7 @@
     Ended, Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, Running,
     SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
 };
-use daisy_wire::worker::{ReportJson, SeenJson};
+use daisy_wire::worker::{ReportJson, ReportVersionJson};
 use serde::{Deserialize, Serialize};
 
 use super::journal::Journal;
@@ -136,7 +136,7 @@
     }
 
     /// Makes a whole report one of the changes since `seen`, if they are known.
-    pub fn since(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
+    pub fn since(&mut self, seen: Option<ReportVersionJson>, report: WorkerReport) -> ReportJson {
         self.journal.reduce(seen, report)
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Where the journal stood when a task ended last.
-    pub fn news(&self) -> SeenJson {
+    pub fn news(&self) -> ReportVersionJson {
         self.journal.news()
     }
 
--- a/daisy-wire/src/lib.rs
+++ b/daisy-wire/src/lib.rs
@@ -8,10 +8,10 @@
 
 pub mod headers;
 pub mod log;
-pub mod mirror;
 pub mod operator;
 pub mod peer;
 pub mod platform;
+pub mod report_merger;
 pub mod snapshot;
 pub mod worker;
 
--- a/daisy-wire/src/peer.rs
+++ b/daisy-wire/src/peer.rs
@@ -11,10 +11,10 @@
 mod records;
 
 pub use self::{
-    frame::{Frames, MAX_FRAME, VERSION, frame},
+    frame::{FrameDecoder, MAX_FRAME, VERSION, frame},
     key::{KeyAnswerWire, KeyQueryWire},
-    live::LiveWire,
+    live::LiveViewWire,
     notice::{BeatWire, Notice, NoticeWire, Replica, ReplicaChange, ReplicasWire},
-    question::{Answer, AnswerWire, Question, QuestionWire},
-    records::{Pushed, PushedWire, RecordsFrom},
+    question::{PeerAnswer, PeerAnswerWire, PeerQuery, PeerQueryWire},
+    records::{RecordStreamMessage, RecordStreamMessageWire, RecordsRequest},
 };
--- a/daisy-wire/src/peer/frame.rs
+++ b/daisy-wire/src/peer/frame.rs
@@ -27,15 +27,15 @@
 
 /// Takes frames out of a stream of bytes.
 #[derive(Debug)]
-pub struct Frames {
+pub struct FrameDecoder {
     buf: Vec<u8>,
     limit: usize,
 }
 
-impl Frames {
+impl FrameDecoder {
     /// Refuses frames of more than `limit` bytes.
-    pub fn new(limit: usize) -> Frames {
-        Frames { buf: Vec::new(), limit: limit.min(MAX_FRAME) }
+    pub fn new(limit: usize) -> FrameDecoder {
+        FrameDecoder { buf: Vec::new(), limit: limit.min(MAX_FRAME) }
     }
 
     /// Takes the next bytes of the stream in.
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// As for [`Frames::try_next`], and if the stream was cut off or has more than one frame.
+    /// As for [`FrameDecoder::try_next`], and if the stream was cut off or has more than one frame.
     pub fn only<T: Decode<()>>(mut self) -> Result<T, WireError> {
         let message = self.try_next()?;
         let message =
--- a/daisy-wire/src/peer/live.rs
+++ b/daisy-wire/src/peer/live.rs
@@ -4,16 +4,16 @@
 
 use bincode::{Decode, Encode};
 use daisy_model::{Incarnation, JobId, Resources, TaskId, VmId, WallTime};
-use daisy_query::{Live, LiveTask, LiveWorker, Reason, Subject, WorkerState};
+use daisy_query::{LiveTask, LiveView, LiveWorker, Reason, Subject, WorkerState};
 
 /// A task: its job and its index.
 type TaskWire = (u32, u32);
 /// Processors, memory and accelerators.
 type SizeWire = (u32, u32, u32);
 
-/// See [`Live`]; names and the VM list are left out, as every entry VM has them.
+/// See [`LiveView`]; names and the VM list are left out, as every entry VM has them.
 #[derive(Debug, Encode, Decode)]
-pub struct LiveWire {
+pub struct LiveViewWire {
     tasks: Vec<LiveTaskWire>,
     workers: Vec<LiveWorkerWire>,
     reasons: Vec<ReasonWire>,
@@ -46,8 +46,8 @@
     Ready,
     /// See [`WorkerState::Leaving`].
     Leaving,
-    /// See [`WorkerState::PutAside`].
-    PutAside,
+    /// See [`WorkerState::Quarantined`].
+    Quarantined,
     /// See [`WorkerState::Silent`].
     Silent,
 }
@@ -73,8 +73,8 @@
     text: String,
 }
 
-impl From<&Live> for LiveWire {
-    fn from(live: &Live) -> LiveWire {
+impl From<&LiveView> for LiveViewWire {
+    fn from(live: &LiveView) -> LiveViewWire {
         let task = |(task, it): (&TaskId, &LiveTask)| LiveTaskWire {
             task: task_to_wire(*task),
             incarnation: it.incarnation.0,
@@ -89,7 +89,7 @@
             tasks: it.tasks,
             state: it.state.into(),
         };
-        LiveWire {
+        LiveViewWire {
             tasks: live.tasks.iter().map(task).collect(),
             workers: live.workers.iter().map(worker).collect(),
             reasons: live.reasons.iter().map(ReasonWire::from).collect(),
@@ -97,8 +97,8 @@
     }
 }
 
-impl From<LiveWire> for Live {
-    fn from(live: LiveWire) -> Live {
+impl From<LiveViewWire> for LiveView {
+    fn from(live: LiveViewWire) -> LiveView {
         let task = |it: LiveTaskWire| {
             let (incarnation, vm) = (Incarnation(it.incarnation), VmId(it.vm));
             let since = Duration::from_millis(it.since_ms);
@@ -109,11 +109,11 @@
             let state = it.state.into();
             (VmId(it.vm), LiveWorker { capacity, free, tasks: it.tasks, state })
         };
-        Live {
+        LiveView {
             tasks: live.tasks.into_iter().map(task).collect(),
             workers: live.workers.into_iter().map(worker).collect(),
             reasons: live.reasons.into_iter().map(Reason::from).collect(),
-            ..Live::default()
+            ..LiveView::default()
         }
     }
 }
@@ -123,7 +123,7 @@
         match state {
             WorkerState::Ready => WorkerStateWire::Ready,
             WorkerState::Leaving => WorkerStateWire::Leaving,
-            WorkerState::PutAside => WorkerStateWire::PutAside,
+            WorkerState::Quarantined => WorkerStateWire::Quarantined,
             WorkerState::Silent => WorkerStateWire::Silent,
         }
     }
@@ -134,7 +134,7 @@
         match state {
             WorkerStateWire::Ready => WorkerState::Ready,
             WorkerStateWire::Leaving => WorkerState::Leaving,
-            WorkerStateWire::PutAside => WorkerState::PutAside,
+            WorkerStateWire::Quarantined => WorkerState::Quarantined,
             WorkerStateWire::Silent => WorkerState::Silent,
         }
     }
--- a/daisy-wire/src/peer/question.rs
+++ b/daisy-wire/src/peer/question.rs
@@ -2,20 +2,20 @@
 
 use bincode::{Decode, Encode};
 use daisy_model::{DcId, Name, Resources, Vm, VmId, VmRole, VmStatus};
-use daisy_query::Live;
+use daisy_query::LiveView;
 use daisy_routing::{KeyAnswer, KeyQuery};
 
 use crate::{
     WireError,
     peer::{
         key::{KeyAnswerWire, KeyQueryWire},
-        live::LiveWire,
+        live::LiveViewWire,
     },
 };
 
 /// A question of one entry VM to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Question {
+pub enum PeerQuery {
     /// The key protocol of `daisy-routing`.
     Key(KeyQuery),
     /// The platform's VM list, if the peer has a newer one.
@@ -24,13 +24,13 @@
         known: Option<u64>,
     },
     /// What the holder of a data centre knows of it.
-    Live,
+    LiveView,
 }
 
-/// The answer to a [`Question`].
+/// The answer to a [`PeerQuery`].
 #[derive(Debug, Clone)]
-pub enum Answer {
-    /// The answer to [`Question::Key`].
+pub enum PeerAnswer {
+    /// The answer to [`PeerQuery::Key`].
     Key(KeyAnswer),
     /// The VM list and its version.
     Vms {
@@ -39,8 +39,8 @@
         /// All VMs.
         vms: Vec<Vm>,
     },
-    /// The answer to [`Question::Live`].
-    Live(Box<Live>),
+    /// The answer to [`PeerQuery::LiveView`].
+    LiveView(Box<LiveView>),
     /// The entry VM asked cannot answer.
     Unable,
 }
@@ -59,85 +59,85 @@
     capacity: (u32, u32, u32),
 }
 
-/// See [`Question`].
+/// See [`PeerQuery`].
 #[derive(Debug, Encode, Decode)]
-pub enum QuestionWire {
-    /// See [`Question::Key`].
+pub enum PeerQueryWire {
+    /// See [`PeerQuery::Key`].
     Key(KeyQueryWire),
-    /// See [`Question::Vms`].
+    /// See [`PeerQuery::Vms`].
     Vms {
         /// The version that the asker has.
         known: Option<u64>,
     },
-    /// See [`Question::Live`].
-    Live,
+    /// See [`PeerQuery::LiveView`].
+    LiveView,
 }
 
-/// See [`Answer`].
+/// See [`PeerAnswer`].
 #[derive(Debug, Encode, Decode)]
-pub enum AnswerWire {
-    /// See [`Answer::Key`].
+pub enum PeerAnswerWire {
+    /// See [`PeerAnswer::Key`].
     Key(KeyAnswerWire),
-    /// See [`Answer::Vms`].
+    /// See [`PeerAnswer::Vms`].
     Vms {
         /// Grows with each change of the list.
         version: u64,
         /// All VMs.
         vms: Vec<VmWire>,
     },
-    /// See [`Answer::Live`].
-    Live(LiveWire),
-    /// See [`Answer::Unable`].
+    /// See [`PeerAnswer::LiveView`].
+    LiveView(LiveViewWire),
+    /// See [`PeerAnswer::Unable`].
     Unable,
 }
 
-impl From<Question> for QuestionWire {
-    fn from(question: Question) -> QuestionWire {
+impl From<PeerQuery> for PeerQueryWire {
+    fn from(question: PeerQuery) -> PeerQueryWire {
         match question {
-            Question::Key(query) => QuestionWire::Key(query.into()),
-            Question::Vms { known } => QuestionWire::Vms { known },
-            Question::Live => QuestionWire::Live,
+            PeerQuery::Key(query) => PeerQueryWire::Key(query.into()),
+            PeerQuery::Vms { known } => PeerQueryWire::Vms { known },
+            PeerQuery::LiveView => PeerQueryWire::LiveView,
         }
     }
 }
 
-impl TryFrom<QuestionWire> for Question {
+impl TryFrom<PeerQueryWire> for PeerQuery {
     type Error = WireError;
 
-    fn try_from(question: QuestionWire) -> Result<Question, WireError> {
+    fn try_from(question: PeerQueryWire) -> Result<PeerQuery, WireError> {
         Ok(match question {
-            QuestionWire::Key(query) => Question::Key(query.try_into()?),
-            QuestionWire::Vms { known } => Question::Vms { known },
-            QuestionWire::Live => Question::Live,
+            PeerQueryWire::Key(query) => PeerQuery::Key(query.try_into()?),
+            PeerQueryWire::Vms { known } => PeerQuery::Vms { known },
+            PeerQueryWire::LiveView => PeerQuery::LiveView,
         })
     }
 }
 
-impl From<Answer> for AnswerWire {
-    fn from(answer: Answer) -> AnswerWire {
+impl From<PeerAnswer> for PeerAnswerWire {
+    fn from(answer: PeerAnswer) -> PeerAnswerWire {
         match answer {
-            Answer::Key(answer) => AnswerWire::Key(answer.into()),
-            Answer::Vms { version, vms } => {
-                AnswerWire::Vms { version, vms: vms.into_iter().map(VmWire::from).collect() }
+            PeerAnswer::Key(answer) => PeerAnswerWire::Key(answer.into()),
+            PeerAnswer::Vms { version, vms } => {
+                PeerAnswerWire::Vms { version, vms: vms.into_iter().map(VmWire::from).collect() }
             }
-            Answer::Live(live) => AnswerWire::Live(LiveWire::from(&*live)),
-            Answer::Unable => AnswerWire::Unable,
+            PeerAnswer::LiveView(live) => PeerAnswerWire::LiveView(LiveViewWire::from(&*live)),
+            PeerAnswer::Unable => PeerAnswerWire::Unable,
         }
     }
 }
 
-impl TryFrom<AnswerWire> for Answer {
+impl TryFrom<PeerAnswerWire> for PeerAnswer {
     type Error = WireError;
 
-    fn try_from(answer: AnswerWire) -> Result<Answer, WireError> {
+    fn try_from(answer: PeerAnswerWire) -> Result<PeerAnswer, WireError> {
         Ok(match answer {
-            AnswerWire::Key(answer) => Answer::Key(answer.into()),
-            AnswerWire::Vms { version, vms } => Answer::Vms {
+            PeerAnswerWire::Key(answer) => PeerAnswer::Key(answer.into()),
+            PeerAnswerWire::Vms { version, vms } => PeerAnswer::Vms {
                 version,
                 vms: vms.into_iter().map(Vm::try_from).collect::<Result<_, _>>()?,
             },
-            AnswerWire::Live(live) => Answer::Live(Box::new(live.into())),
-            AnswerWire::Unable => Answer::Unable,
+            PeerAnswerWire::LiveView(live) => PeerAnswer::LiveView(Box::new(live.into())),
+            PeerAnswerWire::Unable => PeerAnswer::Unable,
         })
     }
 }
--- a/daisy-wire/src/peer/records.rs
+++ b/daisy-wire/src/peer/records.rs
@@ -5,14 +5,14 @@
 
 /// Asks for all records from an offset on, as they come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct RecordsFrom {
+pub struct RecordsRequest {
     /// The first offset wanted.
     pub offset: u64,
 }
 
 /// One message of the stream of records.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Pushed {
+pub enum RecordStreamMessage {
     /// The state up to an offset, where its records are no longer at hand.
     Snapshot {
         /// The offset of the next record.
@@ -29,17 +29,17 @@
     },
 }
 
-/// See [`Pushed`].
+/// See [`RecordStreamMessage`].
 #[derive(Debug, Encode, Decode)]
-pub enum PushedWire {
-    /// See [`Pushed::Snapshot`].
+pub enum RecordStreamMessageWire {
+    /// See [`RecordStreamMessage::Snapshot`].
     Snapshot {
         /// The offset of the next record.
         next: u64,
         /// The encoded state.
         bytes: Vec<u8>,
     },
-    /// See [`Pushed::Records`].
+    /// See [`RecordStreamMessage::Records`].
     Records {
         /// The offset of the first.
         first: u64,
@@ -48,21 +48,27 @@
     },
 }
 
-impl From<Pushed> for PushedWire {
-    fn from(pushed: Pushed) -> PushedWire {
+impl From<RecordStreamMessage> for RecordStreamMessageWire {
+    fn from(pushed: RecordStreamMessage) -> RecordStreamMessageWire {
         match pushed {
-            Pushed::Snapshot { next, bytes } => PushedWire::Snapshot { next: next.0, bytes },
-            Pushed::Records { first, bodies } => PushedWire::Records { first: first.0, bodies },
+            RecordStreamMessage::Snapshot { next, bytes } => {
+                RecordStreamMessageWire::Snapshot { next: next.0, bytes }
+            }
+            RecordStreamMessage::Records { first, bodies } => {
+                RecordStreamMessageWire::Records { first: first.0, bodies }
+            }
         }
     }
 }
 
-impl From<PushedWire> for Pushed {
-    fn from(pushed: PushedWire) -> Pushed {
+impl From<RecordStreamMessageWire> for RecordStreamMessage {
+    fn from(pushed: RecordStreamMessageWire) -> RecordStreamMessage {
         match pushed {
-            PushedWire::Snapshot { next, bytes } => Pushed::Snapshot { next: Offset(next), bytes },
-            PushedWire::Records { first, bodies } => {
-                Pushed::Records { first: Offset(first), bodies }
+            RecordStreamMessageWire::Snapshot { next, bytes } => {
+                RecordStreamMessage::Snapshot { next: Offset(next), bytes }
+            }
+            RecordStreamMessageWire::Records { first, bodies } => {
+                RecordStreamMessage::Records { first: Offset(first), bodies }
             }
         }
     }
--- a/daisy-wire/src/mirror.rs
+++ b/daisy-wire/src/report_merger.rs
@@ -8,25 +8,25 @@
     Ended, Incarnation, Order, OrderResult, Resources, Running, SortedMap, TaskId, WorkerReport,
 };
 
-use crate::worker::{ReportJson, SeenJson};
+use crate::worker::{ReportJson, ReportVersionJson};
 
 /// What one worker has told.
 #[derive(Debug, Clone, Default)]
-pub struct Mirror {
-    seen: Option<SeenJson>,
+pub struct ReportMerger {
+    seen: Option<ReportVersionJson>,
     capacity: Resources,
     running: SortedMap<(TaskId, Incarnation), Running>,
     ended: SortedMap<(TaskId, Incarnation), Ended>,
 }
 
-impl Mirror {
+impl ReportMerger {
     /// Nothing was told yet.
-    pub fn new() -> Mirror {
-        Mirror::default()
+    pub fn new() -> ReportMerger {
+        ReportMerger::default()
     }
 
     /// What the next call says it has seen; `None` asks for everything.
-    pub fn seen(&self) -> Option<SeenJson> {
+    pub fn seen(&self) -> Option<ReportVersionJson> {
         self.seen
     }
 
@@ -58,7 +58,7 @@
         })
     }
 
-    fn follows(&self, since: u64, now: Option<SeenJson>) -> bool {
+    fn follows(&self, since: u64, now: Option<ReportVersionJson>) -> bool {
         let (Some(seen), Some(now)) = (self.seen, now) else { return false };
         seen.boot == now.boot && since <= seen.version && seen.version <= now.version
     }
--- a/daisy-wire/src/worker.rs
+++ b/daisy-wire/src/worker.rs
@@ -1,7 +1,7 @@
 //! JSON of a worker.
 //!
 //! - `POST /v1/worker` with a [`CallJson`]: a [`ReportJson`]. A call that tells what its
-//!   sender has [`SeenJson`] is answered with the changes since, if the worker still knows
+//!   sender has [`ReportVersionJson`] is answered with the changes since, if the worker still knows
 //!   them, and else with everything.
 //! - `GET /v1/worker/news?boot=B&version=V&wait_ms=M`: 204 as soon as a task has ended since
 //!   that version, 304 if none has within `M` ms. It renews no lease and changes nothing.
@@ -135,7 +135,7 @@
 
 /// How far a worker's reports have been taken in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenJson {
+pub struct ReportVersionJson {
     /// Drawn by the worker's agent when it starts: versions of two starts do not compare.
     pub boot: u64,
     /// Grows with each change of what the worker has to report.
@@ -151,7 +151,7 @@
     pub lease_ms: u64,
     /// What the sender has seen; absent for nothing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub seen: Option<SeenJson>,
+    pub seen: Option<ReportVersionJson>,
     /// Orders in turn.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub orders: Vec<OrderJson>,
@@ -284,7 +284,7 @@
     pub accepted: bool,
     /// What this report brings its reader up to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub now: Option<SeenJson>,
+    pub now: Option<ReportVersionJson>,
     /// The version that the report holds the changes since; absent if it holds everything.
     /// A task that no longer runs is then among `ended`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/daisy-wire/tests/peer.rs
+++ b/daisy-wire/tests/peer.rs
@@ -8,8 +8,8 @@
 use daisy_wire::{
     WireError,
     peer::{
-        Frames, MAX_FRAME, Notice, NoticeWire, Question, QuestionWire, Replica, ReplicaChange,
-        VERSION, frame,
+        FrameDecoder, MAX_FRAME, Notice, NoticeWire, PeerQuery, PeerQueryWire, Replica,
+        ReplicaChange, VERSION, frame,
     },
 };
 use quickcheck::{Gen, QuickCheck};
@@ -45,12 +45,12 @@
     Replica { job: JobId(job), vm: VmId(vm), leaving: vm == 102 }
 }
 
-fn next(frames: &mut Frames) -> Result<Option<Notice>, WireError> {
+fn next(frames: &mut FrameDecoder) -> Result<Option<Notice>, WireError> {
     frames.try_next::<NoticeWire>()?.map(Notice::try_from).transpose()
 }
 
 fn read(bytes: &[u8]) -> Result<Option<Notice>, WireError> {
-    let mut frames = Frames::new(LIMIT);
+    let mut frames = FrameDecoder::new(LIMIT);
     frames.push(bytes);
     next(&mut frames)
 }
@@ -61,7 +61,7 @@
     let bytes: Vec<u8> = sent.iter().flat_map(|it| frame(&NoticeWire::from(it))).collect();
 
     for piece in [1, 2, 5, 64, bytes.len()] {
-        let mut frames = Frames::new(LIMIT);
+        let mut frames = FrameDecoder::new(LIMIT);
         let mut read = Vec::new();
         for part in bytes.chunks(piece) {
             frames.push(part);
@@ -80,11 +80,11 @@
     let claim = ClaimId(77);
     let claim_timeout = Duration::from_secs(2);
     let query = KeyQuery::Claim { key, request_digest: 5, claim, repeated: true, claim_timeout };
-    let sent = Question::Key(query);
+    let sent = PeerQuery::Key(query);
 
-    let mut frames = Frames::new(LIMIT);
-    frames.push(&frame(&QuestionWire::from(sent.clone())));
-    let read = Question::try_from(frames.only::<QuestionWire>().expect("whole"));
+    let mut frames = FrameDecoder::new(LIMIT);
+    frames.push(&frame(&PeerQueryWire::from(sent.clone())));
+    let read = PeerQuery::try_from(frames.only::<PeerQueryWire>().expect("whole"));
 
     assert_eq!(read, Ok(sent));
 }
@@ -95,7 +95,7 @@
 
     for len in 0..whole.len() {
         assert_eq!(read(&whole[..len]), Ok(None), "{len} bytes");
-        let mut frames = Frames::new(LIMIT);
+        let mut frames = FrameDecoder::new(LIMIT);
         frames.push(&whole[..len]);
         let only = frames.only::<NoticeWire>();
         assert!(matches!(only, Err(WireError::Malformed(_))), "{len} bytes");
--- a/daisy-wire/tests/mirror.rs
+++ b/daisy-wire/tests/report_merger.rs
@@ -5,8 +5,8 @@
     WorkerReport,
 };
 use daisy_wire::{
-    mirror::Mirror,
-    worker::{ReportJson, SeenJson},
+    report_merger::ReportMerger,
+    worker::{ReportJson, ReportVersionJson},
 };
 
 const FIRST: Incarnation = Incarnation(1);
@@ -33,7 +33,7 @@
         ended: Vec::new(),
         usage: Vec::new(),
     };
-    let now = Some(SeenJson { boot, version });
+    let now = Some(ReportVersionJson { boot, version });
     let capacity = since.is_none().then_some(whole.capacity.into());
     ReportJson { now, since, capacity, ..ReportJson::from(whole) }
 }
@@ -52,21 +52,21 @@
 
 #[test]
 fn changes_add_up_to_the_whole_report() {
-    let mut mirror = Mirror::new();
-    mirror.take(&[], with(report(7, None, 3), vec![running(0), running(1)], vec![]));
+    let mut report_merger = ReportMerger::new();
+    report_merger.take(&[], with(report(7, None, 3), vec![running(0), running(1)], vec![]));
 
     let changes = with(report(7, Some(3), 5), vec![running(2)], vec![ended(0)]);
-    let whole = mirror.take(&[], changes).expect("the changes follow");
+    let whole = report_merger.take(&[], changes).expect("the changes follow");
 
     assert_eq!(indices(&whole), (vec![1, 2], vec![0]));
     assert_eq!(whole.capacity.cpu_milli, 1000);
-    assert_eq!(mirror.seen(), Some(SeenJson { boot: 7, version: 5 }));
+    assert_eq!(report_merger.seen(), Some(ReportVersionJson { boot: 7, version: 5 }));
 }
 
 #[test]
 fn an_acknowledged_exit_report_is_gone() {
-    let mut mirror = Mirror::new();
-    mirror.take(&[], with(report(7, None, 3), vec![], vec![ended(0), ended(1)]));
+    let mut report_merger = ReportMerger::new();
+    report_merger.take(&[], with(report(7, None, 3), vec![], vec![ended(0), ended(1)]));
     let order = Order::Acknowledge { task: task(0), incarnation: FIRST };
 
     let lists = WorkerReport {
@@ -74,7 +74,7 @@
         ..WorkerReport::from(report(7, Some(3), 4))
     };
     let answer = ReportJson { results: ReportJson::from(lists).results, ..report(7, Some(3), 4) };
-    let whole = mirror.take(&[order], answer).expect("the changes follow");
+    let whole = report_merger.take(&[order], answer).expect("the changes follow");
 
     assert_eq!(indices(&whole), (vec![], vec![1]));
 }
@@ -84,14 +84,14 @@
 /// to what ran before the start, and go on holding room for tasks that are gone.
 #[test]
 fn changes_of_an_agent_that_started_anew_are_refused_until_it_tells_everything() {
-    let mut mirror = Mirror::new();
-    mirror.take(&[], with(report(7, None, 3), vec![running(0)], vec![]));
+    let mut report_merger = ReportMerger::new();
+    report_merger.take(&[], with(report(7, None, 3), vec![running(0)], vec![]));
 
-    let refused = mirror.take(&[], with(report(8, Some(3), 4), vec![running(1)], vec![]));
+    let refused = report_merger.take(&[], with(report(8, Some(3), 4), vec![running(1)], vec![]));
 
     assert_eq!(refused, None);
-    assert_eq!(mirror.seen(), None);
-    let whole = mirror.take(&[], with(report(8, None, 5), vec![running(1)], vec![]));
+    assert_eq!(report_merger.seen(), None);
+    let whole = report_merger.take(&[], with(report(8, None, 5), vec![running(1)], vec![]));
     assert_eq!(indices(&whole.expect("everything")), (vec![1], vec![]));
 }
 
@@ -99,11 +99,11 @@
 /// ended since. Taken in, it would bring the task back.
 #[test]
 fn an_older_report_does_not_bring_back_what_has_ended() {
-    let mut mirror = Mirror::new();
-    mirror.take(&[], with(report(7, None, 3), vec![running(0)], vec![]));
-    mirror.take(&[], with(report(7, Some(3), 6), vec![], vec![ended(0)]));
+    let mut report_merger = ReportMerger::new();
+    report_merger.take(&[], with(report(7, None, 3), vec![running(0)], vec![]));
+    report_merger.take(&[], with(report(7, Some(3), 6), vec![], vec![ended(0)]));
 
-    let refused = mirror.take(&[], with(report(7, Some(3), 5), vec![running(0)], vec![]));
+    let refused = report_merger.take(&[], with(report(7, Some(3), 5), vec![running(0)], vec![]));
 
     assert_eq!(refused, None);
 }
