--- a/daisy-entry/src/operators/answer.rs
+++ b/daisy-entry/src/operators/answer.rs
@@ -1,7 +1,7 @@
 //! What operators are answered with.
 
 use daisy_language::Finding;
-use daisy_wire::operator::{AnswerJson, FindingJson, ResultJson};
+use daisy_wire::operator::{AnswerJson, FindingJson, StatementResultJson};
 use http::StatusCode;
 use viz::{IntoResponse, Response};
 
@@ -29,10 +29,10 @@
     }
 
     /// The statements were run.
-    pub fn done(results: Vec<ResultJson>) -> Reply {
+    pub fn done(results: Vec<StatementResultJson>) -> Reply {
         let status = match results.last() {
-            Some(ResultJson::Refused { .. }) => StatusCode::CONFLICT,
-            Some(ResultJson::Unknown { .. }) => StatusCode::GATEWAY_TIMEOUT,
+            Some(StatementResultJson::Refused { .. }) => StatusCode::CONFLICT,
+            Some(StatementResultJson::Unknown { .. }) => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::OK,
         };
         Reply { status, answer: AnswerJson { results, ..AnswerJson::default() } }
@@ -46,12 +46,12 @@
 }
 
 /// The kind of a result as one word, for the log.
-pub(super) fn word(result: &ResultJson) -> &'static str {
+pub(super) fn word(result: &StatementResultJson) -> &'static str {
     match result {
-        ResultJson::Accepted { .. } => "accepted",
-        ResultJson::Refused { .. } => "refused",
-        ResultJson::Unknown { .. } => "unknown",
-        ResultJson::Table { .. } => "table",
+        StatementResultJson::Accepted { .. } => "accepted",
+        StatementResultJson::Refused { .. } => "refused",
+        StatementResultJson::Unknown { .. } => "unknown",
+        StatementResultJson::Table { .. } => "table",
     }
 }
 
--- a/daisy-entry/src/operators/look.rs
+++ b/daisy-entry/src/operators/look.rs
@@ -6,7 +6,7 @@
 use daisy_model::{JobSpec, Vm};
 use daisy_query::LiveView;
 use daisy_wire::{
-    operator::ResultJson,
+    operator::StatementResultJson,
     peer::{PeerAnswer, PeerQuery},
 };
 use futures::future::join_all;
@@ -24,7 +24,7 @@
 ///
 /// What a holder that does not answer knows is left out, and the answer says so where it
 /// matters: `-` stands for what is not known.
-pub(super) async fn look(port: &Port, statement: &Statement) -> Option<ResultJson> {
+pub(super) async fn look(port: &Port, statement: &Statement) -> Option<StatementResultJson> {
     let (reply, sight) = oneshot::channel();
     port.control.send(Input::Look { reply }).await.ok()?;
     let Sight { state, vms, dcs, own, holders } = sight.await.ok()?;
@@ -38,11 +38,11 @@
         }
     }
     Some(match daisy_query::run(&state, &live, statement) {
-        Ok(table) => ResultJson::Table {
+        Ok(table) => StatementResultJson::Table {
             columns: table.columns.into_iter().map(str::to_owned).collect(),
             rows: table.rows,
         },
-        Err(e) => ResultJson::Refused { cause: e.to_string() },
+        Err(e) => StatementResultJson::Refused { cause: e.to_string() },
     })
 }
 
--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -5,7 +5,7 @@
 use daisy_language::{LocatedStatement, Statement};
 use daisy_ledger::{Outcome, Record};
 use daisy_model::{Change, Command, Condition, Name};
-use daisy_wire::operator::ResultJson;
+use daisy_wire::operator::StatementResultJson;
 use http::StatusCode;
 use tokio::{sync::oneshot, time::timeout};
 
@@ -59,7 +59,7 @@
     source: &str,
     command: Command,
     condition: Option<Condition>,
-) -> Option<ResultJson> {
+) -> Option<StatementResultJson> {
     let created = match &command {
         Command::Create(spec) => Some(spec.clone()),
         _ => None,
@@ -75,18 +75,18 @@
                 Some(spec) => notes(port, &spec).await?,
                 None => Vec::new(),
             };
-            ResultJson::Accepted { generation: generation.0, notes }
+            StatementResultJson::Accepted { generation: generation.0, notes }
         }
         Ok(Ok(Verdict::Folded(Outcome::Refused(refusal)))) => {
-            ResultJson::Refused { cause: refusal.to_string() }
+            StatementResultJson::Refused { cause: refusal.to_string() }
         }
         Ok(Ok(Verdict::NotSent(cause))) => {
-            ResultJson::Refused { cause: format!("nothing was sent: {cause}") }
+            StatementResultJson::Refused { cause: format!("nothing was sent: {cause}") }
         }
-        Ok(Ok(Verdict::Folded(_)) | Err(_)) => ResultJson::Unknown {
+        Ok(Ok(Verdict::Folded(_)) | Err(_)) => StatementResultJson::Unknown {
             cause: "the log has it, its verdict was not seen here".to_owned(),
         },
-        Err(_) => ResultJson::Unknown {
+        Err(_) => StatementResultJson::Unknown {
             cause: format!("no verdict of the log in {VERDICT_TIMEOUT:?}; it may still come"),
         },
     };
--- a/daisy-wire/src/operator.rs
+++ b/daisy-wire/src/operator.rs
@@ -7,7 +7,7 @@
 pub struct AnswerJson {
     /// One for each statement that was run, in turn.
     #[serde(default)]
-    pub results: Vec<ResultJson>,
+    pub results: Vec<StatementResultJson>,
     /// All that is wrong with the text; nothing was run then.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<FindingJson>,
@@ -19,7 +19,7 @@
 /// What came of one statement.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
-pub enum ResultJson {
+pub enum StatementResultJson {
     /// A change is in force.
     Accepted {
         /// From this generation on.
@@ -73,9 +73,9 @@
     }
 }
 
-impl ResultJson {
+impl StatementResultJson {
     /// Whether the statement was accepted or answered.
     pub fn is_good(&self) -> bool {
-        matches!(self, ResultJson::Accepted { .. } | ResultJson::Table { .. })
+        matches!(self, StatementResultJson::Accepted { .. } | StatementResultJson::Table { .. })
     }
 }
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -5,7 +5,7 @@
 use anyhow::Context;
 use bytes::Bytes;
 use daisy_standin::client::Client;
-use daisy_wire::operator::{AnswerJson, FindingJson, ResultJson};
+use daisy_wire::operator::{AnswerJson, FindingJson, StatementResultJson};
 use http::{Method, Request, header};
 use http_body_util::Full;
 
@@ -83,13 +83,13 @@
     }
     for result in &answer.results {
         match result {
-            ResultJson::Accepted { generation, notes } => {
+            StatementResultJson::Accepted { generation, notes } => {
                 println!("accepted generation={generation}");
                 notes.iter().for_each(|note| println!("note: {note}"));
             }
-            ResultJson::Refused { cause } => println!("refused: {cause}"),
-            ResultJson::Unknown { cause } => println!("unknown: {cause}"),
-            ResultJson::Table { columns, rows } => print_table(columns, rows),
+            StatementResultJson::Refused { cause } => println!("refused: {cause}"),
+            StatementResultJson::Unknown { cause } => println!("unknown: {cause}"),
+            StatementResultJson::Table { columns, rows } => print_table(columns, rows),
         }
     }
     if let Some(error) = &answer.error {
