--- a/daisy-wire/src/lib.rs
+++ b/daisy-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire types of daisyshift: HTTP JSON for the platform and its workers, bincode
-//! for the log's records and between daisyshift's own processes.
+//! Wire types of daisyshift: JSON over HTTP for the platform and its workers, bincode for
+//! the log's records and for messages between daisyshift's own processes.
 //!
-//! Each wire type converts with `From` into it and `TryFrom` out of it, so that what
-//! arrives is checked once, at the edge.
+//! Values are converted to a wire type with `From` and from it with `TryFrom`, so that
+//! received data is validated once, where it enters the process.
 
 #![deny(missing_docs, unsafe_code)]
 
@@ -15,26 +15,26 @@
 pub mod snapshot;
 pub mod worker;
 
-/// Why a value from the wire is refused.
+/// Why a received value is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The bytes end early or do not decode.
+    /// The bytes are truncated or cannot be decoded.
     #[error("malformed message: {0}")]
     Malformed(String),
     /// The message was written by a newer version.
     #[error("version {found} is newer than {known}")]
     Version {
-        /// The version found.
+        /// The message's version.
         found: u16,
-        /// The newest version known.
+        /// The newest version that this build supports.
         known: u16,
     },
-    /// A field holds what it must not.
+    /// A field has an invalid value.
     #[error("field {field}: {reason}")]
     Field {
         /// The field's name.
         field: &'static str,
-        /// Why it is refused.
+        /// Why the value is rejected.
         reason: String,
     },
 }
--- a/daisy-wire/src/log/command.rs
+++ b/daisy-wire/src/log/command.rs
@@ -1,4 +1,4 @@
-//! Operators' changes as the log holds them.
+//! The log encoding of operators' changes.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use crate::WireError;
 
-/// Checks a name that arrived in `field`.
-pub(crate) fn name(field: &'static str, text: &str) -> Result<Name, WireError> {
+/// Parses a name that was received in `field`.
+pub(crate) fn parse_name(field: &'static str, text: &str) -> Result<Name, WireError> {
     Name::new(text).map_err(|e| WireError::Field { field, reason: e.to_string() })
 }
 
-/// Processors in thousandths, memory in MiB, accelerators.
+/// Processors in thousandths of a core, memory in MiB, and accelerators.
 #[derive(Debug, Clone, Copy, Encode, Decode)]
 pub(crate) struct ResourcesWire(u32, u32, u32);
 
@@ -32,25 +32,25 @@
 }
 
 #[derive(Debug, Clone, Copy, Encode, Decode)]
-pub(crate) enum KindWire {
+pub(crate) enum JobKindWire {
     Service,
     Batch,
 }
 
-impl From<JobKind> for KindWire {
-    fn from(it: JobKind) -> KindWire {
+impl From<JobKind> for JobKindWire {
+    fn from(it: JobKind) -> JobKindWire {
         match it {
-            JobKind::Service => KindWire::Service,
-            JobKind::Batch => KindWire::Batch,
+            JobKind::Service => JobKindWire::Service,
+            JobKind::Batch => JobKindWire::Batch,
         }
     }
 }
 
-impl From<KindWire> for JobKind {
-    fn from(it: KindWire) -> JobKind {
+impl From<JobKindWire> for JobKind {
+    fn from(it: JobKindWire) -> JobKind {
         match it {
-            KindWire::Service => JobKind::Service,
-            KindWire::Batch => JobKind::Batch,
+            JobKindWire::Service => JobKind::Service,
+            JobKindWire::Batch => JobKind::Batch,
         }
     }
 }
@@ -109,12 +109,12 @@
     }
 }
 
-/// A job as declared.
+/// A job specification as declared.
 #[derive(Debug, Encode, Decode)]
 pub(crate) struct JobSpecWire {
     name: String,
     team: String,
-    kind: KindWire,
+    kind: JobKindWire,
     tasks: u32,
     size: ResourcesWire,
     priority: PriorityWire,
@@ -151,10 +151,10 @@
     type Error = WireError;
 
     fn try_from(it: JobSpecWire) -> Result<JobSpec, WireError> {
-        let data_centres = it.data_centres.iter().map(|text| name("data_centres", text));
+        let data_centres = it.data_centres.iter().map(|text| parse_name("data_centres", text));
         Ok(JobSpec {
-            name: name("name", &it.name)?,
-            team: name("team", &it.team)?,
+            name: parse_name("name", &it.name)?,
+            team: parse_name("team", &it.team)?,
             kind: it.kind.into(),
             tasks: it.tasks,
             size: it.size.into(),
@@ -168,7 +168,7 @@
     }
 }
 
-/// New values of parts of the policy.
+/// New values for some fields of the policy; `None` leaves a field unchanged.
 #[derive(Debug, Encode, Decode)]
 struct PolicyChangeWire {
     tail: Option<u32>,
@@ -251,14 +251,14 @@
 enum CommandWire {
     Create(JobSpecWire),
     Change {
-        kind: KindWire,
+        kind: JobKindWire,
         job: String,
         tasks: Option<u32>,
         priority: Option<PriorityWire>,
         size: Option<ResourcesWire>,
     },
     Cancel {
-        kind: KindWire,
+        kind: JobKindWire,
         job: String,
     },
     Quota {
@@ -310,19 +310,19 @@
             CommandWire::Create(spec) => Command::Create(spec.try_into()?),
             CommandWire::Change { kind, job, tasks, priority, size } => Command::Change {
                 kind: kind.into(),
-                job: name("job", &job)?,
+                job: parse_name("job", &job)?,
                 tasks,
                 priority: priority.map(Priority::from),
                 size: size.map(Resources::from),
             },
             CommandWire::Cancel { kind, job } => {
-                Command::Cancel { kind: kind.into(), job: name("job", &job)? }
+                Command::Cancel { kind: kind.into(), job: parse_name("job", &job)? }
             }
             CommandWire::Quota { team, limit } => {
-                Command::Quota { team: name("team", &team)?, limit: limit.into() }
+                Command::Quota { team: parse_name("team", &team)?, limit: limit.into() }
             }
-            CommandWire::Drain { vm } => Command::Drain { vm: name("vm", &vm)? },
-            CommandWire::Undrain { vm } => Command::Undrain { vm: name("vm", &vm)? },
+            CommandWire::Drain { vm } => Command::Drain { vm: parse_name("vm", &vm)? },
+            CommandWire::Undrain { vm } => Command::Undrain { vm: parse_name("vm", &vm)? },
             CommandWire::Pause(class) => Command::Pause(class.into()),
             CommandWire::Resume(class) => Command::Resume(class.into()),
             CommandWire::Publish(policy) => Command::Publish(policy.into()),
@@ -330,7 +330,7 @@
     }
 }
 
-/// An operator's change.
+/// A change that an operator made.
 #[derive(Debug, Encode, Decode)]
 pub(crate) struct ChangeWire {
     who: String,
@@ -357,7 +357,7 @@
 
     fn try_from(it: ChangeWire) -> Result<Change, WireError> {
         Ok(Change {
-            who: name("who", &it.who)?,
+            who: parse_name("who", &it.who)?,
             at: WallTime(it.at),
             text: it.text.into(),
             command: it.command.try_into()?,
--- a/daisy-wire/src/log/record.rs
+++ b/daisy-wire/src/log/record.rs
@@ -1,4 +1,4 @@
-//! Records as the log holds them.
+//! The log encoding of records.
 
 use bincode::{Decode, Encode};
 use daisy_ledger::{AppendId, Batch, Placement, Record};
@@ -6,7 +6,7 @@
 
 use crate::{WireError, log::ChangeWire};
 
-/// How an incarnation ended.
+/// How an incarnation ended; see [`Exit`].
 #[derive(Debug, Clone, Copy, Encode, Decode)]
 pub(crate) enum ExitWire {
     Done,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A task: job and index.
+/// A task: the job's number and the task's index.
 #[derive(Debug, Clone, Copy, Encode, Decode)]
 struct TaskWire(u32, u32);
 
@@ -62,11 +62,11 @@
     }
 }
 
-/// Task, incarnation and VM.
+/// A task, its incarnation, and the VM.
 #[derive(Debug, Encode, Decode)]
 struct PlacementWire(TaskWire, u32, u32);
 
-/// Task, incarnation and exit.
+/// A task, its incarnation, and how that ended.
 #[derive(Debug, Encode, Decode)]
 struct EndedWire(TaskWire, u32, ExitWire);
 
@@ -83,7 +83,7 @@
     Snapshot { through: u64, part: u32, parts: u32, bytes: Vec<u8> },
 }
 
-/// The records that one process appends at one time.
+/// The records that one process appends in one entry; see [`Batch`].
 #[derive(Debug, Encode, Decode)]
 pub struct BatchWire {
     sender: u64,
@@ -181,7 +181,7 @@
     if part < parts {
         return Ok(());
     }
-    Err(WireError::Field { field: "part", reason: format!("{part} of {parts}") })
+    Err(WireError::Field { field: "part", reason: format!("part {part} of {parts} parts") })
 }
 
 fn to_wire<T: Copy, W: From<T>>(items: &[T]) -> Vec<W> {
--- a/daisy-wire/src/operator.rs
+++ b/daisy-wire/src/operator.rs
@@ -1,71 +1,71 @@
-//! JSON of the operators' port: `POST /v1/statements` is answered by an [`AnswerJson`].
+//! JSON of the operators' port: the response to `POST /v1/statements` is an [`AnswerJson`].
 
 use serde::{Deserialize, Serialize};
 
-/// An answer to a body of statements.
+/// The response to a body of statements.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct AnswerJson {
-    /// One for each statement that was run, in turn.
+    /// The results of the statements that were run, in order.
     #[serde(default)]
     pub results: Vec<StatementResultJson>,
-    /// All that is wrong with the text; nothing was run then.
+    /// The errors in the text; if there are any, no statement was run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<FindingJson>,
-    /// Why nothing was run, or the rest was not.
+    /// Why no statement, or not every statement, was run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
 }
 
-/// What came of one statement.
+/// The result of one statement.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum StatementResultJson {
-    /// A change is in force.
+    /// A change took effect.
     Accepted {
-        /// From this generation on.
+        /// The generation that the change created.
         generation: u64,
-        /// What the operator should know at once, such as that a job fits on no worker.
+        /// Warnings for the operator, such as that a job's tasks fit on no worker.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         notes: Vec<String>,
     },
     /// A change had no effect.
     Refused {
-        /// Why.
+        /// The cause, for the operator.
         cause: String,
     },
-    /// Whether a change took effect is not known yet: `show changes` will tell.
+    /// It is not known yet whether a change took effect; `show changes` will list it if so.
     Unknown {
-        /// Why.
+        /// The cause, for the operator.
         cause: String,
     },
-    /// The answer to a statement that changes nothing.
+    /// The answer to a read-only statement.
     Table {
-        /// The heads of the columns.
+        /// The names of the columns.
         columns: Vec<String>,
-        /// Cells by row.
+        /// The rows, each with one cell per column.
         rows: Vec<Vec<String>>,
     },
 }
 
-/// One thing that is wrong with the text.
+/// An error in the text.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FindingJson {
     /// The line, from 1.
     pub line: u32,
     /// The column in characters, from 1.
     pub column: u32,
-    /// The first byte of the text that is wrong.
+    /// The offset in the text of the first wrong byte.
     pub start: usize,
-    /// The byte after the last one that is wrong.
+    /// The offset in the text after the last wrong byte.
     pub end: usize,
-    /// What stands there.
+    /// What was found there.
     pub found: String,
-    /// What should stand there.
+    /// What was expected there.
     pub expected: String,
 }
 
 impl AnswerJson {
-    /// Whether every statement was accepted or answered.
+    /// Returns whether every statement was accepted or answered.
     pub fn is_good(&self) -> bool {
         self.findings.is_empty()
             && self.error.is_none()
@@ -74,7 +74,7 @@
 }
 
 impl StatementResultJson {
-    /// Whether the statement was accepted or answered.
+    /// Returns whether the statement was accepted or answered.
     pub fn is_good(&self) -> bool {
         matches!(self, StatementResultJson::Accepted { .. } | StatementResultJson::Table { .. })
     }
--- a/daisy-wire/src/peer.rs
+++ b/daisy-wire/src/peer.rs
@@ -1,20 +1,21 @@
-//! Messages between entry VMs: frames of versioned bincode on h2 streams.
+//! Messages between entry VMs: versioned bincode in frames on HTTP/2 streams.
 //!
-//! A frame is its length (4 bytes, little endian), the version of the protocol (2 bytes)
-//! and one bincode message. `docs/PROTOCOL.md` names the streams and their messages.
+//! A frame consists of its length (4 bytes, little endian), the protocol version (2 bytes,
+//! little endian), and one bincode message. `docs/PROTOCOL.md` lists the streams and their
+//! messages.
 
 mod frame;
 mod key;
 mod live;
 mod notice;
-mod question;
+mod query;
 mod records;
 
 pub use self::{
     frame::{FrameDecoder, MAX_FRAME, VERSION, frame},
     key::{KeyAnswerWire, KeyQueryWire},
     live::LiveViewWire,
-    notice::{BeatWire, Notice, NoticeWire, Replica, ReplicaChange, ReplicasWire},
-    question::{PeerAnswer, PeerAnswerWire, PeerQuery, PeerQueryWire},
+    notice::{HeartbeatWire, Notice, NoticeWire, Replica, ReplicaChange, ReplicaChangeWire},
+    query::{PeerAnswer, PeerAnswerWire, PeerQuery, PeerQueryWire},
     records::{RecordStreamMessage, RecordStreamMessageWire, RecordsRequest},
 };
--- a/daisy-wire/src/peer/key.rs
+++ b/daisy-wire/src/peer/key.rs
@@ -1,4 +1,4 @@
-//! The key protocol of `daisy-routing` on the wire.
+//! Wire types of the key protocol of `daisy-routing`.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 use crate::WireError;
 
-/// The longest key, in bytes.
-const MAX_KEY: usize = 64;
+/// The maximum length of an idempotency key in bytes.
+const MAX_KEY_LEN: usize = 64;
 
 /// See [`KeyId`].
 #[derive(Debug, Encode, Decode)]
@@ -56,8 +56,7 @@
 /// See [`KeyState`].
 #[derive(Debug, Encode, Decode)]
 pub enum KeyStateWire {
-    /// A claim of which it is not said what it rests on: so older entry VMs write
-    /// [`KeyState::Running`].
+    /// [`KeyState::Running`] as older entry VMs encode it: a claim without its kind.
     Running(u64),
     /// See [`KeyState::Answered`].
     Answered(StoredAnswerWire),
@@ -65,17 +64,17 @@
     Unknown,
     /// See [`KeyState::Fenced`].
     Fenced,
-    /// See [`KeyState::Running`].
+    /// See [`KeyState::Running`]: the claim and its kind.
     Claimed(u64, ClaimKindWire),
 }
 
 /// See [`TransferredKey`].
 #[derive(Debug, Encode, Decode)]
-pub struct HandedKeyWire {
+pub struct TransferredKeyWire {
     key: KeyIdWire,
     request_digest: u64,
     state: KeyStateWire,
-    keep_ms: u64,
+    remaining_retention_ms: u64,
 }
 
 /// See [`KeyQuery`].
@@ -85,42 +84,42 @@
     Claim {
         /// The key.
         key: KeyIdWire,
-        /// A digest of method and path.
+        /// A digest of the request's method and path.
         request_digest: u64,
-        /// The wish.
+        /// The id of the requested claim.
         claim: u64,
         /// Whether the caller has sent the request before.
         repeated: bool,
-        /// How long the claim may run, in milliseconds.
-        hold_ms: u64,
+        /// The time until the claim expires, in milliseconds.
+        claim_timeout_ms: u64,
     },
     /// See [`KeyQuery::Fence`].
     Fence {
         /// The key.
         key: KeyIdWire,
-        /// A digest of method and path.
+        /// A digest of the request's method and path.
         request_digest: u64,
     },
     /// See [`KeyQuery::Finish`].
     Finish {
         /// The key.
         key: KeyIdWire,
-        /// The claim.
+        /// The id of the claim.
         claim: u64,
-        /// How it ended.
+        /// How the claim ended.
         end: ClaimEndWire,
     },
     /// See [`KeyQuery::Handover`].
     Handover {
-        /// The keys.
-        keys: Vec<HandedKeyWire>,
-        /// Whether nothing follows.
+        /// The transferred keys.
+        keys: Vec<TransferredKeyWire>,
+        /// Whether this is the last message of the transfer.
         last: bool,
-        /// Whether nothing is missing.
+        /// Whether the sender's history is complete for the retention window.
         complete_in_window: bool,
-        /// Whether the sender missed nothing but the time before its start.
+        /// Whether the sender's history lacks only the time before its start.
         only_gap_is_before_start: bool,
-        /// Whether the sender stops.
+        /// Whether the sender is about to stop.
         leaving: bool,
     },
 }
@@ -167,8 +166,8 @@
         let service = Name::new(&it.service)
             .map_err(|e| WireError::Field { field: "service", reason: e.to_string() })?;
         let visible = it.key.bytes().all(|b| b.is_ascii_graphic());
-        if it.key.is_empty() || it.key.len() > MAX_KEY || !visible {
-            let reason = "a key has 1 to 64 visible ASCII characters".to_owned();
+        if it.key.is_empty() || it.key.len() > MAX_KEY_LEN || !visible {
+            let reason = "a key must have 1 to 64 visible ASCII characters".to_owned();
             return Err(WireError::Field { field: "key", reason });
         }
         Ok(KeyId { service, key: it.key.into() })
@@ -266,26 +265,26 @@
     }
 }
 
-impl From<TransferredKey> for HandedKeyWire {
-    fn from(it: TransferredKey) -> HandedKeyWire {
-        HandedKeyWire {
+impl From<TransferredKey> for TransferredKeyWire {
+    fn from(it: TransferredKey) -> TransferredKeyWire {
+        TransferredKeyWire {
             key: it.key.into(),
             request_digest: it.request_digest,
             state: it.state.into(),
-            keep_ms: millis(it.remaining_retention),
+            remaining_retention_ms: millis(it.remaining_retention),
         }
     }
 }
 
-impl TryFrom<HandedKeyWire> for TransferredKey {
+impl TryFrom<TransferredKeyWire> for TransferredKey {
     type Error = WireError;
 
-    fn try_from(it: HandedKeyWire) -> Result<TransferredKey, WireError> {
+    fn try_from(it: TransferredKeyWire) -> Result<TransferredKey, WireError> {
         Ok(TransferredKey {
             key: it.key.try_into()?,
             request_digest: it.request_digest,
             state: it.state.into(),
-            remaining_retention: Duration::from_millis(it.keep_ms),
+            remaining_retention: Duration::from_millis(it.remaining_retention_ms),
         })
     }
 }
@@ -299,7 +298,7 @@
                     request_digest,
                     claim: claim.0,
                     repeated,
-                    hold_ms: millis(claim_timeout),
+                    claim_timeout_ms: millis(claim_timeout),
                 }
             }
             KeyQuery::Fence { key, request_digest } => {
@@ -315,7 +314,7 @@
                 only_gap_is_before_start,
                 leaving,
             } => KeyQueryWire::Handover {
-                keys: keys.into_iter().map(HandedKeyWire::from).collect(),
+                keys: keys.into_iter().map(TransferredKeyWire::from).collect(),
                 last,
                 complete_in_window,
                 only_gap_is_before_start,
@@ -330,13 +329,13 @@
 
     fn try_from(query: KeyQueryWire) -> Result<KeyQuery, WireError> {
         Ok(match query {
-            KeyQueryWire::Claim { key, request_digest, claim, repeated, hold_ms } => {
+            KeyQueryWire::Claim { key, request_digest, claim, repeated, claim_timeout_ms } => {
                 KeyQuery::Claim {
                     key: key.try_into()?,
                     request_digest,
                     claim: ClaimId(claim),
                     repeated,
-                    claim_timeout: Duration::from_millis(hold_ms),
+                    claim_timeout: Duration::from_millis(claim_timeout_ms),
                 }
             }
             KeyQueryWire::Fence { key, request_digest } => {
--- a/daisy-wire/src/peer/live.rs
+++ b/daisy-wire/src/peer/live.rs
@@ -1,4 +1,4 @@
-//! What a holder knows of its data centre, for operators who ask elsewhere.
+//! A holder's view of its data centre, for operators whose statements reach another entry VM.
 
 use std::time::Duration;
 
@@ -6,12 +6,13 @@
 use daisy_model::{Incarnation, JobId, Resources, TaskId, VmId, WallTime};
 use daisy_query::{LiveTask, LiveView, LiveWorker, Reason, Subject, WorkerState};
 
-/// A task: its job and its index.
+/// A task: the job's number and the task's index.
 type TaskWire = (u32, u32);
-/// Processors, memory and accelerators.
+/// Processors in thousandths of a core, memory in MiB, and accelerators.
 type SizeWire = (u32, u32, u32);
 
-/// See [`LiveView`]; names and the VM list are left out, as every entry VM has them.
+/// See [`LiveView`]. Data centre names and the VM list are left out, since every entry VM has
+/// them.
 #[derive(Debug, Encode, Decode)]
 pub struct LiveViewWire {
     tasks: Vec<LiveTaskWire>,
--- a/daisy-wire/src/peer/notice.rs
+++ b/daisy-wire/src/peer/notice.rs
@@ -1,4 +1,5 @@
-//! What an entry VM tells its peers unasked: heartbeats and where services run.
+//! Notices that an entry VM sends to its peers without a request: heartbeats, and where
+//! services run.
 
 use bincode::{Decode, Encode};
 use daisy_membership::{Evidence, Heartbeat, Status};
@@ -6,44 +7,45 @@
 
 use crate::WireError;
 
-/// A backend server of a service; ordered by service, then VM.
+/// A backend server of a service. Replicas are ordered by service, then by VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Replica {
     /// The service.
     pub job: JobId,
-    /// The worker that runs a task of it.
+    /// The worker that runs a task of the service.
     pub vm: VmId,
-    /// Whether that task is about to stop: it gets nothing new.
+    /// Whether that task is about to stop, so that it gets no new requests.
     pub leaving: bool,
 }
 
-/// Where services of a data centre run, or how that has changed.
+/// The replicas of a data centre's services: the full set, or what has changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaChange {
     /// The data centre.
     pub dc: DcId,
-    /// The epoch of the holder that says so.
+    /// The epoch of the holder that published the change.
     pub epoch: Epoch,
-    /// Counts the changes under all epochs of the data centre.
+    /// The number of changes so far, counted across all epochs of the data centre.
     pub version: u64,
-    /// Whether `added` is all there is.
+    /// Whether `added` is the full set of replicas.
     pub full: bool,
-    /// Backend servers that are new or stand differently, sorted.
+    /// Replicas that are new, or whose new value differs; sorted.
     pub added: Vec<Replica>,
-    /// Backend servers that are gone or stood differently, sorted.
+    /// Replicas that no longer exist, and the old values of those that differ; sorted.
     pub removed: Vec<Replica>,
 }
 
-/// One message of the stream of notices.
+/// A message of the notice stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
     /// The sender's heartbeat.
     Beat {
         /// The heartbeat.
         beat: Heartbeat,
-        /// Whether `in_flight` is all there is, or only what has changed.
+        /// Whether `in_flight` is the full list rather than the changes only.
         full: bool,
-        /// Requests in flight from the sender by backend server; zero takes one out.
+        /// The number of the sender's requests in flight by backend server; zero removes the
+        /// backend server from the list.
         in_flight: Vec<(VmId, u32)>,
     },
     /// Where services run.
@@ -52,7 +54,7 @@
 
 /// See [`Heartbeat`].
 #[derive(Debug, Encode, Decode)]
-pub struct BeatWire {
+pub struct HeartbeatWire {
     vm: u32,
     dc: u16,
     seq: u32,
@@ -68,7 +70,7 @@
 
 /// See [`ReplicaChange`].
 #[derive(Debug, Encode, Decode)]
-pub struct ReplicasWire {
+pub struct ReplicaChangeWire {
     dc: u16,
     epoch: u64,
     version: u64,
@@ -83,25 +85,25 @@
     /// See [`Notice::Beat`].
     Beat {
         /// The heartbeat.
-        beat: BeatWire,
-        /// Whether all is told.
+        beat: HeartbeatWire,
+        /// Whether `in_flight` is the full list.
         full: bool,
-        /// Requests in flight by backend server.
+        /// The number of requests in flight by backend server.
         in_flight: Vec<(u32, u32)>,
     },
     /// See [`Notice::Replicas`].
-    Replicas(ReplicasWire),
+    Replicas(ReplicaChangeWire),
 }
 
 impl From<&Notice> for NoticeWire {
     fn from(notice: &Notice) -> NoticeWire {
         match notice {
             Notice::Beat { beat, full, in_flight } => NoticeWire::Beat {
-                beat: beat_to_wire(*beat),
+                beat: heartbeat_to_wire(*beat),
                 full: *full,
                 in_flight: in_flight.iter().map(|(vm, count)| (vm.0, *count)).collect(),
             },
-            Notice::Replicas(it) => NoticeWire::Replicas(ReplicasWire {
+            Notice::Replicas(it) => NoticeWire::Replicas(ReplicaChangeWire {
                 dc: it.dc.0,
                 epoch: it.epoch.0,
                 version: it.version,
@@ -119,7 +121,7 @@
     fn try_from(notice: NoticeWire) -> Result<Notice, WireError> {
         Ok(match notice {
             NoticeWire::Beat { beat, full, in_flight } => Notice::Beat {
-                beat: beat_from_wire(beat)?,
+                beat: heartbeat_from_wire(beat)?,
                 full,
                 in_flight: in_flight.into_iter().map(|(vm, count)| (VmId(vm), count)).collect(),
             },
@@ -135,8 +137,8 @@
     }
 }
 
-fn beat_to_wire(beat: Heartbeat) -> BeatWire {
-    BeatWire {
+fn heartbeat_to_wire(beat: Heartbeat) -> HeartbeatWire {
+    HeartbeatWire {
         vm: beat.vm.0,
         dc: beat.dc.0,
         seq: beat.seq,
@@ -152,13 +154,13 @@
     }
 }
 
-fn beat_from_wire(beat: BeatWire) -> Result<Heartbeat, WireError> {
+fn heartbeat_from_wire(beat: HeartbeatWire) -> Result<Heartbeat, WireError> {
     let status = match beat.status {
         0 => Status::Starting,
         1 => Status::Ready,
         2 => Status::Leaving,
         other => {
-            let reason = format!("{other} is no status");
+            let reason = format!("{other} is not a status");
             return Err(WireError::Field { field: "status", reason });
         }
     };
--- a/daisy-wire/src/peer/question.rs
+++ b/daisy-wire/src/peer/query.rs
@@ -1,4 +1,4 @@
-//! Questions between entry VMs, each on a stream of its own.
+//! Queries between entry VMs, each on its own stream.
 
 use bincode::{Decode, Encode};
 use daisy_model::{DcId, Name, Resources, Vm, VmId, VmRole, VmStatus};
@@ -13,17 +13,17 @@
     },
 };
 
-/// A question of one entry VM to another.
+/// A query of one entry VM to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerQuery {
     /// The key protocol of `daisy-routing`.
     Key(KeyQuery),
-    /// The platform's VM list, if the peer has a newer one.
+    /// Requests the platform's VM list, if the peer has a newer one.
     Vms {
-        /// The version that the asker has.
+        /// The version of the list that the sender has.
         known: Option<u64>,
     },
-    /// What the holder of a data centre knows of it.
+    /// Requests the view that the holder of a data centre has of it.
     LiveView,
 }
 
@@ -34,14 +34,14 @@
     Key(KeyAnswer),
     /// The VM list and its version.
     Vms {
-        /// Grows with each change of the list.
+        /// The version of the list, which grows with each change.
         version: u64,
         /// All VMs.
         vms: Vec<Vm>,
     },
     /// The answer to [`PeerQuery::LiveView`].
     LiveView(Box<LiveView>),
-    /// The entry VM asked cannot answer.
+    /// The queried entry VM cannot answer.
     Unable,
 }
 
@@ -66,7 +66,7 @@
     Key(KeyQueryWire),
     /// See [`PeerQuery::Vms`].
     Vms {
-        /// The version that the asker has.
+        /// The version of the list that the sender has.
         known: Option<u64>,
     },
     /// See [`PeerQuery::LiveView`].
@@ -80,7 +80,7 @@
     Key(KeyAnswerWire),
     /// See [`PeerAnswer::Vms`].
     Vms {
-        /// Grows with each change of the list.
+        /// The version of the list, which grows with each change.
         version: u64,
         /// All VMs.
         vms: Vec<VmWire>,
@@ -92,9 +92,9 @@
 }
 
 impl From<PeerQuery> for PeerQueryWire {
-    fn from(question: PeerQuery) -> PeerQueryWire {
-        match question {
-            PeerQuery::Key(query) => PeerQueryWire::Key(query.into()),
+    fn from(query: PeerQuery) -> PeerQueryWire {
+        match query {
+            PeerQuery::Key(key_query) => PeerQueryWire::Key(key_query.into()),
             PeerQuery::Vms { known } => PeerQueryWire::Vms { known },
             PeerQuery::LiveView => PeerQueryWire::LiveView,
         }
@@ -104,9 +104,9 @@
 impl TryFrom<PeerQueryWire> for PeerQuery {
     type Error = WireError;
 
-    fn try_from(question: PeerQueryWire) -> Result<PeerQuery, WireError> {
-        Ok(match question {
-            PeerQueryWire::Key(query) => PeerQuery::Key(query.try_into()?),
+    fn try_from(query: PeerQueryWire) -> Result<PeerQuery, WireError> {
+        Ok(match query {
+            PeerQueryWire::Key(key_query) => PeerQuery::Key(key_query.try_into()?),
             PeerQueryWire::Vms { known } => PeerQuery::Vms { known },
             PeerQueryWire::LiveView => PeerQuery::LiveView,
         })
--- a/daisy-wire/src/platform.rs
+++ b/daisy-wire/src/platform.rs
@@ -1,10 +1,12 @@
 //! JSON of the platform: its log and its VM list.
 //!
-//! - `POST /v1/log`, body the record's bytes, header `append-id`: [`Appended`].
-//!   429 over the cap of appends, 503 in an outage; an answer can be lost after the effect.
-//! - `GET /v1/log?from=N&max=K&wait_ms=M`: [`LogPage`]; waits up to `M` for a record at `N`.
-//!   410 with [`Expired`] when `N` is below the first record kept.
-//! - `GET /v1/vms?since=V`: [`VmList`], or 304 when its version is still `V`.
+//! - `POST /v1/log`, with the record's bytes as the body and the header `append-id`, returns
+//!   [`Appended`]; 429 if the rate limit of appends is exceeded, 503 during an outage. The
+//!   response may be lost although the record was appended.
+//! - `GET /v1/log?from=N&max=K&wait_ms=M` returns a [`LogPage`]; it waits up to `M` ms for a
+//!   record at offset `N`. 410 with [`Expired`] if `N` is below the first record that the log
+//!   still has.
+//! - `GET /v1/vms?since=V` returns the [`VmList`], or 304 if its version is still `V`.
 
 use std::net::SocketAddr;
 
@@ -17,26 +19,26 @@
 /// The answer to an append.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Appended {
-    /// Where the record stands.
+    /// The offset of the record.
     pub offset: u64,
 }
 
 /// One record of the log.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Where the record stands.
+    /// The offset of the record.
     pub offset: u64,
     /// The record's bytes in base64.
     pub body: String,
 }
 
 impl LogRecord {
-    /// A record of `bytes` at `offset`.
+    /// Creates a record of `bytes` at `offset`.
     pub fn new(offset: u64, bytes: &[u8]) -> LogRecord {
         LogRecord { offset, body: BASE64_STANDARD.encode(bytes) }
     }
 
-    /// The record's bytes.
+    /// Decodes the record's bytes.
     pub fn bytes(&self) -> Result<Vec<u8>, WireError> {
         BASE64_STANDARD
             .decode(&self.body)
@@ -47,31 +49,31 @@
 /// Consecutive records of the log.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The first offset that the log still keeps.
+    /// The first offset that the log still has.
     pub first: u64,
     /// The offset after the last record of the whole log.
     pub next: u64,
-    /// Records from the offset asked for.
+    /// The records from the requested offset on.
     pub records: Vec<LogRecord>,
 }
 
-/// The answer when the offset asked for has expired.
+/// The response if the requested offset has expired.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Expired {
-    /// The first offset that the log still keeps.
+    /// The first offset that the log still has.
     pub first: u64,
 }
 
-/// The platform's list of VMs; it lags behind the truth.
+/// The platform's list of VMs, which lags behind the actual VMs.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct VmList {
-    /// Grows with each change of the list.
+    /// The version of the list, which grows with each change.
     pub version: u64,
     /// All VMs that are live or leaving.
     pub vms: Vec<VmJson>,
 }
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RoleJson {
@@ -81,37 +83,37 @@
     Worker,
 }
 
-/// What the platform says of a VM.
+/// The status of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StatusJson {
     /// In use.
     Live,
-    /// About to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
-/// One VM of the list.
+/// A VM of the list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VmJson {
     /// The platform's number of the VM.
     pub id: u32,
     /// Its name.
     pub name: String,
-    /// Its data centre, by position in the sorted list of data centres.
+    /// The index of its data centre in the sorted list of data centres.
     pub dc: u16,
     /// Its rack.
     pub rack: u16,
-    /// What it is for.
+    /// Its role.
     pub role: RoleJson,
-    /// Live or leaving.
+    /// Its status.
     pub status: StatusJson,
-    /// Peers' or control address.
+    /// The address for peers (entry VMs) or for control calls (workers).
     pub control: SocketAddr,
-    /// Address for requests to services.
+    /// The address for requests to services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub backend: Option<SocketAddr>,
-    /// What it holds.
+    /// Its total resources.
     #[serde(default)]
     pub capacity: ResourcesJson,
 }
@@ -119,13 +121,13 @@
 /// Processors, memory and accelerators.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourcesJson {
-    /// Thousandths of a core.
+    /// Processors, in thousandths of a core.
     #[serde(default)]
     pub cpu_milli: u32,
-    /// MiB.
+    /// Memory, in MiB.
     #[serde(default)]
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// The number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
 }
--- a/daisy-wire/src/report_merger.rs
+++ b/daisy-wire/src/report_merger.rs
@@ -1,8 +1,9 @@
-//! What a worker has told so far, kept up by its reports of changes.
+//! Merges a worker's incremental reports into full reports.
 //!
-//! At 33 tasks a worker a whole report is 3.5 KB, and a holder of 130 workers may spend
-//! 2 KB a second on all of them (the users' plan): a worker therefore tells everything once
-//! and then what has changed. What decides still reads whole reports; the mirror makes them.
+//! With 33 tasks per worker a full report is 3.5 KB, and a holder of 130 workers may use 2 KB
+//! per second for all of them (the users' plan). A worker therefore sends a full report once
+//! and then only what has changed. The placement code still reads full reports, which the
+//! [`ReportMerger`] creates.
 
 use daisy_model::{
     Ended, Incarnation, Order, OrderResult, Resources, Running, SortedMap, TaskId, WorkerReport,
@@ -10,7 +11,7 @@
 
 use crate::worker::{ReportJson, ReportVersionJson};
 
-/// What one worker has told.
+/// The last known state of one worker, built from its reports.
 #[derive(Debug, Clone, Default)]
 pub struct ReportMerger {
     seen: Option<ReportVersionJson>,
@@ -20,68 +21,68 @@
 }
 
 impl ReportMerger {
-    /// Nothing was told yet.
+    /// Creates a merger that has received no report yet.
     pub fn new() -> ReportMerger {
         ReportMerger::default()
     }
 
-    /// What the next call says it has seen; `None` asks for everything.
+    /// Returns the version to send as last seen in the next call; `None` requests a full report.
     pub fn seen(&self) -> Option<ReportVersionJson> {
         self.seen
     }
 
-    /// Takes a report in that answers `orders`, and gives the worker's whole report.
+    /// Merges a report that answers `orders`, and returns the worker's full report.
     ///
-    /// `None` if the report's changes do not follow what was seen, which a worker's agent that
-    /// started anew can bring about: the next call asks for everything.
+    /// Returns `None` if the report's changes do not follow the last version seen, for example
+    /// because the worker's agent has restarted. The next call then requests a full report.
     pub fn take(&mut self, orders: &[Order], report: ReportJson) -> Option<WorkerReport> {
         let (now, since) = (report.now, report.since);
-        let told = WorkerReport::from(report);
-        if !told.accepted {
-            return Some(told);
+        let report = WorkerReport::from(report);
+        if !report.accepted {
+            return Some(report);
         }
         match since {
-            None => self.replace(&told),
-            Some(since) if self.follows(since, now) => self.change(&told),
+            None => self.replace(&report),
+            Some(since) if self.is_successor(since, now) => self.apply_changes(&report),
             Some(_) => {
                 self.seen = None;
                 return None;
             }
         }
         self.seen = now;
-        self.forget_acknowledged(orders, &told.results);
+        self.remove_acknowledged(orders, &report.results);
         Some(WorkerReport {
             capacity: self.capacity,
             running: self.running.iter().map(|(_, it)| *it).collect(),
             ended: self.ended.iter().map(|(_, it)| *it).collect(),
-            ..told
+            ..report
         })
     }
 
-    fn follows(&self, since: u64, now: Option<ReportVersionJson>) -> bool {
+    fn is_successor(&self, since: u64, now: Option<ReportVersionJson>) -> bool {
         let (Some(seen), Some(now)) = (self.seen, now) else { return false };
         seen.boot == now.boot && since <= seen.version && seen.version <= now.version
     }
 
-    fn replace(&mut self, told: &WorkerReport) {
-        self.capacity = told.capacity;
-        self.running = told.running.iter().map(|it| ((it.task, it.incarnation), *it)).collect();
-        self.ended = told.ended.iter().map(|it| ((it.task, it.incarnation), *it)).collect();
+    fn replace(&mut self, report: &WorkerReport) {
+        self.capacity = report.capacity;
+        self.running = report.running.iter().map(|it| ((it.task, it.incarnation), *it)).collect();
+        self.ended = report.ended.iter().map(|it| ((it.task, it.incarnation), *it)).collect();
     }
 
-    fn change(&mut self, told: &WorkerReport) {
-        for it in &told.running {
+    fn apply_changes(&mut self, report: &WorkerReport) {
+        for it in &report.running {
             self.running.insert((it.task, it.incarnation), *it);
         }
-        for it in &told.ended {
+        for it in &report.ended {
             let key = (it.task, it.incarnation);
             self.running.remove(&key);
             self.ended.insert(key, *it);
         }
     }
 
-    /// An acknowledged exit report is gone at the worker, which does not tell that again.
-    fn forget_acknowledged(&mut self, orders: &[Order], results: &[OrderResult]) {
+    /// Removes acknowledged exit reports: the worker has dropped them, and does not report that.
+    fn remove_acknowledged(&mut self, orders: &[Order], results: &[OrderResult]) {
         for order in orders.iter().take(results.len()) {
             if let Order::Acknowledge { task, incarnation } = order {
                 self.ended.remove(&(*task, *incarnation));
--- a/daisy-wire/src/snapshot.rs
+++ b/daisy-wire/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots of the state: in the log against the end of its retention, and between peers.
+//! Snapshots of the state: appended to the log, whose older records expire, and exchanged
+//! between peers.
 
 mod restore;
 mod state;
@@ -14,19 +15,20 @@
     log::{decode_framed, encode_framed},
 };
 
-/// The bytes of `state`; equal states have equal bytes.
+/// Encodes `state`; equal states have equal encodings.
 pub fn encode(state: &State) -> Result<Vec<u8>, WireError> {
     encode_framed(StateWire::from(state))
 }
 
-/// The state that `bytes` hold.
+/// Decodes a state.
 pub fn decode(bytes: &[u8]) -> Result<State, WireError> {
     decode_framed::<StateWire>(bytes)?.try_into()
 }
 
-/// The records that put a snapshot of `state` into the log, of at most `part_bytes` bytes each.
+/// Returns the records of a snapshot of `state` for the log, each with at most `part_bytes`
+/// bytes of it.
 ///
-/// Parts are appended in order by one sender; parts of others may stand between them.
+/// One sender must append all parts in order; records of other senders may come between them.
 pub fn write(state: &State, part_bytes: usize) -> Result<Vec<Record>, WireError> {
     let bytes = encode(state)?;
     let chunks = bytes.chunks(part_bytes.max(1));
--- a/daisy-wire/src/snapshot/state.rs
+++ b/daisy-wire/src/snapshot/state.rs
@@ -1,4 +1,4 @@
-//! The state as snapshots hold it; what can be worked out again is left out.
+//! The snapshot encoding of the state. Values that can be derived from others are left out.
 
 use bincode::{Decode, Encode};
 use daisy_ledger::{
@@ -13,10 +13,12 @@
 
 use crate::{
     WireError,
-    log::{ChangeWire, ExitWire, JobSpecWire, PolicyWire, ResourcesWire, WorkClassWire, name},
+    log::{
+        ChangeWire, ExitWire, JobSpecWire, PolicyWire, ResourcesWire, WorkClassWire, parse_name,
+    },
 };
 
-/// The state, whole.
+/// The complete state; see [`State`].
 #[derive(Debug, Encode, Decode)]
 pub struct StateWire {
     next: u64,
@@ -40,7 +42,7 @@
     counts: CountsWire,
 }
 
-/// Name and limit.
+/// A team's name and its limit.
 #[derive(Debug, Encode, Decode)]
 struct TeamWire(String, ResourcesWire);
 
@@ -163,7 +165,7 @@
     type Error = WireError;
 
     fn try_from(it: StateWire) -> Result<State, WireError> {
-        let mut teams = teams(it.teams)?;
+        let mut teams = teams_from(it.teams)?;
         let jobs = it.jobs.into_iter().map(|job| job_from(job, &mut teams));
         let jobs: Vec<(JobId, Job)> = jobs.collect::<Result<_, _>>()?;
         let finished = it.finished.into_iter().map(JobId);
@@ -174,7 +176,7 @@
             teams,
             jobs: Jobs::from_parts(JobId(it.next_job), jobs, finished),
             holders: it.holders.into_iter().map(<(DcId, Holding)>::from).collect(),
-            drained: names("drained", it.drained)?,
+            drained: parse_names("drained", it.drained)?,
             paused: it.paused.into_iter().map(WorkClass::from).collect(),
             policy: (Generation(it.policy_generation), it.policy.into()),
             audit: it.audit.into_iter().map(AuditEntry::try_from).collect::<Result<_, _>>()?,
@@ -185,32 +187,36 @@
             senders: it.senders.into_iter().map(<(AppendId, Offset)>::from).collect(),
             intents: it.intents.into_iter().map(<(u128, Intent)>::from).collect(),
             snapshot: it.snapshot.map(Mark::from),
-            snapshots: partials(it.snapshots)?.into_iter().collect(),
+            snapshots: partials_from(it.snapshots)?.into_iter().collect(),
             counts: Counts { repeated, stale, ignored, corrupt, refused },
         })
     }
 }
 
-fn names(field: &'static str, texts: Vec<String>) -> Result<Vec<Name>, WireError> {
-    texts.iter().map(|text| name(field, text)).collect()
+fn parse_names(field: &'static str, texts: Vec<String>) -> Result<Vec<Name>, WireError> {
+    texts.iter().map(|text| parse_name(field, text)).collect()
 }
 
-fn teams(wire: Vec<TeamWire>) -> Result<Arena<TeamId, Team>, WireError> {
+fn teams_from(wire: Vec<TeamWire>) -> Result<Arena<TeamId, Team>, WireError> {
     let mut teams = Arena::new();
     for TeamWire(text, limit) in wire {
-        let name = name("team", &text)?;
+        let name = parse_name("team", &text)?;
         let (used, used_by_services) = (Resources::ZERO, Resources::ZERO);
         teams.alloc(Team { name, limit: limit.into(), used, used_by_services });
     }
     Ok(teams)
 }
 
-/// Checks a job and counts its checked-out tasks against its team.
+/// Validates a job, and adds the sizes of its checked-out tasks to its team's usage.
 fn job_from(it: JobWire, teams: &mut Arena<TeamId, Team>) -> Result<(JobId, Job), WireError> {
     let team_id = TeamId(it.team);
-    let no_team = || WireError::Field { field: "team", reason: format!("{team_id} is unknown") };
-    let overflow = || WireError::Field { field: "size", reason: "sum overflows".to_owned() };
-    let team = teams.get_mut(team_id).ok_or_else(no_team)?;
+    let unknown_team =
+        || WireError::Field { field: "team", reason: format!("{team_id} is unknown") };
+    let overflow = || WireError::Field {
+        field: "size",
+        reason: "sum of the team's tasks overflows".to_owned(),
+    };
+    let team = teams.get_mut(team_id).ok_or_else(unknown_team)?;
     let spec = JobSpec::try_from(it.spec)?;
     let tasks: Vec<Task> = it.tasks.into_iter().map(Task::from).collect();
     let mut open = 0;
@@ -241,7 +247,7 @@
     Ok((JobId(it.id), job))
 }
 
-fn partials(wire: Vec<PartialWire>) -> Result<Vec<Partial<()>>, WireError> {
+fn partials_from(wire: Vec<PartialWire>) -> Result<Vec<Partial<()>>, WireError> {
     wire.into_iter().map(Partial::try_from).collect()
 }
 
@@ -398,11 +404,11 @@
     fn try_from(it: PartialWire) -> Result<Partial<()>, WireError> {
         let PartialWire { sender, through, part, parts } = it;
         if part >= parts {
-            let reason = format!("{part} of {parts}");
+            let reason = format!("part {part} of {parts} parts");
             return Err(WireError::Field { field: "part", reason });
         }
         let seen = Part { sender, through: Offset(through), part, parts };
-        // One unit for each part seen: takes no memory.
+        // One `()` for each part received; these take no memory.
         Ok(Partial { seen, items: vec![(); part as usize + 1] })
     }
 }
--- a/daisy-wire/src/worker.rs
+++ b/daisy-wire/src/worker.rs
@@ -1,10 +1,11 @@
 //! JSON of a worker.
 //!
-//! - `POST /v1/worker` with a [`CallJson`]: a [`ReportJson`]. A call that tells what its
-//!   sender has [`ReportVersionJson`] is answered with the changes since, if the worker still knows
-//!   them, and else with everything.
-//! - `GET /v1/worker/news?boot=B&version=V&wait_ms=M`: 204 as soon as a task has ended since
-//!   that version, 304 if none has within `M` ms. It renews no lease and changes nothing.
+//! - `POST /v1/worker` with a [`CallJson`] returns a [`ReportJson`]. If the call has the last
+//!   [`ReportVersionJson`] that its sender received, and the worker still knows the changes
+//!   since, the report has only these changes; otherwise it is a full report.
+//! - `GET /v1/worker/news?boot=B&version=V&wait_ms=M` returns 204 as soon as a task has ended
+//!   since that version, and 304 if none has within `M` ms. It renews no lease and changes
+//!   nothing.
 
 use std::time::Duration;
 
@@ -41,16 +42,16 @@
     }
 }
 
-/// One order; see [`Order`].
+/// An order; see [`Order`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "lowercase")]
 pub enum OrderJson {
     /// Starts an incarnation.
     Start {
-        /// What to start.
+        /// The incarnation to start.
         #[serde(flatten)]
         task: TaskJson,
-        /// What it takes.
+        /// The resources that it gets.
         size: ResourcesJson,
         /// The checkpoint to resume from.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -58,27 +59,27 @@
     },
     /// Stops an incarnation.
     Stop {
-        /// What to stop.
+        /// The incarnation to stop.
         #[serde(flatten)]
         task: TaskJson,
     },
-    /// Checkpoints and stops an incarnation.
+    /// Checkpoints an incarnation and then stops it.
     Checkpoint {
-        /// What to checkpoint.
+        /// The incarnation to checkpoint.
         #[serde(flatten)]
         task: TaskJson,
     },
-    /// Limits an incarnation's processors.
+    /// Limits the processors of an incarnation.
     Throttle {
-        /// What to limit.
+        /// The incarnation to limit.
         #[serde(flatten)]
         task: TaskJson,
-        /// Share in thousandths.
+        /// The share of its processors, in thousandths.
         share: u32,
     },
-    /// Forgets an exit report.
+    /// Drops an exit report.
     Acknowledge {
-        /// Whose report.
+        /// The incarnation that ended.
         #[serde(flatten)]
         task: TaskJson,
     },
@@ -133,12 +134,13 @@
     }
 }
 
-/// How far a worker's reports have been taken in.
+/// The version of a worker's reports up to which the holder has received the changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportVersionJson {
-    /// Drawn by the worker's agent when it starts: versions of two starts do not compare.
+    /// A number that the worker's agent draws when it starts: versions of different starts
+    /// cannot be compared.
     pub boot: u64,
-    /// Grows with each change of what the worker has to report.
+    /// Grows with each change that the worker has to report.
     pub version: u64,
 }
 
@@ -147,12 +149,12 @@
 pub struct CallJson {
     /// The holder's epoch.
     pub epoch: u64,
-    /// The lease in milliseconds.
+    /// The duration of the lease, in milliseconds.
     pub lease_ms: u64,
-    /// What the sender has seen; absent for nothing.
+    /// The last version that the sender received; absent to request a full report.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seen: Option<ReportVersionJson>,
-    /// Orders in turn.
+    /// The orders, to be carried out in this order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub orders: Vec<OrderJson>,
 }
@@ -178,17 +180,17 @@
     }
 }
 
-/// What came of an order; see [`OrderResult`].
+/// The result of an order; see [`OrderResult`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ResultJson {
+pub enum OrderResultJson {
     /// Carried out.
     Done,
-    /// No room.
+    /// Not enough free capacity; nothing was started.
     NoRoom,
-    /// Unknown incarnation.
+    /// The worker does not know the incarnation.
     Unknown,
-    /// Could not be started.
+    /// The task could not be started.
     Failed,
 }
 
@@ -196,19 +198,19 @@
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ExitJson {
-    /// Did its work.
+    /// The task did its work.
     Done,
-    /// Ended with an error.
+    /// The task ended with an error.
     Failed,
-    /// Checkpointed, with the token.
+    /// The task was checkpointed and stopped; the token names the checkpoint.
     Checkpointed(u64),
-    /// Stopped.
+    /// The task was stopped without a checkpoint.
     Stopped,
-    /// Its lease lapsed.
+    /// The worker ended the task because its lease expired.
     LeaseLapsed,
-    /// Not known.
+    /// It is not known how the task ended.
     Unknown,
-    /// Never ran; no worker says so of itself.
+    /// The task never ran. Only holders record this; workers do not report it.
     Refused,
 }
 
@@ -243,65 +245,65 @@
 /// A running task.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct RunningJson {
-    /// Which.
+    /// The task and its incarnation.
     #[serde(flatten)]
     pub task: TaskJson,
-    /// What it was started with.
+    /// The size that it was started with.
     pub size: ResourcesJson,
-    /// Share in thousandths.
+    /// Its share of its processors, in thousandths; 1000 is not throttled.
     pub share: u32,
 }
 
 /// An exit report.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct EndedJson {
-    /// Which.
+    /// The task and its incarnation.
     #[serde(flatten)]
     pub task: TaskJson,
-    /// How.
+    /// How it ended.
     pub exit: ExitJson,
 }
 
-/// Measured use of a task.
+/// The measured resource usage of a task.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct UsageJson {
     /// The job's number.
     pub job: u32,
     /// The task's index.
     pub index: u32,
-    /// In use.
+    /// The resources in use.
     pub used: ResourcesJson,
-    /// Slowdown in thousandths.
+    /// The slowdown of the task, in thousandths: 1000 is no slowdown, 2000 takes twice as long.
     pub slowdown: u32,
 }
 
-/// A worker's answer; see [`WorkerReport`].
+/// A worker's response to a call; see [`WorkerReport`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReportJson {
-    /// The highest epoch seen.
+    /// The highest epoch that the worker has seen.
     pub epoch: u64,
     /// Whether the call was accepted.
     pub accepted: bool,
-    /// What this report brings its reader up to.
+    /// The version that the reader has after applying this report.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub now: Option<ReportVersionJson>,
-    /// The version that the report holds the changes since; absent if it holds everything.
-    /// A task that no longer runs is then among `ended`.
+    /// The version since which this report has the changes; absent for a full report. In a
+    /// report of changes, a task that no longer runs is among `ended`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub since: Option<u64>,
-    /// What the worker holds; absent from a report of changes.
+    /// The worker's total capacity; absent from a report of changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub capacity: Option<ResourcesJson>,
-    /// Results in the call's order.
+    /// The results of the call's orders, in the same order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub results: Vec<ResultJson>,
-    /// What runs, or has changed.
+    pub results: Vec<OrderResultJson>,
+    /// The running tasks, or those that have changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub running: Vec<RunningJson>,
-    /// Exit reports not acknowledged, or new.
+    /// The exit reports that are not acknowledged yet, or the new ones.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<EndedJson>,
-    /// Measured use, or what has changed of it.
+    /// The measured usage of tasks, or those values that have changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub usage: Vec<UsageJson>,
 }
@@ -336,21 +338,21 @@
     }
 }
 
-fn result_to_json(it: OrderResult) -> ResultJson {
+fn result_to_json(it: OrderResult) -> OrderResultJson {
     match it {
-        OrderResult::Done => ResultJson::Done,
-        OrderResult::NoRoom => ResultJson::NoRoom,
-        OrderResult::Unknown => ResultJson::Unknown,
-        OrderResult::Failed => ResultJson::Failed,
+        OrderResult::Done => OrderResultJson::Done,
+        OrderResult::NoRoom => OrderResultJson::NoRoom,
+        OrderResult::Unknown => OrderResultJson::Unknown,
+        OrderResult::Failed => OrderResultJson::Failed,
     }
 }
 
-fn result_from_json(it: ResultJson) -> OrderResult {
+fn result_from_json(it: OrderResultJson) -> OrderResult {
     match it {
-        ResultJson::Done => OrderResult::Done,
-        ResultJson::NoRoom => OrderResult::NoRoom,
-        ResultJson::Unknown => OrderResult::Unknown,
-        ResultJson::Failed => OrderResult::Failed,
+        OrderResultJson::Done => OrderResult::Done,
+        OrderResultJson::NoRoom => OrderResult::NoRoom,
+        OrderResultJson::Unknown => OrderResult::Unknown,
+        OrderResultJson::Failed => OrderResult::Failed,
     }
 }
 
--- a/daisy-wire/tests/log.rs
+++ b/daisy-wire/tests/log.rs
@@ -1,4 +1,4 @@
-//! Log entries: round trip, damage, newer versions.
+//! Log entries: round trip, corruption, newer versions.
 
 use daisy_ledger::{AppendId, Batch, Placement, Record};
 use daisy_model::{
@@ -38,7 +38,7 @@
     }
 }
 
-/// A batch with a record of every kind.
+/// Returns a batch with a record of every kind.
 fn every_record() -> Batch {
     let (dc, epoch) = (DcId(2), Epoch(5));
     let task = TaskId { job: JobId(3), index: 4 };
@@ -93,17 +93,17 @@
 }
 
 #[test]
-fn damage_to_any_byte_is_refused() {
+fn corruption_of_any_byte_is_rejected() {
     let bytes = encode(&every_record()).expect("encodes");
     for at in 0..bytes.len() {
-        let mut damaged = bytes.clone();
-        damaged[at] ^= 0x10;
-        assert!(matches!(decode(&damaged), Err(WireError::Malformed(_))), "byte {at}");
+        let mut corrupt = bytes.clone();
+        corrupt[at] ^= 0x10;
+        assert!(matches!(decode(&corrupt), Err(WireError::Malformed(_))), "byte {at}");
     }
 }
 
 #[test]
-fn an_entry_cut_short_is_refused() {
+fn a_truncated_entry_is_rejected() {
     let bytes = encode(&every_record()).expect("encodes");
     for len in 0..bytes.len() {
         assert!(matches!(decode(&bytes[..len]), Err(WireError::Malformed(_))), "{len} bytes");
@@ -111,9 +111,9 @@
 }
 
 /// During a rolling update a newer process appends an entry of version 2. An older process
-/// must stop there with a clear error: to pass over it would make its state differ.
+/// must stop there with a clear error: if it skipped the entry, its state would differ.
 #[test]
-fn an_entry_of_a_newer_version_is_told_from_damage() {
+fn an_entry_of_a_newer_version_is_distinguished_from_corruption() {
     // The layout that all versions share: version, 64-bit FNV-1a of version and body, body.
     let (version, body) = (2_u16, [1_u8, 2, 3]);
     let covered = version.to_le_bytes().into_iter().chain(body);
--- a/daisy-wire/tests/peer.rs
+++ b/daisy-wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Frames between entry VMs: whole, cut off, too long, of a newer version.
+//! Frames between entry VMs: complete, truncated, too long, and of a newer version.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 const LIMIT: usize = 1 << 20;
 
-fn beat() -> Notice {
+fn heartbeat() -> Notice {
     let beat = Heartbeat {
         vm: VmId(7),
         dc: DcId(2),
@@ -56,26 +56,26 @@
 }
 
 #[test]
-fn messages_come_back_as_they_were_however_they_are_cut() {
-    let sent = [beat(), replicas(vec![replica(1, 101), replica(1, 102)]), beat()];
+fn messages_are_decoded_whatever_the_chunks_they_arrive_in() {
+    let sent = [heartbeat(), replicas(vec![replica(1, 101), replica(1, 102)]), heartbeat()];
     let bytes: Vec<u8> = sent.iter().flat_map(|it| frame(&NoticeWire::from(it))).collect();
 
-    for piece in [1, 2, 5, 64, bytes.len()] {
+    for chunk_len in [1, 2, 5, 64, bytes.len()] {
         let mut frames = FrameDecoder::new(LIMIT);
         let mut read = Vec::new();
-        for part in bytes.chunks(piece) {
-            frames.push(part);
-            while let Some(notice) = next(&mut frames).expect("whole messages") {
+        for chunk in bytes.chunks(chunk_len) {
+            frames.push(chunk);
+            while let Some(notice) = next(&mut frames).expect("valid messages") {
                 read.push(notice);
             }
         }
-        assert_eq!(read, sent, "pieces of {piece}");
+        assert_eq!(read, sent, "chunks of {chunk_len} bytes");
         assert!(frames.is_empty());
     }
 }
 
 #[test]
-fn questions_about_keys_come_back_as_they_were() {
+fn key_queries_survive_the_round_trip() {
     let key = KeyId { service: Name::new("shop").expect("valid"), key: "order-1".into() };
     let claim = ClaimId(77);
     let claim_timeout = Duration::from_secs(2);
@@ -84,38 +84,38 @@
 
     let mut frames = FrameDecoder::new(LIMIT);
     frames.push(&frame(&PeerQueryWire::from(sent.clone())));
-    let read = PeerQuery::try_from(frames.only::<PeerQueryWire>().expect("whole"));
+    let read = PeerQuery::try_from(frames.only::<PeerQueryWire>().expect("a complete frame"));
 
     assert_eq!(read, Ok(sent));
 }
 
 #[test]
-fn a_message_that_is_cut_off_is_none() {
-    let whole = frame(&NoticeWire::from(&beat()));
+fn a_truncated_message_is_none_and_an_error_at_the_end_of_the_stream() {
+    let complete = frame(&NoticeWire::from(&heartbeat()));
 
-    for len in 0..whole.len() {
-        assert_eq!(read(&whole[..len]), Ok(None), "{len} bytes");
+    for len in 0..complete.len() {
+        assert_eq!(read(&complete[..len]), Ok(None), "{len} bytes");
         let mut frames = FrameDecoder::new(LIMIT);
-        frames.push(&whole[..len]);
+        frames.push(&complete[..len]);
         let only = frames.only::<NoticeWire>();
         assert!(matches!(only, Err(WireError::Malformed(_))), "{len} bytes");
     }
 }
 
 #[test]
-fn a_newer_version_is_refused_by_name() {
-    let mut bytes = frame(&NoticeWire::from(&beat()));
+fn a_newer_version_is_rejected_as_such() {
+    let mut bytes = frame(&NoticeWire::from(&heartbeat()));
     bytes[4..6].copy_from_slice(&(VERSION + 1).to_le_bytes());
 
-    let refused = read(&bytes);
+    let rejected = read(&bytes);
 
-    assert_eq!(refused, Err(WireError::Version { found: VERSION + 1, known: VERSION }));
+    assert_eq!(rejected, Err(WireError::Version { found: VERSION + 1, known: VERSION }));
 }
 
-/// A hostile or broken length field announces gigabytes. It must be refused at once: a process
-/// that waits for the rest keeps all that comes, until its memory is gone.
+/// A hostile or corrupt length field announces gigabytes. The frame must be rejected at once: a
+/// process that waits for the rest would buffer what arrives until it runs out of memory.
 #[test]
-fn a_length_beyond_the_bound_is_refused_before_the_rest_comes() {
+fn a_length_above_the_limit_is_rejected_before_the_rest_arrives() {
     for len in [LIMIT + 1, MAX_FRAME + 1, u32::MAX as usize] {
         let head = u32::try_from(len).expect("fits").to_le_bytes();
         assert!(matches!(read(&head), Err(WireError::Field { field: "length", .. })), "{len}");
@@ -123,12 +123,12 @@
 }
 
 #[test]
-fn fields_that_must_not_be_are_refused() {
+fn unsorted_replicas_are_rejected() {
     let unsorted = replicas(vec![replica(2, 101), replica(1, 101)]);
 
-    let refused = read(&frame(&NoticeWire::from(&unsorted)));
+    let rejected = read(&frame(&NoticeWire::from(&unsorted)));
 
-    assert!(matches!(refused, Err(WireError::Field { field: "added", .. })), "{refused:?}");
+    assert!(matches!(rejected, Err(WireError::Field { field: "added", .. })), "{rejected:?}");
 }
 
 #[test]
--- a/daisy-wire/tests/report_merger.rs
+++ b/daisy-wire/tests/report_merger.rs
@@ -1,4 +1,4 @@
-//! A worker's reports of changes make up its whole report.
+//! A worker's incremental reports are merged into its full report.
 
 use daisy_model::{
     Ended, Epoch, Exit, Incarnation, JobId, Order, OrderResult, Resources, Running, TaskId,
@@ -24,7 +24,7 @@
 }
 
 fn report(boot: u64, since: Option<u64>, version: u64) -> ReportJson {
-    let whole = WorkerReport {
+    let full = WorkerReport {
         epoch: Epoch(1),
         accepted: true,
         capacity: Resources { cpu_milli: 1000, ..Resources::ZERO },
@@ -34,11 +34,11 @@
         usage: Vec::new(),
     };
     let now = Some(ReportVersionJson { boot, version });
-    let capacity = since.is_none().then_some(whole.capacity.into());
-    ReportJson { now, since, capacity, ..ReportJson::from(whole) }
+    let capacity = since.is_none().then_some(full.capacity.into());
+    ReportJson { now, since, capacity, ..ReportJson::from(full) }
 }
 
-fn with(report: ReportJson, running: Vec<Running>, ended: Vec<Ended>) -> ReportJson {
+fn with_tasks(report: ReportJson, running: Vec<Running>, ended: Vec<Ended>) -> ReportJson {
     let lists = WorkerReport { running, ended, ..WorkerReport::from(report.clone()) };
     let ReportJson { running, ended, .. } = ReportJson::from(lists);
     ReportJson { running, ended, ..report }
@@ -51,22 +51,22 @@
 }
 
 #[test]
-fn changes_add_up_to_the_whole_report() {
+fn changes_are_merged_into_the_full_report() {
     let mut report_merger = ReportMerger::new();
-    report_merger.take(&[], with(report(7, None, 3), vec![running(0), running(1)], vec![]));
+    report_merger.take(&[], with_tasks(report(7, None, 3), vec![running(0), running(1)], vec![]));
 
-    let changes = with(report(7, Some(3), 5), vec![running(2)], vec![ended(0)]);
-    let whole = report_merger.take(&[], changes).expect("the changes follow");
+    let changes = with_tasks(report(7, Some(3), 5), vec![running(2)], vec![ended(0)]);
+    let full = report_merger.take(&[], changes).expect("the changes follow");
 
-    assert_eq!(indices(&whole), (vec![1, 2], vec![0]));
-    assert_eq!(whole.capacity.cpu_milli, 1000);
+    assert_eq!(indices(&full), (vec![1, 2], vec![0]));
+    assert_eq!(full.capacity.cpu_milli, 1000);
     assert_eq!(report_merger.seen(), Some(ReportVersionJson { boot: 7, version: 5 }));
 }
 
 #[test]
-fn an_acknowledged_exit_report_is_gone() {
+fn an_acknowledged_exit_report_is_removed() {
     let mut report_merger = ReportMerger::new();
-    report_merger.take(&[], with(report(7, None, 3), vec![], vec![ended(0), ended(1)]));
+    report_merger.take(&[], with_tasks(report(7, None, 3), vec![], vec![ended(0), ended(1)]));
     let order = Order::Acknowledge { task: task(0), incarnation: FIRST };
 
     let lists = WorkerReport {
@@ -74,36 +74,39 @@
         ..WorkerReport::from(report(7, Some(3), 4))
     };
     let answer = ReportJson { results: ReportJson::from(lists).results, ..report(7, Some(3), 4) };
-    let whole = report_merger.take(&[order], answer).expect("the changes follow");
+    let full = report_merger.take(&[order], answer).expect("the changes follow");
 
-    assert_eq!(indices(&whole), (vec![], vec![1]));
+    assert_eq!(indices(&full), (vec![], vec![1]));
 }
 
-/// A worker's agent starts anew; its versions begin again and one of them happens to be the
-/// one that the holder has seen. Without the agent's number the holder would add the changes
-/// to what ran before the start, and go on holding room for tasks that are gone.
+/// A worker's agent restarts. Its versions start again, and one of them happens to equal the last
+/// one that the holder has seen. Without the agent's `boot` number the holder would apply the
+/// changes to the list from before the restart, and keep capacity allocated to tasks that no
+/// longer exist.
 #[test]
-fn changes_of_an_agent_that_started_anew_are_refused_until_it_tells_everything() {
+fn changes_of_a_restarted_agent_are_rejected_until_it_sends_a_full_report() {
     let mut report_merger = ReportMerger::new();
-    report_merger.take(&[], with(report(7, None, 3), vec![running(0)], vec![]));
+    report_merger.take(&[], with_tasks(report(7, None, 3), vec![running(0)], vec![]));
 
-    let refused = report_merger.take(&[], with(report(8, Some(3), 4), vec![running(1)], vec![]));
+    let rejected =
+        report_merger.take(&[], with_tasks(report(8, Some(3), 4), vec![running(1)], vec![]));
 
-    assert_eq!(refused, None);
+    assert_eq!(rejected, None);
     assert_eq!(report_merger.seen(), None);
-    let whole = report_merger.take(&[], with(report(8, None, 5), vec![running(1)], vec![]));
-    assert_eq!(indices(&whole.expect("everything")), (vec![1], vec![]));
+    let full = report_merger.take(&[], with_tasks(report(8, None, 5), vec![running(1)], vec![]));
+    assert_eq!(indices(&full.expect("a full report")), (vec![1], vec![]));
 }
 
-/// Two calls cross: the answer to the earlier one arrives last and tells of a task that has
-/// ended since. Taken in, it would bring the task back.
+/// The responses to two calls arrive in the wrong order: the earlier one arrives last and lists a
+/// task that has ended since. If it were merged, the task would be listed as running again.
 #[test]
-fn an_older_report_does_not_bring_back_what_has_ended() {
+fn an_older_report_does_not_bring_back_an_ended_task() {
     let mut report_merger = ReportMerger::new();
-    report_merger.take(&[], with(report(7, None, 3), vec![running(0)], vec![]));
-    report_merger.take(&[], with(report(7, Some(3), 6), vec![], vec![ended(0)]));
+    report_merger.take(&[], with_tasks(report(7, None, 3), vec![running(0)], vec![]));
+    report_merger.take(&[], with_tasks(report(7, Some(3), 6), vec![], vec![ended(0)]));
 
-    let refused = report_merger.take(&[], with(report(7, Some(3), 5), vec![running(0)], vec![]));
+    let rejected =
+        report_merger.take(&[], with_tasks(report(7, Some(3), 5), vec![running(0)], vec![]));
 
-    assert_eq!(refused, None);
+    assert_eq!(rejected, None);
 }
--- a/daisy-wire/tests/snapshot.rs
+++ b/daisy-wire/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: equal to the fold, whole, and enough for a cold start.
+//! Snapshots: they equal the folded state, and a cold start needs nothing else.
 
 #[path = "../../daisy-ledger/tests/common/mod.rs"]
 mod common;
@@ -13,7 +13,7 @@
 
 use crate::common::{Log, script};
 
-/// A log in which a script of records and snapshots stands.
+/// Returns a log with the records of a script.
 fn scripted(steps: &[script::Step]) -> Log {
     let mut log = Log::with_team();
     for (token, &step) in (1..).zip(steps) {
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn a_state_reads_back_as_it_was_written() {
+fn a_state_survives_the_round_trip() {
     fn same(steps: Vec<script::Step>, more: Vec<script::Step>) -> bool {
         let mut log = scripted(&[steps, more].concat());
-        // An unfinished snapshot of another process is a part of the state.
+        // An incomplete snapshot of another process is part of the state.
         let parts = write(&log.state, 64).expect("encodes");
         log.append(Batch { id: AppendId { sender: 3, seq: 1 }, records: parts[..1].to_vec() });
         let bytes = encode(&log.state).expect("encodes");
@@ -59,11 +59,11 @@
     check(same, 31);
 }
 
-/// The log has dropped its oldest records. A fresh VM finds a snapshot that was written while
-/// others kept appending, folds what stands after it, and has the very state that a VM has
-/// which read the log from its beginning.
+/// The log has dropped its oldest records. A new VM finds a snapshot that was written while
+/// other processes were appending, and folds the records after it. Its state must equal that of a
+/// VM that has read the log from the beginning.
 #[test]
-fn a_cold_start_from_snapshot_and_tail_equals_the_fold() {
+fn a_cold_start_from_a_snapshot_equals_the_fold_of_the_whole_log() {
     fn same(before: Vec<script::Step>, after: Vec<script::Step>) -> bool {
         let mut log = scripted(&before);
         let first = log.entries.len();
@@ -86,15 +86,16 @@
     assert_eq!(restore(&log, 0).finish(), Ok(log.state));
 }
 
-/// The snapshot's records have begun to expire: the first part is gone, or the snapshot covers
-/// less than what the log still keeps. A fresh VM must say so, not start with a partial state.
+/// The snapshot's records have begun to expire: its first part is no longer in the log, or
+/// records between the snapshot and the start of the log are missing. A new VM must report an
+/// error, and not start with a partial state.
 #[test]
-fn a_cold_start_without_a_whole_snapshot_is_refused() {
+fn a_cold_start_without_a_complete_snapshot_is_an_error() {
     let mut log = scripted(&[(12, 0, 0); 20]);
     let first = log.entries.len();
     append_snapshot(&mut log, 50, 300);
 
-    let no_snapshot = restore(&log, first + 1).finish().expect_err("the first part is gone");
+    let no_snapshot = restore(&log, first + 1).finish().expect_err("the first part has expired");
     assert_eq!(
         (no_snapshot.first, no_snapshot.next.0),
         (Offset(first as u64 + 1), log.state.next.0)
@@ -108,23 +109,23 @@
     assert!(restore(&gap, expired).finish().is_err());
 }
 
-/// One part of a snapshot is damaged in the log. The cold start passes over that snapshot and
-/// takes the next one.
+/// One part of a snapshot is corrupt in the log. A cold start must skip that snapshot and use the
+/// next one.
 #[test]
-fn a_damaged_snapshot_is_passed_over() {
+fn a_corrupt_snapshot_is_skipped() {
     let mut log = scripted(&[(12, 0, 0); 20]);
     let first = log.entries.len();
     append_snapshot(&mut log, 50, 300);
-    let damaged = first + 1;
+    let corrupt = first + 1;
     append_snapshot(&mut log, 51, 300);
     let read = |offset: Offset| {
         let mut bytes = log::encode(&log.entries[offset.0 as usize]).expect("encodes");
-        if offset.0 as usize == damaged {
+        if offset.0 as usize == corrupt {
             bytes[12] ^= 1;
         }
         bytes
     };
-    // The fold of the others passes over the same damaged entry.
+    // Other processes, which fold the whole log, skip the same corrupt entry.
     let mut state = State::default();
     while state.next < log.state.next {
         let next = state.next;
@@ -140,15 +141,16 @@
     }
     assert_eq!(state.counts.corrupt, 1);
     let restored = restore.finish().expect("the second snapshot");
-    // The second snapshot was written by a process that had read the entry before it was
-    // damaged, so counts and the first snapshot's mark differ; what is declared does not.
+    // The second snapshot was written by a process that had read the entry before it became
+    // corrupt. The counts and the mark of the first snapshot therefore differ, but the jobs are
+    // the same.
     assert_eq!((restored.next, &restored.jobs), (state.next, &state.jobs));
 }
 
-/// An entry is spoilt on its way to a fresh VM, and sound in the log. The VM must not pass over
-/// what all others fold: it asks again and gets the entry.
+/// An entry is corrupted in transit to a new VM, but intact in the log. The VM must not skip an
+/// entry that all other processes fold: it reads the entry again.
 #[test]
-fn an_entry_spoilt_on_its_way_is_read_again() {
+fn an_entry_corrupted_in_transit_is_read_again() {
     let log = scripted(&[(12, 0, 0); 5]);
     let mut restore = Restore::new(Offset(0));
     let mut reads = 0;
@@ -165,19 +167,19 @@
 }
 
 #[test]
-fn damage_to_a_snapshot_is_an_error() {
+fn corruption_of_a_snapshot_is_an_error() {
     let log = scripted(&[(12, 0, 0), (0, 0, 0), (3, 0, 0)]);
     let bytes = encode(&log.state).expect("encodes");
     for at in 0..bytes.len() {
-        let mut damaged = bytes.clone();
-        damaged[at] ^= 4;
-        assert!(matches!(decode(&damaged), Err(WireError::Malformed(_))), "byte {at}");
+        let mut corrupt = bytes.clone();
+        corrupt[at] ^= 4;
+        assert!(matches!(decode(&corrupt), Err(WireError::Malformed(_))), "byte {at}");
         assert!(decode(&bytes[..at]).is_err());
     }
 }
 
 #[test]
-fn arbitrary_bytes_under_a_sound_checksum_never_panic() {
+fn arbitrary_bytes_with_a_valid_checksum_never_panic() {
     fn decodes_or_not(version: bool, body: Vec<u8>) -> bool {
         let version = u16::from(version);
         let covered = version.to_le_bytes().into_iter().chain(body.iter().copied());
