--- a/daisy-language/src/column.rs
+++ b/daisy-language/src/column.rs
@@ -2,7 +2,7 @@
 
 /// A table that can be shown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Target {
+pub enum TableKind {
     /// Tasks of all jobs.
     Tasks,
     /// Services and batch jobs.
@@ -40,39 +40,39 @@
     "generation",
 ];
 
-impl Target {
+impl TableKind {
     /// All tables.
-    pub const ALL: [Target; 9] = [
-        Target::Tasks,
-        Target::Jobs,
-        Target::Services,
-        Target::Workers,
-        Target::Teams,
-        Target::Vms,
-        Target::Config,
-        Target::Changes,
-        Target::Holders,
+    pub const ALL: [TableKind; 9] = [
+        TableKind::Tasks,
+        TableKind::Jobs,
+        TableKind::Services,
+        TableKind::Workers,
+        TableKind::Teams,
+        TableKind::Vms,
+        TableKind::Config,
+        TableKind::Changes,
+        TableKind::Holders,
     ];
 
     /// The word that names the table.
     pub fn word(self) -> &'static str {
         match self {
-            Target::Tasks => "tasks",
-            Target::Jobs => "jobs",
-            Target::Services => "services",
-            Target::Workers => "workers",
-            Target::Teams => "teams",
-            Target::Vms => "vms",
-            Target::Config => "config",
-            Target::Changes => "changes",
-            Target::Holders => "holders",
+            TableKind::Tasks => "tasks",
+            TableKind::Jobs => "jobs",
+            TableKind::Services => "services",
+            TableKind::Workers => "workers",
+            TableKind::Teams => "teams",
+            TableKind::Vms => "vms",
+            TableKind::Config => "config",
+            TableKind::Changes => "changes",
+            TableKind::Holders => "holders",
         }
     }
 
     /// The table's columns, in the order shown.
     pub fn columns(self) -> &'static [&'static str] {
         match self {
-            Target::Tasks => &[
+            TableKind::Tasks => &[
                 "task",
                 "job",
                 "number",
@@ -90,8 +90,8 @@
                 "accelerators",
                 "reason",
             ],
-            Target::Jobs | Target::Services => JOB_COLUMNS,
-            Target::Workers => &[
+            TableKind::Jobs | TableKind::Services => JOB_COLUMNS,
+            TableKind::Workers => &[
                 "vm",
                 "dc",
                 "rack",
@@ -105,7 +105,7 @@
                 "accelerators-free",
                 "reason",
             ],
-            Target::Teams => &[
+            TableKind::Teams => &[
                 "team",
                 "cpu",
                 "cpu-used",
@@ -115,12 +115,12 @@
                 "accelerators-used",
                 "jobs",
             ],
-            Target::Vms => &["vm", "number", "dc", "rack", "role", "status", "state"],
-            Target::Config => &["key", "value", "generation"],
-            Target::Changes => {
+            TableKind::Vms => &["vm", "number", "dc", "rack", "role", "status", "state"],
+            TableKind::Config => &["key", "value", "generation"],
+            TableKind::Changes => {
                 &["generation", "offset", "time", "who", "subject", "result", "statement", "cause"]
             }
-            Target::Holders => &["dc", "holder", "epoch", "state"],
+            TableKind::Holders => &["dc", "holder", "epoch", "state"],
         }
     }
 
--- a/daisy-language/src/cursor.rs
+++ b/daisy-language/src/cursor.rs
@@ -3,7 +3,7 @@
 use daisy_model::Name;
 
 use crate::{
-    Finding, Span, Test,
+    Comparison, Finding, Span,
     token::{Kind, Token},
 };
 
@@ -148,14 +148,14 @@
     }
 
     /// Takes a comparison.
-    pub(crate) fn test(&mut self) -> Option<Test> {
+    pub(crate) fn comparison(&mut self) -> Option<Comparison> {
         if self.accept("like") {
-            return Some(Test::Like);
+            return Some(Comparison::Like);
         }
         match self.kind() {
-            Some(Kind::Test(test)) => {
+            Some(Kind::Comparison(comparison)) => {
                 self.skip();
-                Some(test)
+                Some(comparison)
             }
             _ => self.fail("'=', '!=', '<', '<=', '>', '>=' or 'like'"),
         }
--- a/daisy-language/src/display.rs
+++ b/daisy-language/src/display.rs
@@ -6,7 +6,7 @@
     Command, Condition, JobKind, JobSpec, Name, PolicyChange, Resources, Tolerance, WorkClass,
 };
 
-use crate::{Count, Filter, OrderBy, Show, Statement, TaskRef, Test, Why};
+use crate::{Comparison, Count, Filter, OrderBy, Show, Statement, TaskRef, Why};
 
 impl fmt::Display for Statement {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -141,20 +141,20 @@
 
 impl fmt::Display for Filter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {} {}", self.column, self.test, literal(&self.value))
+        write!(f, "{} {} {}", self.column, self.comparison, literal(&self.value))
     }
 }
 
-impl fmt::Display for Test {
+impl fmt::Display for Comparison {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Test::Equal => "=",
-            Test::NotEqual => "!=",
-            Test::Below => "<",
-            Test::AtMost => "<=",
-            Test::Above => ">",
-            Test::AtLeast => ">=",
-            Test::Like => "like",
+            Comparison::Equal => "=",
+            Comparison::NotEqual => "!=",
+            Comparison::Below => "<",
+            Comparison::AtMost => "<=",
+            Comparison::Above => ">",
+            Comparison::AtLeast => ">=",
+            Comparison::Like => "like",
         })
     }
 }
--- a/daisy-language/src/lex.rs
+++ b/daisy-language/src/lex.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    Test,
+    Comparison,
     token::{Kind, Token},
 };
 
@@ -46,7 +46,7 @@
         number.value(Kind::Number),
         quoted.value(Kind::Quoted),
         unclosed.value(Kind::Unclosed),
-        test.map(Kind::Test),
+        comparison.map(Kind::Comparison),
         ','.value(Kind::Comma),
         one_of([';', '\n']).value(Kind::End),
         any.value(Kind::Unknown),
@@ -80,14 +80,14 @@
     preceded('\'', till_line_ending).void().parse_next(input)
 }
 
-fn test(input: &mut Input<'_>) -> Result<Test> {
+fn comparison(input: &mut Input<'_>) -> Result<Comparison> {
     alt((
-        "!=".value(Test::NotEqual),
-        "<=".value(Test::AtMost),
-        ">=".value(Test::AtLeast),
-        "=".value(Test::Equal),
-        "<".value(Test::Below),
-        ">".value(Test::Above),
+        "!=".value(Comparison::NotEqual),
+        "<=".value(Comparison::AtMost),
+        ">=".value(Comparison::AtLeast),
+        "=".value(Comparison::Equal),
+        "<".value(Comparison::Below),
+        ">".value(Comparison::Above),
     ))
     .parse_next(input)
 }
--- a/daisy-language/src/lib.rs
+++ b/daisy-language/src/lib.rs
@@ -16,10 +16,12 @@
 mod value;
 
 pub use crate::{
-    column::Target,
+    column::TableKind,
     finding::{Finding, Findings},
     parse::{MAX_LEN, parse, parse_located},
-    statement::{Count, Filter, LocatedStatement, OrderBy, Show, Statement, TaskRef, Test, Why},
+    statement::{
+        Comparison, Count, Filter, LocatedStatement, OrderBy, Show, Statement, TaskRef, Why,
+    },
     token::Span,
     value::{Amount, amount},
 };
--- a/daisy-language/src/parse/policy.rs
+++ b/daisy-language/src/parse/policy.rs
@@ -3,7 +3,7 @@
 use daisy_model::{Command, PolicyChange};
 
 use crate::{
-    Test,
+    Comparison,
     cursor::{Cursor, alternatives},
     token::Kind,
     value,
@@ -55,7 +55,7 @@
 }
 
 fn set(cursor: &mut Cursor<'_>, change: &mut PolicyChange, key: &str) -> Option<()> {
-    if cursor.kind() != Some(Kind::Test(Test::Equal)) {
+    if cursor.kind() != Some(Kind::Comparison(Comparison::Equal)) {
         return cursor.fail("'='");
     }
     cursor.skip();
--- a/daisy-language/src/parse/show.rs
+++ b/daisy-language/src/parse/show.rs
@@ -1,7 +1,7 @@
 //! `show`.
 
 use crate::{
-    Count, Filter, OrderBy, Show, Target,
+    Count, Filter, OrderBy, Show, TableKind,
     cursor::{Cursor, alternatives},
     value,
 };
@@ -44,35 +44,35 @@
     Some(())
 }
 
-fn target(cursor: &mut Cursor<'_>) -> Option<Target> {
-    let words = Target::ALL.map(Target::word);
+fn target(cursor: &mut Cursor<'_>) -> Option<TableKind> {
+    let words = TableKind::ALL.map(TableKind::word);
     let word = cursor.one_of(&words)?;
-    Target::ALL.into_iter().find(|it| it.word() == word)
+    TableKind::ALL.into_iter().find(|it| it.word() == word)
 }
 
 fn filters(cursor: &mut Cursor<'_>, show: &mut Show) -> Option<()> {
     loop {
         let column = column(cursor, show.target)?;
-        let test = cursor.test()?;
+        let comparison = cursor.comparison()?;
         let value = cursor.literal()?;
-        show.filters.push(Filter { column, test, value });
+        show.filters.push(Filter { column, comparison, value });
         if !cursor.accept("and") {
             return Some(());
         }
     }
 }
 
-fn column(cursor: &mut Cursor<'_>, target: Target) -> Option<&'static str> {
+fn column(cursor: &mut Cursor<'_>, target: TableKind) -> Option<&'static str> {
     cursor.one_of(target.columns())
 }
 
-fn order(cursor: &mut Cursor<'_>, target: Target) -> Option<OrderBy> {
+fn order(cursor: &mut Cursor<'_>, target: TableKind) -> Option<OrderBy> {
     cursor.expect("by")?;
     let column = column(cursor, target)?;
     let descending = cursor.accept("desc");
     Some(OrderBy { column, descending })
 }
 
-fn count(cursor: &mut Cursor<'_>, target: Target) -> Option<Count> {
+fn count(cursor: &mut Cursor<'_>, target: TableKind) -> Option<Count> {
     if cursor.accept("by") { column(cursor, target).map(Count::By) } else { Some(Count::All) }
 }
--- a/daisy-language/src/statement.rs
+++ b/daisy-language/src/statement.rs
@@ -2,7 +2,7 @@
 
 use daisy_model::{Command, Condition, Name};
 
-use crate::{Span, Target};
+use crate::{Span, TableKind};
 
 /// One statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Show {
     /// The table.
-    pub target: Target,
+    pub target: TableKind,
     /// All must hold for a row to be shown.
     pub filters: Vec<Filter>,
     /// The order of rows.
@@ -57,14 +57,14 @@
     /// A column of the table.
     pub column: &'static str,
     /// The comparison.
-    pub test: Test,
+    pub comparison: Comparison,
     /// What the column is compared with.
     pub value: Box<str>,
 }
 
 /// A comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Test {
+pub enum Comparison {
     /// `=`
     Equal,
     /// `!=`
--- a/daisy-language/src/token.rs
+++ b/daisy-language/src/token.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use crate::Test;
+use crate::Comparison;
 
 /// A range of bytes of the source.
 pub type Span = Range<usize>;
@@ -21,7 +21,7 @@
     /// `,`
     Comma,
     /// A comparison.
-    Test(Test),
+    Comparison(Comparison),
     /// `;` or the end of a line.
     End,
     /// Anything else.
--- a/daisy-language/tests/display.rs
+++ b/daisy-language/tests/display.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use daisy_language::{Count, Filter, OrderBy, Show, Statement, Target, TaskRef, Test, Why, parse};
+use daisy_language::{
+    Comparison, Count, Filter, OrderBy, Show, Statement, TableKind, TaskRef, Why, parse,
+};
 use daisy_model::{
     Command, Condition, Generation, JobKind, JobSpec, Name, PolicyChange, Priority, Resources,
     Tolerance, WorkClass,
@@ -122,21 +124,21 @@
     String::arbitrary(g).replace('\n', " ").into()
 }
 
-fn filter(g: &mut Gen, target: Target) -> Filter {
-    let tests = [
-        Test::Equal,
-        Test::NotEqual,
-        Test::Below,
-        Test::AtMost,
-        Test::Above,
-        Test::AtLeast,
-        Test::Like,
+fn filter(g: &mut Gen, target: TableKind) -> Filter {
+    let comparisons = [
+        Comparison::Equal,
+        Comparison::NotEqual,
+        Comparison::Below,
+        Comparison::AtMost,
+        Comparison::Above,
+        Comparison::AtLeast,
+        Comparison::Like,
     ];
-    Filter { column: pick(g, target.columns()), test: pick(g, &tests), value: text(g) }
+    Filter { column: pick(g, target.columns()), comparison: pick(g, &comparisons), value: text(g) }
 }
 
 fn show(g: &mut Gen) -> Show {
-    let target = pick(g, &Target::ALL);
+    let target = pick(g, &TableKind::ALL);
     let column = pick(g, target.columns());
     let order = OrderBy { column, descending: bool::arbitrary(g) };
     Show {
--- a/daisy-language/tests/parse.rs
+++ b/daisy-language/tests/parse.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use daisy_language::{
-    Count, Filter, OrderBy, Show, Statement, Target, TaskRef, Test, Why, parse, parse_located,
+    Comparison, Count, Filter, OrderBy, Show, Statement, TableKind, TaskRef, Why, parse,
+    parse_located,
 };
 use daisy_model::{
     Command, Condition, Generation, JobKind, JobSpec, Name, PolicyChange, Priority, Resources,
@@ -114,10 +115,14 @@
     let found = one("show tasks where state = running and vm like 'vm-1%' \
         order by since desc limit 5 count by vm");
 
-    let filter = |column, test, value: &str| Filter { column, test, value: value.into() };
+    let filter =
+        |column, comparison, value: &str| Filter { column, comparison, value: value.into() };
     let expected = Show {
-        target: Target::Tasks,
-        filters: vec![filter("state", Test::Equal, "running"), filter("vm", Test::Like, "vm-1%")],
+        target: TableKind::Tasks,
+        filters: vec![
+            filter("state", Comparison::Equal, "running"),
+            filter("vm", Comparison::Like, "vm-1%"),
+        ],
         order: Some(OrderBy { column: "since", descending: true }),
         limit: Some(5),
         count: Some(Count::By("vm")),
--- a/daisy-query/src/explain.rs
+++ b/daisy-query/src/explain.rs
@@ -1,15 +1,15 @@
-//! `explain`: what a change would do, without doing it.
+//! `explain`: reports the effects of a change without making it.
 
+mod capacity;
 mod effect;
-mod room;
 
 use daisy_ledger::{AppendId, Batch, Outcome, Record, State};
 use daisy_model::{Change, Command, Condition, Name, WallTime};
 
-pub use self::room::describe_misfit;
-use crate::{LiveView, Table, words};
+pub use self::capacity::describe_misfit;
+use crate::{LiveView, Table, text};
 
-/// Columns of the answer: what is affected, and how.
+/// The columns of the answer: what is affected, and how.
 const COLUMNS: &[&str] = &["about", "effect"];
 
 /// Answers `explain` by folding the change into a copy of the state.
@@ -21,62 +21,66 @@
 ) -> Table {
     let mut table = Table::new(COLUMNS);
     let mut after = state.clone();
-    let outcome = fold(&mut after, command, condition);
+    let outcome = fold_change(&mut after, command, condition);
     match outcome {
         Some(Outcome::Accepted(_)) => {
             let now = state.generation;
-            table.say("verdict", format!("would be accepted; the generation is {now} now"));
+            table.add_line("verdict", format!("would be accepted; the generation is {now} now"));
         }
         Some(Outcome::Refused(refusal)) => {
-            table.say("verdict", format!("would be refused: {refusal}"));
+            table.add_line("verdict", format!("would be refused: {refusal}"));
             return table;
         }
         _ => {
-            table.say("verdict", "would have no effect");
+            table.add_line("verdict", "would have no effect");
             return table;
         }
     }
-    effect::say(&mut table, state, &after, live, command);
+    effect::add_lines(&mut table, state, &after, live, command);
     table
 }
 
-/// Folds the change as the next entry of the log.
-fn fold(state: &mut State, command: &Command, condition: Option<Condition>) -> Option<Outcome> {
+/// Folds the change into `state` as if it were the next entry of the log.
+fn fold_change(
+    state: &mut State,
+    command: &Command,
+    condition: Option<Condition>,
+) -> Option<Outcome> {
     let who = Name::new("explain").ok()?;
     let at = WallTime::default();
     let change = Change { who, at, text: "".into(), command: command.clone(), condition };
-    // A sender that no process has, so that the entry is no repetition.
+    // No process has this sender id, so the entry is not taken for a repeated append.
     let id = AppendId { sender: u64::MAX, seq: u64::MAX };
     let batch = Batch { id, records: vec![Record::Change(change)] };
     let next = state.next;
     state.apply(next, &batch).outcomes.pop()
 }
 
-/// How a number of things is called.
-fn count(number: usize, what: &str) -> String {
-    if number == 1 { format!("1 {what}") } else { format!("{number} {what}s") }
+/// Returns a count with its noun, such as `1 task` or `3 tasks`.
+fn pluralize(number: usize, noun: &str) -> String {
+    if number == 1 { format!("1 {noun}") } else { format!("{number} {noun}s") }
 }
 
-/// Adds how a value changes, if it does.
-fn say_changed(table: &mut Table, what: &str, before: &str, after: &str) {
+/// Adds a line with the old and the new value of `label`.
+fn add_value_change(table: &mut Table, label: &str, before: &str, after: &str) {
     if before == after {
-        table.say(what, format!("stays {after}"));
+        table.add_line(label, format!("stays {after}"));
     } else {
-        table.say(what, format!("from {before} to {after}"));
+        table.add_line(label, format!("from {before} to {after}"));
     }
 }
 
-/// A team's use and limit.
-fn say_quota(table: &mut Table, state: &State, team: &Name) {
+/// Adds a line with a team's usage and limit.
+fn add_quota(table: &mut Table, state: &State, team: &Name) {
     if let Some((_, team)) = state.team(team) {
         let (used, limit) = (team.used, team.limit);
-        table.say("quota", format!("team {} uses {used} of {limit}", team.name));
+        table.add_line("quota", format!("team {} uses {used} of {limit}", team.name));
     }
 }
 
-/// Who the last change of a subject came from.
-fn say_before(table: &mut Table, state: &State, is: impl Fn(&Command) -> bool) {
-    if let Some(entry) = words::last_change(state, is) {
-        table.say("before", format!("last changed {}", words::said(entry)));
+/// Adds a line with the newest accepted change whose command satisfies `is_match`, if any.
+fn add_last_change(table: &mut Table, state: &State, is_match: impl Fn(&Command) -> bool) {
+    if let Some(entry) = text::last_change(state, is_match) {
+        table.add_line("before", format!("last changed {}", text::describe_change(entry)));
     }
 }
--- a/daisy-query/src/explain/effect.rs
+++ b/daisy-query/src/explain/effect.rs
@@ -1,17 +1,17 @@
-//! What an accepted change would do.
+//! The effects of a change that would be accepted.
 
 use daisy_ledger::{Job, State, Task, TaskState};
 use daisy_model::{Command, JobSpec, Name, Resources, VmId, WorkClass};
 
 use crate::{
     LiveView, Table,
-    explain::{count, room, say_before, say_changed, say_quota},
-    show::work::{Tally, policy_parts, tally},
-    words,
+    explain::{add_last_change, add_quota, add_value_change, capacity, pluralize},
+    show::work::{TaskCounts, count_tasks, policy_parts},
+    text,
 };
 
-/// Adds what `command` makes of `before`, which is `after`.
-pub(crate) fn say(
+/// Adds lines with the effects of `command`, which turns the state `before` into `after`.
+pub(crate) fn add_lines(
     table: &mut Table,
     before: &State,
     after: &State,
@@ -25,8 +25,12 @@
         Command::Quota { team, .. } => quota(table, before, after, team),
         Command::Drain { vm } => drain(table, before, live, vm),
         Command::Undrain { vm } => {
-            table.say("vm", format!("{vm} takes new work again"));
-            say_before(table, before, |it| matches!(it, Command::Drain { vm: it } if it == vm));
+            table.add_line("vm", format!("{vm} takes new work again"));
+            add_last_change(
+                table,
+                before,
+                |it| matches!(it, Command::Drain { vm: it } if it == vm),
+            );
         }
         Command::Pause(class) => pause(table, before, *class),
         Command::Resume(class) => resume(table, before, *class),
@@ -35,28 +39,31 @@
 }
 
 fn create(table: &mut Table, after: &State, live: &LiveView, spec: &JobSpec) {
-    table.say("tasks", format!("{} would wait to start", count(spec.tasks as usize, "task")));
-    say_quota(table, after, &spec.team);
-    say_startable(table, after, spec);
-    room::say(table, live, spec.size);
+    table.add_line(
+        "tasks",
+        format!("{} would wait to start", pluralize(spec.tasks as usize, "task")),
+    );
+    add_quota(table, after, &spec.team);
+    add_startable_count(table, after, spec);
+    capacity::add_lines(table, live, spec.size);
     if after.is_paused(spec.kind, spec.priority) {
-        table.say("tasks", "none starts while its class is paused");
+        table.add_line("tasks", "none starts while its class is paused");
     }
 }
 
-/// Adds how many tasks of a new job the team's quota has room for now.
-fn say_startable(table: &mut Table, state: &State, spec: &JobSpec) {
+/// Adds a line with the number of tasks of a new job that fit into the team's quota now.
+fn add_startable_count(table: &mut Table, state: &State, spec: &JobSpec) {
     let Some((team, _)) = state.team(&spec.team) else { return };
-    let room = fitting(spec.size, state.quota_room(team, spec.kind)).min(spec.tasks);
-    table.say("quota", format!("leaves room for {room} of them now"));
+    let startable = count_that_fit(spec.size, state.quota_room(team, spec.kind)).min(spec.tasks);
+    table.add_line("quota", format!("leaves room for {startable} of them now"));
 }
 
-/// How many times `size` fits into `room`.
-fn fitting(size: Resources, room: Resources) -> u32 {
-    let part = |size: u32, room: u32| room.checked_div(size).unwrap_or(u32::MAX);
-    part(size.cpu_milli, room.cpu_milli)
-        .min(part(size.memory_mib, room.memory_mib))
-        .min(part(size.accelerators, room.accelerators))
+/// Returns how many times `size` fits into `free`.
+fn count_that_fit(size: Resources, free: Resources) -> u32 {
+    let part = |size: u32, free: u32| free.checked_div(size).unwrap_or(u32::MAX);
+    part(size.cpu_milli, free.cpu_milli)
+        .min(part(size.memory_mib, free.memory_mib))
+        .min(part(size.accelerators, free.accelerators))
 }
 
 fn change(table: &mut Table, before: &State, after: &State, live: &LiveView, name: &Name) {
@@ -64,91 +71,106 @@
     else {
         return;
     };
-    let (was, is) = (&old.spec, &new.spec);
-    say_changed(table, "tasks", &was.tasks.to_string(), &is.tasks.to_string());
-    say_changed(table, "priority", &was.priority.to_string(), &is.priority.to_string());
-    say_changed(table, "size", &was.size.to_string(), &is.size.to_string());
-    let going = out_from(new, is.tasks as usize);
-    if going > 0 {
-        table.say("tasks", format!("{} would be stopped", count(going, "running task")));
+    let (old_spec, new_spec) = (&old.spec, &new.spec);
+    add_value_change(table, "tasks", &old_spec.tasks.to_string(), &new_spec.tasks.to_string());
+    add_value_change(
+        table,
+        "priority",
+        &old_spec.priority.to_string(),
+        &new_spec.priority.to_string(),
+    );
+    add_value_change(table, "size", &old_spec.size.to_string(), &new_spec.size.to_string());
+    let stopped = count_checked_out_from(new, new_spec.tasks as usize);
+    if stopped > 0 {
+        table.add_line("tasks", format!("{} would be stopped", pluralize(stopped, "running task")));
     }
-    if was.size != is.size {
-        let staying = tally(old).out;
-        let words = format!("{} would keep the old size", count(staying, "running task"));
-        table.say("tasks", words);
-        room::say(table, live, is.size);
+    if old_spec.size != new_spec.size {
+        let unchanged = count_tasks(old).out;
+        let line = format!("{} would keep the old size", pluralize(unchanged, "running task"));
+        table.add_line("tasks", line);
+        capacity::add_lines(table, live, new_spec.size);
     }
-    say_quota(table, after, &is.team);
-    table.say("before", format!("last changed in {}", words::author(before, old.generation)));
+    add_quota(table, after, &new_spec.team);
+    table.add_line(
+        "before",
+        format!("last changed in {}", text::describe_generation(before, old.generation)),
+    );
 }
 
-/// How many tasks from `from` on are out.
-fn out_from(job: &Job, from: usize) -> usize {
+/// Returns how many tasks with an index of at least `from` are checked out.
+fn count_checked_out_from(job: &Job, from: usize) -> usize {
     let rest = job.tasks.iter().skip(from);
     rest.filter(|task| matches!(task.state, TaskState::Out(_))).count()
 }
 
 fn cancel(table: &mut Table, before: &State, name: &Name) {
     let Some((_, job)) = before.jobs.by_name(name) else { return };
-    let Tally { pending, out, .. } = tally(job);
-    table.say("tasks", format!("{} would never start", count(pending, "waiting task")));
-    table.say("tasks", format!("{} would be stopped", count(out, "running task")));
-    table.say("before", format!("last changed in {}", words::author(before, job.generation)));
+    let TaskCounts { pending, out, .. } = count_tasks(job);
+    table.add_line("tasks", format!("{} would never start", pluralize(pending, "waiting task")));
+    table.add_line("tasks", format!("{} would be stopped", pluralize(out, "running task")));
+    table.add_line(
+        "before",
+        format!("last changed in {}", text::describe_generation(before, job.generation)),
+    );
 }
 
 fn quota(table: &mut Table, before: &State, after: &State, name: &Name) {
     let Some((id, new)) = after.team(name) else { return };
     match before.team(name) {
-        None => table.say("team", format!("{name} would be created")),
+        None => table.add_line("team", format!("{name} would be created")),
         Some((_, old)) => {
-            say_changed(table, "quota", &old.limit.to_string(), &new.limit.to_string());
+            add_value_change(table, "quota", &old.limit.to_string(), &new.limit.to_string());
         }
     }
-    say_quota(table, after, name);
+    add_quota(table, after, name);
     if !new.used.fits(new.limit) {
-        table.say("tasks", "running tasks stay; none starts until the team is below its quota");
+        table
+            .add_line("tasks", "running tasks stay; none starts until the team is below its quota");
     }
     let waiting = after.jobs.iter().filter(|(_, job)| job.team == id);
-    let waiting: usize = waiting.map(|(_, job)| tally(job).pending).sum();
-    table.say("tasks", format!("{} of the team", count(waiting, "waiting task")));
+    let waiting: usize = waiting.map(|(_, job)| count_tasks(job).pending).sum();
+    table.add_line("tasks", format!("{} of the team", pluralize(waiting, "waiting task")));
 }
 
 fn drain(table: &mut Table, before: &State, live: &LiveView, name: &Name) {
     let Some(vm) = live.vm_by_name(name) else {
-        table.say("vm", format!("{name} is not in the platform's list"));
+        table.add_line("vm", format!("{name} is not in the platform's list"));
         return;
     };
-    let mut going = 0;
-    let mut staying = 0;
+    let mut evicted = 0;
+    let mut unaffected = 0;
     for (id, job) in before.jobs.iter() {
         for (task, index) in job.tasks.iter().zip(0..) {
             let running = live.tasks.get(&daisy_model::TaskId { job: id, index });
-            if running.map(|it| it.vm).or(recorded(task)) != Some(vm.id) {
+            if running.map(|it| it.vm).or(recorded_vm(task)) != Some(vm.id) {
                 continue;
             }
-            if job.spec.tolerance.evict { going += 1 } else { staying += 1 }
+            if job.spec.tolerance.evict { evicted += 1 } else { unaffected += 1 }
         }
     }
-    table.say("vm", "nothing new would go there");
-    table.say("tasks", format!("{} would be evicted and resumed elsewhere", count(going, "task")));
-    table.say("tasks", format!("{} would stay, since they may not be evicted", staying));
+    table.add_line("vm", "nothing new would go there");
+    table.add_line(
+        "tasks",
+        format!("{} would be evicted and resumed elsewhere", pluralize(evicted, "task")),
+    );
+    table.add_line("tasks", format!("{} would stay, since they may not be evicted", unaffected));
 }
 
-/// The VM on which a task is recorded to run.
-fn recorded(task: &Task) -> Option<VmId> {
-    let open = matches!(task.state, TaskState::Out(_)) && task.incarnation > task.ended;
-    if open { task.vm } else { None }
+/// Returns the VM on which a task runs according to the ledger.
+fn recorded_vm(task: &Task) -> Option<VmId> {
+    let is_running = matches!(task.state, TaskState::Out(_)) && task.incarnation > task.ended;
+    if is_running { task.vm } else { None }
 }
 
-fn of_class(state: &State, class: WorkClass) -> Tally {
-    let mut sum = Tally::default();
+fn count_tasks_of_class(state: &State, class: WorkClass) -> TaskCounts {
+    let mut sum = TaskCounts::default();
     let jobs = state.jobs.iter().map(|(_, job)| job);
     let covered = jobs.filter(|job| match class {
         WorkClass::Batch => job.spec.kind == daisy_model::JobKind::Batch,
         WorkClass::Priority(priority) => job.spec.priority == priority,
     });
     for job in covered {
-        let Tally { pending, out, ended } = tally(job);
+        let TaskCounts { pending, out, ended } = count_tasks(job);
         sum.pending += pending;
         sum.out += out;
         sum.ended += ended;
@@ -157,25 +179,30 @@
 }
 
 fn pause(table: &mut Table, before: &State, class: WorkClass) {
-    let Tally { pending, out, .. } = of_class(before, class);
-    table.say("tasks", format!("{} would go on waiting", count(pending, "waiting task")));
-    table.say("tasks", format!("{} would go on running", count(out, "running task")));
+    let TaskCounts { pending, out, .. } = count_tasks_of_class(before, class);
+    table.add_line("tasks", format!("{} would go on waiting", pluralize(pending, "waiting task")));
+    table.add_line("tasks", format!("{} would go on running", pluralize(out, "running task")));
 }
 
 fn resume(table: &mut Table, before: &State, class: WorkClass) {
-    let Tally { pending, .. } = of_class(before, class);
-    table.say("tasks", format!("{} could start", count(pending, "waiting task")));
-    say_before(table, before, |it| matches!(it, Command::Pause(it) if *it == class));
+    let TaskCounts { pending, .. } = count_tasks_of_class(before, class);
+    table.add_line("tasks", format!("{} could start", pluralize(pending, "waiting task")));
+    add_last_change(table, before, |it| matches!(it, Command::Pause(it) if *it == class));
 }
 
 fn publish(table: &mut Table, before: &State, after: &State) {
     let (generation, old) = &before.policy;
-    for ((key, was), (_, is)) in policy_parts(old).iter().zip(policy_parts(&after.policy.1)) {
-        if *was != is {
-            table.say(key, format!("from {was} to {is}"));
+    for ((key, old_value), (_, new_value)) in
+        policy_parts(old).iter().zip(policy_parts(&after.policy.1))
+    {
+        if *old_value != new_value {
+            table.add_line(key, format!("from {old_value} to {new_value}"));
         }
     }
     if generation.0 > 0 {
-        table.say("before", format!("published in {}", words::author(before, *generation)));
+        table.add_line(
+            "before",
+            format!("published in {}", text::describe_generation(before, *generation)),
+        );
     }
 }
--- a/daisy-query/src/lib.rs
+++ b/daisy-query/src/lib.rs
@@ -1,7 +1,7 @@
-//! Answers to `show`, `why` and `explain` over the ledger's [`State`](daisy_ledger::State) and
-//! a [`LiveView`] view of what runs now.
+//! Answers the statements `show`, `why` and `explain` from the ledger's
+//! [`State`](daisy_ledger::State) and a [`LiveView`] of what runs now.
 //!
-//! [`run`] takes both as plain data and gives a [`Table`]; nothing is changed.
+//! [`run`] reads both as plain data and returns a [`Table`]. It changes neither.
 
 #![deny(missing_docs, unsafe_code)]
 
@@ -10,8 +10,8 @@
 mod run;
 mod show;
 mod table;
+mod text;
 mod why;
-mod words;
 
 pub use crate::{
     explain::describe_misfit,
--- a/daisy-query/src/live.rs
+++ b/daisy-query/src/live.rs
@@ -1,4 +1,4 @@
-//! What runs now, as the process that answers knows it.
+//! The view of what runs now.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
     DcId, Incarnation, JobId, Name, Resources, SortedMap, TaskId, Vm, VmId, WallTime,
 };
 
-/// What runs now, as the process that answers knows it; parts that it does not know are left
-/// out, and answers then say so.
+/// What runs now, as far as the answering process knows it. What it does not know is absent, and
+/// answers say so.
 #[derive(Debug, Clone, Default)]
 pub struct LiveView {
-    /// Names of data centres, by [`DcId`].
+    /// The names of data centres, indexed by [`DcId`].
     pub dcs: Vec<Name>,
     /// The platform's VM list.
     pub vms: SortedMap<VmId, Vm>,
-    /// Tasks that workers report.
+    /// The tasks that workers report.
     pub tasks: SortedMap<TaskId, LiveTask>,
-    /// Workers.
+    /// The workers, as their holders see them.
     pub workers: SortedMap<VmId, LiveWorker>,
-    /// Why things are as they are, oldest first.
+    /// Decisions about tasks, jobs, VMs and request classes, oldest first.
     pub reasons: Vec<Reason>,
 }
 
@@ -38,30 +38,30 @@
 /// A worker as its holder sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LiveWorker {
-    /// What it holds in all.
+    /// Its total capacity.
     pub capacity: Resources,
-    /// What is not taken.
+    /// The part of the capacity that is not allocated.
     pub free: Resources,
-    /// How many tasks run on it.
+    /// The number of tasks that run on it.
     pub tasks: u32,
-    /// Whether it takes new tasks.
+    /// Whether it accepts new tasks.
     pub state: WorkerState,
 }
 
-/// Whether a worker takes new tasks.
+/// Whether a worker accepts new tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It does.
+    /// It accepts new tasks.
     Ready,
-    /// The platform takes it away, or operators drain it.
+    /// The platform is about to remove it, or operators drain it.
     Leaving,
-    /// It fails what it starts and is tried again later.
+    /// It is excluded, because it fails the tasks that it starts; it is tried again later.
     Quarantined,
-    /// It does not answer; what it may run is blocked until it does.
+    /// It does not answer. The tasks that it may still run are blocked until it does.
     Silent,
 }
 
-/// What a decision was about.
+/// The subject of a decision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subject {
     /// A task.
@@ -74,19 +74,19 @@
     RequestClass(Box<str>),
 }
 
-/// A decision and its cause, in words.
+/// A decision and its cause, as text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reason {
-    /// When it was taken.
+    /// The time of the decision.
     pub at: WallTime,
-    /// What it was about.
+    /// The subject of the decision.
     pub subject: Subject,
     /// What was decided, and why.
     pub text: Box<str>,
 }
 
 impl LiveView {
-    /// The name of a data centre, or its number.
+    /// Returns the name of a data centre, or its number if the name is unknown.
     pub(crate) fn dc(&self, dc: DcId) -> String {
         match self.dcs.get(usize::from(dc.0)) {
             Some(name) => name.to_string(),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The name of a VM, or its number.
+    /// Returns the name of a VM, or its number if the name is unknown.
     pub(crate) fn vm(&self, vm: VmId) -> String {
         match self.vms.get(&vm) {
             Some(vm) => vm.name.to_string(),
@@ -102,17 +102,18 @@
         }
     }
 
-    /// Whether a worker does not answer, so that what it may run can start nowhere else.
+    /// Returns whether a worker does not answer, so that the tasks that it may still run cannot be
+    /// started elsewhere.
     pub(crate) fn is_silent(&self, vm: VmId) -> bool {
         self.workers.get(&vm).is_some_and(|it| it.state == WorkerState::Silent)
     }
 
-    /// The VM called `name`.
+    /// Returns the VM with the name `name`.
     pub(crate) fn vm_by_name(&self, name: &Name) -> Option<&Vm> {
         self.vms.iter().map(|(_, vm)| vm).find(|vm| vm.name == *name)
     }
 
-    /// Decisions about `subject`, oldest first.
+    /// Returns the decisions about `subject`, oldest first.
     pub(crate) fn reasons_of(&self, subject: &Subject) -> impl DoubleEndedIterator<Item = &Reason> {
         self.reasons.iter().filter(move |it| it.subject == *subject)
     }
--- a/daisy-query/src/run.rs
+++ b/daisy-query/src/run.rs
@@ -1,4 +1,4 @@
-//! From a statement to its answer.
+//! Dispatches statements to the code that answers them.
 
 use daisy_language::{Statement, TaskRef, Why};
 use daisy_ledger::State;
@@ -6,24 +6,28 @@
 
 use crate::{LiveView, Table, explain, show, why};
 
-/// Why a statement has no answer.
+/// Why a statement cannot be answered.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The statement changes something: it goes to the log.
+    /// The statement is a change, which must be appended to the log instead.
     #[error("a change is appended to the log, not answered from the state")]
     Change,
-    /// No job has the name.
+    /// No job has this name.
     #[error("job {0} is unknown")]
     Job(Name),
-    /// There is no such task.
+    /// The task does not exist, or not any more.
     #[error("task {0} is unknown, or its job ended long ago")]
     Task(TaskRef),
-    /// No VM of the platform's list has the name.
+    /// No VM in the platform's list has this name.
     #[error("vm {0} is not in the platform's list")]
     Vm(Name),
 }
 
-/// Answers `statement` from the state and what runs now.
+/// Answers a read-only `statement` from the state and the view of what runs now.
+///
+/// # Errors
+///
+/// If the statement is a change, or its subject is unknown.
 pub fn run(state: &State, live: &LiveView, statement: &Statement) -> Result<Table, Error> {
     match statement {
         Statement::Change { .. } => Err(Error::Change),
--- a/daisy-query/src/show.rs
+++ b/daisy-query/src/show.rs
@@ -1,27 +1,27 @@
-//! `show`: rows, filtered, ordered, counted.
+//! `show`: collects the rows of a table, and filters, sorts or counts them.
 
 mod filter;
 mod fleet;
 pub(crate) mod work;
 
-use daisy_language::{Count, OrderBy, Show, Target, amount};
+use daisy_language::{Count, OrderBy, Show, TableKind, amount};
 use daisy_ledger::State;
 
 use crate::{LiveView, Table};
 
-/// A row: the cell of each of its table's columns, worked out when it is asked for.
+/// A row: returns the cell of a column, computed on demand.
 type Row<'a> = &'a dyn Fn(&str) -> String;
 
-/// Takes rows one at a time. Most rows of a large table are looked at by a filter in one or two
-/// columns and kept in none.
+/// Receives rows one at a time. In a large table, filters reject most rows after reading one or
+/// two of their cells, so the other cells are never computed.
 type Sink<'a> = &'a mut dyn FnMut(Row<'_>);
 
 /// Answers `show`.
 pub(crate) fn show(state: &State, live: &LiveView, query: &Show) -> Table {
-    let columns = kept_columns(query);
+    let columns = output_columns(query);
     let mut table = Table::new(&columns);
     let mut matches = 0;
-    let mut take = |row: Row<'_>| {
+    let mut add_row = |row: Row<'_>| {
         if query.filters.iter().all(|it| filter::passes(it, &row(it.column))) {
             matches += 1;
             if !columns.is_empty() {
@@ -29,15 +29,15 @@
             }
         }
     };
-    rows(state, live, query.target, &mut take);
+    visit_rows(state, live, query.target, &mut add_row);
     match query.count {
         Some(Count::All) => return count_all(matches),
         Some(Count::By(column)) => table = count_by(&table, column),
         None => {}
     }
     if let Some(OrderBy { column, descending }) = query.order {
-        let at = table.columns.iter().position(|it| *it == column);
-        sort(&mut table, at, descending);
+        let index = table.columns.iter().position(|it| *it == column);
+        sort(&mut table, index, descending);
     }
     if let Some(limit) = query.limit {
         table.rows.truncate(limit as usize);
@@ -45,8 +45,8 @@
     table
 }
 
-/// The columns that the answer is made of.
-fn kept_columns(query: &Show) -> Vec<&'static str> {
+/// Returns the columns whose cells are needed for the answer.
+fn output_columns(query: &Show) -> Vec<&'static str> {
     match query.count {
         Some(Count::All) => Vec::new(),
         Some(Count::By(column)) => vec![column],
@@ -54,17 +54,17 @@
     }
 }
 
-fn rows(state: &State, live: &LiveView, target: Target, sink: Sink<'_>) {
+fn visit_rows(state: &State, live: &LiveView, target: TableKind, sink: Sink<'_>) {
     match target {
-        Target::Tasks => work::tasks(state, live, sink),
-        Target::Jobs => work::jobs(state, |_| true, sink),
-        Target::Services => work::jobs(state, work::is_service, sink),
-        Target::Teams => work::teams(state, sink),
-        Target::Workers => fleet::workers(state, live, sink),
-        Target::Vms => fleet::vms(state, live, sink),
-        Target::Holders => fleet::holders(state, live, sink),
-        Target::Config => work::config(state, sink),
-        Target::Changes => work::changes(state, sink),
+        TableKind::Tasks => work::tasks(state, live, sink),
+        TableKind::Jobs => work::jobs(state, |_| true, sink),
+        TableKind::Services => work::jobs(state, work::is_service, sink),
+        TableKind::Teams => work::teams(state, sink),
+        TableKind::Workers => fleet::workers(state, live, sink),
+        TableKind::Vms => fleet::vms(state, live, sink),
+        TableKind::Holders => fleet::holders(state, live, sink),
+        TableKind::Config => work::config(state, sink),
+        TableKind::Changes => work::changes(state, sink),
     }
 }
 
@@ -72,7 +72,8 @@
     Table { columns: vec!["count"], rows: vec![vec![matches.to_string()]] }
 }
 
-/// Values of the one column of `table` with the number of their rows, the most frequent first.
+/// Returns the values of the only column of `table` with their numbers of rows, the most frequent
+/// first.
 fn count_by(table: &Table, column: &'static str) -> Table {
     let mut values: Vec<&str> = table.rows.iter().map(|row| row[0].as_str()).collect();
     values.sort_unstable();
@@ -83,13 +84,13 @@
     Table { columns: vec![column, "count"], rows: rows.collect() }
 }
 
-/// Sorts by a column: numbers first, by value, then texts. Columns that a count has dropped
-/// leave the order as it is.
-fn sort(table: &mut Table, at: Option<usize>, descending: bool) {
-    let Some(at) = at else { return };
+/// Sorts by the column at index `column`: numbers first, by value, then texts. `None` means that
+/// `count` has removed the column; the order stays as it is then.
+fn sort(table: &mut Table, column: Option<usize>, descending: bool) {
+    let Some(column) = column else { return };
     table.rows.sort_by_cached_key(|row| {
-        let number = amount(&row[at]);
-        (number.is_none(), number, row[at].clone())
+        let number = amount(&row[column]);
+        (number.is_none(), number, row[column].clone())
     });
     if descending {
         table.rows.reverse();
--- a/daisy-query/src/show/fleet.rs
+++ b/daisy-query/src/show/fleet.rs
@@ -1,9 +1,9 @@
-//! Rows of the fleet: workers, VMs, holders.
+//! Rows of the tables `workers`, `vms` and `holders`.
 
 use daisy_ledger::State;
 use daisy_model::{Vm, VmRole, VmStatus};
 
-use crate::{LiveView, LiveWorker, Subject, WorkerState, show::Sink, table::NONE, words};
+use crate::{LiveView, LiveWorker, Subject, WorkerState, show::Sink, table::NONE, text};
 
 pub(crate) fn workers(state: &State, live: &LiveView, sink: Sink<'_>) {
     for (&id, vm) in live.vms.iter().filter(|(_, vm)| vm.role == VmRole::Worker) {
@@ -28,10 +28,10 @@
         "rack" => vm.rack.to_string(),
         "state" => worker_state(state, vm, worker).to_owned(),
         "tasks" => worker.map_or_else(none, |it| it.tasks.to_string()),
-        "cpu" => words::cpu(capacity),
-        "cpu-free" => free.map_or_else(none, words::cpu),
-        "memory" => words::memory(capacity),
-        "memory-free" => free.map_or_else(none, words::memory),
+        "cpu" => text::cpu(capacity),
+        "cpu-free" => free.map_or_else(none, text::cpu),
+        "memory" => text::memory(capacity),
+        "memory-free" => free.map_or_else(none, text::memory),
         "accelerators" => capacity.accelerators.to_string(),
         "accelerators-free" => free.map_or_else(none, |it| it.accelerators.to_string()),
         "reason" => reason().map_or_else(none, |it| it.text.to_string()),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A worker's state in one word.
+/// Returns a worker's state in one word.
 pub(crate) fn worker_state(state: &State, vm: &Vm, worker: Option<&LiveWorker>) -> &'static str {
     if state.is_drained(&vm.name) {
         return "drained";
@@ -93,8 +93,8 @@
 }
 
 fn entry_state(state: &State, live: &LiveView, vm: &Vm) -> String {
-    let held = state.holders.iter().find(|(_, it)| it.holder == vm.id && !it.released);
-    match held {
+    let held_dc = state.holders.iter().find(|(_, it)| it.holder == vm.id && !it.released);
+    match held_dc {
         Some((&dc, _)) => format!("holds {}", live.dc(dc)),
         None if state.is_drained(&vm.name) => "drained".to_owned(),
         None => none(),
--- a/daisy-query/src/show/work.rs
+++ b/daisy-query/src/show/work.rs
@@ -1,11 +1,11 @@
-//! Rows of declared work: tasks, jobs, teams, policy, changes.
+//! Rows of the tables `tasks`, `jobs`, `services`, `teams`, `config` and `changes`.
 
 use daisy_ledger::{
     AuditEntry, Job, Owner, State, Subject as ChangeSubject, Task, TaskState, Verdict,
 };
 use daisy_model::{JobId, JobKind, Policy, Resources, SortedMap, TaskId, VmId};
 
-use crate::{LiveTask, LiveView, Subject, show::Sink, table::NONE, words};
+use crate::{LiveTask, LiveView, Subject, show::Sink, table::NONE, text};
 
 pub(crate) fn is_service(job: &Job) -> bool {
     job.spec.kind == JobKind::Service
@@ -14,32 +14,33 @@
 pub(crate) fn tasks(state: &State, live: &LiveView, sink: Sink<'_>) {
     let reasons = newest_reasons(live);
     for (id, job) in state.jobs.iter() {
-        let of_job = live.reasons_of(&Subject::Job(id)).next_back().map(|it| &*it.text);
+        let job_reason = live.reasons_of(&Subject::Job(id)).next_back().map(|it| &*it.text);
         for (index, task) in job.tasks.iter().enumerate() {
             let id = TaskId { job: id, index: index as u32 };
             let running = live.tasks.get(&id);
-            // Nobody has a pending task; what its job waits for is then what it waits for.
-            let of_job = of_job.filter(|_| task.state == TaskState::Pending);
-            let reason = of_job.or(reasons.get(&id).copied());
+            // No data centre has checked out a pending task: it waits for what its job waits for.
+            let job_reason = job_reason.filter(|_| task.state == TaskState::Pending);
+            let reason = job_reason.or(reasons.get(&id).copied());
             let view = TaskView { id, job, task, running, reason };
             sink(&|column| view.cell(state, live, column));
         }
     }
 }
 
-/// The newest decision about each task, found in one pass: there are many of both.
+/// Returns the newest decision about each task. Finds all of them in one pass, because there are
+/// many decisions and many tasks.
 fn newest_reasons(live: &LiveView) -> SortedMap<TaskId, &str> {
     let mut reasons: Vec<(TaskId, usize)> = Vec::new();
-    for (at, reason) in live.reasons.iter().enumerate() {
+    for (position, reason) in live.reasons.iter().enumerate() {
         if let Subject::Task(task) = reason.subject {
-            reasons.push((task, at));
+            reasons.push((task, position));
         }
     }
     reasons.sort_unstable();
-    reasons.into_iter().map(|(task, at)| (task, &*live.reasons[at].text)).collect()
+    reasons.into_iter().map(|(task, position)| (task, &*live.reasons[position].text)).collect()
 }
 
-/// A task and what is known of it.
+/// A task with its job and what runs of it now.
 struct TaskView<'a> {
     id: TaskId,
     job: &'a Job,
@@ -56,7 +57,7 @@
             "job" => spec.name.to_string(),
             "number" => self.id.job.to_string(),
             "team" => spec.team.to_string(),
-            "kind" => words::kind(spec.kind).to_owned(),
+            "kind" => text::kind(spec.kind).to_owned(),
             "priority" => spec.priority.to_string(),
             "state" => self.state(state, live).to_owned(),
             "dc" => self.owner().map_or_else(none, |owner| live.dc(owner.dc)),
@@ -65,16 +66,16 @@
                 self.running.map_or(self.task.incarnation, |it| it.incarnation).to_string()
             }
             "share" => self.running.map_or_else(none, |it| it.share.to_string()),
-            "since" => self.running.map_or_else(none, |it| words::duration(it.since)),
-            "cpu" => words::cpu(self.size()),
-            "memory" => words::memory(self.size()),
+            "since" => self.running.map_or_else(none, |it| text::duration(it.since)),
+            "cpu" => text::cpu(self.size()),
+            "memory" => text::memory(self.size()),
             "accelerators" => self.size().accelerators.to_string(),
             "reason" => self.reason.map_or_else(none, str::to_owned),
             _ => none(),
         }
     }
 
-    /// The task's state in one word.
+    /// Returns the task's state in one word.
     fn state(&self, state: &State, live: &LiveView) -> &'static str {
         let spec = &self.job.spec;
         match (self.task.state, self.vm()) {
@@ -83,10 +84,11 @@
             (TaskState::Out(_), Some(vm)) if live.is_silent(vm) => "blocked",
             (TaskState::Out(_), Some(_)) => "running",
             (TaskState::Out(_), None) => "starting",
-            (TaskState::Ended(exit), _) => words::exit(exit),
+            (TaskState::Ended(exit), _) => text::exit(exit),
         }
     }
 
+    /// Returns the data centre and the epoch that have checked the task out.
     fn owner(&self) -> Option<Owner> {
         match self.task.state {
             TaskState::Out(owner) => Some(owner),
@@ -94,14 +96,15 @@
         }
     }
 
-    /// Where it runs: as a worker reports it, or else as the ledger has it.
+    /// Returns the VM on which the task runs, as reported by a worker or else as recorded in the
+    /// ledger.
     fn vm(&self) -> Option<VmId> {
-        let open = self.task.incarnation > self.task.ended;
-        let recorded = if open { self.task.vm } else { None };
+        let is_running = self.task.incarnation > self.task.ended;
+        let recorded = if is_running { self.task.vm } else { None };
         self.running.map(|it| it.vm).or(recorded)
     }
 
-    /// What it takes or, while nobody has it, would take.
+    /// Returns the task's size, or its job's current size if the task is not checked out.
     fn size(&self) -> Resources {
         if self.owner().is_some() { self.task.size } else { self.job.spec.size }
     }
@@ -111,8 +114,8 @@
     NONE.to_owned()
 }
 
-pub(crate) fn jobs(state: &State, wanted: impl Fn(&Job) -> bool, sink: Sink<'_>) {
-    for (id, job) in state.jobs.iter().filter(|(_, job)| wanted(job)) {
+pub(crate) fn jobs(state: &State, is_included: impl Fn(&Job) -> bool, sink: Sink<'_>) {
+    for (id, job) in state.jobs.iter().filter(|(_, job)| is_included(job)) {
         sink(&|column| job_cell(id, job, column));
     }
 }
@@ -123,15 +126,15 @@
         "job" => spec.name.to_string(),
         "number" => id.to_string(),
         "team" => spec.team.to_string(),
-        "kind" => words::kind(spec.kind).to_owned(),
+        "kind" => text::kind(spec.kind).to_owned(),
         "priority" => spec.priority.to_string(),
         "state" => job_state(job).to_owned(),
         "tasks" => spec.tasks.to_string(),
-        "pending" => tally(job).pending.to_string(),
-        "out" => tally(job).out.to_string(),
-        "ended" => tally(job).ended.to_string(),
-        "cpu" => words::cpu(spec.size),
-        "memory" => words::memory(spec.size),
+        "pending" => count_tasks(job).pending.to_string(),
+        "out" => count_tasks(job).out.to_string(),
+        "ended" => count_tasks(job).ended.to_string(),
+        "cpu" => text::cpu(spec.size),
+        "memory" => text::memory(spec.size),
         "accelerators" => spec.size.accelerators.to_string(),
         "generation" => job.generation.to_string(),
         _ => none(),
@@ -147,38 +150,39 @@
     }
 }
 
-/// How many tasks of a job are in which state.
+/// The number of a job's tasks in each state.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Tally {
+pub(crate) struct TaskCounts {
     pub(crate) pending: usize,
     pub(crate) out: usize,
     pub(crate) ended: usize,
 }
 
-pub(crate) fn tally(job: &Job) -> Tally {
-    let mut tally = Tally::default();
+pub(crate) fn count_tasks(job: &Job) -> TaskCounts {
+    let mut counts = TaskCounts::default();
     for task in &job.tasks {
         match task.state {
-            TaskState::Pending => tally.pending += 1,
-            TaskState::Out(_) => tally.out += 1,
-            TaskState::Ended(_) => tally.ended += 1,
+            TaskState::Pending => counts.pending += 1,
+            TaskState::Out(_) => counts.out += 1,
+            TaskState::Ended(_) => counts.ended += 1,
         }
     }
-    tally
+    counts
 }
 
 pub(crate) fn teams(state: &State, sink: Sink<'_>) {
     for (id, team) in state.teams.iter() {
-        let jobs = || state.jobs.iter().filter(|(_, job)| job.team == id && job.open > 0).count();
+        let open_jobs =
+            || state.jobs.iter().filter(|(_, job)| job.team == id && job.open > 0).count();
         sink(&|column| match column {
             "team" => team.name.to_string(),
-            "cpu" => words::cpu(team.limit),
-            "cpu-used" => words::cpu(team.used),
-            "memory" => words::memory(team.limit),
-            "memory-used" => words::memory(team.used),
+            "cpu" => text::cpu(team.limit),
+            "cpu-used" => text::cpu(team.used),
+            "memory" => text::memory(team.limit),
+            "memory-used" => text::memory(team.used),
             "accelerators" => team.limit.accelerators.to_string(),
             "accelerators-used" => team.used.accelerators.to_string(),
-            "jobs" => jobs().to_string(),
+            "jobs" => open_jobs().to_string(),
             _ => none(),
         });
     }
@@ -208,7 +212,7 @@
     cell.to_owned()
 }
 
-/// The parts of a policy under the names that `publish` gives them.
+/// Returns the fields of a policy with their keys in `publish policy`.
 pub(crate) fn policy_parts(policy: &Policy) -> [(&'static str, String); 7] {
     [
         ("tail", policy.objective.tail.to_string()),
@@ -235,7 +239,7 @@
         ("result", Verdict::Refused(_)) => "refused".to_owned(),
         ("cause", Verdict::Refused(cause)) => cause.to_string(),
         ("offset", _) => entry.offset.to_string(),
-        ("time", _) => words::time(change.at),
+        ("time", _) => text::time(change.at),
         ("who", _) => change.who.to_string(),
         ("subject", _) => ChangeSubject::of(&change.command).to_string(),
         ("statement", _) => change.text.to_string(),
--- a/daisy-query/src/table.rs
+++ b/daisy-query/src/table.rs
@@ -1,4 +1,4 @@
-//! The answer to a statement.
+//! The table that answers a statement.
 
 use std::fmt;
 
@@ -7,22 +7,23 @@
 pub struct Table {
     /// The columns' names.
     pub columns: Vec<&'static str>,
-    /// One text for each column; `-` stands for what is not known or does not apply.
+    /// The rows, each with one cell per column; `-` means that a value is unknown or does not
+    /// apply.
     pub rows: Vec<Vec<String>>,
 }
 
-/// What stands in a cell that is not known or does not apply.
+/// The text of a cell whose value is unknown or does not apply.
 pub(crate) const NONE: &str = "-";
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table without rows.
     pub(crate) fn new(columns: &[&'static str]) -> Table {
         Table { columns: columns.to_vec(), rows: Vec::new() }
     }
 
     /// Adds a row of two cells.
-    pub(crate) fn say(&mut self, what: &str, words: impl Into<String>) {
-        self.rows.push(vec![what.to_owned(), words.into()]);
+    pub(crate) fn add_line(&mut self, label: &str, text: impl Into<String>) {
+        self.rows.push(vec![label.to_owned(), text.into()]);
     }
 
     fn widths(&self) -> Vec<usize> {
@@ -37,7 +38,7 @@
 }
 
 impl fmt::Display for Table {
-    /// Columns side by side, as wide as their widest cell.
+    /// Formats the columns side by side, each as wide as its widest cell.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let widths = self.widths();
         let header: Vec<String> = self.columns.iter().map(|it| (*it).to_owned()).collect();
--- a/daisy-query/src/words.rs
+++ b/daisy-query/src/text.rs
@@ -1,4 +1,4 @@
-//! Parts of answers in words.
+//! Text fragments of answers.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// What an exit means for an operator.
+/// Returns what an exit means, for an operator.
 pub(crate) fn exit_meaning(exit: Exit) -> &'static str {
     match exit {
         Exit::Done => "it did its work",
@@ -47,20 +47,21 @@
     }
 }
 
-pub(crate) fn tolerance(it: Tolerance) -> String {
+pub(crate) fn describe_tolerance(it: Tolerance) -> String {
     let words = [("delayed", it.delay), ("evicted", it.evict), ("refused", it.refuse)];
-    let words: Vec<&str> = words.iter().filter(|(_, on)| *on).map(|(word, _)| *word).collect();
+    let words: Vec<&str> =
+        words.iter().filter(|(_, is_allowed)| *is_allowed).map(|(word, _)| *word).collect();
     match words[..] {
         [] => "may not be delayed, evicted or refused".to_owned(),
         _ => format!("may be {}", words.join(", ")),
     }
 }
 
-/// A job as declared, in one line.
-pub(crate) fn declared(job: &Job) -> String {
+/// Describes a job's declaration in one line.
+pub(crate) fn describe_job(job: &Job) -> String {
     let spec = &job.spec;
     let restart = if spec.restartable { "restartable" } else { "not restartable" };
-    let places = match &spec.data_centres[..] {
+    let data_centres = match &spec.data_centres[..] {
         [] => "any data centre".to_owned(),
         names => {
             let names: Vec<&str> = names.iter().map(|it| it.as_str()).collect();
@@ -68,59 +69,59 @@
         }
     };
     format!(
-        "{} {} of team {}: {} tasks of {}, priority {}, {}, {restart}, in {places}",
+        "{} {} of team {}: {} tasks of {}, priority {}, {}, {restart}, in {data_centres}",
         kind(spec.kind),
         spec.name,
         spec.team,
         spec.tasks,
         spec.size,
         spec.priority,
-        tolerance(spec.tolerance),
+        describe_tolerance(spec.tolerance),
     )
 }
 
-/// Who made a generation, and with which words.
-pub(crate) fn author(state: &State, generation: Generation) -> String {
+/// Describes who created a generation, and with which statement.
+pub(crate) fn describe_generation(state: &State, generation: Generation) -> String {
     let at = state.audit.partition_point(|it| it.offset.0 + 1 < generation.0);
     let entries = state.audit[at..].iter().take_while(|it| it.offset.0 + 1 == generation.0);
     match entries.filter(|it| matches!(it.verdict, Verdict::Accepted(_))).last() {
-        Some(entry) => format!("generation {generation}, {}", said(entry)),
+        Some(entry) => format!("generation {generation}, {}", describe_change(entry)),
         None => format!("generation {generation}, which the audit trail no longer holds"),
     }
 }
 
-/// Who said what, and when.
-pub(crate) fn said(entry: &AuditEntry) -> String {
+/// Describes who made a change, when, and with which statement.
+pub(crate) fn describe_change(entry: &AuditEntry) -> String {
     let change = &entry.change;
     format!("by {} at {}: {}", change.who, time(change.at), change.text)
 }
 
-/// The newest accepted change that `is` accepts.
+/// Returns the newest accepted change whose command satisfies `is_match`.
 pub(crate) fn last_change(
     state: &State,
-    is: impl Fn(&daisy_model::Command) -> bool,
+    is_match: impl Fn(&daisy_model::Command) -> bool,
 ) -> Option<&AuditEntry> {
     let accepted = |it: &&AuditEntry| matches!(it.verdict, Verdict::Accepted(_));
-    state.audit.iter().rev().filter(accepted).find(|it| is(&it.change.command))
+    state.audit.iter().rev().filter(accepted).find(|it| is_match(&it.change.command))
 }
 
 pub(crate) fn duration(it: Duration) -> String {
     format!("{}s", it.as_secs())
 }
 
-/// UTC as `2026-12-03T00:05:00Z`, which sorts by time.
+/// Formats a time in UTC, such as `2026-12-03T00:05:00Z`; the texts sort by time.
 pub(crate) fn time(at: WallTime) -> String {
     const DAY: u64 = 86_400;
     let seconds = at.0 / 1_000;
-    let (year, month, day) = civil(seconds / DAY);
+    let (year, month, day) = civil_date(seconds / DAY);
     let (hour, minute, second) = (seconds / 3_600 % 24, seconds / 60 % 60, seconds % 60);
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// The date of a day counted from 1970-01-01, in the Gregorian calendar.
-fn civil(days: u64) -> (u64, u64, u64) {
+/// Returns the Gregorian date (year, month, day) of the day that is `days` after 1970-01-01.
+fn civil_date(days: u64) -> (u64, u64, u64) {
     const DAYS_OF_400_YEARS: u64 = 146_097;
-    // Counted from 0000-03-01, so that the leap day is a year's last.
+    // Days since 0000-03-01, so that a leap day is the last day of its year.
     let days = days + 719_468;
     let era = days / DAYS_OF_400_YEARS;
     let day_of_era = days % DAYS_OF_400_YEARS;
--- a/daisy-query/src/why.rs
+++ b/daisy-query/src/why.rs
@@ -1,4 +1,4 @@
-//! `why`: the chain of decisions in words, from what was declared to what runs.
+//! `why`: describes the chain of decisions, from the declaration to what runs.
 
 mod fleet;
 mod task;
@@ -8,19 +8,19 @@
     task::{job, task},
 };
 
-use crate::{LiveView, Subject, Table, words};
+use crate::{LiveView, Subject, Table, text};
 
-/// Columns of answers in words: where a line comes from, and what it says.
+/// The columns of the answer: the source of a line, and its text.
 pub(crate) const COLUMNS: &[&str] = &["from", "what"];
 
-/// The most recent decisions told of one subject.
+/// The maximum number of decisions listed for one subject.
 const MAX_REASONS: usize = 10;
 
-/// Adds what was decided about `subject`, oldest first.
-fn say_reasons(table: &mut Table, live: &LiveView, subject: &Subject) {
+/// Adds the newest decisions about `subject`, at most [`MAX_REASONS`] of them, oldest first.
+fn add_reasons(table: &mut Table, live: &LiveView, subject: &Subject) {
     let mut newest: Vec<_> = live.reasons_of(subject).rev().take(MAX_REASONS).collect();
     newest.reverse();
     for reason in newest {
-        table.say("decision", format!("{}: {}", words::time(reason.at), reason.text));
+        table.add_line("decision", format!("{}: {}", text::time(reason.at), reason.text));
     }
 }
--- a/daisy-query/src/why/fleet.rs
+++ b/daisy-query/src/why/fleet.rs
@@ -1,36 +1,35 @@
-//! Why a VM or a class of requests is treated as it is.
+//! Answers `why vm` and `why request-class`.
 
 use daisy_ledger::{Holding, State, TaskState};
 use daisy_model::{Command, DcId, Name, Vm, VmId, VmRole, VmStatus};
 
 use crate::{
-    Error, LiveView, Subject, Table, WorkerState,
-    why::{COLUMNS, say_reasons},
-    words,
+    Error, LiveView, Subject, Table, WorkerState, text,
+    why::{COLUMNS, add_reasons},
 };
 
 /// Answers `why vm`.
 pub(crate) fn vm(state: &State, live: &LiveView, name: &Name) -> Result<Table, Error> {
     let vm = live.vm_by_name(name).ok_or_else(|| Error::Vm(name.clone()))?;
     let mut table = Table::new(COLUMNS);
-    say_platform(&mut table, live, vm);
+    add_platform_entry(&mut table, live, vm);
     if state.is_drained(name) {
-        let drain = words::last_change(
+        let drain = text::last_change(
             state,
             |command| matches!(command, Command::Drain { vm } if vm == name),
         );
-        let said = drain.map(words::said).unwrap_or_default();
-        table.say("declared", format!("drained {said}"));
+        let change = drain.map(text::describe_change).unwrap_or_default();
+        table.add_line("declared", format!("drained {change}"));
     }
     match vm.role {
-        VmRole::Entry => say_holdings(&mut table, state, live, vm.id),
-        VmRole::Worker => say_worker(&mut table, state, live, vm),
+        VmRole::Entry => add_held_data_centres(&mut table, state, live, vm.id),
+        VmRole::Worker => add_worker_state(&mut table, state, live, vm),
     }
-    say_reasons(&mut table, live, &Subject::Vm(vm.id));
+    add_reasons(&mut table, live, &Subject::Vm(vm.id));
     Ok(table)
 }
 
-fn say_platform(table: &mut Table, live: &LiveView, vm: &Vm) {
+fn add_platform_entry(table: &mut Table, live: &LiveView, vm: &Vm) {
     let role = match vm.role {
         VmRole::Entry => "entry VM",
         VmRole::Worker => "worker",
@@ -40,59 +39,62 @@
         VmStatus::Leaving => "leaving: nothing new goes there",
     };
     let (id, dc, rack, capacity) = (vm.id, live.dc(vm.dc), vm.rack, vm.capacity);
-    let words = format!("{role} number {id} in {dc}, rack {rack}, with {capacity}; {status}");
-    table.say("platform", words);
+    let line = format!("{role} number {id} in {dc}, rack {rack}, with {capacity}; {status}");
+    table.add_line("platform", line);
 }
 
-fn say_holdings(table: &mut Table, state: &State, live: &LiveView, vm: VmId) {
+fn add_held_data_centres(table: &mut Table, state: &State, live: &LiveView, vm: VmId) {
     let held: Vec<(&DcId, &Holding)> =
         state.holders.iter().filter(|(_, it)| it.holder == vm).collect();
     for (dc, holding) in held {
         let (dc, epoch) = (live.dc(*dc), holding.epoch);
         let verb = if holding.released { "gave up" } else { "holds" };
-        table.say("ledger", format!("{verb} {dc} under epoch {epoch}"));
+        table.add_line("ledger", format!("{verb} {dc} under epoch {epoch}"));
     }
 }
 
-fn say_worker(table: &mut Table, state: &State, live: &LiveView, vm: &Vm) {
+fn add_worker_state(table: &mut Table, state: &State, live: &LiveView, vm: &Vm) {
     let tasks = state.jobs.iter().flat_map(|(_, job)| &job.tasks);
-    let placed = tasks.filter(|task| {
-        let out = matches!(task.state, TaskState::Out(_));
-        out && task.vm == Some(vm.id) && task.incarnation > task.ended
+    let recorded = tasks.filter(|task| {
+        let is_checked_out = matches!(task.state, TaskState::Out(_));
+        is_checked_out && task.vm == Some(vm.id) && task.incarnation > task.ended
     });
-    table.say("ledger", format!("tasks recorded there: {}", placed.count()));
+    table.add_line("ledger", format!("tasks recorded there: {}", recorded.count()));
     let Some(worker) = live.workers.get(&vm.id) else {
-        table.say("live", "no report of it is known to this process");
+        table.add_line("live", "no report of it is known to this process");
         return;
     };
     let (tasks, free) = (worker.tasks, worker.free);
-    table.say("live", format!("tasks running: {tasks}; free: {free}"));
-    let words = match worker.state {
+    table.add_line("live", format!("tasks running: {tasks}; free: {free}"));
+    let line = match worker.state {
         WorkerState::Ready => "takes new tasks",
         WorkerState::Leaving => "takes nothing new, since it is leaving",
         WorkerState::Quarantined => "put aside, since it fails what it starts; tried again later",
         WorkerState::Silent => "does not answer; what it may run is blocked until it does",
     };
-    table.say("live", words);
+    table.add_line("live", line);
 }
 
-/// Answers `why request-class`; the class begins with the name of its service.
+/// Answers `why request-class`. The class name starts with the name of its service.
 pub(crate) fn request_class(state: &State, live: &LiveView, class: &str) -> Table {
     let mut table = Table::new(COLUMNS);
     let service = class.split('/').next().unwrap_or_default();
     let job = Name::new(service).ok().and_then(|name| state.jobs.by_name(&name));
     match job {
-        Some((_, job)) => table.say("declared", words::declared(job)),
-        None => table.say("declared", format!("no service is called {service}")),
+        Some((_, job)) => table.add_line("declared", text::describe_job(job)),
+        None => table.add_line("declared", format!("no service is called {service}")),
     }
     let (generation, policy) = &state.policy;
     let budget = policy.retry_budget;
-    let window = words::duration(policy.retry_window);
-    let words = format!("retries add at most {budget} thousandths; keys are kept for {window}");
-    table.say("policy", words);
+    let window = text::duration(policy.retry_window);
+    let line = format!("retries add at most {budget} thousandths; keys are kept for {window}");
+    table.add_line("policy", line);
     if generation.0 > 0 {
-        table.say("policy", format!("published in {}", words::author(state, *generation)));
+        table.add_line(
+            "policy",
+            format!("published in {}", text::describe_generation(state, *generation)),
+        );
     }
-    say_reasons(&mut table, live, &Subject::RequestClass(class.into()));
+    add_reasons(&mut table, live, &Subject::RequestClass(class.into()));
     table
 }
--- a/daisy-query/tests/common/mod.rs
+++ b/daisy-query/tests/common/mod.rs
@@ -10,15 +10,16 @@
 };
 use daisy_query::{LiveTask, LiveView, LiveWorker, Table, WorkerState, run};
 
-/// A small shop: two data centres, an entry VM each, three workers of 16 cores and 64 GiB.
-pub struct Shop {
+/// A state and a live view with two data centres, an entry VM in each, and three workers of
+/// 16 cores and 64 GiB.
+pub struct Fixture {
     pub state: State,
     pub live: LiveView,
 }
 
-impl Shop {
-    /// Nothing declared.
-    pub fn empty() -> Shop {
+impl Fixture {
+    /// Returns a fixture without any declared work.
+    pub fn empty() -> Fixture {
         let dcs = vec![name("braga"), name("porto")];
         let vms = [
             vm(1, "entry-1", 0, VmRole::Entry),
@@ -30,22 +31,23 @@
         let vms = vms.into_iter().map(|vm| (vm.id, vm)).collect();
         let workers = [11, 12, 13].map(|id| (VmId(id), worker(16_000)));
         let workers = workers.into_iter().collect();
-        Shop {
+        Fixture {
             state: State::default(),
             live: LiveView { dcs, vms, workers, ..LiveView::default() },
         }
     }
 
-    /// Team `shop`, the service `stock` and the batch job `renders`, one task of which runs on
-    /// `worker-12` in data centre `braga`.
-    pub fn open() -> Shop {
-        let mut shop = Shop::empty();
-        shop.say("ana", "quota team shop cpu 20 memory 64Gi");
-        shop.say("ana", "create service stock team shop tasks 2 cpu 2 memory 4Gi");
-        shop.say("rui", "create job renders team shop tasks 3 cpu 500m memory 1Gi may evict");
-        let epoch = shop.claim(0, 1);
-        shop.start(epoch, renders(0), 12);
-        shop
+    /// Returns a fixture with the team `shop`, the service `stock` and the batch job `renders`, one
+    /// task of which runs on `worker-12` in the data centre `braga`.
+    pub fn with_running_task() -> Fixture {
+        let mut fixture = Fixture::empty();
+        fixture.execute("ana", "quota team shop cpu 20 memory 64Gi");
+        fixture.execute("ana", "create service stock team shop tasks 2 cpu 2 memory 4Gi");
+        fixture
+            .execute("rui", "create job renders team shop tasks 3 cpu 500m memory 1Gi may evict");
+        let epoch = fixture.claim(0, 1);
+        fixture.start(epoch, render_task(0), 12);
+        fixture
     }
 
     pub fn append(&mut self, record: Record) -> Outcome {
@@ -56,22 +58,22 @@
 
     pub fn change(&mut self, who: &str, command: Command, condition: Option<Condition>) -> Outcome {
         let text = Statement::Change { command: command.clone(), condition }.to_string().into();
-        // 2026-12-03, a minute for each entry.
+        // 2026-12-03, with one minute between entries.
         let at = WallTime(1_796_256_000_000 + self.state.next.0 * 60_000);
         self.append(Record::Change(Change { who: name(who), at, text, command, condition }))
     }
 
-    /// Makes the change that `source` says.
-    pub fn say(&mut self, who: &str, source: &str) -> Outcome {
-        match one(source) {
+    /// Parses `source`, which must be a change, and appends it as a change by `who`.
+    pub fn execute(&mut self, who: &str, source: &str) -> Outcome {
+        match parse_one(source) {
             Statement::Change { command, condition } => self.change(who, command, condition),
-            other => panic!("no change: {other}"),
+            other => panic!("not a change: {other}"),
         }
     }
 
-    /// Asks what `source` says.
-    pub fn ask(&self, source: &str) -> Table {
-        run(&self.state, &self.live, &one(source)).expect("an answer")
+    /// Parses and runs `source`, which must be a read-only statement.
+    pub fn query(&self, source: &str) -> Table {
+        run(&self.state, &self.live, &parse_one(source)).expect("an answer")
     }
 
     pub fn claim(&mut self, dc: u16, holder: u32) -> Epoch {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Checks a task out in `braga` and lets it run on a worker for 35 s.
+    /// Checks a task out in `braga`, and records that it has run on a worker for 35 s.
     pub fn start(&mut self, epoch: Epoch, task: TaskId, vm: u32) {
         let (dc, vm, incarnation) = (DcId(0), VmId(vm), Incarnation(1));
         self.append(Record::Checkout { dc, epoch, tasks: vec![task] });
@@ -92,7 +94,7 @@
     }
 }
 
-pub fn one(source: &str) -> Statement {
+pub fn parse_one(source: &str) -> Statement {
     parse(source).unwrap_or_else(|e| panic!("{}", e.render(source))).remove(0)
 }
 
@@ -100,8 +102,8 @@
     Name::new(text).expect("a name")
 }
 
-/// A task of the job `renders`.
-pub fn renders(index: u32) -> TaskId {
+/// Returns the id of a task of the job `renders`.
+pub fn render_task(index: u32) -> TaskId {
     TaskId { job: JobId(1), index }
 }
 
@@ -128,14 +130,14 @@
     }
 }
 
-/// Whether a line of an answer in words holds `words`.
-pub fn says(table: &Table, words: &str) -> bool {
-    table.rows.iter().any(|row| row.join(": ").contains(words))
+/// Returns whether a row of the table, with its cells joined by `: `, contains `text`.
+pub fn contains_line(table: &Table, text: &str) -> bool {
+    table.rows.iter().any(|row| row.join(": ").contains(text))
 }
 
-/// Fails unless every one of `words` stands in a line of its own or with others.
-pub fn assert_says(table: &Table, words: &[&str]) {
-    for words in words {
-        assert!(says(table, words), "'{words}' is not in\n{table}");
+/// Asserts that each of `texts` is contained in some row of the table.
+pub fn assert_contains(table: &Table, texts: &[&str]) {
+    for text in texts {
+        assert!(contains_line(table, text), "'{text}' is not in\n{table}");
     }
 }
--- a/daisy-query/tests/explain.rs
+++ b/daisy-query/tests/explain.rs
@@ -1,35 +1,35 @@
-//! What a change would do, without doing it.
+//! `explain` reports the effects of a change without making it.
 
 mod common;
 
 use daisy_model::VmId;
 
-use crate::common::{Shop, assert_says, worker};
+use crate::common::{Fixture, assert_contains, worker};
 
 #[test]
-fn nothing_is_done() {
-    let shop = Shop::open();
-    let before = shop.state.clone();
+fn explaining_a_change_does_not_make_it() {
+    let fixture = Fixture::with_running_task();
+    let before = fixture.state.clone();
     for change in ["cancel job renders", "drain vm worker-12", "pause batch"] {
-        shop.ask(&format!("explain {change}"));
+        fixture.query(&format!("explain {change}"));
     }
-    assert_eq!(shop.state, before);
+    assert_eq!(fixture.state, before);
 }
 
 #[test]
-fn a_refusal_with_its_cause() {
-    let shop = Shop::open();
-    let unknown = shop.ask("explain cancel job absent");
-    let lost = shop.ask("explain change job renders tasks 5 if generation 2");
-    assert_says(&unknown, &["would be refused: job absent is unknown"]);
-    assert_says(&lost, &["at generation 3, rui said: create job renders"]);
+fn a_rejected_change_is_explained_with_its_cause() {
+    let fixture = Fixture::with_running_task();
+    let unknown = fixture.query("explain cancel job absent");
+    let conflicting = fixture.query("explain change job renders tasks 5 if generation 2");
+    assert_contains(&unknown, &["would be refused: job absent is unknown"]);
+    assert_contains(&conflicting, &["at generation 3, rui said: create job renders"]);
 }
 
 #[test]
-fn a_new_job_with_its_quota_and_room() {
-    let shop = Shop::open();
-    let table = shop.ask("explain create job big team shop tasks 4 cpu 12 memory 8Gi");
-    assert_says(
+fn a_new_job_is_explained_with_its_quota_and_the_free_capacity() {
+    let fixture = Fixture::with_running_task();
+    let table = fixture.query("explain create job big team shop tasks 4 cpu 12 memory 8Gi");
+    assert_contains(
         &table,
         &[
             "would be accepted",
@@ -40,22 +40,22 @@
     );
 }
 
-/// A job declares more than any worker holds. The operator learns at once that it could never
-/// run, and by how much the nearest worker falls short.
+/// A job declares more resources than any worker has. The operator learns at once that it can
+/// never run, and how much the most suitable worker lacks.
 #[test]
-fn the_nearest_miss_of_what_fits_nowhere() {
-    let mut shop = Shop::open();
-    shop.live.workers.insert(VmId(12), worker(18_000));
-    let table = shop.ask("explain create job big team shop cpu 20 memory 8Gi");
-    assert_says(
+fn a_job_that_fits_on_no_worker_is_explained_with_the_smallest_shortfall() {
+    let mut fixture = Fixture::with_running_task();
+    fixture.live.workers.insert(VmId(12), worker(18_000));
+    let table = fixture.query("explain create job big team shop cpu 20 memory 8Gi");
+    assert_contains(
         &table,
         &["a task fits on none of 3 known workers; the nearest, worker-12, lacks cpu 2000m"],
     );
 }
 
 #[test]
-fn tasks_that_a_change_touches() {
-    let shop = Shop::open();
+fn each_kind_of_change_is_explained_with_its_effects() {
+    let fixture = Fixture::with_running_task();
     let cases = [
         ("cancel job renders", "2 waiting tasks would never start"),
         ("cancel job renders", "1 running task would be stopped"),
@@ -70,7 +70,7 @@
         ("quota team new cpu 1 memory 1Gi", "new would be created"),
         ("publish policy tail=500", "tail: from 800 to 500"),
     ];
-    for (change, words) in cases {
-        assert_says(&shop.ask(&format!("explain {change}")), &[words]);
+    for (change, effect) in cases {
+        assert_contains(&fixture.query(&format!("explain {change}")), &[effect]);
     }
 }
--- a/daisy-query/tests/language.rs
+++ b/daisy-query/tests/language.rs
@@ -1,4 +1,4 @@
-//! Every example of the language's reference page is run.
+//! Runs every example of the language's reference page.
 
 mod common;
 
@@ -6,19 +6,19 @@
 use daisy_ledger::Outcome;
 use daisy_query::run;
 
-use crate::common::Shop;
+use crate::common::Fixture;
 
-/// Blocks of the page with their kind, in order.
+/// Returns the code blocks of the page with their info strings, in order.
 fn blocks(page: &str) -> Vec<(&str, String)> {
     let mut blocks: Vec<(&str, String)> = Vec::new();
-    let mut inside = false;
+    let mut is_inside = false;
     for line in page.lines() {
-        match (inside, line.strip_prefix("```")) {
+        match (is_inside, line.strip_prefix("```")) {
             (false, Some(kind)) => {
                 blocks.push((kind, String::new()));
-                inside = true;
+                is_inside = true;
             }
-            (true, Some(_)) => inside = false,
+            (true, Some(_)) => is_inside = false,
             (true, None) => {
                 let (_, text) = blocks.last_mut().expect("a block");
                 text.push_str(line);
@@ -36,9 +36,9 @@
 }
 
 #[test]
-fn every_example_does_what_the_page_says() {
+fn every_example_of_the_page_is_accepted_or_answered() {
     let page = page();
-    let mut shop = Shop::empty();
+    let mut fixture = Fixture::empty();
     let mut statements = 0;
     for (kind, source) in blocks(&page) {
         if kind != "daisyshift" {
@@ -49,11 +49,11 @@
             statements += 1;
             match &statement {
                 Statement::Change { command, condition } => {
-                    let outcome = shop.change("ana", command.clone(), *condition);
+                    let outcome = fixture.change("ana", command.clone(), *condition);
                     assert!(matches!(outcome, Outcome::Accepted(_)), "{statement}: {outcome:?}");
                 }
                 _ => {
-                    let table = run(&shop.state, &shop.live, &statement);
+                    let table = run(&fixture.state, &fixture.live, &statement);
                     let table = table.unwrap_or_else(|e| panic!("{statement}: {e}"));
                     assert!(!table.columns.is_empty(), "{statement}");
                 }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn findings_look_as_the_page_shows() {
+fn findings_are_rendered_as_the_page_shows() {
     let page = page();
     let blocks = blocks(&page);
     let at = blocks.iter().position(|(kind, _)| *kind == "daisyshift-error").expect("an example");
@@ -76,7 +76,7 @@
 #[test]
 fn the_page_names_every_table_and_column() {
     let page = page();
-    for target in daisy_language::Target::ALL {
+    for target in daisy_language::TableKind::ALL {
         assert!(page.contains(&format!("`{}`", target.word())), "{target:?}");
         let columns = target.columns().join(", ");
         assert!(page.contains(&columns), "{target:?}: {columns}");
--- a/daisy-query/tests/show.rs
+++ b/daisy-query/tests/show.rs
@@ -1,11 +1,11 @@
-//! Tables: rows, filters, order, counts.
+//! `show`: rows, filters, order and counts.
 
 mod common;
 
 use daisy_model::{VmId, WallTime};
 use daisy_query::{Error, Reason, Subject, Table, run};
 
-use crate::common::{Shop, one, renders};
+use crate::common::{Fixture, parse_one, render_task};
 
 fn column(table: &Table, name: &str) -> Vec<String> {
     let at = table.columns.iter().position(|it| *it == name).expect("a column");
@@ -13,12 +13,12 @@
 }
 
 #[test]
-fn tasks_with_what_runs() {
-    let shop = Shop::open();
+fn tasks_are_shown_with_where_they_run() {
+    let fixture = Fixture::with_running_task();
 
-    let table = shop.ask("show tasks where job = renders");
-    let numbered = shop.ask("show tasks where number = 1");
-    let named = shop.ask("show tasks where task like 'renders/%'");
+    let table = fixture.query("show tasks where job = renders");
+    let numbered = fixture.query("show tasks where number = 1");
+    let named = fixture.query("show tasks where task like 'renders/%'");
 
     assert_eq!(table, named);
     assert_eq!(table, numbered);
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn filters_compare_numbers_by_value_and_texts_as_text() {
-    let shop = Shop::open();
+fn filters_compare_numbers_by_value_and_other_cells_as_text() {
+    let fixture = Fixture::with_running_task();
     let count =
-        |query: &str| shop.ask(&format!("show tasks where {query} count")).rows[0][0].clone();
+        |query: &str| fixture.query(&format!("show tasks where {query} count")).rows[0][0].clone();
     let cases = [
         ("cpu > 1", "2"),
         ("cpu <= 0.5", "3"),
@@ -57,93 +57,94 @@
 }
 
 #[test]
-fn order_limit_and_count() {
-    let shop = Shop::open();
-    let by_cpu = shop.ask("show jobs order by cpu desc limit 1");
-    let counted = shop.ask("show tasks count by state");
-    let sorted = shop.ask("show tasks order by task limit 2");
+fn rows_are_ordered_limited_and_counted() {
+    let fixture = Fixture::with_running_task();
+    let by_cpu = fixture.query("show jobs order by cpu desc limit 1");
+    let counted = fixture.query("show tasks count by state");
+    let sorted = fixture.query("show tasks order by task limit 2");
     assert_eq!(column(&by_cpu, "job"), ["stock"]);
     assert_eq!(counted.rows, [["pending", "4"], ["running", "1"]]);
     assert_eq!(column(&sorted, "task"), ["renders/0", "renders/1"]);
 }
 
 #[test]
-fn jobs_services_and_teams() {
-    let mut shop = Shop::open();
-    shop.say("ana", "cancel job renders");
-    let jobs = shop.ask("show jobs");
+fn jobs_services_and_teams_are_shown() {
+    let mut fixture = Fixture::with_running_task();
+    fixture.execute("ana", "cancel job renders");
+    let jobs = fixture.query("show jobs");
     assert_eq!(column(&jobs, "state"), ["open", "stopping"]);
     assert_eq!(column(&jobs, "out"), ["0", "1"]);
-    assert_eq!(column(&shop.ask("show services"), "job"), ["stock"]);
-    let teams = shop.ask("show teams");
+    assert_eq!(column(&fixture.query("show services"), "job"), ["stock"]);
+    let teams = fixture.query("show teams");
     assert_eq!(column(&teams, "cpu-used"), ["500m"]);
     assert_eq!(column(&teams, "memory-used"), ["1024Mi"]);
 }
 
 #[test]
-fn workers_vms_and_holders() {
-    let mut shop = Shop::open();
-    shop.say("ana", "drain vm worker-13");
-    shop.live.workers.remove(&VmId(11));
-    let workers = shop.ask("show workers");
+fn workers_vms_and_holders_are_shown_with_their_state() {
+    let mut fixture = Fixture::with_running_task();
+    fixture.execute("ana", "drain vm worker-13");
+    fixture.live.workers.remove(&VmId(11));
+    let workers = fixture.query("show workers");
     assert_eq!(column(&workers, "state"), ["not-seen", "ready", "drained"]);
     assert_eq!(column(&workers, "cpu-free"), ["-", "16000m", "16000m"]);
-    let vms = shop.ask("show vms where role = entry");
+    let vms = fixture.query("show vms where role = entry");
     assert_eq!(column(&vms, "state"), ["holds braga", "-"]);
-    let holders = shop.ask("show holders");
+    let holders = fixture.query("show holders");
     assert_eq!(holders.rows, [["braga", "entry-1", "4", "held"]]);
 }
 
 #[test]
-fn changes_with_who_when_what_and_why() {
-    let mut shop = Shop::open();
-    shop.say("rui", "cancel job absent");
-    let refused = shop.ask("show changes where result = refused");
+fn changes_are_shown_with_operator_time_subject_and_cause() {
+    let mut fixture = Fixture::with_running_task();
+    fixture.execute("rui", "cancel job absent");
+    let refused = fixture.query("show changes where result = refused");
     assert_eq!(column(&refused, "who"), ["rui"]);
     assert_eq!(column(&refused, "cause"), ["job absent is unknown"]);
     assert_eq!(column(&refused, "statement"), ["cancel job absent"]);
     assert_eq!(column(&refused, "time"), ["2026-12-03T00:06:00Z"]);
-    let later = shop.ask("show changes where time >= '2026-12-03T00:02' and subject like 'job %'");
+    let later =
+        fixture.query("show changes where time >= '2026-12-03T00:02' and subject like 'job %'");
     assert_eq!(column(&later, "subject"), ["job renders", "job absent"]);
 }
 
 #[test]
 fn config_shows_policy_pauses_and_drains() {
-    let mut shop = Shop::open();
-    shop.say("ana", "publish policy tail=900");
-    shop.say("ana", "pause priority low");
-    shop.say("ana", "drain vm worker-13");
-    let config = shop.ask("show config where key = tail");
+    let mut fixture = Fixture::with_running_task();
+    fixture.execute("ana", "publish policy tail=900");
+    fixture.execute("ana", "pause priority low");
+    fixture.execute("ana", "drain vm worker-13");
+    let config = fixture.query("show config where key = tail");
     assert_eq!(config.rows, [["tail", "900", "7"]]);
-    assert_eq!(column(&shop.ask("show config where key = paused"), "value"), ["priority low"]);
-    assert_eq!(column(&shop.ask("show config where key = drained"), "value"), ["worker-13"]);
+    assert_eq!(column(&fixture.query("show config where key = paused"), "value"), ["priority low"]);
+    assert_eq!(column(&fixture.query("show config where key = drained"), "value"), ["worker-13"]);
 }
 
 #[test]
-fn a_change_is_not_answered() {
-    let shop = Shop::open();
-    let answer = run(&shop.state, &shop.live, &one("pause batch"));
+fn running_a_change_is_an_error() {
+    let fixture = Fixture::with_running_task();
+    let answer = run(&fixture.state, &fixture.live, &parse_one("pause batch"));
     assert_eq!(answer, Err(Error::Change));
 }
 
 #[test]
-fn tables_read_as_text() {
-    let shop = Shop::open();
-    let text = shop.ask("show holders").to_string();
+fn a_table_is_formatted_with_aligned_columns() {
+    let fixture = Fixture::with_running_task();
+    let text = fixture.query("show holders").to_string();
     assert_eq!(text, "dc     holder   epoch  state\nbraga  entry-1  4      held\n");
 }
 
-/// A column that no code fills would read `-` in every row and go unnoticed.
+/// A column that no code fills would be `-` in every row, which is easily overlooked.
 #[test]
 fn every_column_of_every_table_is_filled() {
-    let mut shop = Shop::open();
-    shop.say("rui", "cancel job absent");
-    for subject in [Subject::Task(renders(0)), Subject::Vm(VmId(12))] {
+    let mut fixture = Fixture::with_running_task();
+    fixture.execute("rui", "cancel job absent");
+    for subject in [Subject::Task(render_task(0)), Subject::Vm(VmId(12))] {
         let (at, text) = (WallTime(0), "because".into());
-        shop.live.reasons.push(Reason { at, subject, text });
+        fixture.live.reasons.push(Reason { at, subject, text });
     }
-    for target in daisy_language::Target::ALL {
-        let table = shop.ask(&format!("show {}", target.word()));
+    for target in daisy_language::TableKind::ALL {
+        let table = fixture.query(&format!("show {}", target.word()));
         assert_eq!(table.columns, target.columns());
         for name in target.columns() {
             let cells = column(&table, name);
--- a/daisy-query/tests/why.rs
+++ b/daisy-query/tests/why.rs
@@ -1,4 +1,4 @@
-//! The chain of decisions in words.
+//! `why` describes the chain of decisions.
 
 mod common;
 
@@ -6,19 +6,23 @@
 use daisy_model::{DcId, Ended, Exit, Incarnation, VmId, WallTime};
 use daisy_query::{Error, Reason, Subject, WorkerState, run};
 
-use crate::common::{Shop, assert_says, one, renders};
+use crate::common::{Fixture, assert_contains, parse_one, render_task};
 
-fn decided(shop: &mut Shop, subject: Subject, text: &str) {
+fn add_decision(fixture: &mut Fixture, subject: Subject, text: &str) {
     let at = WallTime(1_796_256_000_000);
-    shop.live.reasons.push(Reason { at, subject, text: text.into() });
+    fixture.live.reasons.push(Reason { at, subject, text: text.into() });
 }
 
 #[test]
-fn a_running_task_from_declaration_to_worker() {
-    let mut shop = Shop::open();
-    decided(&mut shop, Subject::Task(renders(0)), "throttled: stock was slowed down by 1.4");
-    let table = shop.ask("why task renders/0");
-    assert_says(
+fn a_running_task_is_described_from_its_declaration_to_its_worker() {
+    let mut fixture = Fixture::with_running_task();
+    add_decision(
+        &mut fixture,
+        Subject::Task(render_task(0)),
+        "throttled: stock was slowed down by 1.4",
+    );
+    let table = fixture.query("why task renders/0");
+    assert_contains(
         &table,
         &[
             "declared: batch renders of team shop: 3 tasks of cpu 500m memory 1024Mi",
@@ -32,13 +36,13 @@
 }
 
 #[test]
-fn a_waiting_task_with_what_holds_it_up() {
-    let mut shop = Shop::open();
-    shop.say("ana", "pause batch");
-    shop.say("ana", "quota team shop cpu 500m memory 64Gi");
-    decided(&mut shop, Subject::Job(renders(0).job), "fits nowhere now");
-    let table = shop.ask("why task 1/2");
-    assert_says(
+fn a_waiting_task_is_described_with_what_it_waits_for() {
+    let mut fixture = Fixture::with_running_task();
+    fixture.execute("ana", "pause batch");
+    fixture.execute("ana", "quota team shop cpu 500m memory 64Gi");
+    add_decision(&mut fixture, Subject::Job(render_task(0).job), "fits nowhere now");
+    let table = fixture.query("why task 1/2");
+    assert_contains(
         &table,
         &[
             "ledger: waits: no data centre has checked it out",
@@ -50,44 +54,44 @@
     );
 }
 
-/// A task was evicted and its job's holder changed. The operator sees which incarnation will
-/// resume which checkpoint, and who holds the data centre now.
+/// A task is evicted, and the holder of its data centre changes. The operator sees which
+/// incarnation will resume which checkpoint, and which VM holds the data centre now.
 #[test]
-fn an_evicted_task_and_a_change_of_holder() {
-    let mut shop = Shop::open();
-    let epoch = shop.claim(0, 2);
-    let taken_over = shop.ask("why task renders/0");
+fn an_evicted_task_is_described_with_its_checkpoint_and_the_new_holder() {
+    let mut fixture = Fixture::with_running_task();
+    let epoch = fixture.claim(0, 2);
+    let taken_over = fixture.query("why task renders/0");
     let exit = Exit::Checkpointed(77);
-    let ended = Ended { task: renders(0), incarnation: Incarnation(1), exit };
-    shop.append(Record::Ended { dc: DcId(0), epoch, exits: vec![ended] });
-    let evicted = shop.ask("why task renders/0");
-    assert_says(&taken_over, &["entry-2 took braga over under epoch 7"]);
-    assert_says(&evicted, &["incarnation 2 will resume checkpoint 77"]);
+    let ended = Ended { task: render_task(0), incarnation: Incarnation(1), exit };
+    fixture.append(Record::Ended { dc: DcId(0), epoch, exits: vec![ended] });
+    let evicted = fixture.query("why task renders/0");
+    assert_contains(&taken_over, &["entry-2 took braga over under epoch 7"]);
+    assert_contains(&evicted, &["incarnation 2 will resume checkpoint 77"]);
 }
 
-/// A worker is cut off with a task on it. The operator sees why the task is not started
-/// elsewhere: it may still run there, and would then run in two places.
+/// A worker with a task becomes unreachable. The operator sees why the task is not started
+/// elsewhere: it may still run there, and would then run twice.
 #[test]
-fn a_task_on_a_silent_worker_is_blocked() {
-    let mut shop = Shop::open();
-    shop.live.tasks.remove(&renders(0));
-    shop.live.workers.get_mut(&VmId(12)).expect("a worker").state = WorkerState::Silent;
-    let blocked = shop.ask("show tasks where state = blocked");
+fn a_task_on_a_worker_that_does_not_answer_is_blocked() {
+    let mut fixture = Fixture::with_running_task();
+    fixture.live.tasks.remove(&render_task(0));
+    fixture.live.workers.get_mut(&VmId(12)).expect("a worker").state = WorkerState::Silent;
+    let blocked = fixture.query("show tasks where state = blocked");
     assert_eq!(blocked.rows.len(), 1);
-    assert_says(
-        &shop.ask("why task renders/0"),
+    assert_contains(
+        &fixture.query("why task renders/0"),
         &["no worker that this process knows reports it", "blocked: worker-12 does not answer"],
     );
 }
 
 #[test]
-fn a_task_of_unknown_fate_is_not_run_again() {
-    let mut shop = Shop::open();
-    let epoch = shop.claim(0, 1);
-    let ended = Ended { task: renders(0), incarnation: Incarnation(1), exit: Exit::Unknown };
-    shop.append(Record::Ended { dc: DcId(0), epoch, exits: vec![ended] });
-    let table = shop.ask("why task renders/0");
-    assert_says(
+fn a_task_with_an_unknown_outcome_is_not_run_again() {
+    let mut fixture = Fixture::with_running_task();
+    let epoch = fixture.claim(0, 1);
+    let ended = Ended { task: render_task(0), incarnation: Incarnation(1), exit: Exit::Unknown };
+    fixture.append(Record::Ended { dc: DcId(0), epoch, exits: vec![ended] });
+    let table = fixture.query("why task renders/0");
+    assert_contains(
         &table,
         &[
             "its worker is gone, and whether it did its work is unknown",
@@ -97,22 +101,26 @@
 }
 
 #[test]
-fn jobs_vms_and_request_classes() {
-    let mut shop = Shop::open();
-    shop.say("ana", "drain vm worker-12");
-    shop.say("ana", "publish policy retry-budget=50");
-    let silent = shop.live.workers.get_mut(&VmId(12)).expect("a worker");
+fn jobs_vms_and_request_classes_are_described() {
+    let mut fixture = Fixture::with_running_task();
+    fixture.execute("ana", "drain vm worker-12");
+    fixture.execute("ana", "publish policy retry-budget=50");
+    let silent = fixture.live.workers.get_mut(&VmId(12)).expect("a worker");
     silent.state = WorkerState::Silent;
-    decided(&mut shop, Subject::RequestClass("stock/keyed".into()), "refused: no time left");
+    add_decision(
+        &mut fixture,
+        Subject::RequestClass("stock/keyed".into()),
+        "refused: no time left",
+    );
 
-    assert_says(&shop.ask("why job renders"), &["tasks: 2 waiting, 1 out, 0 ended"]);
-    assert_says(
-        &shop.ask("why vm worker-12"),
+    assert_contains(&fixture.query("why job renders"), &["tasks: 2 waiting, 1 out, 0 ended"]);
+    assert_contains(
+        &fixture.query("why vm worker-12"),
         &["drained by ana at", "tasks recorded there: 1", "does not answer"],
     );
-    assert_says(&shop.ask("why vm entry-1"), &["holds braga under epoch 4"]);
-    assert_says(
-        &shop.ask("why request-class stock/keyed"),
+    assert_contains(&fixture.query("why vm entry-1"), &["holds braga under epoch 4"]);
+    assert_contains(
+        &fixture.query("why request-class stock/keyed"),
         &[
             "service stock of team shop",
             "retries add at most 50 thousandths",
@@ -124,7 +132,7 @@
 
 #[test]
 fn unknown_subjects_are_errors() {
-    let shop = Shop::open();
+    let fixture = Fixture::with_running_task();
     let cases = [
         ("why task absent/0", "task absent/0 is unknown, or its job ended long ago"),
         ("why task renders/9", "task renders/9 is unknown, or its job ended long ago"),
@@ -132,7 +140,8 @@
         ("why vm absent", "vm absent is not in the platform's list"),
     ];
     for (source, expected) in cases {
-        let error: Error = run(&shop.state, &shop.live, &one(source)).expect_err("unknown");
+        let error: Error =
+            run(&fixture.state, &fixture.live, &parse_one(source)).expect_err("unknown");
         assert_eq!(error.to_string(), expected);
     }
 }
