--- a/daisy-settings/src/fields.rs
+++ b/daisy-settings/src/fields.rs
@@ -1,4 +1,4 @@
-//! Takes the fields of a mapping one by one and collects what is wrong with them.
+//! Reads the fields of a mapping one by one, and collects the errors in them.
 
 use std::{fmt::Display, str::FromStr, time::Duration};
 
@@ -6,162 +6,169 @@
 
 use crate::{
     finding::Finding,
-    node::{Node, Place},
+    node::{Node, Position},
 };
 
-/// Everything found so far.
+/// The errors found so far.
 #[derive(Debug, Default)]
 pub(crate) struct Findings(pub(crate) Vec<Finding>);
 
 impl Findings {
-    /// Adds a finding at `place`.
-    pub(crate) fn add(&mut self, place: Place, message: String) {
-        self.0.push(Finding { line: place.line, column: place.column, message });
+    /// Adds a finding at `position`.
+    pub(crate) fn add(&mut self, position: Position, message: String) {
+        self.0.push(Finding { line: position.line, column: position.column, message });
     }
 }
 
-/// A value and where it stood.
+/// A value with its position.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct At<T> {
-    pub(crate) place: Place,
+pub(crate) struct Located<T> {
+    pub(crate) position: Position,
     pub(crate) value: T,
 }
 
-/// The fields of one mapping that are not taken yet.
+/// The fields of one mapping that have not been read yet.
 #[derive(Debug)]
 pub(crate) struct Fields {
-    place: Place,
+    position: Position,
     rest: Vec<(Spanned<String>, Spanned<Node>)>,
 }
 
 impl Fields {
-    /// The fields of `node`; a finding if it is no mapping.
-    pub(crate) fn new(node: Spanned<Node>, what: &str, findings: &mut Findings) -> Fields {
-        let place = Place::from(&node);
+    /// Creates the fields of `node`, and adds a finding if it is not a mapping. Findings call the
+    /// mapping `name`.
+    pub(crate) fn new(node: Spanned<Node>, name: &str, findings: &mut Findings) -> Fields {
+        let position = Position::from(&node);
         let rest = match node.value {
             Node::Mapping(entries) => entries,
             other => {
-                let found = other.kind();
-                findings.add(place, format!("{what}: found {found}, expected a mapping"));
+                let found = other.kind_text();
+                findings.add(position, format!("{name}: found {found}, expected a mapping"));
                 Vec::new()
             }
         };
-        Fields { place, rest }
+        Fields { position, rest }
     }
 
-    /// Where the mapping starts.
-    pub(crate) fn place(&self) -> Place {
-        self.place
+    /// Returns the position at which the mapping starts.
+    pub(crate) fn position(&self) -> Position {
+        self.position
     }
 
-    /// The node of an optional field; a finding if the field is given twice.
+    /// Removes and returns the node of an optional field; adds a finding if the field is given
+    /// more than once.
     pub(crate) fn try_node(
         &mut self,
         name: &str,
         findings: &mut Findings,
     ) -> Option<Spanned<Node>> {
-        let at = self.rest.iter().position(|(key, _)| key.value == name)?;
-        let (_, node) = self.rest.remove(at);
-        while let Some(again) = self.rest.iter().position(|(key, _)| key.value == name) {
-            let (key, _) = self.rest.remove(again);
-            findings.add(Place::from(&key), format!("{name}: given twice"));
+        let index = self.rest.iter().position(|(key, _)| key.value == name)?;
+        let (_, node) = self.rest.remove(index);
+        while let Some(duplicate) = self.rest.iter().position(|(key, _)| key.value == name) {
+            let (key, _) = self.rest.remove(duplicate);
+            findings.add(Position::from(&key), format!("{name}: given twice"));
         }
         Some(node)
     }
 
-    /// The node of a required field.
+    /// Removes and returns the node of a required field; adds a finding if it is missing.
     pub(crate) fn node(&mut self, name: &str, findings: &mut Findings) -> Option<Spanned<Node>> {
         let node = self.try_node(name, findings);
         if node.is_none() {
-            findings.add(self.place, format!("{name}: missing"));
+            findings.add(self.position, format!("{name}: missing"));
         }
         node
     }
 
-    /// The parsed value of an optional field.
+    /// Parses the value of an optional field.
     pub(crate) fn try_value<T: FromStr<Err: Display>>(
         &mut self,
         name: &str,
         expected: &str,
         findings: &mut Findings,
-    ) -> Option<At<T>> {
+    ) -> Option<Located<T>> {
         let node = self.try_node(name, findings)?;
         parse(node, name, expected, findings)
     }
 
-    /// The parsed value of a required field.
+    /// Parses the value of a required field.
     pub(crate) fn value<T: FromStr<Err: Display>>(
         &mut self,
         name: &str,
         expected: &str,
         findings: &mut Findings,
-    ) -> Option<At<T>> {
+    ) -> Option<Located<T>> {
         let node = self.node(name, findings)?;
         parse(node, name, expected, findings)
     }
 
-    /// The items of an optional list.
+    /// Returns the items of an optional list.
     pub(crate) fn list(&mut self, name: &str, findings: &mut Findings) -> Vec<Spanned<Node>> {
         let Some(node) = self.try_node(name, findings) else { return Vec::new() };
-        let place = Place::from(&node);
+        let position = Position::from(&node);
         match node.value {
             Node::List(items) => items,
             Node::Null => Vec::new(),
             other => {
-                findings.add(place, format!("{name}: found {}, expected a list", other.kind()));
+                findings
+                    .add(position, format!("{name}: found {}, expected a list", other.kind_text()));
                 Vec::new()
             }
         }
     }
 
-    /// Overwrites `into` with a number that must be at least `min`.
-    pub(crate) fn number<T>(&mut self, name: &str, min: T, into: &mut T, findings: &mut Findings)
+    /// Reads an optional number into `target`; adds a finding if it is less than `min`.
+    pub(crate) fn number<T>(&mut self, name: &str, min: T, target: &mut T, findings: &mut Findings)
     where
         T: FromStr<Err: Display> + PartialOrd + Display + Copy,
     {
-        let Some(At { place, value }) = self.try_value(name, "a whole number", findings) else {
+        let Some(Located { position, value }) = self.try_value(name, "a whole number", findings)
+        else {
             return;
         };
         if value < min {
-            findings.add(place, format!("{name}: {value} is below the least, {min}"));
+            findings.add(position, format!("{name}: {value} is less than the minimum, {min}"));
             return;
         }
-        *into = value;
+        *target = value;
     }
 
-    /// Overwrites `into` with a number of milliseconds, at least 1.
-    pub(crate) fn millis(&mut self, name: &str, into: &mut Duration, findings: &mut Findings) {
-        let mut millis = u64::try_from(into.as_millis()).unwrap_or(u64::MAX);
+    /// Reads an optional number of milliseconds, at least 1, into `target`.
+    pub(crate) fn millis(&mut self, name: &str, target: &mut Duration, findings: &mut Findings) {
+        let mut millis = u64::try_from(target.as_millis()).unwrap_or(u64::MAX);
         self.number(name, 1, &mut millis, findings);
-        *into = Duration::from_millis(millis);
+        *target = Duration::from_millis(millis);
     }
 
-    /// A finding for each field that nobody took.
+    /// Adds a finding for each field that has not been read; these are unknown.
     pub(crate) fn finish(self, known: &[&str], findings: &mut Findings) {
         for (key, _) in self.rest {
             let name = &key.value;
             let known = known.join(", ");
-            findings.add(Place::from(&key), format!("{name}: unknown; known here: {known}"));
+            findings.add(Position::from(&key), format!("{name}: unknown; known here: {known}"));
         }
     }
 }
 
-/// The value of a scalar node, or a finding.
+/// Parses the value of a scalar node, or adds a finding.
 pub(crate) fn parse<T: FromStr<Err: Display>>(
     node: Spanned<Node>,
     name: &str,
     expected: &str,
     findings: &mut Findings,
-) -> Option<At<T>> {
-    let place = Place::from(&node);
+) -> Option<Located<T>> {
+    let position = Position::from(&node);
     let Node::Scalar(text) = node.value else {
-        findings.add(place, format!("{name}: found {}, expected {expected}", node.value.kind()));
+        findings.add(
+            position,
+            format!("{name}: found {}, expected {expected}", node.value.kind_text()),
+        );
         return None;
     };
     match text.parse() {
-        Ok(value) => Some(At { place, value }),
+        Ok(value) => Some(Located { position, value }),
         Err(e) => {
-            findings.add(place, format!("{name}: found \"{text}\", expected {expected} ({e})"));
+            findings.add(position, format!("{name}: found \"{text}\", expected {expected} ({e})"));
             None
         }
     }
--- a/daisy-settings/src/finding.rs
+++ b/daisy-settings/src/finding.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a settings file, and where.
+//! Errors in a settings file, with their positions.
 
 use std::fmt;
 
-/// One thing that is wrong, with its place.
+/// An error in a settings file, with its position.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// Line of the text, from 1.
+    /// The line in the text, from 1.
     pub line: u64,
-    /// Column in characters, from 1.
+    /// The column in characters, from 1.
     pub column: u64,
-    /// What was found and what was expected.
+    /// What was found, and what was expected.
     pub message: String,
 }
 
--- a/daisy-settings/src/lib.rs
+++ b/daisy-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Checked settings of an entry VM's process.
+//! Validated settings of an entry VM's process.
 //!
-//! [`read()`] takes the YAML text and gives either [`Settings`] that hold together, or
-//! every [`Finding`] at once with its line and column.
+//! [`read()`] parses the YAML text and returns either consistent [`Settings`], or all
+//! [`Finding`]s at once, each with its line and column.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-settings/src/node.rs
+++ b/daisy-settings/src/node.rs
@@ -1,42 +1,42 @@
-//! A YAML document as a tree in which every node knows its place.
+//! A YAML document as a tree of nodes with their positions.
 //!
-//! Deserializing straight into the settings would stop at the first mistake; the tree
-//! lets all of them be found in one pass.
+//! Deserializing directly into the settings would stop at the first error. With the tree, all
+//! errors are found in one pass.
 
 use std::fmt;
 
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::Spanned;
 
-/// A place in the text, from line 1 and column 1.
+/// A position in the text; lines and columns count from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Position {
     pub(crate) line: u64,
     pub(crate) column: u64,
 }
 
-impl<T> From<&Spanned<T>> for Place {
-    fn from(spanned: &Spanned<T>) -> Place {
-        Place { line: spanned.referenced.line(), column: spanned.referenced.column() }
+impl<T> From<&Spanned<T>> for Position {
+    fn from(spanned: &Spanned<T>) -> Position {
+        Position { line: spanned.referenced.line(), column: spanned.referenced.column() }
     }
 }
 
-/// What a node holds.
+/// The content of a node.
 #[derive(Debug, Clone)]
 pub(crate) enum Node {
-    /// Nothing after the colon.
+    /// No value after the colon.
     Null,
-    /// Anything that is neither list nor mapping, as written.
+    /// A value that is neither a list nor a mapping, as text.
     Scalar(String),
     /// A list.
     List(Vec<Spanned<Node>>),
-    /// A mapping, in the text's order.
+    /// A mapping, in the order of the text.
     Mapping(Vec<(Spanned<String>, Spanned<Node>)>),
 }
 
 impl Node {
-    /// The kind of node, for messages.
-    pub(crate) fn kind(&self) -> &'static str {
+    /// Returns the kind of the node, for messages.
+    pub(crate) fn kind_text(&self) -> &'static str {
         match self {
             Node::Null => "nothing",
             Node::Scalar(_) => "a value",
--- a/daisy-settings/src/settings.rs
+++ b/daisy-settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry VM's process, checked.
+//! The validated settings of an entry VM's process.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -7,34 +7,35 @@
 
 use daisy_model::{DcId, Name, VmId};
 
-/// Settings of one entry VM's process.
+/// The settings of an entry VM's process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// The VM's name, as in the platform's VM list.
     pub name: Name,
     /// The platform's number of this VM.
     pub vm: VmId,
-    /// The data centre of this VM, by position in `data_centres`.
+    /// The data centre of this VM, as an index into `data_centres`.
     pub data_centre: DcId,
     /// All data centres, in the order of the platform's numbers.
     pub data_centres: Vec<DataCentre>,
-    /// Address for callers' HTTP, and for `/healthz`, `/readyz` and `/metrics`.
+    /// The address to listen on for callers' HTTP requests, and for `/healthz`, `/readyz` and
+    /// `/metrics`.
     pub callers: SocketAddr,
-    /// Address for other entry VMs' h2.
+    /// The address to listen on for HTTP/2 connections of other entry VMs.
     pub peers: SocketAddr,
-    /// Address for operators' HTTP.
+    /// The address to listen on for operators' HTTP requests.
     pub operators: SocketAddr,
-    /// Address of the platform's log and VM list.
+    /// The address of the platform's log and VM list.
     pub platform: SocketAddr,
-    /// Who may change things, by token; with none, nobody may.
+    /// The operators and their tokens; if empty, no operator is allowed.
     pub operator_tokens: Vec<Operator>,
-    /// Addresses that peers may connect from; empty for any.
+    /// The addresses from which peers may connect; if empty, any address is allowed.
     pub allowed_peers: Vec<IpAddr>,
-    /// Events below this level are not logged.
+    /// The least severe level that is logged.
     pub log_level: LogLevel,
-    /// Bounds against abuse.
+    /// Limits against abuse.
     pub limits: Limits,
-    /// Periods and timeouts.
+    /// Intervals and timeouts.
     pub timing: Timing,
 }
 
@@ -47,48 +48,49 @@
     pub region: Name,
 }
 
-/// An operator and the token that proves it.
+/// An operator, with the token for authentication.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Operator {
     /// The operator's name, for the audit trail.
     pub who: Name,
-    /// At least [`Operator::MIN_TOKEN`] characters.
+    /// The token, of at least [`Operator::MIN_TOKEN_LEN`] bytes.
     pub token: Box<str>,
 }
 
 impl Operator {
-    /// The shortest token, in bytes: 16 hexadecimal digits are 64 bits, beyond guessing online.
-    pub const MIN_TOKEN: usize = 16;
+    /// The minimum length of a token in bytes: 16 hexadecimal digits are 64 bits, too many to guess
+    /// online.
+    pub const MIN_TOKEN_LEN: usize = 16;
 }
 
-/// Which events are logged.
+/// The level of detail of the log; each level includes the ones before it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogLevel {
     /// Failures only.
     Error,
-    /// And what an operator should look at.
+    /// Conditions that an operator should check.
     Warn,
-    /// And each change of state.
+    /// Each change of state.
     #[default]
     Info,
-    /// And each decision.
+    /// Each decision.
     Debug,
     /// Everything.
     Trace,
 }
 
-/// Bounds against abuse on the callers' port.
+/// Limits against abuse on the callers' port.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's body.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Bytes of a request's head.
+    /// The maximum size of a request head, in bytes.
     pub header_bytes: u32,
-    /// Callers' connections open at one time.
+    /// The maximum number of open connections of callers.
     pub connections: u32,
-    /// Time in which a head must have come.
+    /// The time within which a request head must be received.
     pub header_timeout: Duration,
-    /// Idempotency keys remembered.
+    /// The maximum number of idempotency keys stored.
     pub keys: u32,
 }
 
@@ -104,20 +106,22 @@
     }
 }
 
-/// Periods and timeouts.
+/// Intervals and timeouts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
-    /// Between heartbeats to peers of the data centre.
+    /// The interval between heartbeats to peers in the same data centre.
     pub heartbeat: Duration,
-    /// Silence after which a holder is replaced.
+    /// The time without a heartbeat after which a holder is replaced.
     pub holder_timeout: Duration,
-    /// A worker's lease; longer than a change-over of holders.
+    /// The duration of a worker's lease; longer than a change of holder takes.
     pub worker_lease: Duration,
-    /// Between not ready and the close of the callers' port in a planned stop.
+    /// The delay, in a planned stop, between reporting not ready and closing the callers' port, in
+    /// which the balancer notices.
     pub balancer_delay: Duration,
-    /// Between reads of the VM list.
+    /// The interval between reads of the VM list.
     pub vm_list: Duration,
-    /// How long the platform's log is sure to keep a record; snapshots come well before.
+    /// The time for which the platform's log is guaranteed to keep a record; snapshots are written
+    /// well before it has passed.
     pub log_retention: Duration,
 }
 
--- a/daisy-settings/tests/operating_page.rs
+++ b/daisy-settings/tests/operating_page.rs
@@ -1,4 +1,4 @@
-//! The settings table of `docs/OPERATING.md` against the program.
+//! Checks that the settings table of `docs/OPERATING.md` agrees with the program.
 
 use daisy_settings::{Settings, read};
 
@@ -33,7 +33,7 @@
 }
 
 fn defaults() -> Settings {
-    read(REQUIRED).expect("the required settings suffice")
+    read(REQUIRED).expect("the required settings are sufficient")
 }
 
 fn yaml(name: &str, value: &str) -> String {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn defaults_are_as_the_page_says() {
+fn defaults_agree_with_the_page() {
     for row in rows().iter().filter(|row| row.default != "required") {
         let given = read(&yaml(row.name, row.default));
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn required_settings_are_as_the_page_says() {
+fn settings_that_the_page_calls_required_are_required() {
     for row in rows().iter().filter(|row| row.default == "required") {
         let without: String = REQUIRED
             .split_inclusive('\n')
--- a/daisy-settings/tests/read.rs
+++ b/daisy-settings/tests/read.rs
@@ -1,11 +1,11 @@
-//! Reading settings: what is accepted, and that every mistake is found with its place.
+//! Reading settings: what is accepted, and that all errors are found with their positions.
 
 use std::time::Duration;
 
 use daisy_model::{DcId, VmId};
 use daisy_settings::{LogLevel, Settings, read};
 
-fn good() -> &'static str {
+fn valid() -> &'static str {
     "\
 name: entry-1
 vm: 7
@@ -29,12 +29,12 @@
 }
 
 fn findings(text: &str) -> Vec<String> {
-    read(text).expect_err("must be refused").iter().map(ToString::to_string).collect()
+    read(text).expect_err("must be rejected").iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn good_settings_are_read_whole() {
-    let settings: Settings = read(good()).expect("good settings");
+fn valid_settings_are_read_completely() {
+    let settings: Settings = read(valid()).expect("valid settings");
 
     assert_eq!(settings.name.as_str(), "entry-1");
     assert_eq!(settings.vm, VmId(7));
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn every_mistake_is_found_with_its_place() {
-    let text = good()
+fn all_errors_are_found_with_their_positions() {
+    let text = valid()
         .replace("vm: 7", "vm: many")
         .replace("callers: 127.0.0.1:8080", "callers: localhost")
         .replace("log_level: debug", "log_level: loud\ncolour: red");
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn settings_that_contradict_one_another_are_refused() {
-    let text = good()
+fn inconsistent_settings_are_rejected() {
+    let text = valid()
         .replace("data_centre: braga", "data_centre: lisbon")
         .replace("peers: 127.0.0.1:8081", "peers: 127.0.0.1:8080")
         .replace("heartbeat_ms: 100", "heartbeat_ms: 5000");
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn short_and_doubled_tokens_are_refused() {
-    let text = good().replace(
+fn short_and_duplicate_tokens_are_rejected() {
+    let text = valid().replace(
         "  - {who: ana, token: 0123456789abcdef}",
         "  - {who: ana, token: short}\n  - {who: rui, token: short}",
     );
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn text_that_is_no_yaml_gives_one_place() {
+fn invalid_yaml_has_a_single_finding() {
     let found = findings("name: [entry");
 
     assert_eq!(found.len(), 1, "{found:#?}");
