--- a/daisy-language/src/column.rs
+++ b/daisy-language/src/column.rs
@@ -1,25 +1,25 @@
-//! Tables that can be shown, and their columns.
+//! The tables of `show`, and their columns.
 
-/// A table that can be shown.
+/// A table that `show` can display.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableKind {
-    /// Tasks of all jobs.
+    /// The tasks of all jobs.
     Tasks,
     /// Services and batch jobs.
     Jobs,
-    /// Services only.
+    /// Only services.
     Services,
     /// Workers.
     Workers,
     /// Teams and their quotas.
     Teams,
-    /// All VMs of the platform's list.
+    /// All VMs in the platform's list.
     Vms,
-    /// The policy in force.
+    /// The published policy, paused classes and drained VMs.
     Config,
     /// The audit trail.
     Changes,
-    /// Holders of data centres.
+    /// The holders of data centres.
     Holders,
 }
 
@@ -41,7 +41,7 @@
 ];
 
 impl TableKind {
-    /// All tables.
+    /// All tables, in the order in which findings list them.
     pub const ALL: [TableKind; 9] = [
         TableKind::Tasks,
         TableKind::Jobs,
@@ -54,8 +54,8 @@
         TableKind::Holders,
     ];
 
-    /// The word that names the table.
-    pub fn word(self) -> &'static str {
+    /// Returns the keyword that names the table.
+    pub fn keyword(self) -> &'static str {
         match self {
             TableKind::Tasks => "tasks",
             TableKind::Jobs => "jobs",
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The table's columns, in the order shown.
+    /// Returns the table's columns, in the order in which they are shown.
     pub fn columns(self) -> &'static [&'static str] {
         match self {
             TableKind::Tasks => &[
@@ -124,8 +124,8 @@
         }
     }
 
-    /// The column called `word`.
-    pub fn try_column(self, word: &str) -> Option<&'static str> {
-        self.columns().iter().copied().find(|it| *it == word)
+    /// Returns the column with the name `name`, if there is one.
+    pub fn try_column(self, name: &str) -> Option<&'static str> {
+        self.columns().iter().copied().find(|it| *it == name)
     }
 }
--- a/daisy-language/src/cursor.rs
+++ b/daisy-language/src/cursor.rs
@@ -1,15 +1,15 @@
-//! Walks over the tokens of one statement and collects findings.
+//! Reads the tokens of one statement, and collects findings.
 
 use daisy_model::Name;
 
 use crate::{
     Comparison, Finding, Span,
-    token::{Kind, Token},
+    token::{Token, TokenKind},
 };
 
-/// A place among the tokens of one statement.
+/// A position in the tokens of one statement.
 ///
-/// Methods that expect something give `None` after they have noted a finding.
+/// Methods that expect a token return `None` if it is not there, after adding a finding.
 #[derive(Debug)]
 pub(crate) struct Cursor<'s> {
     source: &'s str,
@@ -19,7 +19,7 @@
 }
 
 impl<'s> Cursor<'s> {
-    /// A cursor at the first of `tokens`, of which there is at least one.
+    /// Creates a cursor at the first of `tokens`, which must not be empty.
     pub(crate) fn new(source: &'s str, tokens: &'s [Token]) -> Cursor<'s> {
         Cursor { source, tokens, at: 0, findings: Vec::new() }
     }
@@ -28,7 +28,7 @@
         self.findings
     }
 
-    pub(crate) fn is_done(&self) -> bool {
+    pub(crate) fn is_at_end(&self) -> bool {
         self.at >= self.tokens.len()
     }
 
@@ -36,12 +36,12 @@
         !self.findings.is_empty()
     }
 
-    /// The text of the present token, empty at the end.
+    /// Returns the text of the current token, or an empty text at the end.
     pub(crate) fn text(&self) -> &'s str {
         &self.source[self.span()]
     }
 
-    /// The place of the present token; empty, after the last one, at the end.
+    /// Returns the span of the current token, or an empty span after the last token at the end.
     pub(crate) fn span(&self) -> Span {
         match self.tokens.get(self.at) {
             Some(token) => token.span.clone(),
@@ -52,7 +52,7 @@
         }
     }
 
-    pub(crate) fn kind(&self) -> Option<Kind> {
+    pub(crate) fn kind(&self) -> Option<TokenKind> {
         self.tokens.get(self.at).map(|it| it.kind)
     }
 
@@ -60,17 +60,17 @@
         self.at += 1;
     }
 
-    /// Whether the present token is the word `word`.
+    /// Returns whether the current token is the word `word`.
     pub(crate) fn is_word(&self, word: &str) -> bool {
-        self.kind() == Some(Kind::Word) && self.text() == word
+        self.kind() == Some(TokenKind::Word) && self.text() == word
     }
 
-    /// Whether the present token is one of `words`.
-    pub(crate) fn is_any(&self, words: &[&str]) -> bool {
+    /// Returns whether the current token is one of `words`.
+    pub(crate) fn is_one_of(&self, words: &[&str]) -> bool {
         words.iter().any(|word| self.is_word(word))
     }
 
-    /// Takes the word `word` if it is there.
+    /// Consumes the current token if it is the word `word`; returns whether it was.
     pub(crate) fn accept(&mut self, word: &str) -> bool {
         let found = self.is_word(word);
         if found {
@@ -79,67 +79,67 @@
         found
     }
 
-    /// Takes a comma if it is there.
+    /// Consumes the current token if it is a comma; returns whether it was.
     pub(crate) fn accept_comma(&mut self) -> bool {
-        let found = self.kind() == Some(Kind::Comma);
+        let found = self.kind() == Some(TokenKind::Comma);
         if found {
             self.skip();
         }
         found
     }
 
-    /// Notes that `expected` should stand at the present token.
+    /// Adds a finding that `expected` was expected at the current token.
     pub(crate) fn fail<T>(&mut self, expected: impl Into<String>) -> Option<T> {
         let span = self.span();
         self.fail_at(span, expected)
     }
 
-    /// Notes that `expected` should stand at `span`.
+    /// Adds a finding that `expected` was expected at `span`.
     pub(crate) fn fail_at<T>(&mut self, span: Span, expected: impl Into<String>) -> Option<T> {
         self.findings.push(Finding::new(self.source, span, expected.into()));
         None
     }
 
-    /// Takes the word `word`.
+    /// Consumes the word `word`.
     pub(crate) fn expect(&mut self, word: &str) -> Option<()> {
         if self.accept(word) { Some(()) } else { self.fail(format!("'{word}'")) }
     }
 
-    /// Takes one of `words`.
-    pub(crate) fn one_of<'w>(&mut self, words: &[&'w str]) -> Option<&'w str> {
+    /// Consumes one of `words`, and returns it.
+    pub(crate) fn expect_one_of<'w>(&mut self, words: &[&'w str]) -> Option<&'w str> {
         match words.iter().find(|word| self.is_word(word)) {
             Some(word) => {
                 self.skip();
                 Some(word)
             }
-            None => self.fail(alternatives(words)),
+            None => self.fail(format_alternatives(words)),
         }
     }
 
-    /// Takes a name of `what`.
-    pub(crate) fn name(&mut self, what: &str) -> Option<Name> {
+    /// Consumes a name; findings call its kind `kind_name`.
+    pub(crate) fn name(&mut self, kind_name: &str) -> Option<Name> {
         let text = self.text();
         match Name::new(text) {
-            Ok(name) if self.kind() == Some(Kind::Word) => {
+            Ok(name) if self.kind() == Some(TokenKind::Word) => {
                 self.skip();
                 Some(name)
             }
-            Err(e) if self.kind() == Some(Kind::Word) => {
-                self.fail(format!("the name of a {what}; {e}"))
+            Err(e) if self.kind() == Some(TokenKind::Word) => {
+                self.fail(format!("the name of a {kind_name}; {e}"))
             }
-            _ => self.fail(format!("the name of a {what}")),
+            _ => self.fail(format!("the name of a {kind_name}")),
         }
     }
 
-    /// Takes a word or number that `read` understands.
+    /// Consumes a word or number for which `parse` returns a value.
     pub(crate) fn value<T>(
         &mut self,
         expected: &str,
-        read: impl Fn(&str) -> Option<T>,
+        parse: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
-        let plain = matches!(self.kind(), Some(Kind::Word | Kind::Number));
-        match read(self.text()) {
-            Some(value) if plain => {
+        let is_unquoted = matches!(self.kind(), Some(TokenKind::Word | TokenKind::Number));
+        match parse(self.text()) {
+            Some(value) if is_unquoted => {
                 self.skip();
                 Some(value)
             }
@@ -147,13 +147,13 @@
         }
     }
 
-    /// Takes a comparison.
+    /// Consumes a comparison operator.
     pub(crate) fn comparison(&mut self) -> Option<Comparison> {
         if self.accept("like") {
             return Some(Comparison::Like);
         }
         match self.kind() {
-            Some(Kind::Comparison(comparison)) => {
+            Some(TokenKind::Comparison(comparison)) => {
                 self.skip();
                 Some(comparison)
             }
@@ -161,34 +161,34 @@
         }
     }
 
-    /// Takes a word, a number or a quoted text.
+    /// Consumes a word, a number or a quoted text.
     pub(crate) fn literal(&mut self) -> Option<Box<str>> {
         let text = self.text();
         let literal = match self.kind() {
-            Some(Kind::Word | Kind::Number) => text.into(),
-            Some(Kind::Quoted) => text[1..text.len() - 1].replace("''", "'").into(),
-            Some(Kind::Unclosed) => return self.fail("a closing quote on the same line"),
+            Some(TokenKind::Word | TokenKind::Number) => text.into(),
+            Some(TokenKind::Quoted) => text[1..text.len() - 1].replace("''", "'").into(),
+            Some(TokenKind::UnclosedQuote) => return self.fail("a closing quote on the same line"),
             _ => return self.fail("a word, a number or a text in single quotes"),
         };
         self.skip();
         Some(literal)
     }
 
-    /// Goes on to the next of `words`, or to the end.
-    pub(crate) fn recover(&mut self, words: &[&str]) {
-        while !self.is_done() && !self.is_any(words) {
+    /// Skips to the next of `words`, or to the end, so that parsing can continue after a finding.
+    pub(crate) fn skip_to(&mut self, words: &[&str]) {
+        while !self.is_at_end() && !self.is_one_of(words) {
             self.skip();
         }
     }
 
-    /// Notes a finding if anything is left.
+    /// Adds a finding if any tokens are left.
     pub(crate) fn finish(&mut self) -> Option<()> {
-        if self.is_done() { Some(()) } else { self.fail("the end of the statement") }
+        if self.is_at_end() { Some(()) } else { self.fail("the end of the statement") }
     }
 }
 
-/// `'a', 'b' or 'c'`.
-pub(crate) fn alternatives(words: &[&str]) -> String {
+/// Formats a list of alternatives, such as `'a', 'b' or 'c'`.
+pub(crate) fn format_alternatives(words: &[&str]) -> String {
     match words {
         [] => "nothing".to_owned(),
         [only] => format!("'{only}'"),
--- a/daisy-language/src/display.rs
+++ b/daisy-language/src/display.rs
@@ -1,4 +1,4 @@
-//! Statements as text that parses back to the same.
+//! Formats statements as text that parses back to the same statements.
 
 use std::{fmt, time::Duration};
 
@@ -30,7 +30,7 @@
     match command {
         Command::Create(spec) => write_create(f, spec)?,
         Command::Change { kind, job, tasks, priority, size } => {
-            write!(f, "change {} {job}", kind_word(*kind))?;
+            write!(f, "change {} {job}", kind_keyword(*kind))?;
             if let Some(tasks) = tasks {
                 write!(f, " tasks {tasks}")?;
             }
@@ -41,15 +41,15 @@
                 write_size(f, *size)?;
             }
         }
-        Command::Cancel { kind, job } => write!(f, "cancel {} {job}", kind_word(*kind))?,
+        Command::Cancel { kind, job } => write!(f, "cancel {} {job}", kind_keyword(*kind))?,
         Command::Quota { team, limit } => {
             write!(f, "quota team {team}")?;
             write_size(f, *limit)?;
         }
         Command::Drain { vm } => write!(f, "drain vm {vm}")?,
         Command::Undrain { vm } => write!(f, "undrain vm {vm}")?,
-        Command::Pause(class) => write!(f, "pause {}", class_words(*class))?,
-        Command::Resume(class) => write!(f, "resume {}", class_words(*class))?,
+        Command::Pause(class) => write!(f, "pause {}", format_class(*class))?,
+        Command::Resume(class) => write!(f, "resume {}", format_class(*class))?,
         Command::Publish(change) => write_policy(f, change)?,
     }
     match condition {
@@ -60,7 +60,7 @@
 
 fn write_create(f: &mut fmt::Formatter<'_>, spec: &JobSpec) -> fmt::Result {
     let JobSpec { name, team, kind, tasks, .. } = spec;
-    write!(f, "create {} {name} team {team} tasks {tasks}", kind_word(*kind))?;
+    write!(f, "create {} {name} team {team} tasks {tasks}", kind_keyword(*kind))?;
     write_size(f, spec.size)?;
     write!(f, " priority {}", spec.priority)?;
     write_tolerance(f, spec.tolerance)?;
@@ -68,7 +68,7 @@
         f.write_str(" restartable")?;
     }
     if let Some(run_time) = spec.run_time {
-        write!(f, " run time {}", duration(run_time))?;
+        write!(f, " run time {}", format_duration(run_time))?;
     }
     if !spec.data_centres.is_empty() {
         let names: Vec<&str> = spec.data_centres.iter().map(Name::as_str).collect();
@@ -91,26 +91,27 @@
 fn write_tolerance(f: &mut fmt::Formatter<'_>, tolerance: Tolerance) -> fmt::Result {
     let Tolerance { delay, evict, refuse } = tolerance;
     let words = [("delay", delay), ("evict", evict), ("refuse", refuse)];
-    let words: Vec<&str> = words.iter().filter(|(_, on)| *on).map(|(word, _)| *word).collect();
+    let words: Vec<&str> =
+        words.iter().filter(|(_, is_allowed)| *is_allowed).map(|(word, _)| *word).collect();
     if words.is_empty() { Ok(()) } else { write!(f, " may {}", words.join(", ")) }
 }
 
 fn write_policy(f: &mut fmt::Formatter<'_>, change: &PolicyChange) -> fmt::Result {
     f.write_str("publish policy")?;
-    let counts = [
+    let numbers = [
         ("tail", change.tail),
         ("throughput", change.throughput),
         ("evictions", change.evictions),
         ("retry-budget", change.retry_budget),
         ("throttle-above", change.throttle_above),
     ];
-    for (key, value) in counts {
+    for (key, value) in numbers {
         if let Some(value) = value {
             write!(f, " {key}={value}")?;
         }
     }
     if let Some(window) = change.retry_window {
-        write!(f, " retry-window={}", duration(window))?;
+        write!(f, " retry-window={}", format_duration(window))?;
     }
     match change.region_bytes {
         Some(bytes) => write!(f, " region-bytes={bytes}"),
@@ -120,7 +121,7 @@
 
 impl fmt::Display for Show {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "show {}", self.target.word())?;
+        write!(f, "show {}", self.target.keyword())?;
         for (index, filter) in self.filters.iter().enumerate() {
             f.write_str(if index == 0 { " where " } else { " and " })?;
             filter.fmt(f)?;
@@ -141,7 +142,7 @@
 
 impl fmt::Display for Filter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {} {}", self.column, self.comparison, literal(&self.value))
+        write!(f, "{} {} {}", self.column, self.comparison, format_literal(&self.value))
     }
 }
 
@@ -165,7 +166,7 @@
             Why::Task(task) => write!(f, "why task {task}"),
             Why::Job(name) => write!(f, "why job {name}"),
             Why::Vm(name) => write!(f, "why vm {name}"),
-            Why::RequestClass(class) => write!(f, "why request-class {}", literal(class)),
+            Why::RequestClass(class) => write!(f, "why request-class {}", format_literal(class)),
         }
     }
 }
@@ -179,32 +180,32 @@
     }
 }
 
-/// A text in quotes, unless it is a plain word or number.
-fn literal(text: &str) -> String {
-    let part = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
-    let starts = text.starts_with(|c: char| c.is_ascii_alphanumeric());
-    if starts && text.chars().all(part) {
+/// Returns a text in quotes, unless it can be written as a plain word or number.
+fn format_literal(text: &str) -> String {
+    let is_word_part = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
+    let has_word_start = text.starts_with(|c: char| c.is_ascii_alphanumeric());
+    if has_word_start && text.chars().all(is_word_part) {
         text.to_owned()
     } else {
         format!("'{}'", text.replace('\'', "''"))
     }
 }
 
-fn kind_word(kind: JobKind) -> &'static str {
+fn kind_keyword(kind: JobKind) -> &'static str {
     match kind {
         JobKind::Service => "service",
         JobKind::Batch => "job",
     }
 }
 
-fn class_words(class: WorkClass) -> String {
+fn format_class(class: WorkClass) -> String {
     match class {
         WorkClass::Batch => "batch".to_owned(),
         WorkClass::Priority(priority) => format!("priority {priority}"),
     }
 }
 
-fn duration(it: Duration) -> String {
+fn format_duration(it: Duration) -> String {
     let millis = it.as_millis();
     if millis.is_multiple_of(1_000) {
         format!("{}s", millis / 1_000)
--- a/daisy-language/src/finding.rs
+++ b/daisy-language/src/finding.rs
@@ -1,26 +1,26 @@
-//! What is wrong with a source, and where.
+//! Errors in a source, with their positions.
 
 use std::fmt;
 
 use crate::Span;
 
-/// One thing that is wrong.
+/// An error in a source, with its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
     /// The line, from 1.
     pub line: u32,
     /// The column in characters, from 1.
     pub column: u32,
-    /// The bytes of the source that are wrong; empty at the end of a statement.
+    /// The byte range of the error in the source; empty if it is at the end of a statement.
     pub span: Span,
-    /// What stands there.
+    /// What was found there.
     pub found: Box<str>,
-    /// What should stand there.
+    /// What was expected there.
     pub expected: Box<str>,
 }
 
 impl Finding {
-    /// A finding at `span` of `source`.
+    /// Creates a finding at `span` of `source`.
     pub(crate) fn new(source: &str, span: Span, expected: String) -> Finding {
         let before = &source[..span.start];
         let line_start = before.rfind('\n').map_or(0, |at| at + 1);
@@ -37,9 +37,10 @@
         }
     }
 
-    /// The finding with the line of `source` that it is about, and carets below the place.
+    /// Formats the finding with the line of `source` that has the error, and carets below the
+    /// error.
     ///
-    /// `source` is what was parsed.
+    /// `source` must be the text that was parsed.
     pub fn render(&self, source: &str) -> String {
         let line = source.lines().nth(self.line as usize - 1).unwrap_or_default();
         let number = self.line.to_string();
@@ -63,12 +64,12 @@
     }
 }
 
-/// All findings of a source, as one error.
+/// All findings of a source, combined into one error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// All findings with their lines of `source`.
+    /// Formats all findings as [`Finding::render`] does, separated by empty lines.
     pub fn render(&self, source: &str) -> String {
         let rendered: Vec<String> = self.0.iter().map(|it| it.render(source)).collect();
         rendered.join("\n")
--- a/daisy-language/src/lex.rs
+++ b/daisy-language/src/lex.rs
@@ -1,4 +1,4 @@
-//! Source to tokens.
+//! Splits a source into tokens.
 
 use winnow::{
     LocatingSlice, Parser, Result,
@@ -9,14 +9,14 @@
 
 use crate::{
     Comparison,
-    token::{Kind, Token},
+    token::{Token, TokenKind},
 };
 
 type Input<'s> = LocatingSlice<&'s str>;
 
-/// The tokens of `source`; blanks, comments and joined lines are left out.
+/// Returns the tokens of `source`, without blanks, comments and escaped line ends.
 ///
-/// Never fails: what is no token becomes [`Kind::Unknown`], for the parser to report.
+/// Never fails: any other character becomes a [`TokenKind::Unknown`], which the parser reports.
 pub(crate) fn lex(source: &str) -> Vec<Token> {
     let mut input = LocatingSlice::new(source);
     let mut tokens = Vec::new();
@@ -40,16 +40,16 @@
     .parse_next(input)
 }
 
-fn token(input: &mut Input<'_>) -> Result<Kind> {
+fn token(input: &mut Input<'_>) -> Result<TokenKind> {
     alt((
-        word.value(Kind::Word),
-        number.value(Kind::Number),
-        quoted.value(Kind::Quoted),
-        unclosed.value(Kind::Unclosed),
-        comparison.map(Kind::Comparison),
-        ','.value(Kind::Comma),
-        one_of([';', '\n']).value(Kind::End),
-        any.value(Kind::Unknown),
+        word.value(TokenKind::Word),
+        number.value(TokenKind::Number),
+        quoted.value(TokenKind::Quoted),
+        unclosed_quote.value(TokenKind::UnclosedQuote),
+        comparison.map(TokenKind::Comparison),
+        ','.value(TokenKind::Comma),
+        one_of([';', '\n']).value(TokenKind::StatementEnd),
+        any.value(TokenKind::Unknown),
     ))
     .parse_next(input)
 }
@@ -76,7 +76,7 @@
     delimited('\'', parts, '\'').parse_next(input)
 }
 
-fn unclosed(input: &mut Input<'_>) -> Result<()> {
+fn unclosed_quote(input: &mut Input<'_>) -> Result<()> {
     preceded('\'', till_line_ending).void().parse_next(input)
 }
 
--- a/daisy-language/src/lib.rs
+++ b/daisy-language/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' language of daisyshift: lexer, parser, typed statements, findings.
+//! The operators' language of daisyshift: lexer, parser, typed statements, and findings.
 //!
-//! [`parse`] reads statements and gives either all of them or all that is wrong with them.
-//! The `Display` of a [`Statement`] parses back to the same statement.
+//! [`parse`] returns either all statements of a source, or all errors in it. The `Display` text of
+//! a [`Statement`] parses back to the same statement.
 
 #![deny(missing_docs, unsafe_code)]
 
@@ -23,5 +23,5 @@
         Comparison, Count, Filter, LocatedStatement, OrderBy, Show, Statement, TaskRef, Why,
     },
     token::Span,
-    value::{Amount, amount},
+    value::{Amount, parse_amount},
 };
--- a/daisy-language/src/parse.rs
+++ b/daisy-language/src/parse.rs
@@ -1,4 +1,4 @@
-//! Tokens to statements.
+//! Parses tokens into statements.
 
 mod job;
 mod policy;
@@ -10,30 +10,39 @@
     Finding, Findings, LocatedStatement, Statement, TaskRef, Why,
     cursor::Cursor,
     lex::lex,
-    token::{Kind, Token},
+    token::{Token, TokenKind},
     value,
 };
 
-/// The longest source in bytes.
+/// The maximum length of a source in bytes.
 pub const MAX_LEN: usize = 64 << 10;
 
-const VERBS: &[&str] = &[
+/// The words that can start a statement.
+const STATEMENT_VERBS: &[&str] = &[
     "create", "change", "cancel", "quota", "drain", "undrain", "pause", "resume", "publish",
     "show", "why", "explain",
 ];
-const CHANGES: &[&str] =
+/// The words that can start a change, also after `explain`.
+const CHANGE_VERBS: &[&str] =
     &["create", "change", "cancel", "quota", "drain", "undrain", "pause", "resume", "publish"];
 
-/// Reads all statements of `source`, which end at `;` or the end of a line.
+/// Parses all statements of `source`; a statement ends at `;` or at the end of a line.
 ///
-/// A line that ends in `\` goes on with the next; `#` starts a comment. Fails with all
-/// findings of all statements at once.
+/// A line that ends in `\` continues on the next line; `#` starts a comment.
+///
+/// # Errors
+///
+/// All findings of all statements.
 pub fn parse(source: &str) -> Result<Vec<Statement>, Findings> {
     let located = parse_located(source)?;
     Ok(located.into_iter().map(|it| it.statement).collect())
 }
 
-/// Reads all statements of `source` with their places, for the audit trail.
+/// Parses all statements of `source`, and returns them with their spans, for the audit trail.
+///
+/// # Errors
+///
+/// As for [`parse`].
 pub fn parse_located(source: &str) -> Result<Vec<LocatedStatement>, Findings> {
     if source.len() > MAX_LEN {
         let expected = format!("at most {MAX_LEN} bytes, not {}", source.len());
@@ -42,14 +51,14 @@
     let tokens = lex(source);
     let mut statements = Vec::new();
     let mut findings = Vec::new();
-    for tokens in tokens.split(|token| token.kind == Kind::End) {
+    for tokens in tokens.split(|token| token.kind == TokenKind::StatementEnd) {
         let (Some(first), Some(last)) = (tokens.first(), tokens.last()) else { continue };
         match parse_one(source, tokens) {
             Ok(statement) => {
                 let span = first.span.start..last.span.end;
                 statements.push(LocatedStatement { statement, span });
             }
-            Err(more) => findings.extend(more),
+            Err(new_findings) => findings.extend(new_findings),
         }
     }
     if findings.is_empty() { Ok(statements) } else { Err(Findings(findings)) }
@@ -75,15 +84,15 @@
         return why(cursor).map(Statement::Why);
     }
     if cursor.accept("explain") {
-        let (command, condition) = change(cursor, CHANGES)?;
+        let (command, condition) = change(cursor, CHANGE_VERBS)?;
         return Some(Statement::Explain { command, condition });
     }
-    let (command, condition) = change(cursor, VERBS)?;
+    let (command, condition) = change(cursor, STATEMENT_VERBS)?;
     Some(Statement::Change { command, condition })
 }
 
 fn change(cursor: &mut Cursor<'_>, verbs: &[&str]) -> Option<(Command, Option<Condition>)> {
-    let command = match cursor.one_of(verbs)? {
+    let command = match cursor.expect_one_of(verbs)? {
         "create" => job::create(cursor),
         "change" => job::change(cursor),
         "cancel" => cancel(cursor),
@@ -95,8 +104,8 @@
         _ => policy::publish(cursor),
     };
     if command.is_none() {
-        // The statement is refused already; a wrong condition is still worth telling.
-        cursor.recover(&["if"]);
+        // The statement is already rejected, but an error in the condition is reported as well.
+        cursor.skip_to(&["if"]);
     }
     let condition = condition(cursor);
     command.map(|command| (command, condition))
@@ -107,12 +116,12 @@
         return None;
     }
     cursor.expect("generation")?;
-    let generation = cursor.value("a generation such as 1042", value::try_count)?;
+    let generation = cursor.value("a generation such as 1042", value::parse_count)?;
     Some(Condition { generation: Generation(generation) })
 }
 
 pub(crate) fn job_kind(cursor: &mut Cursor<'_>) -> Option<JobKind> {
-    match cursor.one_of(&["service", "job"])? {
+    match cursor.expect_one_of(&["service", "job"])? {
         "service" => Some(JobKind::Service),
         _ => Some(JobKind::Batch),
     }
@@ -127,14 +136,14 @@
 fn quota(cursor: &mut Cursor<'_>) -> Option<Command> {
     cursor.expect("team")?;
     let team = cursor.name("team");
-    let mut size = job::Size::default();
-    while !cursor.is_done() && !cursor.is_word("if") {
-        if !size.clause(cursor) {
+    let mut size = job::SizeClauses::default();
+    while !cursor.is_at_end() && !cursor.is_word("if") {
+        if !size.parse_clause(cursor) {
             cursor.fail::<()>("'cpu', 'memory', 'accelerators' or 'if generation N'");
-            cursor.recover(&["cpu", "memory", "accelerators", "if"]);
+            cursor.skip_to(&["cpu", "memory", "accelerators", "if"]);
         }
     }
-    let limit = size.whole(cursor)?;
+    let limit = size.finish(cursor)?;
     Some(Command::Quota { team: team?, limit })
 }
 
@@ -144,7 +153,7 @@
 }
 
 fn work_class(cursor: &mut Cursor<'_>) -> Option<WorkClass> {
-    match cursor.one_of(&["batch", "priority"])? {
+    match cursor.expect_one_of(&["batch", "priority"])? {
         "batch" => Some(WorkClass::Batch),
         _ => priority(cursor).map(WorkClass::Priority),
     }
@@ -152,15 +161,15 @@
 
 pub(crate) fn priority(cursor: &mut Cursor<'_>) -> Option<Priority> {
     let words = ["low", "normal", "urgent", "critical"];
-    let word = cursor.one_of(&words)?;
+    let word = cursor.expect_one_of(&words)?;
     let at = words.iter().position(|it| *it == word)?;
     Some(Priority::ALL[at])
 }
 
 fn why(cursor: &mut Cursor<'_>) -> Option<Why> {
-    match cursor.one_of(&["task", "job", "service", "vm", "request-class"])? {
+    match cursor.expect_one_of(&["task", "job", "service", "vm", "request-class"])? {
         "task" => {
-            let task = cursor.value("a task such as price-list/3 or 17/3", try_task)?;
+            let task = cursor.value("a task such as price-list/3 or 17/3", parse_task)?;
             Some(Why::Task(task))
         }
         "job" | "service" => cursor.name("job").map(Why::Job),
@@ -169,10 +178,10 @@
     }
 }
 
-fn try_task(text: &str) -> Option<TaskRef> {
+fn parse_task(text: &str) -> Option<TaskRef> {
     let (job, index) = text.split_once('/')?;
-    let index = value::try_count(index)?;
-    match value::try_count(job) {
+    let index = value::parse_count(index)?;
+    match value::parse_count(job) {
         Some(number) => Some(TaskRef::Numbered(number, index)),
         None => Name::new(job).ok().map(|name| TaskRef::Named(name, index)),
     }
--- a/daisy-language/src/parse/job.rs
+++ b/daisy-language/src/parse/job.rs
@@ -1,4 +1,4 @@
-//! `create`, `change` and sizes.
+//! Parses `create`, `change` and sizes.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 use crate::{cursor::Cursor, parse, value};
 
-const CPU: &str = "processors such as 500m or 2, not negative";
-const MEMORY: &str = "memory such as 512Mi or 4Gi, not negative";
-const COUNT: &str = "a whole number, not negative";
-const DURATION: &str = "a time such as 90s, 5m or 2h";
-const BYTES: &str = "bytes such as 1500, 10Ki or 3Mi, not negative";
+const EXPECTED_CPU: &str = "processors such as 500m or 2, not negative";
+const EXPECTED_MEMORY: &str = "memory such as 512Mi or 4Gi, not negative";
+const EXPECTED_COUNT: &str = "a whole number, not negative";
+const EXPECTED_DURATION: &str = "a time such as 90s, 5m or 2h";
+const EXPECTED_BYTES: &str = "bytes such as 1500, 10Ki or 3Mi, not negative";
 
-/// Words that begin a clause; after a finding, reading goes on at the next one.
+/// The words that start a clause; after a finding, parsing continues at the next one.
 const CLAUSES: &[&str] = &[
     "team",
     "tasks",
@@ -28,47 +28,52 @@
     "if",
 ];
 
-/// A size while it is read.
+/// The clauses of a size that have been parsed so far.
 #[derive(Debug, Default)]
-pub(crate) struct Size {
+pub(crate) struct SizeClauses {
     cpu: Option<u32>,
     memory: Option<u32>,
     accelerators: Option<u32>,
-    /// Whether a part was named, even wrongly.
-    named: [bool; 3],
+    /// Whether `cpu`, `memory` and `accelerators` have a clause, valid or not.
+    seen: [bool; 3],
 }
 
-impl Size {
-    /// Reads one clause of a size; false if none stands here.
-    pub(crate) fn clause(&mut self, cursor: &mut Cursor<'_>) -> bool {
+impl SizeClauses {
+    /// Parses one clause of a size; returns false if the current token does not start one.
+    pub(crate) fn parse_clause(&mut self, cursor: &mut Cursor<'_>) -> bool {
         if cursor.is_word("cpu") {
-            self.cpu = once(cursor, &mut self.named[0], |it| it.value(CPU, value::try_cpu));
+            self.cpu = parse_once(cursor, &mut self.seen[0], |it| {
+                it.value(EXPECTED_CPU, value::parse_cpu)
+            });
         } else if cursor.is_word("memory") {
-            self.memory =
-                once(cursor, &mut self.named[1], |it| it.value(MEMORY, value::try_memory));
+            self.memory = parse_once(cursor, &mut self.seen[1], |it| {
+                it.value(EXPECTED_MEMORY, value::parse_memory)
+            });
         } else if cursor.is_word("accelerators") {
-            self.accelerators =
-                once(cursor, &mut self.named[2], |it| it.value(COUNT, value::try_count));
+            self.accelerators = parse_once(cursor, &mut self.seen[2], |it| {
+                it.value(EXPECTED_COUNT, value::parse_count)
+            });
         } else {
             return false;
         }
         true
     }
 
-    /// Whether any part was named.
-    pub(crate) fn is_named(&self) -> bool {
-        self.named.contains(&true)
+    /// Returns whether the size has any clause, valid or not.
+    pub(crate) fn has_any(&self) -> bool {
+        self.seen.contains(&true)
     }
 
-    /// The size, which needs processors and memory; accelerators are 0 if not named.
-    pub(crate) fn whole(&self, cursor: &mut Cursor<'_>) -> Option<Resources> {
-        if !self.named[0] {
+    /// Returns the size; adds a finding if processors or memory have no clause. Accelerators are 0
+    /// without a clause.
+    pub(crate) fn finish(&self, cursor: &mut Cursor<'_>) -> Option<Resources> {
+        if !self.seen[0] {
             cursor.fail::<()>("'cpu' and processors such as 500m or 2");
         }
-        if !self.named[1] {
+        if !self.seen[1] {
             cursor.fail::<()>("'memory' and a size such as 512Mi or 4Gi");
         }
-        let accelerators = match (self.named[2], self.accelerators) {
+        let accelerators = match (self.seen[2], self.accelerators) {
             (true, accelerators) => accelerators?,
             (false, _) => 0,
         };
@@ -76,41 +81,42 @@
     }
 }
 
-/// Takes a clause's word and reads its value; notes a finding if it stands there twice.
-fn once<T>(
+/// Consumes a clause's word and parses its value; adds a finding if the clause is repeated.
+fn parse_once<T>(
     cursor: &mut Cursor<'_>,
     seen: &mut bool,
-    read: impl FnOnce(&mut Cursor<'_>) -> Option<T>,
+    parse_value: impl FnOnce(&mut Cursor<'_>) -> Option<T>,
 ) -> Option<T> {
     let (word, span) = (cursor.text(), cursor.span());
     if std::mem::replace(seen, true) {
         cursor.fail_at::<()>(span, format!("'{word}' only once"));
     }
     cursor.skip();
-    let value = read(cursor);
+    let value = parse_value(cursor);
     if value.is_none() {
-        cursor.recover(CLAUSES);
+        cursor.skip_to(CLAUSES);
     }
     value
 }
 
-/// The clauses of a job while they are read.
+/// The clauses of a job that have been parsed so far.
 #[derive(Debug, Default)]
 struct Clauses {
     team: Option<Name>,
     tasks: Option<u32>,
-    size: Size,
+    size: SizeClauses,
     priority: Option<Priority>,
     tolerance: Option<Tolerance>,
     restartable: bool,
     run_time: Option<Duration>,
     data_centres: Option<Vec<Name>>,
     region_bytes: Option<u64>,
-    seen: Seen,
+    seen: SeenClauses,
 }
 
+/// Which clauses of a job have occurred, valid or not.
 #[derive(Debug, Default)]
-struct Seen {
+struct SeenClauses {
     team: bool,
     tasks: bool,
     priority: bool,
@@ -122,51 +128,54 @@
 }
 
 impl Clauses {
-    /// Reads clauses up to `if` or the end; those not in `allowed` are findings.
-    fn read(cursor: &mut Cursor<'_>, allowed: &[&str]) -> Clauses {
+    /// Parses clauses up to `if` or the end; adds findings for those that are not in `allowed`.
+    fn parse(cursor: &mut Cursor<'_>, allowed: &[&str]) -> Clauses {
         let mut clauses = Clauses::default();
-        while !cursor.is_done() && !cursor.is_word("if") {
-            if !cursor.is_any(allowed) {
-                cursor.fail::<()>(crate::cursor::alternatives(allowed));
+        while !cursor.is_at_end() && !cursor.is_word("if") {
+            if !cursor.is_one_of(allowed) {
+                cursor.fail::<()>(crate::cursor::format_alternatives(allowed));
                 cursor.skip();
-                cursor.recover(CLAUSES);
+                cursor.skip_to(CLAUSES);
                 continue;
             }
-            clauses.clause(cursor);
+            clauses.parse_clause(cursor);
         }
         clauses
     }
 
-    fn clause(&mut self, cursor: &mut Cursor<'_>) {
-        if self.size.clause(cursor) {
+    fn parse_clause(&mut self, cursor: &mut Cursor<'_>) {
+        if self.size.parse_clause(cursor) {
             return;
         }
         let seen = &mut self.seen;
         match cursor.text() {
-            "team" => self.team = once(cursor, &mut seen.team, |it| it.name("team")),
+            "team" => self.team = parse_once(cursor, &mut seen.team, |it| it.name("team")),
             "tasks" => {
-                self.tasks = once(cursor, &mut seen.tasks, |it| it.value(COUNT, value::try_count));
+                self.tasks = parse_once(cursor, &mut seen.tasks, |it| {
+                    it.value(EXPECTED_COUNT, value::parse_count)
+                });
             }
-            "priority" => self.priority = once(cursor, &mut seen.priority, parse::priority),
-            "may" => self.tolerance = once(cursor, &mut seen.may, tolerance),
+            "priority" => self.priority = parse_once(cursor, &mut seen.priority, parse::priority),
+            "may" => self.tolerance = parse_once(cursor, &mut seen.may, tolerance),
             "restartable" => {
-                self.restartable = once(cursor, &mut seen.restartable, |_| Some(())).is_some();
+                self.restartable =
+                    parse_once(cursor, &mut seen.restartable, |_| Some(())).is_some();
             }
-            "run" => self.run_time = once(cursor, &mut seen.run_time, run_time),
-            "in" => self.data_centres = once(cursor, &mut seen.data_centres, data_centres),
-            _ => self.region_bytes = once(cursor, &mut seen.region_bytes, region_bytes),
+            "run" => self.run_time = parse_once(cursor, &mut seen.run_time, run_time),
+            "in" => self.data_centres = parse_once(cursor, &mut seen.data_centres, data_centres),
+            _ => self.region_bytes = parse_once(cursor, &mut seen.region_bytes, region_bytes),
         }
     }
 }
 
 fn run_time(cursor: &mut Cursor<'_>) -> Option<Duration> {
     cursor.expect("time")?;
-    cursor.value(DURATION, value::try_duration)
+    cursor.value(EXPECTED_DURATION, value::parse_duration)
 }
 
 fn region_bytes(cursor: &mut Cursor<'_>) -> Option<u64> {
     cursor.expect("bytes")?;
-    cursor.value(BYTES, value::try_bytes)
+    cursor.value(EXPECTED_BYTES, value::parse_bytes)
 }
 
 fn data_centres(cursor: &mut Cursor<'_>) -> Option<Vec<Name>> {
@@ -185,7 +194,7 @@
 fn tolerance(cursor: &mut Cursor<'_>) -> Option<Tolerance> {
     let mut tolerance = Tolerance { delay: false, evict: false, refuse: false };
     loop {
-        match cursor.one_of(&["delay", "evict", "refuse"])? {
+        match cursor.expect_one_of(&["delay", "evict", "refuse"])? {
             "delay" => tolerance.delay = true,
             "evict" => tolerance.evict = true,
             _ => tolerance.refuse = true,
@@ -196,19 +205,19 @@
     }
 }
 
-/// The rest of `create`.
+/// Parses the rest of `create`.
 pub(crate) fn create(cursor: &mut Cursor<'_>) -> Option<Command> {
     let kind = parse::job_kind(cursor)?;
     let name = cursor.name("job");
     if name.is_none() {
-        cursor.recover(CLAUSES);
+        cursor.skip_to(CLAUSES);
     }
-    let clauses = Clauses::read(cursor, &CLAUSES[..CLAUSES.len() - 1]);
+    let clauses = Clauses::parse(cursor, &CLAUSES[..CLAUSES.len() - 1]);
     if !clauses.seen.team {
         cursor.fail::<()>("'team' and the name of a team");
     }
-    let size = clauses.size.whole(cursor);
-    let usual_priority = match kind {
+    let size = clauses.size.finish(cursor);
+    let default_priority = match kind {
         JobKind::Service => Priority::Critical,
         JobKind::Batch => Priority::Normal,
     };
@@ -218,14 +227,14 @@
         kind,
         tasks: clauses.tasks.unwrap_or(1),
         size: size?,
-        priority: clauses.priority.unwrap_or(usual_priority),
+        priority: clauses.priority.unwrap_or(default_priority),
         tolerance: clauses.tolerance.unwrap_or(Tolerance {
             delay: false,
             evict: false,
             refuse: false,
         }),
-        // A service has no work that could be done twice: it answers requests, which carry
-        // their own guard against running twice.
+        // A service can always be restarted: it only answers requests, and these have idempotency
+        // keys against running twice.
         restartable: clauses.restartable || kind == JobKind::Service,
         run_time: clauses.run_time,
         data_centres: clauses.data_centres.unwrap_or_default(),
@@ -233,19 +242,19 @@
     }))
 }
 
-/// The rest of `change`.
+/// Parses the rest of `change`.
 pub(crate) fn change(cursor: &mut Cursor<'_>) -> Option<Command> {
     const ALLOWED: &[&str] = &["tasks", "priority", "cpu", "memory", "accelerators"];
     let kind = parse::job_kind(cursor)?;
     let job = cursor.name("job");
     if job.is_none() {
-        cursor.recover(CLAUSES);
+        cursor.skip_to(CLAUSES);
     }
-    let clauses = Clauses::read(cursor, ALLOWED);
-    let sized = clauses.size.is_named();
-    let size = if sized { Some(clauses.size.whole(cursor)?) } else { None };
-    if !(sized || clauses.seen.tasks || clauses.seen.priority) {
-        return cursor.fail(crate::cursor::alternatives(ALLOWED));
+    let clauses = Clauses::parse(cursor, ALLOWED);
+    let has_size = clauses.size.has_any();
+    let size = if has_size { Some(clauses.size.finish(cursor)?) } else { None };
+    if !(has_size || clauses.seen.tasks || clauses.seen.priority) {
+        return cursor.fail(crate::cursor::format_alternatives(ALLOWED));
     }
     let Clauses { tasks, priority, .. } = clauses;
     Some(Command::Change { kind, job: job?, tasks, priority, size })
--- a/daisy-language/src/parse/policy.rs
+++ b/daisy-language/src/parse/policy.rs
@@ -1,16 +1,16 @@
-//! `publish policy`.
+//! Parses `publish policy`.
 
 use daisy_model::{Command, PolicyChange};
 
 use crate::{
     Comparison,
-    cursor::{Cursor, alternatives},
-    token::Kind,
+    cursor::{Cursor, format_alternatives},
+    token::TokenKind,
     value,
 };
 
-/// What may stand after a value; after a finding, reading goes on at the next one.
-const STOPS: &[&str] = &[
+/// The words that may follow a value; after a finding, parsing continues at the next one.
+const NEXT_WORDS: &[&str] = &[
     "tail",
     "throughput",
     "evictions",
@@ -21,41 +21,41 @@
     "if",
 ];
 
-/// The parts of the policy.
+/// Returns the keys of the policy.
 fn keys() -> &'static [&'static str] {
-    &STOPS[..STOPS.len() - 1]
+    &NEXT_WORDS[..NEXT_WORDS.len() - 1]
 }
 
-const THOUSANDTHS: &str = "thousandths from 0 to 1000";
+const EXPECTED_THOUSANDTHS: &str = "thousandths from 0 to 1000";
 
-/// The rest of `publish`.
+/// Parses the rest of `publish`.
 pub(crate) fn publish(cursor: &mut Cursor<'_>) -> Option<Command> {
     cursor.expect("policy")?;
-    if cursor.is_done() || cursor.is_word("if") {
-        return cursor.fail(alternatives(keys()));
+    if cursor.is_at_end() || cursor.is_word("if") {
+        return cursor.fail(format_alternatives(keys()));
     }
     let mut change = PolicyChange::default();
     let mut seen: Vec<&str> = Vec::new();
-    while !cursor.is_done() && !cursor.is_word("if") {
+    while !cursor.is_at_end() && !cursor.is_word("if") {
         let span = cursor.span();
-        let Some(key) = cursor.one_of(keys()) else {
+        let Some(key) = cursor.expect_one_of(keys()) else {
             cursor.skip();
-            cursor.recover(STOPS);
+            cursor.skip_to(NEXT_WORDS);
             continue;
         };
         if seen.contains(&key) {
             cursor.fail_at::<()>(span, format!("'{key}' only once"));
         }
         seen.push(key);
-        if set(cursor, &mut change, key).is_none() {
-            cursor.recover(STOPS);
+        if parse_value(cursor, &mut change, key).is_none() {
+            cursor.skip_to(NEXT_WORDS);
         }
     }
     Some(Command::Publish(change))
 }
 
-fn set(cursor: &mut Cursor<'_>, change: &mut PolicyChange, key: &str) -> Option<()> {
-    if cursor.kind() != Some(Kind::Comparison(Comparison::Equal)) {
+fn parse_value(cursor: &mut Cursor<'_>, change: &mut PolicyChange, key: &str) -> Option<()> {
+    if cursor.kind() != Some(TokenKind::Comparison(Comparison::Equal)) {
         return cursor.fail("'='");
     }
     cursor.skip();
@@ -66,11 +66,12 @@
         "retry-budget" => change.retry_budget = Some(thousandths(cursor)?),
         "throttle-above" => change.throttle_above = Some(thousandths(cursor)?),
         "retry-window" => {
-            let window = cursor.value("a time such as 120s", value::try_duration)?;
+            let window = cursor.value("a time such as 120s", value::parse_duration)?;
             change.retry_window = Some(window);
         }
         _ => {
-            let bytes = cursor.value("bytes a second such as 1875000 or 1Mi", value::try_bytes)?;
+            let bytes =
+                cursor.value("bytes a second such as 1875000 or 1Mi", value::parse_bytes)?;
             change.region_bytes = Some(bytes);
         }
     }
@@ -78,6 +79,6 @@
 }
 
 fn thousandths(cursor: &mut Cursor<'_>) -> Option<u32> {
-    let in_range = |text: &str| value::try_count(text).filter(|it| *it <= 1_000);
-    cursor.value(THOUSANDTHS, in_range)
+    let in_range = |text: &str| value::parse_count(text).filter(|it| *it <= 1_000);
+    cursor.value(EXPECTED_THOUSANDTHS, in_range)
 }
--- a/daisy-language/src/parse/show.rs
+++ b/daisy-language/src/parse/show.rs
@@ -1,53 +1,54 @@
-//! `show`.
+//! Parses `show`.
 
 use crate::{
     Count, Filter, OrderBy, Show, TableKind,
-    cursor::{Cursor, alternatives},
+    cursor::{Cursor, format_alternatives},
     value,
 };
 
+/// The words that start a clause, in the order in which clauses must be written.
 const CLAUSES: &[&str] = &["where", "order", "limit", "count"];
 
-/// The rest of `show`.
+/// Parses the rest of `show`.
 pub(crate) fn show(cursor: &mut Cursor<'_>) -> Option<Show> {
     let target = target(cursor)?;
     let mut show = Show { target, filters: Vec::new(), order: None, limit: None, count: None };
     let mut next = 0;
-    while !cursor.is_done() {
-        let Some(at) = CLAUSES.iter().position(|word| cursor.is_word(word)) else {
-            cursor.fail::<()>(alternatives(&CLAUSES[next..]));
+    while !cursor.is_at_end() {
+        let Some(index) = CLAUSES.iter().position(|word| cursor.is_word(word)) else {
+            cursor.fail::<()>(format_alternatives(&CLAUSES[next..]));
             cursor.skip();
-            cursor.recover(CLAUSES);
+            cursor.skip_to(CLAUSES);
             continue;
         };
-        // Clauses have one order, so that equal queries look alike.
-        if at < next {
-            let word = CLAUSES[at];
+        // Clauses have a fixed order, so that equal queries have the same text.
+        if index < next {
+            let word = CLAUSES[index];
             cursor.fail::<()>(format!("'{word}' only once and before the clauses after it"));
         }
-        next = next.max(at + 1);
+        next = next.max(index + 1);
         cursor.skip();
-        if clause(cursor, &mut show, CLAUSES[at]).is_none() {
-            cursor.recover(CLAUSES);
+        if parse_clause(cursor, &mut show, CLAUSES[index]).is_none() {
+            cursor.skip_to(CLAUSES);
         }
     }
     Some(show)
 }
 
-fn clause(cursor: &mut Cursor<'_>, show: &mut Show, word: &str) -> Option<()> {
+fn parse_clause(cursor: &mut Cursor<'_>, show: &mut Show, word: &str) -> Option<()> {
     match word {
         "where" => filters(cursor, show)?,
         "order" => show.order = Some(order(cursor, show.target)?),
-        "limit" => show.limit = Some(cursor.value("a number of rows", value::try_count)?),
+        "limit" => show.limit = Some(cursor.value("a number of rows", value::parse_count)?),
         _ => show.count = Some(count(cursor, show.target)?),
     }
     Some(())
 }
 
 fn target(cursor: &mut Cursor<'_>) -> Option<TableKind> {
-    let words = TableKind::ALL.map(TableKind::word);
-    let word = cursor.one_of(&words)?;
-    TableKind::ALL.into_iter().find(|it| it.word() == word)
+    let words = TableKind::ALL.map(TableKind::keyword);
+    let word = cursor.expect_one_of(&words)?;
+    TableKind::ALL.into_iter().find(|it| it.keyword() == word)
 }
 
 fn filters(cursor: &mut Cursor<'_>, show: &mut Show) -> Option<()> {
@@ -63,7 +64,7 @@
 }
 
 fn column(cursor: &mut Cursor<'_>, target: TableKind) -> Option<&'static str> {
-    cursor.one_of(target.columns())
+    cursor.expect_one_of(target.columns())
 }
 
 fn order(cursor: &mut Cursor<'_>, target: TableKind) -> Option<OrderBy> {
--- a/daisy-language/src/statement.rs
+++ b/daisy-language/src/statement.rs
@@ -1,4 +1,4 @@
-//! What a statement says.
+//! Typed statements.
 
 use daisy_model::{Command, Condition, Name};
 
@@ -7,32 +7,32 @@
 /// One statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
-    /// Changes the declared state.
+    /// Changes the declared state or the policy.
     Change {
         /// The change.
         command: Command,
-        /// `if generation N`.
+        /// The condition `if generation N`, if given.
         condition: Option<Condition>,
     },
     /// Shows a table.
     Show(Show),
-    /// Asks for the chain of decisions about a subject.
+    /// Shows the chain of decisions about a subject.
     Why(Why),
-    /// Says what a change would do, without doing it.
+    /// Shows the effects of a change without making it.
     Explain {
         /// The change.
         command: Command,
-        /// `if generation N`.
+        /// The condition `if generation N`, if given.
         condition: Option<Condition>,
     },
 }
 
-/// A statement and where it stands in the source.
+/// A statement with its span in the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocatedStatement {
     /// The statement.
     pub statement: Statement,
-    /// Its place.
+    /// Its byte range in the source.
     pub span: Span,
 }
 
@@ -41,28 +41,28 @@
 pub struct Show {
     /// The table.
     pub target: TableKind,
-    /// All must hold for a row to be shown.
+    /// The filters; a row is shown if it passes all of them.
     pub filters: Vec<Filter>,
     /// The order of rows.
     pub order: Option<OrderBy>,
-    /// The most rows shown.
+    /// The maximum number of rows shown.
     pub limit: Option<u32>,
-    /// Rows are counted, not shown.
+    /// If given, rows are counted instead of shown.
     pub count: Option<Count>,
 }
 
-/// `where COLUMN TEST VALUE`
+/// `where COLUMN COMPARISON VALUE`
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Filter {
     /// A column of the table.
     pub column: &'static str,
     /// The comparison.
     pub comparison: Comparison,
-    /// What the column is compared with.
+    /// The value with which the column is compared.
     pub value: Box<str>,
 }
 
-/// A comparison.
+/// A comparison operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
     /// `=`
@@ -77,7 +77,7 @@
     Above,
     /// `>=`
     AtLeast,
-    /// `like`, where `%` stands for any text.
+    /// `like`, where `%` matches any text.
     Like,
 }
 
@@ -86,11 +86,11 @@
 pub struct OrderBy {
     /// A column of the table.
     pub column: &'static str,
-    /// Whether the largest comes first.
+    /// Whether the largest value comes first.
     pub descending: bool,
 }
 
-/// `count`
+/// `count` or `count by COLUMN`
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Count {
     /// The number of all rows.
@@ -108,15 +108,15 @@
     Job(Name),
     /// A VM.
     Vm(Name),
-    /// A class of requests, as the request side names it.
+    /// A class of requests, by the name that the proxy gives it.
     RequestClass(Box<str>),
 }
 
-/// A task as operators name it.
+/// A reference to a task, as operators write it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TaskRef {
-    /// `price-list/3`: the newest job of that name.
+    /// `price-list/3`: a task of the newest job with that name.
     Named(Name, u32),
-    /// `17/3`: the job's number, as logs write it.
+    /// `17/3`: a task by its job's number, as logs write it.
     Numbered(u32, u32),
 }
--- a/daisy-language/src/token.rs
+++ b/daisy-language/src/token.rs
@@ -4,33 +4,33 @@
 
 use crate::Comparison;
 
-/// A range of bytes of the source.
+/// A byte range of the source.
 pub type Span = Range<usize>;
 
-/// What a token is.
+/// The kind of a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Kind {
-    /// A keyword or name: starts with a letter.
+pub(crate) enum TokenKind {
+    /// A keyword or name, which starts with a letter.
     Word,
-    /// Starts with a digit or a minus sign; may carry a unit.
+    /// A number, which starts with a digit or a minus sign, with or without a unit.
     Number,
-    /// In single quotes; two of them stand for one.
+    /// A text in single quotes; two quotes inside it mean one.
     Quoted,
-    /// A quote that is never closed.
-    Unclosed,
+    /// A text that lacks its closing quote.
+    UnclosedQuote,
     /// `,`
     Comma,
-    /// A comparison.
+    /// A comparison operator other than `like`.
     Comparison(Comparison),
-    /// `;` or the end of a line.
-    End,
-    /// Anything else.
+    /// The end of a statement: `;` or the end of a line.
+    StatementEnd,
+    /// Any other character.
     Unknown,
 }
 
-/// A piece of the source.
+/// A token, with its span in the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Token {
-    pub(crate) kind: Kind,
+    pub(crate) kind: TokenKind,
     pub(crate) span: Span,
 }
--- a/daisy-language/tests/display.rs
+++ b/daisy-language/tests/display.rs
@@ -1,4 +1,4 @@
-//! Every statement is written as text that parses back to the same.
+//! Every statement is formatted as text that parses back to the same statement.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Debug, Clone)]
-struct Any(Statement);
+struct AnyStatement(Statement);
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
+impl Arbitrary for AnyStatement {
+    fn arbitrary(g: &mut Gen) -> AnyStatement {
         let condition =
             bool::arbitrary(g).then(|| Condition { generation: Generation(u64::arbitrary(g)) });
-        Any(match u8::arbitrary(g) % 8 {
+        AnyStatement(match u8::arbitrary(g) % 8 {
             0 => Statement::Show(show(g)),
             1 => Statement::Why(why(g)),
             2 => Statement::Explain { command: command(g), condition },
@@ -161,13 +161,13 @@
 }
 
 #[test]
-fn what_is_written_parses_back() {
-    fn parses_back(any: Any) -> bool {
+fn a_formatted_statement_parses_back_to_the_same() {
+    fn parses_back(any: AnyStatement) -> bool {
         let text = any.0.to_string();
         let found = parse(&text);
         assert_eq!(found, Ok(vec![any.0]), "{text}");
         true
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(40, 3)).tests(3_000);
-    check.quickcheck(parses_back as fn(Any) -> bool);
+    check.quickcheck(parses_back as fn(AnyStatement) -> bool);
 }
--- a/daisy-language/tests/finding.rs
+++ b/daisy-language/tests/finding.rs
@@ -1,4 +1,4 @@
-//! Statements that do not parse, and what is said of them.
+//! Findings of sources that do not parse.
 
 use daisy_language::{MAX_LEN, parse};
 use quickcheck::{Gen, QuickCheck};
@@ -9,24 +9,24 @@
     parts.map(|it| (it.line, it.column, it.found.to_string(), it.expected.to_string())).collect()
 }
 
-/// What is found and expected of a source with one finding.
-fn only(source: &str) -> (String, String) {
+/// Returns what was found and expected in a source that has one finding.
+fn only_finding(source: &str) -> (String, String) {
     let mut all = findings(source);
     assert_eq!(all.len(), 1, "{source}: {all:?}");
     let (_, _, found, expected) = all.remove(0);
     (found, expected)
 }
 
-/// An operator pastes several statements with several mistakes. All are reported at once, each
-/// with its place, so that one look mends them all.
+/// An operator pastes several statements with several errors. All errors are reported at once,
+/// each with its position, so that the operator can correct all of them together.
 #[test]
-fn all_findings_come_at_once() {
+fn all_findings_of_all_statements_are_reported_at_once() {
     let source = "create job a team T cpu -2 memory 4 priority soon\n\
         show tasks where colour = red; drain rack r1\npause batch\n";
 
     let found = findings(source);
 
-    let places: Vec<(u32, u32, &str)> =
+    let positions: Vec<(u32, u32, &str)> =
         found.iter().map(|(line, column, found, _)| (*line, *column, found.as_str())).collect();
     let expected = [
         (1, 19, "'T'"),
@@ -36,7 +36,7 @@
         (2, 18, "'colour'"),
         (2, 38, "'rack'"),
     ];
-    assert_eq!(places, expected);
+    assert_eq!(positions, expected);
 }
 
 #[test]
@@ -60,21 +60,21 @@
         ("show jobs where job like 'x", "''x'", "a closing quote on the same line"),
     ];
     for (source, found, expected) in cases {
-        assert_eq!(only(source), (found.to_owned(), expected.to_owned()), "{source}");
+        assert_eq!(only_finding(source), (found.to_owned(), expected.to_owned()), "{source}");
     }
 }
 
 #[test]
-fn sizes_out_of_range_are_refused() {
+fn sizes_out_of_range_are_rejected() {
     for size in ["cpu 4294968 memory 1Gi", "cpu 1.2345 memory 1Gi", "cpu 1 memory 5000Ti"] {
         let source = format!("quota team t {size}");
-        let (_, expected) = only(&source);
+        let (_, expected) = only_finding(&source);
         assert!(expected.contains("not negative"), "{source}: {expected}");
     }
 }
 
 #[test]
-fn carets_stand_below_the_place() {
+fn carets_are_rendered_below_the_error() {
     let source = "pause batch\ndrain vm Größe";
     let Err(findings) = parse(source) else { panic!("parses") };
 
@@ -86,8 +86,8 @@
 }
 
 #[test]
-fn a_source_that_is_too_long_is_refused() {
-    let (_, expected) = only(&"#".repeat(MAX_LEN + 1));
+fn a_source_that_is_too_long_is_rejected() {
+    let (_, expected) = only_finding(&"#".repeat(MAX_LEN + 1));
     assert!(expected.starts_with("at most 65536 bytes"));
 }
 
--- a/daisy-language/tests/parse.rs
+++ b/daisy-language/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Statements that parse.
+//! Sources that parse, and their statements.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     Name::new(text).expect("a name")
 }
 
-fn one(source: &str) -> Statement {
+fn parse_one(source: &str) -> Statement {
     match parse(source) {
         Ok(mut statements) if statements.len() == 1 => statements.remove(0),
         other => panic!("{source}: {other:?}"),
@@ -23,14 +23,14 @@
 }
 
 fn command(source: &str) -> Command {
-    match one(source) {
+    match parse_one(source) {
         Statement::Change { command, condition: None } => command,
         other => panic!("{source}: {other:?}"),
     }
 }
 
 #[test]
-fn a_job_with_every_clause() {
+fn a_job_with_every_clause_is_parsed() {
     let source = "create job price-list team pricing tasks 40 cpu 1.5 memory 4Gi accelerators 1 \
         priority urgent may delay, evict, refuse restartable run time 90s in porto, braga \
         region bytes 3Mi";
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_service_with_what_is_usual() {
+fn a_service_gets_the_default_values() {
     let found = command("create service quotation team pricing cpu 500m memory 512Mi");
 
     let Command::Create(spec) = found else { panic!("{found:?}") };
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn other_changes() {
+fn every_other_kind_of_change_is_parsed() {
     let size = Resources { cpu_milli: 2_000, memory_mib: 1_024, accelerators: 0 };
     let cases = [
         (
@@ -99,21 +99,23 @@
 }
 
 #[test]
-fn a_condition_and_an_explanation() {
+fn a_condition_is_parsed_in_a_change_and_after_explain() {
     let condition = Some(Condition { generation: Generation(1_042) });
     let drain = Command::Drain { vm: name("vm-1") };
 
-    let change = one("drain vm vm-1 if generation 1042");
-    let explain = one("explain drain vm vm-1 if generation 1042");
+    let change = parse_one("drain vm vm-1 if generation 1042");
+    let explain = parse_one("explain drain vm vm-1 if generation 1042");
 
     assert_eq!(change, Statement::Change { command: drain.clone(), condition });
     assert_eq!(explain, Statement::Explain { command: drain, condition });
 }
 
 #[test]
-fn a_query_with_every_clause() {
-    let found = one("show tasks where state = running and vm like 'vm-1%' \
-        order by since desc limit 5 count by vm");
+fn a_query_with_every_clause_is_parsed() {
+    let found = parse_one(
+        "show tasks where state = running and vm like 'vm-1%' \
+        order by since desc limit 5 count by vm",
+    );
 
     let filter =
         |column, comparison, value: &str| Filter { column, comparison, value: value.into() };
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn questions() {
+fn every_kind_of_why_is_parsed() {
     let cases = [
         ("why task price-list/3", Why::Task(TaskRef::Named(name("price-list"), 3))),
         ("why task 17/3", Why::Task(TaskRef::Numbered(17, 3))),
@@ -140,12 +142,12 @@
         ("why request-class shop/checkout", Why::RequestClass("shop/checkout".into())),
     ];
     for (source, expected) in cases {
-        assert_eq!(one(source), Statement::Why(expected), "{source}");
+        assert_eq!(parse_one(source), Statement::Why(expected), "{source}");
     }
 }
 
 #[test]
-fn statements_end_at_semicolons_and_lines() {
+fn statements_end_at_semicolons_and_line_ends() {
     let source =
         "# morning\npause batch; drain vm a\nquota team t \\\n  cpu 1 memory 1Gi # small\n";
 
--- a/daisy-query/src/show.rs
+++ b/daisy-query/src/show.rs
@@ -4,7 +4,7 @@
 mod fleet;
 pub(crate) mod work;
 
-use daisy_language::{Count, OrderBy, Show, TableKind, amount};
+use daisy_language::{Count, OrderBy, Show, TableKind, parse_amount};
 use daisy_ledger::State;
 
 use crate::{LiveView, Table};
@@ -89,7 +89,7 @@
 fn sort(table: &mut Table, column: Option<usize>, descending: bool) {
     let Some(column) = column else { return };
     table.rows.sort_by_cached_key(|row| {
-        let number = amount(&row[column]);
+        let number = parse_amount(&row[column]);
         (number.is_none(), number, row[column].clone())
     });
     if descending {
--- a/daisy-query/src/show/filter.rs
+++ b/daisy-query/src/show/filter.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-use daisy_language::{Comparison, Filter, amount};
+use daisy_language::{Comparison, Filter, parse_amount};
 
 use crate::table::NONE;
 
@@ -10,7 +10,7 @@
 /// `!=`.
 pub(crate) fn passes(filter: &Filter, cell: &str) -> bool {
     let value = &*filter.value;
-    let order = match (amount(cell), amount(value)) {
+    let order = match (parse_amount(cell), parse_amount(value)) {
         (Some(a), Some(b)) if a.is_comparable(b) => a.cmp(&b),
         _ => cell.cmp(value),
     };
--- a/daisy-query/tests/language.rs
+++ b/daisy-query/tests/language.rs
@@ -77,7 +77,7 @@
 fn the_page_names_every_table_and_column() {
     let page = page();
     for target in daisy_language::TableKind::ALL {
-        assert!(page.contains(&format!("`{}`", target.word())), "{target:?}");
+        assert!(page.contains(&format!("`{}`", target.keyword())), "{target:?}");
         let columns = target.columns().join(", ");
         assert!(page.contains(&columns), "{target:?}: {columns}");
     }
--- a/daisy-query/tests/show.rs
+++ b/daisy-query/tests/show.rs
@@ -144,7 +144,7 @@
         fixture.live.reasons.push(Reason { at, subject, text });
     }
     for target in daisy_language::TableKind::ALL {
-        let table = fixture.query(&format!("show {}", target.word()));
+        let table = fixture.query(&format!("show {}", target.keyword()));
         assert_eq!(table.columns, target.columns());
         for name in target.columns() {
             let cells = column(&table, name);
