--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use daisy_language::{Located, Statement};
+use daisy_language::{LocatedStatement, Statement};
 use daisy_ledger::{Outcome, Record};
 use daisy_model::{Change, Command, Condition, Name};
-use daisy_wire::operator::ResultJson;
+use daisy_wire::operator::StatementResultJson;
 use http::StatusCode;
 use tokio::{sync::oneshot, time::timeout};
 
@@ -32,7 +32,7 @@
         }
     };
     let mut results = Vec::new();
-    for Located { statement, span } in statements {
+    for LocatedStatement { statement, span } in statements {
         let source = text.get(span).unwrap_or_default().trim();
         let result = match statement {
             Statement::Change { command, condition } => {
@@ -59,7 +59,7 @@
     source: &str,
     command: Command,
     condition: Option<Condition>,
-) -> Option<ResultJson> {
+) -> Option<StatementResultJson> {
     let created = match &command {
         Command::Create(spec) => Some(spec.clone()),
         _ => None,
@@ -75,18 +75,18 @@
                 Some(spec) => notes(port, &spec).await?,
                 None => Vec::new(),
             };
-            ResultJson::Accepted { generation: generation.0, notes }
+            StatementResultJson::Accepted { generation: generation.0, notes }
         }
         Ok(Ok(Verdict::Folded(Outcome::Refused(refusal)))) => {
-            ResultJson::Refused { cause: refusal.to_string() }
+            StatementResultJson::Refused { cause: refusal.to_string() }
         }
         Ok(Ok(Verdict::NotSent(cause))) => {
-            ResultJson::Refused { cause: format!("nothing was sent: {cause}") }
+            StatementResultJson::Refused { cause: format!("nothing was sent: {cause}") }
         }
-        Ok(Ok(Verdict::Folded(_)) | Err(_)) => ResultJson::Unknown {
+        Ok(Ok(Verdict::Folded(_)) | Err(_)) => StatementResultJson::Unknown {
             cause: "the log has it, its verdict was not seen here".to_owned(),
         },
-        Err(_) => ResultJson::Unknown {
+        Err(_) => StatementResultJson::Unknown {
             cause: format!("no verdict of the log in {VERDICT_TIMEOUT:?}; it may still come"),
         },
     };
--- a/daisy-language/src/column.rs
+++ b/daisy-language/src/column.rs
@@ -1,25 +1,25 @@
-//! Tables that can be shown, and their columns.
+//! The tables of `show`, and their columns.
 
-/// A table that can be shown.
+/// A table that `show` can display.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Target {
-    /// Tasks of all jobs.
+pub enum TableKind {
+    /// The tasks of all jobs.
     Tasks,
     /// Services and batch jobs.
     Jobs,
-    /// Services only.
+    /// Only services.
     Services,
     /// Workers.
     Workers,
     /// Teams and their quotas.
     Teams,
-    /// All VMs of the platform's list.
+    /// All VMs in the platform's list.
     Vms,
-    /// The policy in force.
+    /// The published policy, paused classes and drained VMs.
     Config,
     /// The audit trail.
     Changes,
-    /// Holders of data centres.
+    /// The holders of data centres.
     Holders,
 }
 
@@ -40,39 +40,39 @@
     "generation",
 ];
 
-impl Target {
-    /// All tables.
-    pub const ALL: [Target; 9] = [
-        Target::Tasks,
-        Target::Jobs,
-        Target::Services,
-        Target::Workers,
-        Target::Teams,
-        Target::Vms,
-        Target::Config,
-        Target::Changes,
-        Target::Holders,
+impl TableKind {
+    /// All tables, in the order in which findings list them.
+    pub const ALL: [TableKind; 9] = [
+        TableKind::Tasks,
+        TableKind::Jobs,
+        TableKind::Services,
+        TableKind::Workers,
+        TableKind::Teams,
+        TableKind::Vms,
+        TableKind::Config,
+        TableKind::Changes,
+        TableKind::Holders,
     ];
 
-    /// The word that names the table.
-    pub fn word(self) -> &'static str {
+    /// Returns the keyword that names the table.
+    pub fn keyword(self) -> &'static str {
         match self {
-            Target::Tasks => "tasks",
-            Target::Jobs => "jobs",
-            Target::Services => "services",
-            Target::Workers => "workers",
-            Target::Teams => "teams",
-            Target::Vms => "vms",
-            Target::Config => "config",
-            Target::Changes => "changes",
-            Target::Holders => "holders",
+            TableKind::Tasks => "tasks",
+            TableKind::Jobs => "jobs",
+            TableKind::Services => "services",
+            TableKind::Workers => "workers",
+            TableKind::Teams => "teams",
+            TableKind::Vms => "vms",
+            TableKind::Config => "config",
+            TableKind::Changes => "changes",
+            TableKind::Holders => "holders",
         }
     }
 
-    /// The table's columns, in the order shown.
+    /// Returns the table's columns, in the order in which they are shown.
     pub fn columns(self) -> &'static [&'static str] {
         match self {
-            Target::Tasks => &[
+            TableKind::Tasks => &[
                 "task",
                 "job",
                 "number",
@@ -90,8 +90,8 @@
                 "accelerators",
                 "reason",
             ],
-            Target::Jobs | Target::Services => JOB_COLUMNS,
-            Target::Workers => &[
+            TableKind::Jobs | TableKind::Services => JOB_COLUMNS,
+            TableKind::Workers => &[
                 "vm",
                 "dc",
                 "rack",
@@ -105,7 +105,7 @@
                 "accelerators-free",
                 "reason",
             ],
-            Target::Teams => &[
+            TableKind::Teams => &[
                 "team",
                 "cpu",
                 "cpu-used",
@@ -115,17 +115,17 @@
                 "accelerators-used",
                 "jobs",
             ],
-            Target::Vms => &["vm", "number", "dc", "rack", "role", "status", "state"],
-            Target::Config => &["key", "value", "generation"],
-            Target::Changes => {
+            TableKind::Vms => &["vm", "number", "dc", "rack", "role", "status", "state"],
+            TableKind::Config => &["key", "value", "generation"],
+            TableKind::Changes => {
                 &["generation", "offset", "time", "who", "subject", "result", "statement", "cause"]
             }
-            Target::Holders => &["dc", "holder", "epoch", "state"],
+            TableKind::Holders => &["dc", "holder", "epoch", "state"],
         }
     }
 
-    /// The column called `word`.
-    pub fn try_column(self, word: &str) -> Option<&'static str> {
-        self.columns().iter().copied().find(|it| *it == word)
+    /// Returns the column with the name `name`, if there is one.
+    pub fn try_column(self, name: &str) -> Option<&'static str> {
+        self.columns().iter().copied().find(|it| *it == name)
     }
 }
--- a/daisy-language/src/lib.rs
+++ b/daisy-language/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' language of daisyshift: lexer, parser, typed statements, findings.
+//! The operators' language of daisyshift: lexer, parser, typed statements, and findings.
 //!
-//! [`parse`] reads statements and gives either all of them or all that is wrong with them.
-//! The `Display` of a [`Statement`] parses back to the same statement.
+//! [`parse`] returns either all statements of a source, or all errors in it. The `Display` text of
+//! a [`Statement`] parses back to the same statement.
 
 #![deny(missing_docs, unsafe_code)]
 
@@ -16,10 +16,12 @@
 mod value;
 
 pub use crate::{
-    column::Target,
+    column::TableKind,
     finding::{Finding, Findings},
     parse::{MAX_LEN, parse, parse_located},
-    statement::{Count, Filter, Located, OrderBy, Show, Statement, TaskRef, Test, Why},
+    statement::{
+        Comparison, Count, Filter, LocatedStatement, OrderBy, Show, Statement, TaskRef, Why,
+    },
     token::Span,
-    value::{Amount, amount},
+    value::{Amount, parse_amount},
 };
--- a/daisy-language/tests/display.rs
+++ b/daisy-language/tests/display.rs
@@ -1,8 +1,10 @@
-//! Every statement is written as text that parses back to the same.
+//! Every statement is formatted as text that parses back to the same statement.
 
 use std::time::Duration;
 
-use daisy_language::{Count, Filter, OrderBy, Show, Statement, Target, TaskRef, Test, Why, parse};
+use daisy_language::{
+    Comparison, Count, Filter, OrderBy, Show, Statement, TableKind, TaskRef, Why, parse,
+};
 use daisy_model::{
     Command, Condition, Generation, JobKind, JobSpec, Name, PolicyChange, Priority, Resources,
     Tolerance, WorkClass,
@@ -10,13 +12,13 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Debug, Clone)]
-struct Any(Statement);
+struct AnyStatement(Statement);
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
+impl Arbitrary for AnyStatement {
+    fn arbitrary(g: &mut Gen) -> AnyStatement {
         let condition =
             bool::arbitrary(g).then(|| Condition { generation: Generation(u64::arbitrary(g)) });
-        Any(match u8::arbitrary(g) % 8 {
+        AnyStatement(match u8::arbitrary(g) % 8 {
             0 => Statement::Show(show(g)),
             1 => Statement::Why(why(g)),
             2 => Statement::Explain { command: command(g), condition },
@@ -122,21 +124,21 @@
     String::arbitrary(g).replace('\n', " ").into()
 }
 
-fn filter(g: &mut Gen, target: Target) -> Filter {
-    let tests = [
-        Test::Equal,
-        Test::NotEqual,
-        Test::Below,
-        Test::AtMost,
-        Test::Above,
-        Test::AtLeast,
-        Test::Like,
+fn filter(g: &mut Gen, target: TableKind) -> Filter {
+    let comparisons = [
+        Comparison::Equal,
+        Comparison::NotEqual,
+        Comparison::Below,
+        Comparison::AtMost,
+        Comparison::Above,
+        Comparison::AtLeast,
+        Comparison::Like,
     ];
-    Filter { column: pick(g, target.columns()), test: pick(g, &tests), value: text(g) }
+    Filter { column: pick(g, target.columns()), comparison: pick(g, &comparisons), value: text(g) }
 }
 
 fn show(g: &mut Gen) -> Show {
-    let target = pick(g, &Target::ALL);
+    let target = pick(g, &TableKind::ALL);
     let column = pick(g, target.columns());
     let order = OrderBy { column, descending: bool::arbitrary(g) };
     Show {
@@ -159,13 +161,13 @@
 }
 
 #[test]
-fn what_is_written_parses_back() {
-    fn parses_back(any: Any) -> bool {
+fn a_formatted_statement_parses_back_to_the_same() {
+    fn parses_back(any: AnyStatement) -> bool {
         let text = any.0.to_string();
         let found = parse(&text);
         assert_eq!(found, Ok(vec![any.0]), "{text}");
         true
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(40, 3)).tests(3_000);
-    check.quickcheck(parses_back as fn(Any) -> bool);
+    check.quickcheck(parses_back as fn(AnyStatement) -> bool);
 }
--- a/daisy-query/src/show/fleet.rs
+++ b/daisy-query/src/show/fleet.rs
@@ -1,11 +1,11 @@
-//! Rows of the fleet: workers, VMs, holders.
+//! Rows of the tables `workers`, `vms` and `holders`.
 
 use daisy_ledger::State;
 use daisy_model::{Vm, VmRole, VmStatus};
 
-use crate::{Live, LiveWorker, Subject, WorkerState, show::Sink, table::NONE, words};
+use crate::{LiveView, LiveWorker, Subject, WorkerState, show::Sink, table::NONE, text};
 
-pub(crate) fn workers(state: &State, live: &Live, sink: Sink<'_>) {
+pub(crate) fn workers(state: &State, live: &LiveView, sink: Sink<'_>) {
     for (&id, vm) in live.vms.iter().filter(|(_, vm)| vm.role == VmRole::Worker) {
         let worker = live.workers.get(&id);
         sink(&|column| worker_cell(state, live, vm, worker, column));
@@ -14,7 +14,7 @@
 
 fn worker_cell(
     state: &State,
-    live: &Live,
+    live: &LiveView,
     vm: &Vm,
     worker: Option<&LiveWorker>,
     column: &str,
@@ -28,10 +28,10 @@
         "rack" => vm.rack.to_string(),
         "state" => worker_state(state, vm, worker).to_owned(),
         "tasks" => worker.map_or_else(none, |it| it.tasks.to_string()),
-        "cpu" => words::cpu(capacity),
-        "cpu-free" => free.map_or_else(none, words::cpu),
-        "memory" => words::memory(capacity),
-        "memory-free" => free.map_or_else(none, words::memory),
+        "cpu" => text::cpu(capacity),
+        "cpu-free" => free.map_or_else(none, text::cpu),
+        "memory" => text::memory(capacity),
+        "memory-free" => free.map_or_else(none, text::memory),
         "accelerators" => capacity.accelerators.to_string(),
         "accelerators-free" => free.map_or_else(none, |it| it.accelerators.to_string()),
         "reason" => reason().map_or_else(none, |it| it.text.to_string()),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A worker's state in one word.
+/// Returns a worker's state in one word.
 pub(crate) fn worker_state(state: &State, vm: &Vm, worker: Option<&LiveWorker>) -> &'static str {
     if state.is_drained(&vm.name) {
         return "drained";
@@ -50,13 +50,13 @@
     match worker.map(|it| it.state) {
         Some(WorkerState::Ready) => "ready",
         Some(WorkerState::Leaving) => "leaving",
-        Some(WorkerState::PutAside) => "put-aside",
+        Some(WorkerState::Quarantined) => "put-aside",
         Some(WorkerState::Silent) => "silent",
         None => "not-seen",
     }
 }
 
-pub(crate) fn vms(state: &State, live: &Live, sink: Sink<'_>) {
+pub(crate) fn vms(state: &State, live: &LiveView, sink: Sink<'_>) {
     for (&id, vm) in live.vms.iter() {
         sink(&|column| match column {
             "vm" => vm.name.to_string(),
@@ -85,23 +85,23 @@
     }
 }
 
-fn vm_state(state: &State, live: &Live, vm: &Vm) -> String {
+fn vm_state(state: &State, live: &LiveView, vm: &Vm) -> String {
     match vm.role {
         VmRole::Worker => worker_state(state, vm, live.workers.get(&vm.id)).to_owned(),
         VmRole::Entry => entry_state(state, live, vm),
     }
 }
 
-fn entry_state(state: &State, live: &Live, vm: &Vm) -> String {
-    let held = state.holders.iter().find(|(_, it)| it.holder == vm.id && !it.released);
-    match held {
+fn entry_state(state: &State, live: &LiveView, vm: &Vm) -> String {
+    let held_dc = state.holders.iter().find(|(_, it)| it.holder == vm.id && !it.released);
+    match held_dc {
         Some((&dc, _)) => format!("holds {}", live.dc(dc)),
         None if state.is_drained(&vm.name) => "drained".to_owned(),
         None => none(),
     }
 }
 
-pub(crate) fn holders(state: &State, live: &Live, sink: Sink<'_>) {
+pub(crate) fn holders(state: &State, live: &LiveView, sink: Sink<'_>) {
     for (&dc, holding) in state.holders.iter() {
         sink(&|column| match column {
             "dc" => live.dc(dc),
--- a/daisy-standin/src/worker.rs
+++ b/daisy-standin/src/worker.rs
@@ -15,7 +15,7 @@
 
 use daisy_history::{EventKind, History};
 use daisy_model::{Resources, WorkerCall};
-use daisy_wire::worker::{CallJson, ReportJson, SeenJson};
+use daisy_wire::worker::{CallJson, ReportJson, ReportVersionJson};
 use http::{Method, Request, StatusCode};
 use hyper::body::Incoming;
 use tokio::{
@@ -193,7 +193,7 @@
 
 /// A request that waits for updates: the version that the holder has seen, and how long to wait.
 struct UpdatesRequest {
-    seen: SeenJson,
+    seen: ReportVersionJson,
     wait: Duration,
 }
 
@@ -203,7 +203,7 @@
             let mut fields = query.split('&').filter_map(|field| field.split_once('='));
             fields.find(|(key, _)| *key == name)?.1.parse().ok()
         };
-        let seen = SeenJson { boot: number("boot")?, version: number("version")? };
+        let seen = ReportVersionJson { boot: number("boot")?, version: number("version")? };
         Some(UpdatesRequest { seen, wait: Duration::from_millis(number("wait_ms")?) })
     }
 }
@@ -292,7 +292,7 @@
         }
     }
 
-    fn execute(&self, seen: Option<SeenJson>, call: WorkerCall) -> ReportJson {
+    fn execute(&self, seen: Option<ReportVersionJson>, call: WorkerCall) -> ReportJson {
         let faults = self.switches.with(|faults| WorkerFaults {
             fail_everything: faults.fail_everything,
             overcommit: faults.overcommit,
--- a/daisy-standin/src/worker/journal.rs
+++ b/daisy-standin/src/worker/journal.rs
@@ -2,7 +2,7 @@
 //! changes.
 
 use daisy_model::{Incarnation, Resources, SortedMap, TaskId, Usage, WorkerReport};
-use daisy_wire::worker::{ReportJson, SeenJson};
+use daisy_wire::worker::{ReportJson, ReportVersionJson};
 
 /// The slowdown, in thousandths, of a task that nothing disturbs.
 const NO_SLOWDOWN: u32 = 1000;
@@ -40,8 +40,8 @@
         self.boot = boot;
     }
 
-    pub(super) fn last_update(&self) -> SeenJson {
-        SeenJson { boot: self.boot, version: self.last_update }
+    pub(super) fn last_update(&self) -> ReportVersionJson {
+        ReportVersionJson { boot: self.boot, version: self.last_update }
     }
 
     /// Records that an incarnation was started or throttled.
@@ -66,12 +66,12 @@
     /// not known.
     pub(super) fn reduce_to_changes(
         &mut self,
-        seen: Option<SeenJson>,
+        seen: Option<ReportVersionJson>,
         report: WorkerReport,
     ) -> ReportJson {
-        let now = SeenJson { boot: self.boot, version: self.version };
+        let now = ReportVersionJson { boot: self.boot, version: self.version };
         let known = seen.filter(|it| it.boot == self.boot && it.version <= self.version);
-        let Some(SeenJson { version, .. }) = known else {
+        let Some(ReportVersionJson { version, .. }) = known else {
             return ReportJson { now: Some(now), ..ReportJson::from(report) };
         };
         let is_new = |key: Key| self.changed.get(&key).is_some_and(|&at| at > version);
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -9,7 +9,7 @@
     Ended, Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, Running,
     SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
 };
-use daisy_wire::worker::{ReportJson, SeenJson};
+use daisy_wire::worker::{ReportJson, ReportVersionJson};
 use serde::{Deserialize, Serialize};
 
 use super::journal::ReportJournal;
@@ -143,7 +143,11 @@
     }
 
     /// Reduces a complete report to the changes since `seen`, if they are known.
-    pub fn changes_since(&mut self, seen: Option<SeenJson>, report: WorkerReport) -> ReportJson {
+    pub fn changes_since(
+        &mut self,
+        seen: Option<ReportVersionJson>,
+        report: WorkerReport,
+    ) -> ReportJson {
         self.journal.reduce_to_changes(seen, report)
     }
 
@@ -153,7 +157,7 @@
     }
 
     /// Returns the version at which a task ended last, or a slowdown changed considerably.
-    pub fn last_update(&self) -> SeenJson {
+    pub fn last_update(&self) -> ReportVersionJson {
         self.journal.last_update()
     }
 
--- a/daisy-wire/src/peer/records.rs
+++ b/daisy-wire/src/peer/records.rs
@@ -1,68 +1,74 @@
-//! The log's records, passed on within a data centre.
+//! The stream that forwards the log's records within a data centre.
 
 use bincode::{Decode, Encode};
 use daisy_model::Offset;
 
-/// Asks for all records from an offset on, as they come.
+/// Requests all records from an offset on, including those appended later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct RecordsFrom {
-    /// The first offset wanted.
+pub struct RecordsRequest {
+    /// The offset of the first record to send.
     pub offset: u64,
 }
 
-/// One message of the stream of records.
+/// A message of the record stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Pushed {
-    /// The state up to an offset, where its records are no longer at hand.
+pub enum RecordStreamMessage {
+    /// The state up to an offset, sent if the sender no longer has the records before it.
     Snapshot {
-        /// The offset of the next record.
+        /// The offset of the first record that the state does not include.
         next: Offset,
         /// The encoded state.
         bytes: Vec<u8>,
     },
     /// Consecutive records.
     Records {
-        /// The offset of the first.
+        /// The offset of the first record.
         first: Offset,
-        /// The bytes of each, as in the log.
+        /// The bytes of each record, as in the log.
         bodies: Vec<Vec<u8>>,
     },
 }
 
-/// See [`Pushed`].
+/// See [`RecordStreamMessage`].
 #[derive(Debug, Encode, Decode)]
-pub enum PushedWire {
-    /// See [`Pushed::Snapshot`].
+pub enum RecordStreamMessageWire {
+    /// See [`RecordStreamMessage::Snapshot`].
     Snapshot {
-        /// The offset of the next record.
+        /// The offset of the first record that the state does not include.
         next: u64,
         /// The encoded state.
         bytes: Vec<u8>,
     },
-    /// See [`Pushed::Records`].
+    /// See [`RecordStreamMessage::Records`].
     Records {
-        /// The offset of the first.
+        /// The offset of the first record.
         first: u64,
-        /// The bytes of each.
+        /// The bytes of each record.
         bodies: Vec<Vec<u8>>,
     },
 }
 
-impl From<Pushed> for PushedWire {
-    fn from(pushed: Pushed) -> PushedWire {
-        match pushed {
-            Pushed::Snapshot { next, bytes } => PushedWire::Snapshot { next: next.0, bytes },
-            Pushed::Records { first, bodies } => PushedWire::Records { first: first.0, bodies },
+impl From<RecordStreamMessage> for RecordStreamMessageWire {
+    fn from(message: RecordStreamMessage) -> RecordStreamMessageWire {
+        match message {
+            RecordStreamMessage::Snapshot { next, bytes } => {
+                RecordStreamMessageWire::Snapshot { next: next.0, bytes }
+            }
+            RecordStreamMessage::Records { first, bodies } => {
+                RecordStreamMessageWire::Records { first: first.0, bodies }
+            }
         }
     }
 }
 
-impl From<PushedWire> for Pushed {
-    fn from(pushed: PushedWire) -> Pushed {
-        match pushed {
-            PushedWire::Snapshot { next, bytes } => Pushed::Snapshot { next: Offset(next), bytes },
-            PushedWire::Records { first, bodies } => {
-                Pushed::Records { first: Offset(first), bodies }
+impl From<RecordStreamMessageWire> for RecordStreamMessage {
+    fn from(message: RecordStreamMessageWire) -> RecordStreamMessage {
+        match message {
+            RecordStreamMessageWire::Snapshot { next, bytes } => {
+                RecordStreamMessage::Snapshot { next: Offset(next), bytes }
+            }
+            RecordStreamMessageWire::Records { first, bodies } => {
+                RecordStreamMessage::Records { first: Offset(first), bodies }
             }
         }
     }
