--- a/daisy-entry/src/control/fold.rs
+++ b/daisy-entry/src/control/fold.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use daisy_ledger::{Applied, Batch, Outcome, Record};
-use daisy_membership::{Event, Holding};
+use daisy_membership::{Event, HolderClaim};
 use daisy_model::{DcId, Epoch, Instant, Offset};
 use daisy_routing::{KeyAnswer, KeyQuery};
 use daisy_wire::WireError;
@@ -70,7 +70,7 @@
         let generation = self.state.generation;
         let state = Arc::make_mut(&mut self.state);
         let applied = state.apply(offset, &batch);
-        if applied.status == daisy_ledger::Status::Gap {
+        if applied.status == daisy_ledger::EntryStatus::Gap {
             log::warn!("event=log_gap offset={offset} next={}", self.state.next);
             return Folded::Halt;
         }
@@ -121,7 +121,7 @@
     /// The fold has moved on.
     pub(super) fn folded(&mut self, now: Instant) {
         self.out.tail.publish(self.state.next);
-        let holding = self.state.holders.get(&self.identity.dc).map(|it| Holding {
+        let holding = self.state.holders.get(&self.identity.dc).map(|it| HolderClaim {
             holder: it.holder,
             epoch: it.epoch,
             released: it.released,
--- a/daisy-entry/src/control/restore.rs
+++ b/daisy-entry/src/control/restore.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use daisy_ledger::{
     State,
-    snapshot::{self, Since},
+    snapshot::{self, SinceSnapshot},
 };
 use daisy_membership::Role;
 use daisy_model::{Instant, Offset};
@@ -65,7 +65,7 @@
         }
         let from = self.through.unwrap_or_default();
         let entries = state.next.0.saturating_sub(from.0);
-        let since = Since { entries, bytes: self.bytes, age: now.since(self.seen) };
+        let since = SinceSnapshot { entries, bytes: self.bytes, age: now.since(self.seen) };
         let options = snapshot::Options::for_retention(retention);
         // The log drops records: a third of what it keeps may pass before the next snapshot.
         let kept = state.next.0.saturating_sub(self.first.0);
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -136,7 +136,7 @@
         }
         match timeout(limit, verdict).await {
             Ok(Ok(Verdict::Folded(Outcome::Announced))) => Intent::Won,
-            Ok(Ok(Verdict::Folded(Outcome::AnnouncedBefore(_)))) => Intent::Lost,
+            Ok(Ok(Verdict::Folded(Outcome::AlreadyAnnounced(_)))) => Intent::Lost,
             // Without the fold's verdict it may yet come to stand in the log.
             _ => Intent::Unavailable,
         }
--- a/daisy-ledger/src/change.rs
+++ b/daisy-ledger/src/change.rs
@@ -6,7 +6,8 @@
 };
 
 use crate::{
-    AuditEntry, AuditFrom, Job, Outcome, Refusal, State, Subject, Task, TaskState, Team, Verdict,
+    AuditEntry, AuditStart, ChangeOutcome, Job, Outcome, Refusal, State, Subject, Task, TaskState,
+    Team,
 };
 
 impl State {
@@ -23,7 +24,7 @@
     ///
     /// With 8,600 jobs and 360 other changes a day (the users' size plan) that is half a day of
     /// jobs and two weeks of the others. The trail is the largest part of a snapshot.
-    pub const KEPT_AUDIT: usize = 10_000;
+    pub const MAX_AUDIT_ENTRIES: usize = 10_000;
     /// The longest statement, in bytes.
     pub const MAX_TEXT: usize = 4_096;
     /// Entries dropped at one time, so that trimming costs little for each change.
@@ -35,12 +36,12 @@
         let (verdict, outcome) = match result {
             Ok(()) => {
                 self.generation = generation;
-                (Verdict::Accepted(generation), Outcome::Accepted(generation))
+                (ChangeOutcome::Accepted(generation), Outcome::Accepted(generation))
             }
             Err(refusal) => {
                 self.counts.refused += 1;
                 let cause = refusal.to_string().into_boxed_str();
-                (Verdict::Refused(cause), Outcome::Refused(refusal))
+                (ChangeOutcome::Refused(cause), Outcome::Refused(refusal))
             }
         };
         let mut change = change.clone();
@@ -52,7 +53,7 @@
     }
 
     fn audit(&mut self, entry: AuditEntry) {
-        if self.audit.len() >= State::KEPT_AUDIT {
+        if self.audit.len() >= State::MAX_AUDIT_ENTRIES {
             self.trim_audit();
         }
         self.audit.push(entry);
@@ -74,7 +75,8 @@
             }
             !drops
         });
-        let from = if drops_jobs { &mut self.audit_from.jobs } else { &mut self.audit_from.others };
+        let from =
+            if drops_jobs { &mut self.audit_start.jobs } else { &mut self.audit_start.others };
         *from = dropped;
     }
 
@@ -109,7 +111,7 @@
         if seen > self.generation {
             return Err(Refusal::Future { seen, newest: self.generation });
         }
-        let AuditFrom { jobs, others } = self.audit_from;
+        let AuditStart { jobs, others } = self.audit_start;
         let oldest = if is_about_job(command) { jobs } else { others };
         if seen < oldest {
             return Err(Refusal::TooOld { seen, oldest });
@@ -117,7 +119,7 @@
         let subject = Subject::of(command);
         let newer = self.audit.iter().rev().take_while(|it| it.offset.0 + 1 > seen.0);
         for entry in newer {
-            let Verdict::Accepted(generation) = entry.verdict else { continue };
+            let ChangeOutcome::Accepted(generation) = entry.verdict else { continue };
             if Subject::of(&entry.change.command) == subject {
                 return Err(Refusal::Conflict {
                     subject: subject.to_string().into(),
@@ -151,7 +153,7 @@
             tasks,
             open: spec.tasks,
             generation,
-            touched: self.next,
+            modified_before: self.next,
         });
         Ok(())
     }
--- a/daisy-ledger/src/checkout.rs
+++ b/daisy-ledger/src/checkout.rs
@@ -2,7 +2,7 @@
 
 use daisy_model::{DcId, Ended, Epoch, Exit, JobId, JobKind, Offset, Resources, TaskId, VmId};
 
-use crate::{Holding, Outcome, Owner, Placement, State, Task, TaskState, exit, quota::Rooms};
+use crate::{HolderClaim, Outcome, Owner, Placement, State, Task, TaskState, exit, quota::Rooms};
 
 impl State {
     /// The epoch of a claim is its offset plus one, so a later claim always fences an earlier.
@@ -12,7 +12,7 @@
         if self.holders.get(&dc).is_some_and(|it| it.epoch >= epoch) {
             return self.stale();
         }
-        self.holders.insert(dc, Holding { holder, epoch, released: false });
+        self.holders.insert(dc, HolderClaim { holder, epoch, released: false });
         Outcome::Claimed(epoch)
     }
 
@@ -62,7 +62,7 @@
             team.used_by_services = team.used_by_services.try_add(size)?;
         }
         task.size = size;
-        task.state = TaskState::Out(owner);
+        task.state = TaskState::CheckedOut(owner);
         self.jobs.touch(id.job, self.next);
         Some(())
     }
@@ -138,7 +138,7 @@
 
     fn out_mut(&mut self, dc: DcId, id: TaskId) -> Option<&mut Task> {
         let task = self.jobs.get_mut(id.job)?.tasks.get_mut(id.index as usize)?;
-        matches!(task.state, TaskState::Out(owner) if owner.dc == dc).then_some(task)
+        matches!(task.state, TaskState::CheckedOut(owner) if owner.dc == dc).then_some(task)
     }
 
     /// Accounts for a task that is no longer out and took `size`.
--- a/daisy-ledger/src/fold.rs
+++ b/daisy-ledger/src/fold.rs
@@ -4,18 +4,18 @@
 
 use crate::{
     Batch, Intent, Record, Refusal, State,
-    snapshot::{Mark, Part},
+    snapshot::{CompleteSnapshot, Part},
 };
 
 /// What became of a log entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Status {
+pub enum EntryStatus {
     /// Its records were folded.
     Folded,
     /// The same append was folded at an earlier offset.
     Repeated,
     /// The offset is below the next one: this entry was folded before.
-    Past,
+    AlreadyFolded,
     /// The offset is above the next one: entries in between are missing, and nothing was done.
     Gap,
 }
@@ -40,7 +40,7 @@
     /// The request may run: its key was not announced before.
     Announced,
     /// The key was announced before; that announcement alone may run.
-    AnnouncedBefore(Intent),
+    AlreadyAnnounced(Intent),
     /// A part of a snapshot was noted.
     Noted,
 }
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
     /// Whether the entry was folded.
-    pub status: Status,
+    pub status: EntryStatus,
     /// One outcome for each record; empty if the entry was not folded.
     pub outcomes: Vec<Outcome>,
 }
@@ -76,7 +76,7 @@
         // twice, a change would be made twice and a task checked out anew.
         if !self.senders.note(batch.id, offset) {
             self.counts.repeated += 1;
-            return Applied { status: Status::Repeated, outcomes: Vec::new() };
+            return Applied { status: EntryStatus::Repeated, outcomes: Vec::new() };
         }
         let records = batch.records.iter().enumerate();
         let outcomes = records.map(|(position, record)| {
@@ -84,26 +84,26 @@
             self.apply_record(place, record)
         });
         let outcomes = outcomes.collect();
-        Applied { status: Status::Folded, outcomes }
+        Applied { status: EntryStatus::Folded, outcomes }
     }
 
     /// Passes over the log entry at `offset`, which does not decode.
     ///
     /// Every process meets the same bytes and passes over them alike, so states stay equal.
-    pub fn skip(&mut self, offset: Offset) -> Status {
+    pub fn skip(&mut self, offset: Offset) -> EntryStatus {
         if let Some(status) = self.out_of_turn(offset) {
             return status;
         }
         self.next = Offset(offset.0 + 1);
         self.counts.corrupt += 1;
-        Status::Folded
+        EntryStatus::Folded
     }
 
-    fn out_of_turn(&self, offset: Offset) -> Option<Status> {
+    fn out_of_turn(&self, offset: Offset) -> Option<EntryStatus> {
         match offset.cmp(&self.next) {
-            std::cmp::Ordering::Less => Some(Status::Past),
+            std::cmp::Ordering::Less => Some(EntryStatus::AlreadyFolded),
             std::cmp::Ordering::Equal => None,
-            std::cmp::Ordering::Greater => Some(Status::Gap),
+            std::cmp::Ordering::Greater => Some(EntryStatus::Gap),
         }
     }
 
@@ -121,7 +121,7 @@
                 let intent = Intent { offset, position, entry: *entry };
                 match self.intents.announce(*key, intent) {
                     Ok(()) => Outcome::Announced,
-                    Err(first) => Outcome::AnnouncedBefore(first),
+                    Err(first) => Outcome::AlreadyAnnounced(first),
                 }
             }
             Record::Snapshot { through, part, parts, .. } => {
@@ -136,7 +136,7 @@
         let whole = self.snapshots.push(part, ()).is_some();
         let newer = self.snapshot.is_none_or(|mark| mark.through < part.through);
         if whole && newer {
-            self.snapshot = Some(Mark { through: part.through, last: offset });
+            self.snapshot = Some(CompleteSnapshot { through: part.through, last: offset });
         }
         Outcome::Noted
     }
--- a/daisy-ledger/src/intents.rs
+++ b/daisy-ledger/src/intents.rs
@@ -31,7 +31,7 @@
     ///
     /// A key is forgotten after this many newer ones. At 200 announced requests a second, the
     /// whole budget of appends, that is over five minutes; the retry window is two.
-    pub const KEPT: usize = 64 * Intents::RUN;
+    pub const MIN_REMEMBERED: usize = 64 * Intents::RUN;
 
     /// The first announcement of `key`.
     pub fn get(&self, key: u128) -> Option<&Intent> {
@@ -68,7 +68,7 @@
     fn push(&mut self, key: u128, intent: Intent) {
         let full = self.runs.back().is_none_or(|run| run.len() >= Intents::RUN);
         if full {
-            if self.len() >= Intents::KEPT + Intents::RUN {
+            if self.len() >= Intents::MIN_REMEMBERED + Intents::RUN {
                 self.runs.pop_front();
             }
             self.runs.push_back(SortedMap::new());
--- a/daisy-ledger/src/jobs.rs
+++ b/daisy-ledger/src/jobs.rs
@@ -22,9 +22,9 @@
 impl Jobs {
     /// The most finished jobs kept, oldest forgotten first: about five hours of
     /// 8,600 jobs a day (the users' size plan).
-    pub const KEPT_FINISHED: usize = 2_000;
+    pub const MAX_FINISHED_JOBS: usize = 2_000;
     /// The most tasks that finished jobs keep together.
-    pub const KEPT_FINISHED_TASKS: usize = 25_000;
+    pub const MAX_FINISHED_TASKS: usize = 25_000;
 
     /// The job with the id `job`; `None` if there is none or it has been compacted away.
     pub fn get(&self, job: JobId) -> Option<&Job> {
@@ -113,7 +113,7 @@
     /// Notes that the entry before `next` changed the job or one of its tasks.
     pub(crate) fn touch(&mut self, job: JobId, next: Offset) {
         if let Some(job) = self.entries.get_mut(&job) {
-            job.touched = next;
+            job.modified_before = next;
         }
     }
 
@@ -150,8 +150,8 @@
         let Some(job) = self.entries.get(&id) else { return };
         self.finished.push_back(id);
         self.finished_tasks += job.tasks.len();
-        while self.finished.len() > Jobs::KEPT_FINISHED
-            || self.finished_tasks > Jobs::KEPT_FINISHED_TASKS
+        while self.finished.len() > Jobs::MAX_FINISHED_JOBS
+            || self.finished_tasks > Jobs::MAX_FINISHED_TASKS
         {
             let Some(oldest) = self.finished.pop_front() else { return };
             self.forget(oldest);
--- a/daisy-ledger/src/lib.rs
+++ b/daisy-ledger/src/lib.rs
@@ -21,14 +21,15 @@
 mod subject;
 
 pub use crate::{
-    fold::{Applied, Outcome, Status},
+    fold::{Applied, EntryStatus, Outcome},
     intents::{Intent, Intents},
     jobs::Jobs,
     record::{AppendId, Batch, Placement, Record},
     refusal::Refusal,
     senders::Senders,
     state::{
-        AuditEntry, AuditFrom, Counts, Holding, Job, Owner, State, Task, TaskState, Team, Verdict,
+        AuditEntry, AuditStart, ChangeOutcome, FoldCounters, HolderClaim, Job, Owner, State, Task,
+        TaskState, Team,
     },
     subject::Subject,
 };
--- a/daisy-ledger/src/quota.rs
+++ b/daisy-ledger/src/quota.rs
@@ -42,7 +42,7 @@
 impl State {
     /// What more tasks of a kind may take within the quota of `team`; zero when any part of the
     /// quota is overdrawn.
-    pub fn quota_room(&self, team: TeamId, kind: JobKind) -> Resources {
+    pub fn quota_headroom(&self, team: TeamId, kind: JobKind) -> Resources {
         Rooms::default().room(self, team, kind).unwrap_or_default()
     }
 
--- a/daisy-ledger/src/senders.rs
+++ b/daisy-ledger/src/senders.rs
@@ -18,7 +18,7 @@
     ///
     /// With 48 entry VMs and 130 restarts a day (the users' size plan) this is three weeks:
     /// no process waits that long with an unanswered append.
-    pub const KEPT: usize = 4_096;
+    pub const MAX_SENDERS: usize = 4_096;
 
     /// Notes `id` at `offset`; false if that append has been folded before.
     pub fn note(&mut self, id: AppendId, offset: Offset) -> bool {
@@ -29,7 +29,7 @@
             (*seq, *at) = (id.seq, offset);
             return true;
         }
-        if self.last.len() >= Senders::KEPT {
+        if self.last.len() >= Senders::MAX_SENDERS {
             self.forget_oldest();
         }
         self.last.insert(id.sender, (id.seq, offset));
--- a/daisy-ledger/src/snapshot.rs
+++ b/daisy-ledger/src/snapshot.rs
@@ -6,7 +6,7 @@
 
 /// A whole snapshot in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mark {
+pub struct CompleteSnapshot {
     /// It covers every record below this offset.
     pub through: Offset,
     /// Where its last part stands.
@@ -28,7 +28,7 @@
 
 /// A snapshot of which the first parts have been seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Partial<T> {
+pub struct PartialSnapshot<T> {
     /// The place of the last part seen.
     pub seen: Part,
     /// One item for each part seen.
@@ -38,12 +38,12 @@
 /// Collects parts of snapshots, which several processes may write at one time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Collector<T> {
-    partial: Vec<Partial<T>>,
+    partial: Vec<PartialSnapshot<T>>,
 }
 
 impl<T> Collector<T> {
     /// The most unfinished snapshots; the one begun first is dropped first.
-    pub const KEPT: usize = 4;
+    pub const MAX_UNFINISHED: usize = 4;
     /// The most parts of one snapshot.
     pub const MAX_PARTS: u32 = 4_096;
 
@@ -62,7 +62,7 @@
                 if part.part != 0 || part.parts > Self::MAX_PARTS {
                     return None;
                 }
-                Partial { seen: part, items: Vec::new() }
+                PartialSnapshot { seen: part, items: Vec::new() }
             }
         };
         partial.seen = part;
@@ -70,7 +70,7 @@
         if part.part + 1 == part.parts {
             return Some(partial.items);
         }
-        if self.partial.len() >= Self::KEPT {
+        if self.partial.len() >= Self::MAX_UNFINISHED {
             self.partial.remove(0);
         }
         self.partial.push(partial);
@@ -78,7 +78,7 @@
     }
 
     /// Unfinished snapshots.
-    pub fn iter(&self) -> impl Iterator<Item = &Partial<T>> {
+    pub fn iter(&self) -> impl Iterator<Item = &PartialSnapshot<T>> {
         self.partial.iter()
     }
 }
@@ -89,8 +89,8 @@
     }
 }
 
-impl<T> FromIterator<Partial<T>> for Collector<T> {
-    fn from_iter<I: IntoIterator<Item = Partial<T>>>(iter: I) -> Collector<T> {
+impl<T> FromIterator<PartialSnapshot<T>> for Collector<T> {
+    fn from_iter<I: IntoIterator<Item = PartialSnapshot<T>>>(iter: I) -> Collector<T> {
         Collector { partial: iter.into_iter().collect() }
     }
 }
@@ -123,7 +123,7 @@
 
 /// What has happened since the last whole snapshot was begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Since {
+pub struct SinceSnapshot {
     /// Log entries folded.
     pub entries: u64,
     /// Their bytes.
@@ -138,7 +138,7 @@
 ///
 /// Each waits an eighth longer than the one before it, so that usually one writes, and another
 /// does when that one is gone. Two at one time do no harm: both are whole.
-pub fn due(options: &Options, since: &Since, rank: u32) -> bool {
+pub fn due(options: &Options, since: &SinceSnapshot, rank: u32) -> bool {
     let waits = u64::from(8 + rank.min(MAX_RANK));
     let entries = options.entries.saturating_mul(waits) / 8;
     let bytes = options.bytes.saturating_mul(waits) / 8;
--- a/daisy-ledger/src/state.rs
+++ b/daisy-ledger/src/state.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Intents, Jobs, Senders,
-    snapshot::{Collector, Mark},
+    snapshot::{Collector, CompleteSnapshot},
 };
 
 /// A team and its quota.
@@ -25,7 +25,7 @@
 
 /// The holder of a data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Holding {
+pub struct HolderClaim {
     /// The entry VM.
     pub holder: VmId,
     /// Its fencing token.
@@ -49,7 +49,7 @@
     /// Nobody has it.
     Pending,
     /// A data centre has it, and it runs or is about to.
-    Out(Owner),
+    CheckedOut(Owner),
     /// It will not run again.
     Ended(Exit),
 }
@@ -109,12 +109,12 @@
     /// What [`State::next`] became by the last entry that changed the job or one of its tasks.
     ///
     /// Who has seen the state at some `next` can pass over jobs that were touched no later.
-    pub touched: Offset,
+    pub modified_before: Offset,
 }
 
 /// What came of an operator's change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ChangeOutcome {
     /// In force from the given generation on.
     Accepted(Generation),
     /// Nothing changed, for the reason given.
@@ -129,12 +129,12 @@
     /// Who, when and what.
     pub change: Change,
     /// What came of it.
-    pub verdict: Verdict,
+    pub verdict: ChangeOutcome,
 }
 
 /// The generations up to which changes may be missing from the audit trail.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AuditFrom {
+pub struct AuditStart {
     /// For changes of jobs.
     pub jobs: Generation,
     /// For all other changes.
@@ -143,7 +143,7 @@
 
 /// What the fold took no effect of.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct FoldCounters {
     /// Appends folded before, sent again by their sender.
     pub repeated: u64,
     /// Records under an epoch that is no longer in force.
@@ -168,7 +168,7 @@
     /// Jobs in the order of creation, finished ones included until compacted.
     pub jobs: Jobs,
     /// Holders by data centre.
-    pub holders: SortedMap<DcId, Holding>,
+    pub holders: SortedMap<DcId, HolderClaim>,
     /// VMs drained by operators, sorted.
     pub drained: Vec<Name>,
     /// Paused classes of work.
@@ -178,17 +178,17 @@
     /// The audit trail, oldest first, to a bound.
     pub audit: Vec<AuditEntry>,
     /// Where the audit trail begins.
-    pub audit_from: AuditFrom,
+    pub audit_start: AuditStart,
     /// The last append of each sender.
     pub senders: Senders,
     /// Announced non-idempotent requests.
     pub intents: Intents,
     /// The newest whole snapshot in the log.
-    pub snapshot: Option<Mark>,
+    pub snapshot: Option<CompleteSnapshot>,
     /// Snapshots of which only the first parts are in the log.
     pub snapshots: Collector<()>,
     /// What took no effect.
-    pub counts: Counts,
+    pub counts: FoldCounters,
 }
 
 impl State {
--- a/daisy-ledger/tests/change.rs
+++ b/daisy-ledger/tests/change.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use daisy_ledger::{Outcome, Refusal, State, TaskState, Verdict};
+use daisy_ledger::{ChangeOutcome, Outcome, Refusal, State, TaskState};
 use daisy_model::{
     Command, Exit, Generation, JobKind, JobSpec, PolicyChange, Priority, Resources, WorkClass,
 };
@@ -76,7 +76,7 @@
 
         assert!(refusal.starts_with(cause), "{refusal}");
         let last = log.state.audit.last().expect("audited");
-        assert_eq!(last.verdict, Verdict::Refused(refusal.into()));
+        assert_eq!(last.verdict, ChangeOutcome::Refused(refusal.into()));
         let State { next, audit, senders, counts, .. } = log.state.clone();
         let after = State { next, audit, senders, counts, ..before };
         assert_eq!(log.state, after);
@@ -122,13 +122,13 @@
 #[test]
 fn the_audit_trail_is_bounded_and_says_where_it_begins() {
     let mut log = Log::with_team();
-    for _ in 0..State::KEPT_AUDIT {
+    for _ in 0..State::MAX_AUDIT_ENTRIES {
         log.change(Command::Pause(WorkClass::Batch));
     }
 
     let outcome = log.change_if("ana", Command::Pause(WorkClass::Batch), Generation(1));
 
-    assert!(log.state.audit.len() <= State::KEPT_AUDIT);
+    assert!(log.state.audit.len() <= State::MAX_AUDIT_ENTRIES);
     let oldest = Generation(1_000);
     assert_eq!(outcome, Outcome::Refused(Refusal::TooOld { seen: Generation(1), oldest }));
 }
@@ -139,7 +139,7 @@
 fn jobs_do_not_push_other_changes_out_of_the_audit_trail() {
     let mut log = Log::with_team();
     log.change(Command::Drain { vm: name("vm-1") });
-    for _ in 0..State::KEPT_AUDIT {
+    for _ in 0..State::MAX_AUDIT_ENTRIES {
         log.change(Command::Create(batch_job("render", 1)));
         log.change(cancel("render"));
     }
@@ -178,7 +178,10 @@
     log.end(DC, epoch, task(0, 2), 1, Exit::Checkpointed(5));
     log.change(change_tasks("render", 4));
 
-    assert!(matches!(fewer[..], [TaskState::Pending, TaskState::Ended(_), TaskState::Out(_)]));
+    assert!(matches!(
+        fewer[..],
+        [TaskState::Pending, TaskState::Ended(_), TaskState::CheckedOut(_)]
+    ));
     let ended = TaskState::Ended(Exit::Checkpointed(5));
     assert_eq!(states(&log), [TaskState::Pending, TaskState::Pending, ended, TaskState::Pending]);
     assert_eq!(log.state.jobs.pending(), [task(0, 0), task(0, 1), task(0, 3)]);
@@ -230,14 +233,14 @@
 fn finished_jobs_are_forgotten_in_turn() {
     let mut log = Log::with_team();
     log.change(Command::Create(batch_job("first", 1)));
-    for _ in 0..daisy_ledger::Jobs::KEPT_FINISHED + 10 {
+    for _ in 0..daisy_ledger::Jobs::MAX_FINISHED_JOBS + 10 {
         log.change(Command::Create(batch_job("render", 1)));
         log.change(cancel("render"));
     }
 
     let jobs = &log.state.jobs;
 
-    assert_eq!(jobs.len(), daisy_ledger::Jobs::KEPT_FINISHED + 1);
+    assert_eq!(jobs.len(), daisy_ledger::Jobs::MAX_FINISHED_JOBS + 1);
     assert!(jobs.by_name(&name("first")).is_some());
     assert!(jobs.is_forgotten(task(5, 0)));
     assert!(!jobs.is_forgotten(task(0, 0)));
@@ -254,5 +257,5 @@
     let granted = log.checkout(DC, epoch, &[task(0, 2)]);
 
     assert!(granted.is_empty());
-    assert!(matches!(states(&log)[0], TaskState::Out(_)));
+    assert!(matches!(states(&log)[0], TaskState::CheckedOut(_)));
 }
--- a/daisy-ledger/tests/checkout.rs
+++ b/daisy-ledger/tests/checkout.rs
@@ -16,7 +16,7 @@
 
 fn owner(log: &Log, index: u32) -> Option<DcId> {
     match log.state.task(task(0, index))?.state {
-        TaskState::Out(Owner { dc, .. }) => Some(dc),
+        TaskState::CheckedOut(Owner { dc, .. }) => Some(dc),
         _ => None,
     }
 }
@@ -257,14 +257,14 @@
     let lost = log.record(intent(2));
 
     assert_eq!(won, Outcome::Announced);
-    let Outcome::AnnouncedBefore(first) = lost else { panic!("{lost:?}") };
+    let Outcome::AlreadyAnnounced(first) = lost else { panic!("{lost:?}") };
     assert_eq!((first.entry, first.offset.0, first.position), (VmId(1), 0, 0));
 }
 
 #[test]
 fn intents_are_kept_to_a_bound() {
     let mut log = Log::new();
-    let kept = daisy_ledger::Intents::KEPT as u128;
+    let kept = daisy_ledger::Intents::MIN_REMEMBERED as u128;
     for key in 0..kept + 5_000 {
         log.record(Record::Intent { key: key.wrapping_mul(0x9e37_79b9_7f4a_7c15), entry: VmId(1) });
     }
@@ -288,9 +288,13 @@
             log.record(record);
             for (id, job) in log.state.jobs.iter() {
                 let unlike = before.get(id).is_none_or(|it| {
-                    *job != daisy_ledger::Job { touched: job.touched, ..it.clone() }
+                    *job != daisy_ledger::Job { modified_before: job.modified_before, ..it.clone() }
                 });
-                assert_eq!(job.touched == log.state.next, unlike, "touched when it changed");
+                assert_eq!(
+                    job.modified_before == log.state.next,
+                    unlike,
+                    "touched when it changed"
+                );
                 for (index, task) in job.tasks.iter().enumerate() {
                     let id = common::task(id.0, index as u32);
                     check_task(before.task(id), task, &mut resumed);
@@ -317,14 +321,14 @@
     resumed: &mut Vec<(u64, Incarnation)>,
 ) {
     let Some(before) = before else { return };
-    if let (TaskState::Out(was), TaskState::Out(is)) = (before.state, after.state) {
+    if let (TaskState::CheckedOut(was), TaskState::CheckedOut(is)) = (before.state, after.state) {
         assert_eq!(was, is, "owner changed in one step");
     }
-    if let (TaskState::Ended(_), TaskState::Out(_)) = (before.state, after.state) {
+    if let (TaskState::Ended(_), TaskState::CheckedOut(_)) = (before.state, after.state) {
         panic!("an ended task was checked out");
     }
     assert!(after.ended >= before.ended, "an ended incarnation came back");
-    if let (TaskState::Out(_), Some(token)) = (after.state, after.checkpoint) {
+    if let (TaskState::CheckedOut(_), Some(token)) = (after.state, after.checkpoint) {
         let by = after.next_incarnation();
         match resumed.iter().find(|(it, _)| *it == token) {
             Some((_, first)) => assert_eq!(*first, by, "a checkpoint was resumed twice"),
--- a/daisy-ledger/tests/common/script.rs
+++ b/daisy-ledger/tests/common/script.rs
@@ -92,6 +92,7 @@
 /// The sum of the sizes of checked-out tasks of some jobs, worked out anew.
 pub fn out_size(state: &State, wanted: impl Fn(&Job) -> bool) -> Resources {
     let jobs = state.jobs.iter().map(|(_, job)| job).filter(|job| wanted(job));
-    let out = jobs.flat_map(|job| &job.tasks).filter(|it| matches!(it.state, TaskState::Out(_)));
+    let out =
+        jobs.flat_map(|job| &job.tasks).filter(|it| matches!(it.state, TaskState::CheckedOut(_)));
     out.fold(Resources::ZERO, |sum, task| sum.try_add(task.size).expect("no overflow"))
 }
--- a/daisy-ledger/tests/fold.rs
+++ b/daisy-ledger/tests/fold.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use daisy_ledger::{AppendId, Batch, Placement, Record, State, Status};
+use daisy_ledger::{AppendId, Batch, EntryStatus, Placement, Record, State};
 use daisy_model::{
     Command, DcId, Ended, Epoch, Exit, Incarnation, JobKind, JobSpec, Offset, PolicyChange,
     Resources, VmId,
@@ -27,8 +27,8 @@
     let first = log.append(create.clone());
     let second = log.append(create);
 
-    assert_eq!(first.status, Status::Folded);
-    assert_eq!(second.status, Status::Repeated);
+    assert_eq!(first.status, EntryStatus::Folded);
+    assert_eq!(second.status, EntryStatus::Repeated);
     assert_eq!(log.state.jobs.len(), 1);
     assert_eq!(log.state.counts.refused, 0);
     assert_eq!(log.state.counts.repeated, 1);
@@ -45,8 +45,8 @@
     let past = log.state.apply(Offset(0), &entry);
     let gap = log.state.apply(Offset(5), &entry);
 
-    assert_eq!(past.status, Status::Past);
-    assert_eq!(gap.status, Status::Gap);
+    assert_eq!(past.status, EntryStatus::AlreadyFolded);
+    assert_eq!(gap.status, EntryStatus::Gap);
     assert_eq!(log.state, before);
 }
 
@@ -59,8 +59,8 @@
     let skipped = state.skip(Offset(0));
     let folded = state.apply(Offset(1), &batch(1, quota("shop", size(1, 1))));
 
-    assert_eq!(skipped, Status::Folded);
-    assert_eq!(folded.status, Status::Folded);
+    assert_eq!(skipped, EntryStatus::Folded);
+    assert_eq!(folded.status, EntryStatus::Folded);
     assert_eq!(state.counts.corrupt, 1);
     assert_eq!(state.teams.len(), 1);
 }
--- a/daisy-ledger/tests/snapshot.rs
+++ b/daisy-ledger/tests/snapshot.rs
@@ -6,7 +6,7 @@
 
 use daisy_ledger::{
     AppendId, Batch, Record,
-    snapshot::{Collector, Mark, Options, Part, Since, due},
+    snapshot::{Collector, CompleteSnapshot, Options, Part, SinceSnapshot, due},
 };
 use daisy_model::Offset;
 
@@ -18,8 +18,8 @@
     Part { sender, through: Offset(through), part, parts }
 }
 
-fn since(entries: u64, bytes: u64, age: u64) -> Since {
-    Since { entries, bytes, age: Duration::from_secs(age) }
+fn since(entries: u64, bytes: u64, age: u64) -> SinceSnapshot {
+    SinceSnapshot { entries, bytes, age: Duration::from_secs(age) }
 }
 
 #[test]
@@ -63,7 +63,7 @@
     for sender in 0..100 {
         collector.push(part(sender, 1, 0, 2), ());
     }
-    assert_eq!(collector.iter().count(), Collector::<()>::KEPT);
+    assert_eq!(collector.iter().count(), Collector::<()>::MAX_UNFINISHED);
     assert_eq!(collector.push(part(500, 1, 0, u32::MAX), ()), None);
     assert_eq!(collector.iter().filter(|it| it.seen.sender == 500).count(), 0);
 }
@@ -77,5 +77,5 @@
         let id = AppendId { sender: 5, seq: u64::from(part) + 1 };
         log.append(Batch { id, records: vec![record] });
     }
-    assert_eq!(log.state.snapshot, Some(Mark { through: Offset(1), last: Offset(2) }));
+    assert_eq!(log.state.snapshot, Some(CompleteSnapshot { through: Offset(1), last: Offset(2) }));
 }
--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -10,7 +10,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use daisy_ledger::{AppendId, Batch, Record, State};
-use daisy_membership::{Heartbeat, Holding, Membership, Role};
+use daisy_membership::{Heartbeat, HolderClaim, Membership, Role};
 use daisy_model::{DcId, Epoch, Instant, Order, Resources, Vm, VmId, WorkerCall};
 use daisy_placement::{Holder, Options, WorkerStatus};
 use hdrhistogram::Histogram;
@@ -237,7 +237,7 @@
     }
 
     fn tick_entry(&mut self, at: usize) {
-        let holding = self.state.holders.get(&DcId(0)).map(|it| Holding {
+        let holding = self.state.holders.get(&DcId(0)).map(|it| HolderClaim {
             holder: it.holder,
             epoch: it.epoch,
             released: it.released,
--- a/daisy-measure/src/ledger/fleet.rs
+++ b/daisy-measure/src/ledger/fleet.rs
@@ -155,19 +155,19 @@
     /// Fills all that is kept to a bound: finished jobs, the audit trail, intents; gives the bytes
     /// in the log of one change.
     pub(crate) fn fill(&mut self) -> f64 {
-        let tasks = Jobs::KEPT_FINISHED_TASKS / Jobs::KEPT_FINISHED;
-        for _ in 0..Jobs::KEPT_FINISHED {
+        let tasks = Jobs::MAX_FINISHED_TASKS / Jobs::MAX_FINISHED_JOBS;
+        for _ in 0..Jobs::MAX_FINISHED_JOBS {
             let id = self.create(JobKind::Batch, tasks as u32);
             let job = self.state.jobs.get(id).map(|job| job.spec.name.clone());
             let Some(job) = job else { continue };
             self.change(Command::Cancel { kind: JobKind::Batch, job });
         }
-        for _ in 0..State::KEPT_AUDIT - 2 * Jobs::KEPT_FINISHED {
+        for _ in 0..State::MAX_AUDIT_ENTRIES - 2 * Jobs::MAX_FINISHED_JOBS {
             self.change(Command::Pause(WorkClass::Priority(Priority::Low)));
         }
         let bytes: usize = self.entries.iter().map(|(_, bytes)| bytes.len()).sum();
         let change_bytes = bytes as f64 / self.entries.len() as f64;
-        for _ in 0..Intents::KEPT {
+        for _ in 0..Intents::MIN_REMEMBERED {
             let key = self.rng.u128(..);
             self.append(Record::Intent { key, entry: VmId(1) });
         }
@@ -360,5 +360,5 @@
 /// The number of tasks that a state has checked out.
 pub(crate) fn out(state: &State) -> usize {
     let tasks = state.jobs.iter().flat_map(|(_, job)| &job.tasks);
-    tasks.filter(|task| matches!(task.state, TaskState::Out(_))).count()
+    tasks.filter(|task| matches!(task.state, TaskState::CheckedOut(_))).count()
 }
--- a/daisy-membership/src/holding.rs
+++ b/daisy-membership/src/holding.rs
@@ -8,7 +8,7 @@
 
 /// The holder of a data centre as the log tells it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Holding {
+pub struct HolderClaim {
     /// The entry VM.
     pub holder: VmId,
     /// Its fencing token.
@@ -37,7 +37,7 @@
 /// The state of the holding as one entry VM sees it.
 #[derive(Debug, Default)]
 pub(crate) struct Tenure {
-    pub holding: Option<Holding>,
+    pub holding: Option<HolderClaim>,
     /// The newest heartbeat of the holder, and when this process learnt of it.
     pub evidence: Option<Evidence>,
     pub sign: Instant,
@@ -76,7 +76,7 @@
     }
 
     /// Takes the log's word.
-    pub fn learn(&mut self, now: Instant, holding: Option<Holding>) {
+    pub fn learn(&mut self, now: Instant, holding: Option<HolderClaim>) {
         if holding == self.holding {
             return;
         }
--- a/daisy-membership/src/lib.rs
+++ b/daisy-membership/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use crate::{
     heartbeat::{Evidence, Heartbeat, Status},
-    holding::{Holding, Role},
+    holding::{HolderClaim, Role},
     membership::{Action, Event, Membership},
     options::Options,
     peers::{Peer, Peers},
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -3,7 +3,7 @@
 use daisy_model::{DcId, Epoch, Instant, Offset, Vm, VmId};
 
 use crate::{
-    Evidence, Heartbeat, Holding, Options, Peer, Peers, Role, Source, Status,
+    Evidence, Heartbeat, HolderClaim, Options, Peer, Peers, Role, Source, Status,
     holding::Tenure,
     readiness::Readiness,
     source::{Reading, View},
@@ -23,7 +23,7 @@
         /// The generation of the configuration in force.
         generation: u64,
         /// The holder of the own data centre.
-        holding: Option<Holding>,
+        holding: Option<HolderClaim>,
     },
     /// The platform's log has answered a read or an append.
     Log {
@@ -138,7 +138,7 @@
     }
 
     /// The holder of the own data centre, if there is one by the log.
-    pub fn holding(&self) -> Option<Holding> {
+    pub fn holding(&self) -> Option<HolderClaim> {
         self.tenure.holding
     }
 
--- a/daisy-membership/tests/membership/fleet.rs
+++ b/daisy-membership/tests/membership/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_membership::{
-    Action, Event, Heartbeat, Holding, Membership, Options, Role, Source, Status,
+    Action, Event, Heartbeat, HolderClaim, Membership, Options, Role, Source, Status,
 };
 use daisy_model::{DcId, Epoch, Instant, Name, Offset, Resources, Vm, VmId, VmRole, VmStatus};
 
@@ -44,7 +44,7 @@
     /// Heartbeats lost of a thousand, and the most that one is late.
     pub loss: u32,
     pub delay: Duration,
-    log: Vec<(DcId, Holding)>,
+    log: Vec<(DcId, HolderClaim)>,
     random: u64,
 }
 
@@ -125,7 +125,7 @@
 
     /// Appends a record that concerns no data centre of the fleet.
     pub fn append(&mut self) {
-        let holding = Holding { holder: VmId(0), epoch: Epoch(1), released: false };
+        let holding = HolderClaim { holder: VmId(0), epoch: Epoch(1), released: false };
         self.log.push((DcId(u16::MAX), holding));
     }
 
@@ -231,13 +231,13 @@
             Action::Claim => {
                 if self.log_up && self.nodes[at].reaches_log {
                     let epoch = Epoch(self.log.len() as u64 + 1);
-                    self.log.push((dc, Holding { holder: vm, epoch, released: false }));
+                    self.log.push((dc, HolderClaim { holder: vm, epoch, released: false }));
                     self.claims.push(Claim { dc, vm });
                 }
                 self.event(at, Event::ClaimEnded);
             }
             Action::Release(epoch) => {
-                self.log.push((dc, Holding { holder: vm, epoch, released: true }));
+                self.log.push((dc, HolderClaim { holder: vm, epoch, released: true }));
             }
             Action::Ready(ready) => self.nodes[at].ready = ready,
             Action::Become(_) | Action::Read(_) => {}
--- a/daisy-placement/src/ledger_updates.rs
+++ b/daisy-placement/src/ledger_updates.rs
@@ -110,11 +110,11 @@
         }
         match task.state {
             TaskState::Pending => self.handle_pending(now, id),
-            TaskState::Out(owner) if owner.dc == self.options.dc => {
+            TaskState::CheckedOut(owner) if owner.dc == self.options.dc => {
                 let is_own = owner.epoch == self.options.epoch;
                 self.handle_checked_out(now, id, is_own);
             }
-            TaskState::Out(_) | TaskState::Ended(_) => self.handle_not_ours(id),
+            TaskState::CheckedOut(_) | TaskState::Ended(_) => self.handle_not_ours(id),
         }
     }
 
--- a/daisy-placement/src/task.rs
+++ b/daisy-placement/src/task.rs
@@ -73,7 +73,7 @@
             Phase::Running { .. } => self.is_placement_recorded(),
             Phase::NotOurs => match ledger.state {
                 TaskState::Pending => false,
-                TaskState::Out(owner) => owner.dc != dc,
+                TaskState::CheckedOut(owner) => owner.dc != dc,
                 TaskState::Ended(_) => true,
             },
             _ => false,
--- a/daisy-placement/tests/checkout.rs
+++ b/daisy-placement/tests/checkout.rs
@@ -18,7 +18,7 @@
     let dc = DcId(0);
     let is_out = |index: &u32| {
         let state = world.state.task(task(job, *index)).unwrap().state;
-        matches!(state, TaskState::Out(owner) if owner.dc == dc)
+        matches!(state, TaskState::CheckedOut(owner) if owner.dc == dc)
     };
     (0..tasks).filter(is_out).count()
 }
@@ -112,7 +112,7 @@
     world.run(Duration::from_secs(30));
 
     let state = |job, index| world.state.task(task(job, index)).unwrap().state;
-    assert!(matches!(before, TaskState::Out(_) | TaskState::Pending), "{before:?}");
+    assert!(matches!(before, TaskState::CheckedOut(_) | TaskState::Pending), "{before:?}");
     assert_eq!(state(1, 0), TaskState::Ended(Exit::Refused));
     assert_eq!(state(1, 1), TaskState::Ended(Exit::Refused));
     assert!(!matches!(state(2, 0), TaskState::Ended(_)));
--- a/daisy-query/src/explain/effect.rs
+++ b/daisy-query/src/explain/effect.rs
@@ -47,7 +47,7 @@
 /// Adds how many tasks of a new job the team's quota has room for now.
 fn say_startable(table: &mut Table, state: &State, spec: &JobSpec) {
     let Some((team, _)) = state.team(&spec.team) else { return };
-    let room = fitting(spec.size, state.quota_room(team, spec.kind)).min(spec.tasks);
+    let room = fitting(spec.size, state.quota_headroom(team, spec.kind)).min(spec.tasks);
     table.say("quota", format!("leaves room for {room} of them now"));
 }
 
@@ -85,7 +85,7 @@
 /// How many tasks from `from` on are out.
 fn out_from(job: &Job, from: usize) -> usize {
     let rest = job.tasks.iter().skip(from);
-    rest.filter(|task| matches!(task.state, TaskState::Out(_))).count()
+    rest.filter(|task| matches!(task.state, TaskState::CheckedOut(_))).count()
 }
 
 fn cancel(table: &mut Table, before: &State, name: &Name) {
@@ -136,7 +136,7 @@
 
 /// The VM on which a task is recorded to run.
 fn recorded(task: &Task) -> Option<VmId> {
-    let open = matches!(task.state, TaskState::Out(_)) && task.incarnation > task.ended;
+    let open = matches!(task.state, TaskState::CheckedOut(_)) && task.incarnation > task.ended;
     if open { task.vm } else { None }
 }
 
--- a/daisy-query/src/show/work.rs
+++ b/daisy-query/src/show/work.rs
@@ -1,7 +1,7 @@
 //! Rows of declared work: tasks, jobs, teams, policy, changes.
 
 use daisy_ledger::{
-    AuditEntry, Job, Owner, State, Subject as ChangeSubject, Task, TaskState, Verdict,
+    AuditEntry, ChangeOutcome, Job, Owner, State, Subject as ChangeSubject, Task, TaskState,
 };
 use daisy_model::{JobId, JobKind, Policy, Resources, SortedMap, TaskId, VmId};
 
@@ -80,16 +80,16 @@
         match (self.task.state, self.vm()) {
             (TaskState::Pending, _) if state.is_paused(spec.kind, spec.priority) => "paused",
             (TaskState::Pending, _) => "pending",
-            (TaskState::Out(_), Some(vm)) if live.is_silent(vm) => "blocked",
-            (TaskState::Out(_), Some(_)) => "running",
-            (TaskState::Out(_), None) => "starting",
+            (TaskState::CheckedOut(_), Some(vm)) if live.is_silent(vm) => "blocked",
+            (TaskState::CheckedOut(_), Some(_)) => "running",
+            (TaskState::CheckedOut(_), None) => "starting",
             (TaskState::Ended(exit), _) => words::exit(exit),
         }
     }
 
     fn owner(&self) -> Option<Owner> {
         match self.task.state {
-            TaskState::Out(owner) => Some(owner),
+            TaskState::CheckedOut(owner) => Some(owner),
             _ => None,
         }
     }
@@ -160,7 +160,7 @@
     for task in &job.tasks {
         match task.state {
             TaskState::Pending => tally.pending += 1,
-            TaskState::Out(_) => tally.out += 1,
+            TaskState::CheckedOut(_) => tally.out += 1,
             TaskState::Ended(_) => tally.ended += 1,
         }
     }
@@ -230,10 +230,10 @@
 fn change_cell(entry: &AuditEntry, column: &str) -> String {
     let change = &entry.change;
     match (column, &entry.verdict) {
-        ("generation", Verdict::Accepted(generation)) => generation.to_string(),
-        ("result", Verdict::Accepted(_)) => "accepted".to_owned(),
-        ("result", Verdict::Refused(_)) => "refused".to_owned(),
-        ("cause", Verdict::Refused(cause)) => cause.to_string(),
+        ("generation", ChangeOutcome::Accepted(generation)) => generation.to_string(),
+        ("result", ChangeOutcome::Accepted(_)) => "accepted".to_owned(),
+        ("result", ChangeOutcome::Refused(_)) => "refused".to_owned(),
+        ("cause", ChangeOutcome::Refused(cause)) => cause.to_string(),
         ("offset", _) => entry.offset.to_string(),
         ("time", _) => words::time(change.at),
         ("who", _) => change.who.to_string(),
--- a/daisy-query/src/why/fleet.rs
+++ b/daisy-query/src/why/fleet.rs
@@ -1,6 +1,6 @@
 //! Why a VM or a class of requests is treated as it is.
 
-use daisy_ledger::{Holding, State, TaskState};
+use daisy_ledger::{HolderClaim, State, TaskState};
 use daisy_model::{Command, DcId, Name, Vm, VmId, VmRole, VmStatus};
 
 use crate::{
@@ -45,7 +45,7 @@
 }
 
 fn say_holdings(table: &mut Table, state: &State, live: &Live, vm: VmId) {
-    let held: Vec<(&DcId, &Holding)> =
+    let held: Vec<(&DcId, &HolderClaim)> =
         state.holders.iter().filter(|(_, it)| it.holder == vm).collect();
     for (dc, holding) in held {
         let (dc, epoch) = (live.dc(*dc), holding.epoch);
@@ -57,7 +57,7 @@
 fn say_worker(table: &mut Table, state: &State, live: &Live, vm: &Vm) {
     let tasks = state.jobs.iter().flat_map(|(_, job)| &job.tasks);
     let placed = tasks.filter(|task| {
-        let out = matches!(task.state, TaskState::Out(_));
+        let out = matches!(task.state, TaskState::CheckedOut(_));
         out && task.vm == Some(vm.id) && task.incarnation > task.ended
     });
     table.say("ledger", format!("tasks recorded there: {}", placed.count()));
--- a/daisy-query/src/why/task.rs
+++ b/daisy-query/src/why/task.rs
@@ -68,7 +68,7 @@
             table.say("ledger", "waits: no data centre has checked it out");
             say_resume(table, task);
         }
-        TaskState::Out(owner) => say_owner(table, state, live, owner, task),
+        TaskState::CheckedOut(owner) => say_owner(table, state, live, owner, task),
         TaskState::Ended(exit) => {
             let incarnation = task.ended;
             let meaning = words::exit_meaning(exit);
@@ -128,7 +128,7 @@
     }
     let Some(team) = state.teams.get(job.team) else { return };
     let (used, limit) = (team.used, team.limit);
-    let room = state.quota_room(job.team, spec.kind);
+    let room = state.quota_headroom(job.team, spec.kind);
     let effect = if spec.size.fits(room) { "one more fits" } else { "one more does not fit" };
     let subject = ChangeSubject::Team(&team.name);
     let kind = words::kind(spec.kind);
@@ -144,7 +144,7 @@
 }
 
 fn say_live(table: &mut Table, live: &Live, id: TaskId, task: &Task) {
-    if !matches!(task.state, TaskState::Out(_)) {
+    if !matches!(task.state, TaskState::CheckedOut(_)) {
         return;
     }
     let running = live.tasks.get(&id);
--- a/daisy-query/src/words.rs
+++ b/daisy-query/src/words.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_ledger::{AuditEntry, Job, State, Verdict};
+use daisy_ledger::{AuditEntry, ChangeOutcome, Job, State};
 use daisy_model::{Exit, Generation, JobKind, Resources, Tolerance, WallTime};
 
 pub(crate) fn cpu(size: Resources) -> String {
@@ -83,7 +83,7 @@
 pub(crate) fn author(state: &State, generation: Generation) -> String {
     let at = state.audit.partition_point(|it| it.offset.0 + 1 < generation.0);
     let entries = state.audit[at..].iter().take_while(|it| it.offset.0 + 1 == generation.0);
-    match entries.filter(|it| matches!(it.verdict, Verdict::Accepted(_))).last() {
+    match entries.filter(|it| matches!(it.verdict, ChangeOutcome::Accepted(_))).last() {
         Some(entry) => format!("generation {generation}, {}", said(entry)),
         None => format!("generation {generation}, which the audit trail no longer holds"),
     }
@@ -100,7 +100,7 @@
     state: &State,
     is: impl Fn(&daisy_model::Command) -> bool,
 ) -> Option<&AuditEntry> {
-    let accepted = |it: &&AuditEntry| matches!(it.verdict, Verdict::Accepted(_));
+    let accepted = |it: &&AuditEntry| matches!(it.verdict, ChangeOutcome::Accepted(_));
     state.audit.iter().rev().filter(accepted).find(|it| is(&it.change.command))
 }
 
--- a/daisy-wire/src/snapshot/state.rs
+++ b/daisy-wire/src/snapshot/state.rs
@@ -2,9 +2,9 @@
 
 use bincode::{Decode, Encode};
 use daisy_ledger::{
-    AppendId, AuditEntry, AuditFrom, Counts, Holding, Intent, Job, Jobs, Owner, State, Task,
-    TaskState, Team, Verdict,
-    snapshot::{Mark, Part, Partial},
+    AppendId, AuditEntry, AuditStart, ChangeOutcome, FoldCounters, HolderClaim, Intent, Job, Jobs,
+    Owner, State, Task, TaskState, Team,
+    snapshot::{CompleteSnapshot, Part, PartialSnapshot},
 };
 use daisy_model::{
     Arena, Change, DcId, Epoch, Generation, Incarnation, JobId, JobKind, JobSpec, Name, Offset,
@@ -52,7 +52,7 @@
     cancelled: bool,
     tasks: Vec<TaskWire>,
     generation: u64,
-    touched: u64,
+    modified_before: u64,
 }
 
 #[derive(Debug, Encode, Decode)]
@@ -69,7 +69,7 @@
 #[derive(Debug, Encode, Decode)]
 enum TaskStateWire {
     Pending,
-    Out { dc: u16, epoch: u64 },
+    CheckedOut { dc: u16, epoch: u64 },
     Ended(ExitWire),
 }
 
@@ -134,7 +134,7 @@
 
 impl From<&State> for StateWire {
     fn from(it: &State) -> StateWire {
-        let Counts { repeated, stale, ignored, corrupt, refused } = it.counts;
+        let FoldCounters { repeated, stale, ignored, corrupt, refused } = it.counts;
         StateWire {
             next: it.next.0,
             generation: it.generation.0,
@@ -148,8 +148,8 @@
             policy_generation: it.policy.0.0,
             policy: (&it.policy.1).into(),
             audit: it.audit.iter().map(AuditWire::from).collect(),
-            audit_from_jobs: it.audit_from.jobs.0,
-            audit_from_others: it.audit_from.others.0,
+            audit_from_jobs: it.audit_start.jobs.0,
+            audit_from_others: it.audit_start.others.0,
             senders: it.senders.iter().map(SenderWire::from).collect(),
             intents: it.intents.iter().map(IntentWire::from).collect(),
             snapshot: it.snapshot.map(MarkWire::from),
@@ -173,20 +173,20 @@
             generation: Generation(it.generation),
             teams,
             jobs: Jobs::from_parts(JobId(it.next_job), jobs, finished),
-            holders: it.holders.into_iter().map(<(DcId, Holding)>::from).collect(),
+            holders: it.holders.into_iter().map(<(DcId, HolderClaim)>::from).collect(),
             drained: names("drained", it.drained)?,
             paused: it.paused.into_iter().map(WorkClass::from).collect(),
             policy: (Generation(it.policy_generation), it.policy.into()),
             audit: it.audit.into_iter().map(AuditEntry::try_from).collect::<Result<_, _>>()?,
-            audit_from: AuditFrom {
+            audit_start: AuditStart {
                 jobs: Generation(it.audit_from_jobs),
                 others: Generation(it.audit_from_others),
             },
             senders: it.senders.into_iter().map(<(AppendId, Offset)>::from).collect(),
             intents: it.intents.into_iter().map(<(u128, Intent)>::from).collect(),
-            snapshot: it.snapshot.map(Mark::from),
+            snapshot: it.snapshot.map(CompleteSnapshot::from),
             snapshots: partials(it.snapshots)?.into_iter().collect(),
-            counts: Counts { repeated, stale, ignored, corrupt, refused },
+            counts: FoldCounters { repeated, stale, ignored, corrupt, refused },
         })
     }
 }
@@ -217,7 +217,7 @@
     for task in &tasks {
         match task.state {
             TaskState::Ended(_) => continue,
-            TaskState::Out(_) => {
+            TaskState::CheckedOut(_) => {
                 team.used = team.used.try_add(task.size).ok_or_else(overflow)?;
                 if spec.kind == JobKind::Service {
                     let sum = team.used_by_services.try_add(task.size);
@@ -236,13 +236,13 @@
         tasks,
         open,
         generation,
-        touched: Offset(it.touched),
+        modified_before: Offset(it.modified_before),
     };
     Ok((JobId(it.id), job))
 }
 
-fn partials(wire: Vec<PartialWire>) -> Result<Vec<Partial<()>>, WireError> {
-    wire.into_iter().map(Partial::try_from).collect()
+fn partials(wire: Vec<PartialWire>) -> Result<Vec<PartialSnapshot<()>>, WireError> {
+    wire.into_iter().map(PartialSnapshot::try_from).collect()
 }
 
 impl From<&Team> for TeamWire {
@@ -260,7 +260,7 @@
             cancelled: it.cancelled,
             tasks: it.tasks.iter().map(TaskWire::from).collect(),
             generation: it.generation.0,
-            touched: it.touched.0,
+            modified_before: it.modified_before.0,
         }
     }
 }
@@ -270,8 +270,8 @@
         TaskWire {
             state: match it.state {
                 TaskState::Pending => TaskStateWire::Pending,
-                TaskState::Out(Owner { dc, epoch }) => {
-                    TaskStateWire::Out { dc: dc.0, epoch: epoch.0 }
+                TaskState::CheckedOut(Owner { dc, epoch }) => {
+                    TaskStateWire::CheckedOut { dc: dc.0, epoch: epoch.0 }
                 }
                 TaskState::Ended(exit) => TaskStateWire::Ended(exit.into()),
             },
@@ -290,8 +290,8 @@
         Task {
             state: match it.state {
                 TaskStateWire::Pending => TaskState::Pending,
-                TaskStateWire::Out { dc, epoch } => {
-                    TaskState::Out(Owner { dc: DcId(dc), epoch: Epoch(epoch) })
+                TaskStateWire::CheckedOut { dc, epoch } => {
+                    TaskState::CheckedOut(Owner { dc: DcId(dc), epoch: Epoch(epoch) })
                 }
                 TaskStateWire::Ended(exit) => TaskState::Ended(exit.into()),
             },
@@ -305,17 +305,17 @@
     }
 }
 
-impl From<(DcId, Holding)> for HoldingWire {
-    fn from((dc, it): (DcId, Holding)) -> HoldingWire {
-        let Holding { holder, epoch, released } = it;
+impl From<(DcId, HolderClaim)> for HoldingWire {
+    fn from((dc, it): (DcId, HolderClaim)) -> HoldingWire {
+        let HolderClaim { holder, epoch, released } = it;
         HoldingWire { dc: dc.0, holder: holder.0, epoch: epoch.0, released }
     }
 }
 
-impl From<HoldingWire> for (DcId, Holding) {
-    fn from(it: HoldingWire) -> (DcId, Holding) {
+impl From<HoldingWire> for (DcId, HolderClaim) {
+    fn from(it: HoldingWire) -> (DcId, HolderClaim) {
         let HoldingWire { dc, holder, epoch, released } = it;
-        (DcId(dc), Holding { holder: VmId(holder), epoch: Epoch(epoch), released })
+        (DcId(dc), HolderClaim { holder: VmId(holder), epoch: Epoch(epoch), released })
     }
 }
 
@@ -325,8 +325,8 @@
             offset: it.offset.0,
             change: (&it.change).into(),
             verdict: match &it.verdict {
-                Verdict::Accepted(generation) => VerdictWire::Accepted(generation.0),
-                Verdict::Refused(cause) => VerdictWire::Refused(cause.to_string()),
+                ChangeOutcome::Accepted(generation) => VerdictWire::Accepted(generation.0),
+                ChangeOutcome::Refused(cause) => VerdictWire::Refused(cause.to_string()),
             },
         }
     }
@@ -340,8 +340,10 @@
             offset: Offset(it.offset),
             change: Change::try_from(it.change)?,
             verdict: match it.verdict {
-                VerdictWire::Accepted(generation) => Verdict::Accepted(Generation(generation)),
-                VerdictWire::Refused(cause) => Verdict::Refused(cause.into()),
+                VerdictWire::Accepted(generation) => {
+                    ChangeOutcome::Accepted(Generation(generation))
+                }
+                VerdictWire::Refused(cause) => ChangeOutcome::Refused(cause.into()),
             },
         })
     }
@@ -373,29 +375,29 @@
     }
 }
 
-impl From<Mark> for MarkWire {
-    fn from(it: Mark) -> MarkWire {
+impl From<CompleteSnapshot> for MarkWire {
+    fn from(it: CompleteSnapshot) -> MarkWire {
         MarkWire { through: it.through.0, last: it.last.0 }
     }
 }
 
-impl From<MarkWire> for Mark {
-    fn from(it: MarkWire) -> Mark {
-        Mark { through: Offset(it.through), last: Offset(it.last) }
+impl From<MarkWire> for CompleteSnapshot {
+    fn from(it: MarkWire) -> CompleteSnapshot {
+        CompleteSnapshot { through: Offset(it.through), last: Offset(it.last) }
     }
 }
 
-impl From<&Partial<()>> for PartialWire {
-    fn from(it: &Partial<()>) -> PartialWire {
+impl From<&PartialSnapshot<()>> for PartialWire {
+    fn from(it: &PartialSnapshot<()>) -> PartialWire {
         let Part { sender, through, part, parts } = it.seen;
         PartialWire { sender, through: through.0, part, parts }
     }
 }
 
-impl TryFrom<PartialWire> for Partial<()> {
+impl TryFrom<PartialWire> for PartialSnapshot<()> {
     type Error = WireError;
 
-    fn try_from(it: PartialWire) -> Result<Partial<()>, WireError> {
+    fn try_from(it: PartialWire) -> Result<PartialSnapshot<()>, WireError> {
         let PartialWire { sender, through, part, parts } = it;
         if part >= parts {
             let reason = format!("{part} of {parts}");
@@ -403,6 +405,6 @@
         }
         let seen = Part { sender, through: Offset(through), part, parts };
         // One unit for each part seen: takes no memory.
-        Ok(Partial { seen, items: vec![(); part as usize + 1] })
+        Ok(PartialSnapshot { seen, items: vec![(); part as usize + 1] })
     }
 }
--- a/daisy-wire/tests/snapshot.rs
+++ b/daisy-wire/tests/snapshot.rs
@@ -3,7 +3,7 @@
 #[path = "../../daisy-ledger/tests/common/mod.rs"]
 mod common;
 
-use daisy_ledger::{AppendId, Batch, State, Status};
+use daisy_ledger::{AppendId, Batch, EntryStatus, State};
 use daisy_model::Offset;
 use daisy_wire::{
     WireError, log,
@@ -130,7 +130,7 @@
         let next = state.next;
         match log::decode(&read(next)) {
             Ok(batch) => drop(state.apply(next, &batch)),
-            Err(_) => assert_eq!(state.skip(next), Status::Folded),
+            Err(_) => assert_eq!(state.skip(next), EntryStatus::Folded),
         }
     }
     let mut restore = Restore::new(Offset(first as u64));
