--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -264,7 +264,7 @@
                 log::info!("event=release dc={} epoch={epoch}", self.identity.dc);
                 self.append(Record::Release { dc: self.identity.dc, epoch });
             }
-            Action::Become(role) => self.become_role(now, role),
+            Action::ChangeRole(role) => self.become_role(now, role),
             Action::Read(source) => {
                 log::info!("event=log_source source={source}");
                 self.update_plan(now);
@@ -275,16 +275,16 @@
 
     fn update_plan(&mut self, now: Instant) {
         let options = self.membership.options();
-        let alone = self.membership.peers().live_near(options, now).next().is_none();
+        let alone = self.membership.peers().live_local_peers(options, now).next().is_none();
         let wait = reader::poll_wait(self.identity.holder_timeout, alone);
         let plan = Plan { source: self.membership.source(), wait };
         self.out.plan.send_if_modified(|it| std::mem::replace(it, plan) != plan);
     }
 
-    fn read_failed(&mut self, now: Instant, source: daisy_membership::Source) {
+    fn read_failed(&mut self, now: Instant, source: daisy_membership::RecordSource) {
         match source {
-            daisy_membership::Source::Log => self.step(now, Event::LogFailed),
-            daisy_membership::Source::Peer(vm) => self.step(now, Event::SourceFailed(vm)),
+            daisy_membership::RecordSource::Log => self.step(now, Event::LogFailed),
+            daisy_membership::RecordSource::Peer(vm) => self.step(now, Event::SourceFailed(vm)),
         }
     }
 
--- a/daisy-entry/src/control/fold.rs
+++ b/daisy-entry/src/control/fold.rs
@@ -113,7 +113,7 @@
             if let Some((dc, epoch)) = epoch_of(record)
                 && dc == self.identity.dc
             {
-                self.step(now, Event::HolderSign(epoch));
+                self.step(now, Event::HolderRecordRead(epoch));
             }
         }
     }
@@ -121,18 +121,21 @@
     /// The fold has moved on.
     pub(super) fn folded(&mut self, now: Instant) {
         self.out.tail.publish(self.state.next);
-        let holding = self.state.holders.get(&self.identity.dc).map(|it| HolderClaim {
+        let holder_claim = self.state.holders.get(&self.identity.dc).map(|it| HolderClaim {
             holder: it.holder,
             epoch: it.epoch,
             released: it.released,
         });
-        let event =
-            Event::Folded { next: self.state.next, generation: self.state.generation.0, holding };
+        let event = Event::Folded {
+            next: self.state.next,
+            generation: self.state.generation.0,
+            holder_claim,
+        };
         self.step(now, event);
         let state = Arc::clone(&self.state);
         let own = self.identity.dc;
-        for (dc, holding) in state.holders.iter().filter(|(dc, _)| **dc != own) {
-            self.step(now, Event::FarHolder { dc: *dc, holder: holding.holder });
+        for (dc, holder_claim) in state.holders.iter().filter(|(dc, _)| **dc != own) {
+            self.step(now, Event::RemoteHolder { dc: *dc, holder: holder_claim.holder });
         }
         self.drive(now, daisy_placement::Event::Ledger(&state));
         self.routes_dirty = true;
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use daisy_ledger::Record;
-use daisy_membership::{Heartbeat, Source};
+use daisy_membership::{Heartbeat, RecordSource};
 use daisy_model::{Epoch, Instant, Offset, VmId};
 use daisy_wire::peer::{Answer, Question};
 use tokio::sync::oneshot;
@@ -37,7 +37,7 @@
     /// A read got no answer, or a peer's stream ended.
     ReadFailed {
         /// Where it was read.
-        source: Source,
+        source: RecordSource,
     },
     /// A try to append has ended.
     Appended(Appended),
--- a/daisy-entry/src/control/tell.rs
+++ b/daisy-entry/src/control/tell.rs
@@ -51,7 +51,7 @@
 
     /// The speaker of a data centre tells the own replicas to others, and all to its peers.
     fn replicas_for(&self, now: Instant, near: bool) -> Vec<Arc<Replicas>> {
-        if !self.membership.speaks(now) {
+        if !self.membership.represents_dc(now) {
             return Vec::new();
         }
         let known = self.replicas.iter();
@@ -89,10 +89,10 @@
 
     /// Passes changed replicas on without waiting for the next heartbeat.
     pub(super) fn tell_replicas(&mut self, now: Instant) {
-        if !std::mem::take(&mut self.tell_all) || !self.membership.speaks(now) {
+        if !std::mem::take(&mut self.tell_all) || !self.membership.represents_dc(now) {
             return;
         }
-        for vm in self.membership.audience() {
+        for vm in self.membership.heartbeat_targets() {
             self.tell(now, vm);
         }
     }
@@ -100,7 +100,7 @@
     /// How this entry VM stands.
     pub(super) fn status(&self, now: Instant) -> StatusJson {
         let status = self.membership.status();
-        let holding = self.membership.holding();
+        let holder_claim = self.membership.holder_claim();
         StatusJson {
             vm: self.identity.vm.0,
             name: self.identity.name.to_string(),
@@ -122,9 +122,9 @@
             generation: self.state.generation.0,
             config_offset: self.config.map(|(offset, _)| offset.0),
             config_since_ms: self.config.map(|(_, since)| since.0),
-            holder: holding.map(|it| it.holder.0),
-            epoch: holding.map(|it| it.epoch.0),
-            released: holding.is_some_and(|it| it.released),
+            holder: holder_claim.map(|it| it.holder.0),
+            epoch: holder_claim.map(|it| it.epoch.0),
+            released: holder_claim.is_some_and(|it| it.released),
             unsent: self.appends.backlog(),
             peers: self.peers(now),
         }
--- a/daisy-entry/src/entry.rs
+++ b/daisy-entry/src/entry.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use daisy_http::Http;
-use daisy_membership::{Membership, Options, Source};
+use daisy_membership::{Membership, Options, RecordSource};
 use daisy_routing::Routes;
 use daisy_settings::Settings;
 use daisy_wire::headers;
@@ -140,7 +140,7 @@
 
     fn first_plan(&self) -> Plan {
         let wait = reader::poll_wait(self.settings.timing.holder_timeout, true);
-        Plan { source: Source::Log, wait }
+        Plan { source: RecordSource::Log, wait }
     }
 
     fn proxy(&self, routes: RoutesWatch) -> Proxy<Keys> {
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_membership::Source;
+use daisy_membership::RecordSource;
 use daisy_model::{Offset, VmId};
 use daisy_wire::peer::Pushed;
 use tokio::{
@@ -25,7 +25,7 @@
 /// Where to read from, and how long a poll may wait there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Plan {
-    pub source: Source,
+    pub source: RecordSource,
     /// The longest wait for a record; no longer than the holder's lease allows.
     pub wait: Duration,
 }
@@ -51,8 +51,8 @@
         loop {
             let plan = *self.plan.borrow_and_update();
             let outcome = match plan.source {
-                Source::Log => self.poll(&mut next, plan.wait).await,
-                Source::Peer(vm) => self.follow(&mut next, vm).await,
+                RecordSource::Log => self.poll(&mut next, plan.wait).await,
+                RecordSource::Peer(vm) => self.follow(&mut next, vm).await,
             };
             match outcome {
                 Ok(true) => pause = MIN_PAUSE,
@@ -87,7 +87,7 @@
                 log::debug!("event=log_read_failed from={next} cause=\"{e}\"");
                 // A cap on appends says nothing against reads.
                 if !matches!(e, PlatformError::Busy) {
-                    self.send(Input::ReadFailed { source: Source::Log }).await?;
+                    self.send(Input::ReadFailed { source: RecordSource::Log }).await?;
                 }
                 Ok(false)
             }
@@ -97,7 +97,7 @@
     /// Follows a peer until its stream ends or another source is wanted; `false` if it failed.
     async fn follow(&mut self, next: &mut Offset, vm: VmId) -> Result<bool, Closed> {
         let Some(mut stream) = self.links.records(vm, *next).await else {
-            self.send(Input::ReadFailed { source: Source::Peer(vm) }).await?;
+            self.send(Input::ReadFailed { source: RecordSource::Peer(vm) }).await?;
             return Ok(false);
         };
         loop {
@@ -117,7 +117,7 @@
                     self.pass(next, |ack| Input::Snapshot { bytes, ack }).await?;
                 }
                 None => {
-                    self.send(Input::ReadFailed { source: Source::Peer(vm) }).await?;
+                    self.send(Input::ReadFailed { source: RecordSource::Peer(vm) }).await?;
                     return Ok(false);
                 }
             }
--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -237,7 +237,7 @@
     }
 
     fn tick_entry(&mut self, at: usize) {
-        let holding = self.state.holders.get(&DcId(0)).map(|it| HolderClaim {
+        let holder_claim = self.state.holders.get(&DcId(0)).map(|it| HolderClaim {
             holder: it.holder,
             epoch: it.epoch,
             released: it.released,
@@ -248,7 +248,7 @@
         let vms = self.vms.clone();
         for event in [
             daisy_membership::Event::Vms(&vms),
-            daisy_membership::Event::Folded { next, generation, holding },
+            daisy_membership::Event::Folded { next, generation, holder_claim },
             daisy_membership::Event::Log { asked, end: Some(next) },
             daisy_membership::Event::Tick,
         ] {
@@ -274,8 +274,10 @@
                     let record = Record::Claim { dc: DcId(0), holder };
                     self.append(at, record);
                 }
-                daisy_membership::Action::Become(Role::Holder(epoch)) => self.take_over(at, epoch),
-                daisy_membership::Action::Become(_) => self.entries[at].holder = None,
+                daisy_membership::Action::ChangeRole(Role::Holder(epoch)) => {
+                    self.take_over(at, epoch)
+                }
+                daisy_membership::Action::ChangeRole(_) => self.entries[at].holder = None,
                 _ => {}
             }
         }
--- a/daisy-membership/src/audience.rs
+++ b/daisy-membership/src/heartbeat_targets.rs
@@ -7,9 +7,9 @@
 impl Membership {
     /// Whether this entry VM speaks for its data centre to others: the holder, or the lowest
     /// live entry VM while there is none.
-    pub fn speaks(&self, now: Instant) -> bool {
+    pub fn represents_dc(&self, now: Instant) -> bool {
         let own = self.options.vm;
-        match self.tenure.holding {
+        match self.tenure.holder_claim {
             Some(it) if it.holder == own => true,
             Some(it) if !it.released && self.peers.alive(&self.options, now, it.holder) => false,
             _ => self.rank(now) == 0,
@@ -26,11 +26,11 @@
 
     /// Everybody that hears from this entry VM: the peers of its data centre, and the speakers
     /// of others while it speaks for its own.
-    pub fn audience(&self) -> Vec<VmId> {
+    pub fn heartbeat_targets(&self) -> Vec<VmId> {
         let near = self.peers.iter().filter(|(_, peer)| peer.dc == self.options.dc);
-        let mut audience: Vec<VmId> = near.map(|(vm, _)| vm).collect();
-        audience.extend(self.far_targets());
-        audience
+        let mut heartbeat_targets: Vec<VmId> = near.map(|(vm, _)| vm).collect();
+        heartbeat_targets.extend(self.far_targets());
+        heartbeat_targets
     }
 
     fn far_targets(&self) -> Vec<VmId> {
@@ -64,7 +64,7 @@
         let holds = self.tenure.own_epoch(&self.options).is_some();
         let urgent = holds || self.status == Status::Starting;
         let near_period = self.options.near_period(urgent, self.peers.near());
-        let far = if self.speaks(now) { self.far_targets() } else { Vec::new() };
+        let far = if self.represents_dc(now) { self.far_targets() } else { Vec::new() };
         // A tick may come a little early or late; half a heartbeat of slack keeps the pace.
         let slack = self.options.heartbeat / 2;
         let is_due = |(vm, peer): &(VmId, &Peer)| {
--- a/daisy-membership/src/holding.rs
+++ b/daisy-membership/src/holder.rs
@@ -37,7 +37,7 @@
 /// The state of the holding as one entry VM sees it.
 #[derive(Debug, Default)]
 pub(crate) struct Tenure {
-    pub holding: Option<HolderClaim>,
+    pub holder_claim: Option<HolderClaim>,
     /// The newest heartbeat of the holder, and when this process learnt of it.
     pub evidence: Option<Evidence>,
     pub sign: Instant,
@@ -70,27 +70,28 @@
     /// It knows nothing of the orders given then, so two starts of one task could cross. Only a
     /// claim later than the first one that this process sent counts as its own.
     pub fn own_epoch(&self, options: &Options) -> Option<Epoch> {
-        let holding = self.holding.filter(|it| !it.released && it.holder == options.vm)?;
+        let holder_claim =
+            self.holder_claim.filter(|it| !it.released && it.holder == options.vm)?;
         let from = self.claimed_from?;
-        (holding.epoch.0 > from.0).then_some(holding.epoch)
+        (holder_claim.epoch.0 > from.0).then_some(holder_claim.epoch)
     }
 
     /// Takes the log's word.
-    pub fn learn(&mut self, now: Instant, holding: Option<HolderClaim>) {
-        if holding == self.holding {
+    pub fn learn(&mut self, now: Instant, holder_claim: Option<HolderClaim>) {
+        if holder_claim == self.holder_claim {
             return;
         }
-        self.holding = holding;
+        self.holder_claim = holder_claim;
         // A new holder has its whole lease from when its claim is read.
         self.sign = now;
-        if self.evidence.is_some_and(|it| Some(it.epoch) != holding.map(|it| it.epoch)) {
+        if self.evidence.is_some_and(|it| Some(it.epoch) != holder_claim.map(|it| it.epoch)) {
             self.evidence = None;
         }
     }
 
     /// Takes evidence of the holder in; older or equal evidence tells nothing.
     pub fn witness(&mut self, now: Instant, evidence: Evidence) {
-        if Some(evidence.epoch) != self.holding.map(|it| it.epoch) {
+        if Some(evidence.epoch) != self.holder_claim.map(|it| it.epoch) {
             return;
         }
         if self.evidence.is_none_or(|known| known < evidence) {
@@ -127,7 +128,7 @@
 
     /// Whether the workers are without a holder that shows signs of life.
     pub fn vacant(&self, options: &Options, now: Instant) -> bool {
-        match self.holding {
+        match self.holder_claim {
             None => true,
             Some(it) if it.released => true,
             // A claim of a former life of this process.
@@ -138,7 +139,7 @@
 
     /// When this entry VM, at `rank` among the candidates, claims a vacant holding.
     pub fn claim_at(&self, options: &Options, rank: u32) -> Instant {
-        let silent = self.holding.is_some_and(|it| !it.released && it.holder != options.vm);
+        let silent = self.holder_claim.is_some_and(|it| !it.released && it.holder != options.vm);
         let vacant_from = if silent { self.sign + options.holder_timeout } else { self.sign };
         vacant_from.max(self.claim_after) + options.stagger() * rank
     }
--- a/daisy-membership/src/lib.rs
+++ b/daisy-membership/src/lib.rs
@@ -6,9 +6,9 @@
 
 #![deny(missing_docs, unsafe_code)]
 
-mod audience;
 mod heartbeat;
-mod holding;
+mod heartbeat_targets;
+mod holder;
 mod membership;
 mod options;
 mod peers;
@@ -17,9 +17,9 @@
 
 pub use crate::{
     heartbeat::{Evidence, Heartbeat, Status},
-    holding::{HolderClaim, Role},
+    holder::{HolderClaim, Role},
     membership::{Action, Event, Membership},
     options::Options,
     peers::{Peer, Peers},
-    source::Source,
+    source::RecordSource,
 };
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -3,8 +3,8 @@
 use daisy_model::{DcId, Epoch, Instant, Offset, Vm, VmId};
 
 use crate::{
-    Evidence, Heartbeat, HolderClaim, Options, Peer, Peers, Role, Source, Status,
-    holding::Tenure,
+    Evidence, Heartbeat, HolderClaim, Options, Peer, Peers, RecordSource, Role, Status,
+    holder::Tenure,
     readiness::Readiness,
     source::{Reading, View},
 };
@@ -23,7 +23,7 @@
         /// The generation of the configuration in force.
         generation: u64,
         /// The holder of the own data centre.
-        holding: Option<HolderClaim>,
+        holder_claim: Option<HolderClaim>,
     },
     /// The platform's log has answered a read or an append.
     Log {
@@ -35,9 +35,9 @@
     /// A read of the log or an append failed.
     LogFailed,
     /// A record of the holder with this epoch was read at the log's end.
-    HolderSign(Epoch),
+    HolderRecordRead(Epoch),
     /// Where another data centre's holder stands, by the log.
-    FarHolder {
+    RemoteHolder {
         /// The data centre.
         dc: DcId,
         /// Its holder.
@@ -63,9 +63,9 @@
     /// Append the release of a holding, after all that was appended under it.
     Release(Epoch),
     /// Do this for the workers from now on.
-    Become(Role),
+    ChangeRole(Role),
     /// Read the log's records from here from now on.
-    Read(Source),
+    Read(RecordSource),
     /// Take callers, or take none.
     Ready(bool),
 }
@@ -128,7 +128,7 @@
     }
 
     /// Where records are read from.
-    pub fn source(&self) -> Source {
+    pub fn source(&self) -> RecordSource {
         self.reading.source()
     }
 
@@ -138,8 +138,8 @@
     }
 
     /// The holder of the own data centre, if there is one by the log.
-    pub fn holding(&self) -> Option<HolderClaim> {
-        self.tenure.holding
+    pub fn holder_claim(&self) -> Option<HolderClaim> {
+        self.tenure.holder_claim
     }
 
     /// Whether the log has answered lately.
@@ -161,7 +161,7 @@
             next: self.next,
             generation: self.generation,
             status: self.status,
-            reads_log: self.source() == Source::Log && self.log_answers(now),
+            reads_log: self.source() == RecordSource::Log && self.log_answers(now),
             evidence,
         }
     }
@@ -175,19 +175,19 @@
                 self.peers.list(&self.options, vms);
             }
             Event::Heartbeat(beat) => self.hear(now, beat),
-            Event::Folded { next, generation, holding } => {
+            Event::Folded { next, generation, holder_claim } => {
                 self.next = next;
                 self.generation = generation;
-                self.tenure.learn(now, holding);
+                self.tenure.learn(now, holder_claim);
             }
             Event::Log { asked, end } => self.log_answered(asked, end),
             Event::LogFailed => self.log_answered = None,
-            Event::HolderSign(epoch) => {
-                if self.tenure.holding.is_some_and(|it| it.epoch == epoch) {
+            Event::HolderRecordRead(epoch) => {
+                if self.tenure.holder_claim.is_some_and(|it| it.epoch == epoch) {
                     self.tenure.sign = now;
                 }
             }
-            Event::FarHolder { dc, holder } => {
+            Event::RemoteHolder { dc, holder } => {
                 self.far.retain(|(it, _)| *it != dc);
                 self.far.push((dc, holder));
             }
@@ -261,7 +261,7 @@
 
     /// The number of live candidates of the data centre before this entry VM.
     pub(crate) fn rank(&self, now: Instant) -> u32 {
-        let silent = self.tenure.holding.filter(|it| !it.released).map(|it| it.holder);
+        let silent = self.tenure.holder_claim.filter(|it| !it.released).map(|it| it.holder);
         // A fresh process has not heard everybody yet. Those that are listed count until they
         // had time to speak, so that processes that start together do not claim together.
         let fresh = now.since(self.started) < self.options.peer_timeout(self.peers.near());
@@ -295,7 +295,7 @@
         let role = self.role_at(now);
         if role != self.role {
             self.role = role;
-            actions.push(Action::Become(role));
+            actions.push(Action::ChangeRole(role));
         }
     }
 
@@ -309,17 +309,17 @@
                 false => Role::LeaseRenewer(epoch),
             };
         }
-        let Some(holding) = self.tenure.holding else { return Role::Idle };
+        let Some(holder_claim) = self.tenure.holder_claim else { return Role::Idle };
         let first = self.rank(now) == 0;
         let dead = self.tenure.vacant(&self.options, now);
         match first && dead && !self.log_answers(now) {
-            true => Role::LeaseRenewer(holding.epoch),
+            true => Role::LeaseRenewer(holder_claim.epoch),
             false => Role::Idle,
         }
     }
 
     fn choose_source(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let live = self.tenure.holding.filter(|it| !it.released).map(|it| it.holder);
+        let live = self.tenure.holder_claim.filter(|it| !it.released).map(|it| it.holder);
         let view = View {
             options: &self.options,
             peers: &self.peers,
--- a/daisy-membership/src/peers.rs
+++ b/daisy-membership/src/peers.rs
@@ -113,7 +113,7 @@
     }
 
     /// The live peers of the own data centre.
-    pub fn live_near<'a>(
+    pub fn live_local_peers<'a>(
         &'a self,
         options: &'a Options,
         now: Instant,
--- a/daisy-membership/src/readiness.rs
+++ b/daisy-membership/src/readiness.rs
@@ -31,7 +31,7 @@
             return false;
         }
         let known = peers
-            .live_near(options, now)
+            .live_local_peers(options, now)
             .filter_map(|(_, peer)| peer.last)
             .filter(|last| last.status == Status::Ready)
             .map(|last| last.next)
--- a/daisy-membership/src/source.rs
+++ b/daisy-membership/src/source.rs
@@ -11,18 +11,18 @@
 
 /// Where records come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
+pub enum RecordSource {
     /// The platform's log.
     Log,
     /// Another entry VM of the data centre.
     Peer(VmId),
 }
 
-impl fmt::Display for Source {
+impl fmt::Display for RecordSource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Source::Log => f.write_str("log"),
-            Source::Peer(vm) => vm.fmt(f),
+            RecordSource::Log => f.write_str("log"),
+            RecordSource::Peer(vm) => vm.fmt(f),
         }
     }
 }
@@ -42,7 +42,7 @@
 /// Where an entry VM reads, and what speaks against a source.
 #[derive(Debug)]
 pub(crate) struct Reading {
-    source: Source,
+    source: RecordSource,
     /// A peer that made no progress, and until when it is left aside.
     avoided: Option<(VmId, Instant)>,
     /// Since when a live peer is ahead, and the own offset then.
@@ -52,11 +52,11 @@
 impl Reading {
     /// From the log, as long as nothing else is known.
     pub fn new() -> Reading {
-        Reading { source: Source::Log, avoided: None, behind: None }
+        Reading { source: RecordSource::Log, avoided: None, behind: None }
     }
 
     /// Where records are read from.
-    pub fn source(&self) -> Source {
+    pub fn source(&self) -> RecordSource {
         self.source
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Chooses anew; the source, if it has changed.
-    pub fn try_change(&mut self, now: Instant, view: &View<'_>) -> Option<Source> {
+    pub fn try_change(&mut self, now: Instant, view: &View<'_>) -> Option<RecordSource> {
         self.notice_stall(now, view);
         let avoided = self.avoided.filter(|(_, until)| now < *until).map(|(vm, _)| vm);
         let source = choose(now, view, avoided);
@@ -79,11 +79,11 @@
     /// behind: a configuration not in force there. Whoever is behind a live peer for the time
     /// of a change-over leaves its source for another.
     fn notice_stall(&mut self, now: Instant, view: &View<'_>) {
-        let Source::Peer(parent) = self.source else {
+        let RecordSource::Peer(parent) = self.source else {
             self.behind = None;
             return;
         };
-        let mut near = view.peers.live_near(view.options, now);
+        let mut near = view.peers.live_local_peers(view.options, now);
         if !near.any(|(_, peer)| peer.last.is_some_and(|last| last.next > view.next)) {
             self.behind = None;
             return;
@@ -109,15 +109,16 @@
 /// Chooses the source. The holder, or the lowest live peer that reads the log, reads it for
 /// all. The others stand in a tree below it, in the order of their numbers, and each reads from
 /// its parent. While the log gives no answer, the peer that knows most is read.
-fn choose(now: Instant, view: &View<'_>, avoided: Option<VmId>) -> Source {
+fn choose(now: Instant, view: &View<'_>, avoided: Option<VmId>) -> RecordSource {
     let own = view.options.vm;
     let candidates: Vec<(VmId, Heartbeat)> = view
         .peers
-        .live_near(view.options, now)
+        .live_local_peers(view.options, now)
         .filter(|(vm, peer)| !peer.leaving() && Some(*vm) != avoided)
         .filter_map(|(vm, peer)| peer.last.map(|last| (vm, last)))
         .collect();
-    let own_reading = if view.log_answers { Source::Log } else { most_advanced(view, &candidates) };
+    let own_reading =
+        if view.log_answers { RecordSource::Log } else { most_advanced(view, &candidates) };
     // Whoever may have to claim needs the log at first hand before the timeout is over.
     if view.holder == Some(own) || view.holder_silent {
         return own_reading;
@@ -127,9 +128,9 @@
         return own_reading;
     };
     if Some(reader) != view.holder && own < reader && view.log_answers {
-        return Source::Log;
+        return RecordSource::Log;
     }
-    Source::Peer(parent(own, reader, &candidates))
+    RecordSource::Peer(parent(own, reader, &candidates))
 }
 
 /// The parent of `own` in the tree below `reader`.
@@ -143,7 +144,9 @@
     order[(order.len() - 1) / FAN_OUT]
 }
 
-fn most_advanced(view: &View<'_>, candidates: &[(VmId, Heartbeat)]) -> Source {
+fn most_advanced(view: &View<'_>, candidates: &[(VmId, Heartbeat)]) -> RecordSource {
     let ahead = candidates.iter().filter(|(_, last)| last.next > view.next);
-    ahead.max_by_key(|(_, last)| last.next).map_or(Source::Log, |(vm, _)| Source::Peer(*vm))
+    ahead
+        .max_by_key(|(_, last)| last.next)
+        .map_or(RecordSource::Log, |(vm, _)| RecordSource::Peer(*vm))
 }
--- a/daisy-membership/tests/membership/fleet.rs
+++ b/daisy-membership/tests/membership/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_membership::{
-    Action, Event, Heartbeat, HolderClaim, Membership, Options, Role, Source, Status,
+    Action, Event, Heartbeat, HolderClaim, Membership, Options, RecordSource, Role, Status,
 };
 use daisy_model::{DcId, Epoch, Instant, Name, Offset, Resources, Vm, VmId, VmRole, VmStatus};
 
@@ -125,8 +125,8 @@
 
     /// Appends a record that concerns no data centre of the fleet.
     pub fn append(&mut self) {
-        let holding = HolderClaim { holder: VmId(0), epoch: Epoch(1), released: false };
-        self.log.push((DcId(u16::MAX), holding));
+        let holder_claim = HolderClaim { holder: VmId(0), epoch: Epoch(1), released: false };
+        self.log.push((DcId(u16::MAX), holder_claim));
     }
 
     /// Lets time pass.
@@ -184,13 +184,13 @@
     fn read(&mut self, at: usize) {
         let end = Offset(self.log.len() as u64);
         match self.nodes[at].membership.source() {
-            Source::Log if self.log_up && self.nodes[at].reaches_log => {
+            RecordSource::Log if self.log_up && self.nodes[at].reaches_log => {
                 self.fold(at, end);
                 let asked = self.now;
                 self.event(at, Event::Log { asked, end: Some(end) });
             }
-            Source::Log => self.event(at, Event::LogFailed),
-            Source::Peer(vm) => self.follow(at, vm),
+            RecordSource::Log => self.event(at, Event::LogFailed),
+            RecordSource::Peer(vm) => self.follow(at, vm),
         }
     }
 
@@ -211,8 +211,8 @@
         self.nodes[at].next = next;
         let dc = self.nodes[at].membership.options().dc;
         let read = &self.log[..next.0 as usize];
-        let holding = read.iter().rev().find(|it| it.0 == dc).map(|it| it.1);
-        self.event(at, Event::Folded { next, generation: 0, holding });
+        let holder_claim = read.iter().rev().find(|it| it.0 == dc).map(|it| it.1);
+        self.event(at, Event::Folded { next, generation: 0, holder_claim });
     }
 
     /// Gives an event to a node and carries its actions out.
@@ -240,7 +240,7 @@
                 self.log.push((dc, HolderClaim { holder: vm, epoch, released: true }));
             }
             Action::Ready(ready) => self.nodes[at].ready = ready,
-            Action::Become(_) | Action::Read(_) => {}
+            Action::ChangeRole(_) | Action::Read(_) => {}
         }
     }
 
--- a/daisy-membership/tests/membership/readiness.rs
+++ b/daisy-membership/tests/membership/readiness.rs
@@ -26,7 +26,7 @@
 }
 
 fn folded(next: u64) -> Event<'static> {
-    Event::Folded { next: Offset(next), generation: 0, holding: None }
+    Event::Folded { next: Offset(next), generation: 0, holder_claim: None }
 }
 
 fn status_after(membership: &mut Membership, events: &[Event<'_>]) -> Status {
--- a/daisy-membership/tests/membership/source.rs
+++ b/daisy-membership/tests/membership/source.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_membership::Source;
+use daisy_membership::RecordSource;
 use daisy_model::VmId;
 
 use crate::fleet::{Fleet, Node};
@@ -10,7 +10,7 @@
 const LIMIT: Duration = Duration::from_secs(20);
 
 fn reads(node: &Node) -> bool {
-    node.alive && node.membership.source() == Source::Log
+    node.alive && node.membership.source() == RecordSource::Log
 }
 
 fn readers(fleet: &Fleet) -> usize {
@@ -72,7 +72,7 @@
 
     let mut parents: Vec<VmId> = Vec::new();
     for node in &fleet.nodes {
-        if let Source::Peer(vm) = node.membership.source() {
+        if let RecordSource::Peer(vm) = node.membership.source() {
             parents.push(vm);
         }
     }
@@ -89,7 +89,7 @@
 fn a_stuck_parent_is_left() {
     let mut fleet = settled();
     let parent = fleet.nodes.iter().find_map(|it| match it.membership.source() {
-        Source::Peer(vm) if !reads(&fleet.nodes[fleet.at(vm)]) => Some(vm),
+        RecordSource::Peer(vm) if !reads(&fleet.nodes[fleet.at(vm)]) => Some(vm),
         _ => None,
     });
     let stuck = fleet.at(parent.expect("a parent below the reader"));
--- a/daisy-model/src/resources.rs
+++ b/daisy-model/src/resources.rs
@@ -45,7 +45,7 @@
     }
 
     /// How many times `need` fits into this; a part that is not needed does not count.
-    pub fn holds(self, need: Resources) -> u32 {
+    pub fn count_fitting(self, need: Resources) -> u32 {
         let times = |part: u32, need: u32| part.checked_div(need).unwrap_or(u32::MAX);
         let processors = times(self.cpu_milli, need.cpu_milli);
         let memory = times(self.memory_mib, need.memory_mib);
--- a/daisy-model/tests/resources.rs
+++ b/daisy-model/tests/resources.rs
@@ -48,7 +48,7 @@
     let room = Resources { cpu_milli: 12_000, memory_mib: 1_000, accelerators: 0 };
     let need = Resources { cpu_milli: 3_000, memory_mib: 400, accelerators: 0 };
 
-    assert_eq!(room.holds(need), 2);
-    assert_eq!(room.holds(Resources { memory_mib: 0, ..need }), 4);
-    assert_eq!(room.holds(Resources { accelerators: 1, ..need }), 0);
+    assert_eq!(room.count_fitting(need), 2);
+    assert_eq!(room.count_fitting(Resources { memory_mib: 0, ..need }), 4);
+    assert_eq!(room.count_fitting(Resources { accelerators: 1, ..need }), 0);
 }
--- a/daisy-workflow/src/balance.rs
+++ b/daisy-workflow/src/balance.rs
@@ -62,7 +62,7 @@
     /// Tasks that last, need this much of one worker and find room in time, as far as the pieces
     /// tell.
     fn rooms(&self, need: Resources) -> u64 {
-        self.pieces.iter().map(|it| u64::from(it.holds(need))).sum()
+        self.pieces.iter().map(|it| u64::from(it.count_fitting(need))).sum()
     }
 
     /// The load with a job more.
