--- a/daisy-membership/src/heartbeat.rs
+++ b/daisy-membership/src/heartbeat.rs
@@ -1,24 +1,25 @@
-//! What entry VMs tell one another of themselves.
+//! The heartbeats that entry VMs exchange.
 
 use daisy_model::{DcId, Epoch, Offset, VmId};
 
-/// Whether an entry VM takes callers.
+/// Whether an entry VM accepts callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// It does not know yet what its data centre knows.
+    /// Not yet caught up with the state that its data centre has.
     Starting,
-    /// It takes callers.
+    /// Accepts callers.
     Ready,
-    /// A planned stop: it takes no new callers and claims nothing.
+    /// In a planned stop: accepts no new callers and makes no claims.
     Leaving,
 }
 
-/// The newest heartbeat of a holder that its sender knows of, at first or second hand.
+/// The newest heartbeat of a holder that the sender knows of, received directly or reported by
+/// another peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Evidence {
     /// The holder's epoch.
     pub epoch: Epoch,
-    /// The number of the holder's heartbeat.
+    /// The sequence number of the holder's heartbeat.
     pub seq: u32,
 }
 
@@ -29,19 +30,19 @@
     pub vm: VmId,
     /// The sender's data centre.
     pub dc: DcId,
-    /// Counts the sender's rounds of heartbeats.
+    /// Sequence number: counts the rounds in which the sender sent heartbeats.
     pub seq: u32,
-    /// The offset of the next record that the sender folds.
+    /// The offset of the next record that the sender will fold.
     pub next: Offset,
     /// The generation of the configuration in force at the sender.
     pub generation: u64,
-    /// Whether the sender takes callers.
+    /// Whether the sender accepts callers.
     pub status: Status,
-    /// Whether the sender reads the log itself, and the log answers it.
+    /// Whether the sender reads the log directly and gets answers from it.
     pub reads_log: bool,
-    /// The holder of the sender's data centre as the sender last heard of it.
+    /// The newest heartbeat that the sender knows from the holder of its data centre.
     ///
-    /// Heartbeats are numbered, not timed: an epoch and number that are newer than what the
-    /// receiver knew prove that the holder was alive after that, whatever the clocks say.
+    /// Heartbeats carry sequence numbers instead of times: an epoch and number newer than what
+    /// the receiver knew prove that the holder was alive after that, independent of clocks.
     pub evidence: Option<Evidence>,
 }
--- a/daisy-membership/src/heartbeat_targets.rs
+++ b/daisy-membership/src/heartbeat_targets.rs
@@ -1,80 +1,82 @@
-//! Who hears from an entry VM, and when.
+//! To which peers an entry VM sends heartbeats, and when.
 
 use daisy_model::{DcId, Instant, VmId};
 
 use crate::{Action, Membership, Peer, Status};
 
 impl Membership {
-    /// Whether this entry VM speaks for its data centre to others: the holder, or the lowest
-    /// live entry VM while there is none.
+    /// Returns whether this entry VM represents its data centre towards the others. That is the
+    /// holder, or the live entry VM with the lowest id while there is no holder.
     pub fn represents_dc(&self, now: Instant) -> bool {
         let own = self.options.vm;
-        match self.tenure.holder_claim {
+        match self.holder_state.holder_claim {
             Some(it) if it.holder == own => true,
             Some(it) if !it.released && self.peers.alive(&self.options, now, it.holder) => false,
             _ => self.rank(now) == 0,
         }
     }
 
-    /// The entry VM that speaks for another data centre.
-    pub fn far_speaker(&self, dc: DcId) -> Option<VmId> {
-        let known = self.far.iter().find(|(it, _)| *it == dc).map(|(_, vm)| *vm);
+    /// Returns the entry VM that represents another data centre: its holder if that is known and
+    /// listed, else the listed entry VM with the lowest id.
+    pub fn remote_representative(&self, dc: DcId) -> Option<VmId> {
+        let known = self.remote.iter().find(|(it, _)| *it == dc).map(|(_, vm)| *vm);
         let listed =
             || self.peers.iter().find(|(_, peer)| peer.dc == dc && peer.listed).map(|(vm, _)| vm);
         known.filter(|vm| self.peers.get(*vm).is_some_and(|peer| peer.listed)).or_else(listed)
     }
 
-    /// Everybody that hears from this entry VM: the peers of its data centre, and the speakers
-    /// of others while it speaks for its own.
+    /// Returns all peers to which this entry VM may send heartbeats: the peers of its data
+    /// centre, and the representatives of the other data centres.
     pub fn heartbeat_targets(&self) -> Vec<VmId> {
-        let near = self.peers.iter().filter(|(_, peer)| peer.dc == self.options.dc);
-        let mut heartbeat_targets: Vec<VmId> = near.map(|(vm, _)| vm).collect();
-        heartbeat_targets.extend(self.far_targets());
-        heartbeat_targets
+        let local = self.peers.iter().filter(|(_, peer)| peer.dc == self.options.dc);
+        let mut targets: Vec<VmId> = local.map(|(vm, _)| vm).collect();
+        targets.extend(self.remote_targets());
+        targets
     }
 
-    fn far_targets(&self) -> Vec<VmId> {
+    fn remote_targets(&self) -> Vec<VmId> {
         let mut dcs: Vec<DcId> = self.peers.iter().map(|(_, peer)| peer.dc).collect();
         dcs.sort_unstable();
         dcs.dedup();
         dcs.retain(|dc| *dc != self.options.dc);
-        dcs.into_iter().filter_map(|dc| self.far_speaker(dc)).collect()
+        dcs.into_iter().filter_map(|dc| self.remote_representative(dc)).collect()
     }
 
-    /// Sends heartbeats that are due.
-    pub(crate) fn beat(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if now < self.beat_due {
+    /// Sends the heartbeats that are due.
+    pub(crate) fn send_heartbeats(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        if now < self.next_heartbeat_at {
             return;
         }
         self.seq = self.seq.wrapping_add(1);
-        self.beat_due = now + self.options.heartbeat;
-        let due = self.due(now);
-        if !due.is_empty() {
-            self.tenure.sent(now, self.seq);
+        self.next_heartbeat_at = now + self.options.heartbeat;
+        let due_targets = self.due_targets(now);
+        if !due_targets.is_empty() {
+            self.holder_state.record_sent(now, self.seq);
         }
-        for (vm, peer) in self.peers.iter_mut().filter(|(vm, _)| due.contains(vm)) {
-            peer.told = Some(now);
+        for (vm, peer) in self.peers.iter_mut().filter(|(vm, _)| due_targets.contains(vm)) {
+            peer.last_sent = Some(now);
             actions.push(Action::Beat(vm));
         }
     }
 
-    /// The peers whose heartbeat is due.
-    fn due(&self, now: Instant) -> Vec<VmId> {
-        // A fresh process makes itself known at the full pace.
-        let holds = self.tenure.own_epoch(&self.options).is_some();
+    /// Returns the peers to which a heartbeat is due.
+    fn due_targets(&self, now: Instant) -> Vec<VmId> {
+        // A process that has just started sends at the full rate, so that peers learn of it.
+        let holds = self.holder_state.own_epoch(&self.options).is_some();
         let urgent = holds || self.status == Status::Starting;
-        let near_period = self.options.near_period(urgent, self.peers.near());
-        let far = if self.represents_dc(now) { self.far_targets() } else { Vec::new() };
-        // A tick may come a little early or late; half a heartbeat of slack keeps the pace.
+        let local_period = self.options.local_period(urgent, self.peers.local_count());
+        let remote = if self.represents_dc(now) { self.remote_targets() } else { Vec::new() };
+        // A tick may come a little early or late; half a heartbeat interval of slack keeps the
+        // rate.
         let slack = self.options.heartbeat / 2;
         let is_due = |(vm, peer): &(VmId, &Peer)| {
-            let near = peer.dc == self.options.dc;
-            let wanted = match near {
-                true => peer.listed || peer.heard.is_some(),
-                false => far.contains(vm),
+            let local = peer.dc == self.options.dc;
+            let wanted = match local {
+                true => peer.listed || peer.last_received.is_some(),
+                false => remote.contains(vm),
             };
-            let period = if near { near_period } else { self.options.far_period() };
-            wanted && peer.told.is_none_or(|at| now.since(at) + slack >= period)
+            let period = if local { local_period } else { self.options.remote_period() };
+            wanted && peer.last_sent.is_none_or(|at| now.since(at) + slack >= period)
         };
         self.peers.iter().filter(is_due).map(|(vm, _)| vm).collect()
     }
--- a/daisy-membership/src/holder.rs
+++ b/daisy-membership/src/holder.rs
@@ -1,4 +1,4 @@
-//! Who holds the data centre's workers, and when to claim them.
+//! Which entry VM is the holder of the data centre, and when to claim it.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,147 +6,161 @@
 
 use crate::{Evidence, Options, Peers};
 
-/// The holder of a data centre as the log tells it.
+/// The newest claim of a data centre in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderClaim {
-    /// The entry VM.
+    /// The entry VM that made the claim.
     pub holder: VmId,
-    /// Its fencing token.
+    /// The fencing token of the claim.
     pub epoch: Epoch,
-    /// Whether it has given the data centre up.
+    /// Whether the holder has released the data centre.
     pub released: bool,
 }
 
-/// What an entry VM does for the workers of its data centre.
+/// The role of an entry VM towards the workers of its data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Nothing.
+    /// Sends nothing to the workers.
     Idle,
-    /// It decides under the epoch.
+    /// Places and stops tasks under this epoch.
     Holder(Epoch),
-    /// It renews the leases of what runs under the epoch, and starts nothing.
+    /// Renews the leases of running tasks under this epoch, and starts nothing.
     ///
-    /// Taken by a holder that cannot show that it still is one, and by the first live peer
-    /// of a dead holder as long as the log takes no claim.
+    /// Taken by a holder that cannot confirm that it still is the holder, and, while the log does
+    /// not answer and so accepts no claim, by the first live peer after the holder has timed out.
     LeaseRenewer(Epoch),
 }
 
-/// Numbered heartbeats whose time of sending is remembered.
-const REMEMBERED_BEATS: usize = 64;
+/// The most heartbeats whose send time is remembered.
+const MAX_REMEMBERED_HEARTBEATS: usize = 64;
 
-/// The state of the holding as one entry VM sees it.
+/// What one entry VM knows of the holder of its data centre.
 #[derive(Debug, Default)]
-pub(crate) struct Tenure {
+pub(crate) struct HolderState {
     pub holder_claim: Option<HolderClaim>,
-    /// The newest heartbeat of the holder, and when this process learnt of it.
+    /// The newest known heartbeat of the holder.
     pub evidence: Option<Evidence>,
-    pub sign: Instant,
-    /// The end of the fold when this process first claimed.
-    claimed_from: Option<Offset>,
-    /// A claim is on its way.
+    /// When this process last learned that the holder was alive.
+    pub holder_seen_at: Instant,
+    /// The offset of the next record to fold when this process first claimed.
+    first_claim_offset: Option<Offset>,
+    /// Whether a claim is being appended.
     pub claiming: bool,
-    /// No further claim before.
+    /// No further claim is made before this time.
     pub claim_after: Instant,
-    /// When the read that last showed the log's end was sent.
-    pub log_shown: Option<Instant>,
+    /// When the latest read was sent by which this process was at the end of the log.
+    pub confirmed_by_log_at: Option<Instant>,
     sent: VecDeque<(u32, Instant)>,
-    peer_shown: Option<Instant>,
+    confirmed_by_peer_at: Option<Instant>,
 }
 
-impl Tenure {
-    /// Nothing known; whatever is heard of counts from `now`.
-    pub fn new(now: Instant, options: &Options) -> Tenure {
-        Tenure { sign: now, claim_after: now + options.settle(), ..Tenure::default() }
+impl HolderState {
+    /// Returns the state of a process that knows of no holder; timeouts start at `now`.
+    pub fn new(now: Instant, options: &Options) -> HolderState {
+        HolderState {
+            holder_seen_at: now,
+            claim_after: now + options.discovery_time(),
+            ..HolderState::default()
+        }
     }
 
-    /// How long the holder has given no sign of life.
-    pub fn silent_for(&self, now: Instant) -> Duration {
-        now.since(self.sign)
+    /// Returns how long ago the holder was last known to be alive.
+    pub fn time_since_holder_seen(&self, now: Instant) -> Duration {
+        now.since(self.holder_seen_at)
     }
 
-    /// The holding, when this process made its claim.
+    /// Returns the epoch of the current claim if this process made it.
     ///
-    /// Guard: a restarted process finds itself named as holder by a claim of its former life.
-    /// It knows nothing of the orders given then, so two starts of one task could cross. Only a
-    /// claim later than the first one that this process sent counts as its own.
+    /// Guard: after a restart on the same VM, the log still names the VM as holder, by a claim of
+    /// the previous process. The new process does not know the orders given under that claim, so
+    /// a task could be started twice. Only a claim that lies after the offset at which this process
+    /// first claimed is treated as its own.
     pub fn own_epoch(&self, options: &Options) -> Option<Epoch> {
         let holder_claim =
             self.holder_claim.filter(|it| !it.released && it.holder == options.vm)?;
-        let from = self.claimed_from?;
-        (holder_claim.epoch.0 > from.0).then_some(holder_claim.epoch)
+        let first_claim = self.first_claim_offset?;
+        (holder_claim.epoch.0 > first_claim.0).then_some(holder_claim.epoch)
     }
 
-    /// Takes the log's word.
-    pub fn learn(&mut self, now: Instant, holder_claim: Option<HolderClaim>) {
+    /// Records the newest claim in the log.
+    pub fn update_claim(&mut self, now: Instant, holder_claim: Option<HolderClaim>) {
         if holder_claim == self.holder_claim {
             return;
         }
         self.holder_claim = holder_claim;
-        // A new holder has its whole lease from when its claim is read.
-        self.sign = now;
+        // The timeout of a new holder starts when its claim is read.
+        self.holder_seen_at = now;
         if self.evidence.is_some_and(|it| Some(it.epoch) != holder_claim.map(|it| it.epoch)) {
             self.evidence = None;
         }
     }
 
-    /// Takes evidence of the holder in; older or equal evidence tells nothing.
-    pub fn witness(&mut self, now: Instant, evidence: Evidence) {
+    /// Records evidence that the holder is alive; evidence that is not newer is ignored.
+    pub fn record_evidence(&mut self, now: Instant, evidence: Evidence) {
         if Some(evidence.epoch) != self.holder_claim.map(|it| it.epoch) {
             return;
         }
         if self.evidence.is_none_or(|known| known < evidence) {
             self.evidence = Some(evidence);
-            self.sign = now;
+            self.holder_seen_at = now;
         }
     }
 
-    /// Notes when the heartbeats numbered `seq` were sent.
-    pub fn sent(&mut self, now: Instant, seq: u32) {
-        if self.sent.len() == REMEMBERED_BEATS {
+    /// Records that the heartbeats numbered `seq` were sent at `now`.
+    pub fn record_sent(&mut self, now: Instant, seq: u32) {
+        if self.sent.len() == MAX_REMEMBERED_HEARTBEATS {
             self.sent.pop_front();
         }
         self.sent.push_back((seq, now));
     }
 
-    /// A peer shows that it has heard the own heartbeat `seq`.
-    pub fn echoed(&mut self, seq: u32) {
+    /// Records that a peer has received this process's heartbeat `seq`.
+    pub fn record_echo(&mut self, seq: u32) {
         let sent = self.sent.iter().find(|(it, _)| *it == seq).map(|(_, at)| *at);
-        self.peer_shown = self.peer_shown.max(sent);
+        self.confirmed_by_peer_at = self.confirmed_by_peer_at.max(sent);
     }
 
-    /// Whether an own holding can still be shown at `now`.
+    /// Returns whether this process, as holder, can confirm at `now` that it still is the holder.
     ///
-    /// Guard: a holder that was paused, or is cut off from everybody, may have been replaced
-    /// without knowing. Its lease runs from when it *sent* what was answered: a read of the
-    /// log's end without a newer claim, or a heartbeat that a peer echoed. A pause therefore
-    /// uses the lease up, whatever arrives after it.
-    pub fn shown(&self, options: &Options, peers: &Peers, now: Instant) -> bool {
-        let fresh = |at: Instant| now.since(at) < options.holder_timeout;
-        let alone = !peers.iter().any(|(_, peer)| peer.dc == options.dc && peer.listed);
-        alone || self.log_shown.is_some_and(fresh) || self.peer_shown.is_some_and(fresh)
+    /// Guard: a holder that was paused, or is disconnected from all peers and the log, may have
+    /// been replaced without knowing. Its lease runs from the time at which it *sent* what was
+    /// answered: a read that reached the end of the log and found no newer claim, or a heartbeat
+    /// that a peer echoed. The lease thus expires during a pause, whatever arrives after it.
+    pub fn is_confirmed(&self, options: &Options, peers: &Peers, now: Instant) -> bool {
+        let is_current = |at: Instant| now.since(at) < options.holder_timeout;
+        let has_no_peers = !peers.iter().any(|(_, peer)| peer.dc == options.dc && peer.listed);
+        has_no_peers
+            || self.confirmed_by_log_at.is_some_and(is_current)
+            || self.confirmed_by_peer_at.is_some_and(is_current)
     }
 
-    /// Whether the workers are without a holder that shows signs of life.
-    pub fn vacant(&self, options: &Options, now: Instant) -> bool {
+    /// Returns whether the data centre has no holder that is known to be alive.
+    pub fn is_vacant(&self, options: &Options, now: Instant) -> bool {
         match self.holder_claim {
             None => true,
             Some(it) if it.released => true,
-            // A claim of a former life of this process.
+            // A claim that a previous process of this VM made.
             Some(it) if it.holder == options.vm => self.own_epoch(options).is_none(),
-            Some(_) => now.since(self.sign) >= options.holder_timeout,
+            Some(_) => now.since(self.holder_seen_at) >= options.holder_timeout,
         }
     }
 
-    /// When this entry VM, at `rank` among the candidates, claims a vacant holding.
-    pub fn claim_at(&self, options: &Options, rank: u32) -> Instant {
-        let silent = self.holder_claim.is_some_and(|it| !it.released && it.holder != options.vm);
-        let vacant_from = if silent { self.sign + options.holder_timeout } else { self.sign };
-        vacant_from.max(self.claim_after) + options.stagger() * rank
+    /// Returns when this entry VM, at position `rank` among the candidates, may claim a vacant
+    /// data centre.
+    pub fn claim_time(&self, options: &Options, rank: u32) -> Instant {
+        let is_vacant_by_timeout =
+            self.holder_claim.is_some_and(|it| !it.released && it.holder != options.vm);
+        let vacant_from = if is_vacant_by_timeout {
+            self.holder_seen_at + options.holder_timeout
+        } else {
+            self.holder_seen_at
+        };
+        vacant_from.max(self.claim_after) + options.claim_stagger() * rank
     }
 
-    /// A claim goes out.
+    /// Records that a claim is sent while `next` is the offset of the next record to fold.
     pub fn claim(&mut self, next: Offset) {
         self.claiming = true;
-        self.claimed_from.get_or_insert(next);
+        self.first_claim_offset.get_or_insert(next);
     }
 }
--- a/daisy-membership/src/lib.rs
+++ b/daisy-membership/src/lib.rs
@@ -1,8 +1,9 @@
-//! Peers of a daisyshift entry VM: who lives, who holds what, who reads the log, readiness.
+//! Peer state of a daisyshift entry VM: which peers are alive, which one is the holder of the
+//! data centre, which one reads the log, and when the VM is ready for callers.
 //!
-//! [`Membership`] decides for one entry VM. It never sees a socket or a clock: events and
-//! the present time come in, actions go out. What is agreed goes through the platform's log
-//! as claims; heartbeats only tell when a claim is worth making.
+//! [`Membership`] makes the decisions of one entry VM. It uses no socket and no clock: events
+//! and the current time are passed in, actions are returned. Agreement is reached through claims
+//! in the platform's log; heartbeats only indicate when to make a claim.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -1,158 +1,158 @@
-//! The decisions of one entry VM about its peers.
+//! The state machine of one entry VM's membership.
 
 use daisy_model::{DcId, Epoch, Instant, Offset, Vm, VmId};
 
 use crate::{
     Evidence, Heartbeat, HolderClaim, Options, Peer, Peers, RecordSource, Role, Status,
-    holder::Tenure,
+    holder::HolderState,
     readiness::Readiness,
-    source::{Reading, View},
+    source::{SourceInputs, SourceSelector},
 };
 
-/// What an entry VM learns.
+/// Input of [`Membership::step`].
 #[derive(Debug, Clone, Copy)]
 pub enum Event<'a> {
-    /// The platform's VM list, whole, from the platform or a peer.
+    /// The complete VM list of the platform, received from the platform or from a peer.
     Vms(&'a [Vm]),
-    /// A peer's heartbeat.
+    /// A heartbeat of a peer.
     Heartbeat(Heartbeat),
-    /// The fold of the log has moved on.
+    /// Records of the log were folded.
     Folded {
         /// The offset of the next record to fold.
         next: Offset,
         /// The generation of the configuration in force.
         generation: u64,
-        /// The holder of the own data centre.
+        /// The newest claim of the own data centre.
         holder_claim: Option<HolderClaim>,
     },
     /// The platform's log has answered a read or an append.
     Log {
         /// When the read was sent.
         asked: Instant,
-        /// The log's end, as told by the answer to a read.
+        /// The end of the log, if the answer contained it.
         end: Option<Offset>,
     },
     /// A read of the log or an append failed.
     LogFailed,
     /// A record of the holder with this epoch was read at the log's end.
     HolderRecordRead(Epoch),
-    /// Where another data centre's holder stands, by the log.
+    /// The holder of another data centre according to the log.
     RemoteHolder {
         /// The data centre.
         dc: DcId,
         /// Its holder.
         holder: VmId,
     },
-    /// A claim was appended, or is given up and not sent again.
+    /// A claim was appended, or was abandoned and will not be sent again.
     ClaimEnded,
-    /// The source of records makes no progress.
+    /// Reading records from this peer failed or made no progress.
     SourceFailed(VmId),
-    /// Time has passed; at least twice a heartbeat.
+    /// Time has passed; sent at least twice per heartbeat interval.
     Tick,
     /// A planned stop begins.
     Stop,
 }
 
-/// What an entry VM wants done.
+/// Output of [`Membership::step`]: what the caller has to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Send the present heartbeat to a peer.
+    /// Send the current [heartbeat](Membership::heartbeat) to a peer.
     Beat(VmId),
-    /// Append a claim; it must be given up after a heartbeat without an answer.
+    /// Append a claim; the caller must abandon it if it gets no answer within a heartbeat interval.
     Claim,
-    /// Append the release of a holding, after all that was appended under it.
+    /// Append the release of the claim with this epoch, after all records appended under it.
     Release(Epoch),
-    /// Do this for the workers from now on.
+    /// Take this role towards the workers from now on.
     ChangeRole(Role),
-    /// Read the log's records from here from now on.
+    /// Read the records of the log from this source from now on.
     Read(RecordSource),
-    /// Take callers, or take none.
+    /// Start (`true`) or stop (`false`) accepting callers.
     Ready(bool),
 }
 
-/// The decisions of one entry VM about its peers.
+/// The membership state of one entry VM.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) options: Options,
     pub(crate) peers: Peers,
-    pub(crate) tenure: Tenure,
+    pub(crate) holder_state: HolderState,
     pub(crate) readiness: Readiness,
-    pub(crate) far: Vec<(DcId, VmId)>,
+    pub(crate) remote: Vec<(DcId, VmId)>,
     pub(crate) started: Instant,
-    pub(crate) stepped: Instant,
+    pub(crate) last_step_at: Instant,
     pub(crate) seq: u32,
-    pub(crate) beat_due: Instant,
+    pub(crate) next_heartbeat_at: Instant,
     pub(crate) next: Offset,
     pub(crate) generation: u64,
     pub(crate) status: Status,
     pub(crate) log_answered: Option<Instant>,
-    pub(crate) reading: Reading,
+    pub(crate) source_selector: SourceSelector,
     pub(crate) role: Role,
 }
 
 impl Membership {
-    /// An entry VM that starts at `now` and knows nobody.
+    /// Returns the state of an entry VM that starts at `now` and knows no peers.
     pub fn new(now: Instant, options: Options) -> Membership {
         Membership {
-            tenure: Tenure::new(now, &options),
+            holder_state: HolderState::new(now, &options),
             options,
             peers: Peers::default(),
             readiness: Readiness::default(),
-            far: Vec::new(),
+            remote: Vec::new(),
             started: now,
-            stepped: now,
+            last_step_at: now,
             seq: 0,
-            beat_due: now,
+            next_heartbeat_at: now,
             next: Offset(0),
             generation: 0,
             status: Status::Starting,
             log_answered: None,
-            reading: Reading::new(),
+            source_selector: SourceSelector::new(),
             role: Role::Idle,
         }
     }
 
-    /// All other entry VMs.
+    /// Returns all other entry VMs.
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// How this entry VM takes part.
+    /// Returns the options of this entry VM.
     pub fn options(&self) -> &Options {
         &self.options
     }
 
-    /// What this entry VM does for its workers.
+    /// Returns the role of this entry VM towards its workers.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Where records are read from.
+    /// Returns where records are read from.
     pub fn source(&self) -> RecordSource {
-        self.reading.source()
+        self.source_selector.source()
     }
 
-    /// Whether this entry VM takes callers.
+    /// Returns whether this entry VM accepts callers.
     pub fn status(&self) -> Status {
         self.status
     }
 
-    /// The holder of the own data centre, if there is one by the log.
+    /// Returns the newest claim of the own data centre in the log.
     pub fn holder_claim(&self) -> Option<HolderClaim> {
-        self.tenure.holder_claim
+        self.holder_state.holder_claim
     }
 
-    /// Whether the log has answered lately.
+    /// Returns whether the log has answered within the [timeout](Options::log_timeout).
     pub fn log_answers(&self, now: Instant) -> bool {
         self.log_answered.is_some_and(|at| now.since(at) < self.options.log_timeout())
     }
 
-    /// The heartbeat to send now.
+    /// Returns the heartbeat to send at `now`.
     pub fn heartbeat(&self, now: Instant) -> Heartbeat {
-        let own = self.tenure.own_epoch(&self.options);
+        let own = self.holder_state.own_epoch(&self.options);
         let evidence = match own {
             Some(epoch) => Some(Evidence { epoch, seq: self.seq }),
-            None => self.tenure.evidence,
+            None => self.holder_state.evidence,
         };
         Heartbeat {
             vm: self.options.vm,
@@ -166,78 +166,83 @@
         }
     }
 
-    /// Takes `event` in at `now` and pushes what is to be done.
+    /// Handles `event` at `now` and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Instant, event: Event<'_>, actions: &mut Vec<Action>) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match event {
             Event::Vms(vms) => {
-                self.readiness.listed = true;
-                self.peers.list(&self.options, vms);
+                self.readiness.has_vm_list = true;
+                self.peers.update_listed(&self.options, vms);
             }
-            Event::Heartbeat(beat) => self.hear(now, beat),
+            Event::Heartbeat(heartbeat) => self.handle_heartbeat(now, heartbeat),
             Event::Folded { next, generation, holder_claim } => {
                 self.next = next;
                 self.generation = generation;
-                self.tenure.learn(now, holder_claim);
+                self.holder_state.update_claim(now, holder_claim);
             }
-            Event::Log { asked, end } => self.log_answered(asked, end),
+            Event::Log { asked, end } => self.handle_log_answer(asked, end),
             Event::LogFailed => self.log_answered = None,
             Event::HolderRecordRead(epoch) => {
-                if self.tenure.holder_claim.is_some_and(|it| it.epoch == epoch) {
-                    self.tenure.sign = now;
+                if self.holder_state.holder_claim.is_some_and(|it| it.epoch == epoch) {
+                    self.holder_state.holder_seen_at = now;
                 }
             }
             Event::RemoteHolder { dc, holder } => {
-                self.far.retain(|(it, _)| *it != dc);
-                self.far.push((dc, holder));
+                self.remote.retain(|(it, _)| *it != dc);
+                self.remote.push((dc, holder));
             }
             Event::ClaimEnded => {
-                self.tenure.claiming = false;
-                self.tenure.claim_after = now + self.options.heartbeat;
+                self.holder_state.claiming = false;
+                self.holder_state.claim_after = now + self.options.heartbeat;
             }
-            Event::SourceFailed(vm) => self.reading.avoid(now, &self.options, vm),
+            Event::SourceFailed(vm) => self.source_selector.exclude(now, &self.options, vm),
             Event::Tick => {}
             Event::Stop => self.stop(now, actions),
         }
-        self.beat(now, actions);
+        self.send_heartbeats(now, actions);
         self.claim(now, actions);
         self.choose_role(now, actions);
         self.choose_source(now, actions);
         self.choose_readiness(now, actions);
     }
 
-    /// Guard: a process that was paused has heard nobody for as long, and would take every
-    /// holder and peer for dead when it wakes: a needless claim after each pause. Silence
-    /// that was its own is taken out of the account. Its own lease is not prolonged.
-    fn notice_pause(&mut self, now: Instant) {
-        let pause = now.since(self.stepped);
-        self.stepped = now;
+    /// Restarts the timeouts of the holder and the peers if this process was paused.
+    ///
+    /// Guard: a paused process receives nothing, so on waking it would treat the holder and every
+    /// peer as dead, and make a needless claim after each pause. The time of its own pause is
+    /// therefore not counted against them. Its own lease is not extended.
+    fn detect_pause(&mut self, now: Instant) {
+        let pause = now.since(self.last_step_at);
+        self.last_step_at = now;
         if pause > self.options.heartbeat * 2 {
-            self.tenure.sign = now;
-            self.peers.forgive(now);
+            self.holder_state.holder_seen_at = now;
+            self.peers.restart_timeouts(now);
         }
     }
 
-    fn hear(&mut self, now: Instant, beat: Heartbeat) {
-        if beat.vm == self.options.vm || !self.peers.hear(&self.options, now, beat) {
+    fn handle_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat) {
+        if heartbeat.vm == self.options.vm
+            || !self.peers.record_heartbeat(&self.options, now, heartbeat)
+        {
             return;
         }
-        if beat.dc != self.options.dc {
+        if heartbeat.dc != self.options.dc {
             return;
         }
-        let Some(evidence) = beat.evidence else { return };
-        match self.tenure.own_epoch(&self.options) {
-            Some(epoch) if epoch == evidence.epoch => self.tenure.echoed(evidence.seq),
-            _ => self.tenure.witness(now, evidence),
+        let Some(evidence) = heartbeat.evidence else { return };
+        match self.holder_state.own_epoch(&self.options) {
+            Some(epoch) if epoch == evidence.epoch => self.holder_state.record_echo(evidence.seq),
+            _ => self.holder_state.record_evidence(now, evidence),
         }
     }
 
-    fn log_answered(&mut self, asked: Instant, end: Option<Offset>) {
+    fn handle_log_answer(&mut self, asked: Instant, end: Option<Offset>) {
         self.log_answered = self.log_answered.max(Some(asked));
         let Some(end) = end else { return };
         self.readiness.log_end.get_or_insert(end);
         if self.next >= end {
-            self.tenure.log_shown = self.tenure.log_shown.max(Some(asked));
+            self.holder_state.confirmed_by_log_at =
+                self.holder_state.confirmed_by_log_at.max(Some(asked));
         }
     }
 
@@ -249,44 +254,51 @@
             actions.push(Action::Ready(false));
         }
         self.status = Status::Leaving;
-        if let Some(epoch) = self.tenure.own_epoch(&self.options) {
+        if let Some(epoch) = self.holder_state.own_epoch(&self.options) {
             actions.push(Action::Release(epoch));
         }
-        // Peers learn at once, so that they claim and stop asking this entry VM.
-        self.beat_due = now;
+        // Heartbeats are sent at once, so that a peer claims and the peers stop querying this VM.
+        self.next_heartbeat_at = now;
         for (_, peer) in self.peers.iter_mut() {
-            peer.told = None;
+            peer.last_sent = None;
         }
     }
 
-    /// The number of live candidates of the data centre before this entry VM.
+    /// Returns the number of live candidates of the data centre with a lower id than this entry
+    /// VM, not counting the current holder.
     pub(crate) fn rank(&self, now: Instant) -> u32 {
-        let silent = self.tenure.holder_claim.filter(|it| !it.released).map(|it| it.holder);
-        // A fresh process has not heard everybody yet. Those that are listed count until they
-        // had time to speak, so that processes that start together do not claim together.
-        let fresh = now.since(self.started) < self.options.peer_timeout(self.peers.near());
+        let current_holder =
+            self.holder_state.holder_claim.filter(|it| !it.released).map(|it| it.holder);
+        // A process that has just started has not received a heartbeat of every peer yet. Listed
+        // peers count as alive until they had time to send one, so that processes that start at
+        // the same time do not claim at the same time.
+        let still_discovering =
+            now.since(self.started) < self.options.peer_timeout(self.peers.local_count());
         let present = |vm: VmId, peer: &Peer| {
-            let unheard = fresh && peer.listed && peer.heard.is_none();
-            unheard || (self.peers.alive(&self.options, now, vm) && !peer.leaving())
+            let not_yet_received = still_discovering && peer.listed && peer.last_received.is_none();
+            not_yet_received || (self.peers.alive(&self.options, now, vm) && !peer.is_leaving())
         };
-        let near = self.peers.iter().filter(|(_, peer)| peer.dc == self.options.dc);
-        let before = near
-            .filter(|(vm, _)| *vm < self.options.vm && Some(*vm) != silent)
+        let local = self.peers.iter().filter(|(_, peer)| peer.dc == self.options.dc);
+        let before = local
+            .filter(|(vm, _)| *vm < self.options.vm && Some(*vm) != current_holder)
             .filter(|(vm, peer)| present(*vm, peer));
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
 
     fn claim(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let able = self.status != Status::Leaving
-            && self.readiness.listed
+        let may_claim = self.status != Status::Leaving
+            && self.readiness.has_vm_list
             && self.readiness.log_end.is_some_and(|end| self.next >= end)
             && self.log_answers(now);
-        if !able || self.tenure.claiming || !self.tenure.vacant(&self.options, now) {
+        if !may_claim
+            || self.holder_state.claiming
+            || !self.holder_state.is_vacant(&self.options, now)
+        {
             return;
         }
         let rank = self.rank(now);
-        if now >= self.tenure.claim_at(&self.options, rank) {
-            self.tenure.claim(self.next);
+        if now >= self.holder_state.claim_time(&self.options, rank) {
+            self.holder_state.claim(self.next);
             actions.push(Action::Claim);
         }
     }
@@ -303,15 +315,15 @@
         if self.status == Status::Leaving {
             return Role::Idle;
         }
-        if let Some(epoch) = self.tenure.own_epoch(&self.options) {
-            return match self.tenure.shown(&self.options, &self.peers, now) {
+        if let Some(epoch) = self.holder_state.own_epoch(&self.options) {
+            return match self.holder_state.is_confirmed(&self.options, &self.peers, now) {
                 true => Role::Holder(epoch),
                 false => Role::LeaseRenewer(epoch),
             };
         }
-        let Some(holder_claim) = self.tenure.holder_claim else { return Role::Idle };
+        let Some(holder_claim) = self.holder_state.holder_claim else { return Role::Idle };
         let first = self.rank(now) == 0;
-        let dead = self.tenure.vacant(&self.options, now);
+        let dead = self.holder_state.is_vacant(&self.options, now);
         match first && dead && !self.log_answers(now) {
             true => Role::LeaseRenewer(holder_claim.epoch),
             false => Role::Idle,
@@ -319,24 +331,27 @@
     }
 
     fn choose_source(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let live = self.tenure.holder_claim.filter(|it| !it.released).map(|it| it.holder);
-        let view = View {
+        let current_holder =
+            self.holder_state.holder_claim.filter(|it| !it.released).map(|it| it.holder);
+        let inputs = SourceInputs {
             options: &self.options,
             peers: &self.peers,
-            holder: live,
-            holder_silent: self.tenure.silent_for(now) >= self.options.holder_timeout / 2,
+            holder: current_holder,
+            is_holder_overdue: self.holder_state.time_since_holder_seen(now)
+                >= self.options.holder_timeout / 2,
             next: self.next,
             log_answers: self.log_answers(now),
         };
-        if let Some(source) = self.reading.try_change(now, &view) {
+        if let Some(source) = self.source_selector.try_update(now, &inputs) {
             actions.push(Action::Read(source));
         }
     }
 
     fn choose_readiness(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let reached =
-            || self.readiness.reached(&self.options, &self.peers, now, self.started, self.next);
-        if self.status == Status::Starting && reached() {
+        let has_caught_up = || {
+            self.readiness.has_caught_up(&self.options, &self.peers, now, self.started, self.next)
+        };
+        if self.status == Status::Starting && has_caught_up() {
             self.status = Status::Ready;
             actions.push(Action::Ready(true));
         }
--- a/daisy-membership/src/options.rs
+++ b/daisy-membership/src/options.rs
@@ -1,72 +1,79 @@
-//! How an entry VM takes part.
+//! Identity and timing of an entry VM.
 
 use std::time::Duration;
 
 use daisy_model::{DcId, VmId};
 
-/// Who this entry VM is, and its periods.
+/// The identity of this entry VM and the intervals that it uses.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// This entry VM.
+    /// The id of this entry VM.
     pub vm: VmId,
     /// Its data centre.
     pub dc: DcId,
-    /// Between heartbeats of a holder to the peers of its data centre.
+    /// The interval between heartbeats of a holder to the peers of its data centre.
     pub heartbeat: Duration,
-    /// Silence after which a holder is replaced.
+    /// The time without a heartbeat after which a holder is replaced.
     pub holder_timeout: Duration,
 }
 
 impl Options {
-    /// Heartbeats that a peer that is not the holder leaves out between two that it sends.
+    /// The heartbeat interval of a peer that is not the holder, in holder intervals.
     ///
-    /// Only the holder's silence has to be seen fast; the 2 KB/s that a node may spend on
-    /// control are kept by sending the others' heartbeats at half the pace.
-    const FOLLOWER_FACTOR: u32 = 2;
-    /// The pace of heartbeats to another data centre, in own heartbeats.
-    const REMOTE_FACTOR: u32 = 4;
-    /// Peers of a data centre up to which heartbeats go at full pace.
-    const FULL_PACE_PEERS: u32 = 8;
+    /// Only the loss of the holder has to be detected fast. Sending the heartbeats of the others
+    /// at half the rate keeps a node within the 2 KB/s that it may use for control traffic.
+    const FOLLOWER_PERIOD_FACTOR: u32 = 2;
+    /// The interval of heartbeats to another data centre, in holder intervals.
+    const REMOTE_PERIOD_FACTOR: u32 = 4;
+    /// The number of peers of a data centre up to which heartbeats are sent at the full rate.
+    const FULL_RATE_PEERS: u32 = 8;
 
-    /// Between heartbeats to a peer of the own data centre, of which there are `peers`.
-    pub fn near_period(&self, holder: bool, peers: usize) -> Duration {
+    /// Returns the interval between heartbeats to each of the `peers` peers of the own data
+    /// centre; `holder` is whether the sender is the holder or needs the rate of one.
+    pub fn local_period(&self, holder: bool, peers: usize) -> Duration {
         if holder {
             return self.heartbeat;
         }
         let peers = u32::try_from(peers).unwrap_or(u32::MAX);
-        self.heartbeat * Options::FOLLOWER_FACTOR * peers.div_ceil(Options::FULL_PACE_PEERS).max(1)
+        self.heartbeat
+            * Options::FOLLOWER_PERIOD_FACTOR
+            * peers.div_ceil(Options::FULL_RATE_PEERS).max(1)
     }
 
-    /// Between heartbeats to the speaker of another data centre.
-    pub fn far_period(&self) -> Duration {
-        self.heartbeat * Options::REMOTE_FACTOR
+    /// Returns the interval between heartbeats to the representative of another data centre.
+    pub fn remote_period(&self) -> Duration {
+        self.heartbeat * Options::REMOTE_PERIOD_FACTOR
     }
 
-    /// Silence after which a peer that is not the holder counts as dead.
+    /// Returns the time without a heartbeat after which a peer of the own data centre that is not
+    /// the holder is treated as dead.
     pub fn peer_timeout(&self, peers: usize) -> Duration {
-        // Two lost heartbeats are no death.
-        self.near_period(false, peers) * 3
+        // Two lost heartbeats in a row must not make a peer dead.
+        self.local_period(false, peers) * 3
     }
 
-    /// Silence after which another data centre counts as cut off.
-    pub fn far_timeout(&self) -> Duration {
-        self.far_period() * 3
+    /// Returns the time without a heartbeat after which a peer of another data centre is treated
+    /// as unreachable.
+    pub fn remote_timeout(&self) -> Duration {
+        self.remote_period() * 3
     }
 
-    /// How long a fresh process listens for peers before it trusts its view of them.
-    pub fn settle(&self) -> Duration {
+    /// Returns how long a process that has just started waits for heartbeats of its peers before
+    /// it acts on what it knows of them.
+    pub fn discovery_time(&self) -> Duration {
         self.heartbeat * 2
     }
 
-    /// How much later than its predecessor each further candidate claims.
+    /// Returns by how much each further candidate claims later than the one before it.
     ///
-    /// Half a heartbeat: more than an append and its read take over the region link
-    /// (12 ms one way), and eight candidates still stay under two seconds.
-    pub fn stagger(&self) -> Duration {
+    /// Half a heartbeat interval: longer than an append and the read of it take over the region
+    /// link (12 ms one way), and with eight candidates the last one still waits less than two
+    /// seconds.
+    pub fn claim_stagger(&self) -> Duration {
         self.heartbeat / 2
     }
 
-    /// How long the log may give no answer before it counts as out of reach.
+    /// Returns the time without an answer after which the log is treated as unreachable.
     pub fn log_timeout(&self) -> Duration {
         self.holder_timeout * 2
     }
--- a/daisy-membership/src/peers.rs
+++ b/daisy-membership/src/peers.rs
@@ -1,10 +1,10 @@
-//! What is known of the other entry VMs.
+//! The other entry VMs, as known from the VM list and from heartbeats.
 
 use daisy_model::{DcId, Instant, SortedMap, Vm, VmId, VmRole, VmStatus};
 
 use crate::{Heartbeat, Options, Status};
 
-/// How many numbers a late heartbeat may lie behind the newest one.
+/// By how much the sequence number of a reordered heartbeat may be lower than the newest one.
 const REORDER_WINDOW: u32 = 8;
 
 /// Another entry VM.
@@ -12,83 +12,89 @@
 pub struct Peer {
     /// Its data centre.
     pub dc: DcId,
-    /// Whether the platform's list has it, and not as leaving.
+    /// Whether the platform's list contains it with the status live.
     pub listed: bool,
-    /// When its last heartbeat came.
-    pub heard: Option<Instant>,
+    /// When its last heartbeat was received.
+    pub last_received: Option<Instant>,
     /// Its last heartbeat.
     pub last: Option<Heartbeat>,
-    /// When the last heartbeat was sent to it.
-    pub(crate) told: Option<Instant>,
+    /// When this process last sent it a heartbeat; `None` makes one due at once.
+    pub(crate) last_sent: Option<Instant>,
 }
 
 impl Peer {
     fn new(dc: DcId) -> Peer {
-        Peer { dc, listed: false, heard: None, last: None, told: None }
+        Peer { dc, listed: false, last_received: None, last: None, last_sent: None }
     }
 
-    /// Whether its last heartbeat said that it leaves.
-    pub fn leaving(&self) -> bool {
+    /// Returns whether its last heartbeat announced a planned stop.
+    pub fn is_leaving(&self) -> bool {
         self.last.is_some_and(|last| last.status == Status::Leaving)
     }
 }
 
-/// All other entry VMs, by number.
+/// All other entry VMs, sorted by id.
 #[derive(Debug, Default)]
 pub struct Peers {
     peers: SortedMap<VmId, Peer>,
-    near: usize,
+    local_count: usize,
 }
 
 impl Peers {
-    /// Takes the platform's list in.
-    pub(crate) fn list(&mut self, options: &Options, vms: &[Vm]) {
+    /// Updates the peers from the platform's VM list.
+    pub(crate) fn update_listed(&mut self, options: &Options, vms: &[Vm]) {
         for (_, peer) in self.peers.iter_mut() {
             peer.listed = false;
         }
-        let entries = vms.iter().filter(|vm| vm.role == VmRole::Entry && vm.id != options.vm);
-        for vm in entries {
+        let entry_vms = vms.iter().filter(|vm| vm.role == VmRole::Entry && vm.id != options.vm);
+        for vm in entry_vms {
             let peer = self.peers.get_or_insert_with(vm.id, || Peer::new(vm.dc));
             peer.listed = vm.status == VmStatus::Live;
         }
-        // What the list has dropped and nobody hears of is forgotten, so that years of
-        // replaced VMs do not pile up.
+        // Peers that are no longer listed and never sent a heartbeat are removed, so that VMs
+        // replaced over the years do not accumulate.
         let known = |id: &VmId| vms.iter().any(|vm| vm.id == *id);
-        self.peers.retain(|id, peer| known(id) || peer.heard.is_some());
-        self.count(options);
+        self.peers.retain(|id, peer| known(id) || peer.last_received.is_some());
+        self.recount_local(options);
     }
 
-    /// Takes a heartbeat in; `false` when it is older than one that came before.
-    pub(crate) fn hear(&mut self, options: &Options, now: Instant, beat: Heartbeat) -> bool {
-        let peer = self.peers.get_or_insert_with(beat.vm, || Peer::new(beat.dc));
-        // A restarted process counts from zero again: only a little lower is out of order.
-        let reordered = peer
-            .last
-            .is_some_and(|last| beat.seq < last.seq && last.seq - beat.seq < REORDER_WINDOW);
+    /// Records a heartbeat; returns `false` if a newer one was received before.
+    pub(crate) fn record_heartbeat(
+        &mut self,
+        options: &Options,
+        now: Instant,
+        heartbeat: Heartbeat,
+    ) -> bool {
+        let peer = self.peers.get_or_insert_with(heartbeat.vm, || Peer::new(heartbeat.dc));
+        // A restarted process counts from zero again, so only a slightly lower number is treated
+        // as reordered.
+        let reordered = peer.last.is_some_and(|last| {
+            heartbeat.seq < last.seq && last.seq - heartbeat.seq < REORDER_WINDOW
+        });
         if reordered {
             return false;
         }
-        peer.heard = Some(now);
-        peer.last = Some(beat);
-        self.count(options);
+        peer.last_received = Some(now);
+        peer.last = Some(heartbeat);
+        self.recount_local(options);
         true
     }
 
-    /// Takes silence that was our own out of the peers' account.
-    pub(crate) fn forgive(&mut self, now: Instant) {
+    /// Restarts the timeouts of all peers, after a pause of this process.
+    pub(crate) fn restart_timeouts(&mut self, now: Instant) {
         for (_, peer) in self.peers.iter_mut() {
-            if peer.heard.is_some() {
-                peer.heard = Some(now);
+            if peer.last_received.is_some() {
+                peer.last_received = Some(now);
             }
         }
     }
 
-    /// The peer `vm`.
+    /// Returns the peer `vm`.
     pub fn get(&self, vm: VmId) -> Option<&Peer> {
         self.peers.get(&vm)
     }
 
-    /// All peers by number.
+    /// Iterates over all peers, sorted by id.
     pub fn iter(&self) -> impl Iterator<Item = (VmId, &Peer)> {
         self.peers.iter().map(|(vm, peer)| (*vm, peer))
     }
@@ -97,22 +103,22 @@
         self.peers.iter_mut().map(|(vm, peer)| (*vm, peer))
     }
 
-    /// The number of other entry VMs in the own data centre.
-    pub fn near(&self) -> usize {
-        self.near
+    /// Returns the number of other entry VMs in the own data centre.
+    pub fn local_count(&self) -> usize {
+        self.local_count
     }
 
-    /// Whether `vm` was heard of lately.
+    /// Returns whether a heartbeat of `vm` was received within its timeout.
     pub fn alive(&self, options: &Options, now: Instant, vm: VmId) -> bool {
         let Some(peer) = self.peers.get(&vm) else { return false };
         let timeout = match peer.dc == options.dc {
-            true => options.peer_timeout(self.near),
-            false => options.far_timeout(),
+            true => options.peer_timeout(self.local_count),
+            false => options.remote_timeout(),
         };
-        peer.heard.is_some_and(|heard| now.since(heard) <= timeout)
+        peer.last_received.is_some_and(|last_received| now.since(last_received) <= timeout)
     }
 
-    /// The live peers of the own data centre.
+    /// Iterates over the live peers of the own data centre.
     pub fn live_local_peers<'a>(
         &'a self,
         options: &'a Options,
@@ -121,7 +127,7 @@
         self.iter().filter(move |(vm, peer)| peer.dc == options.dc && self.alive(options, now, *vm))
     }
 
-    fn count(&mut self, options: &Options) {
-        self.near = self.peers.iter().filter(|(_, peer)| peer.dc == options.dc).count();
+    fn recount_local(&mut self, options: &Options) {
+        self.local_count = self.peers.iter().filter(|(_, peer)| peer.dc == options.dc).count();
     }
 }
--- a/daisy-membership/src/readiness.rs
+++ b/daisy-membership/src/readiness.rs
@@ -1,25 +1,26 @@
-//! When a fresh entry VM takes callers.
+//! When an entry VM that has just started accepts callers.
 
 use daisy_model::{Instant, Offset};
 
 use crate::{Options, Peers, Status};
 
-/// What a fresh entry VM has learnt so far.
+/// What an entry VM must know before it is ready.
 #[derive(Debug, Default)]
 pub(crate) struct Readiness {
-    /// Whether a VM list came, from the platform or a peer.
-    pub listed: bool,
-    /// The log's end when it first answered.
+    /// Whether a VM list was received, from the platform or from a peer.
+    pub has_vm_list: bool,
+    /// The end of the log at its first answer.
     pub log_end: Option<Offset>,
 }
 
 impl Readiness {
-    /// Whether `next` is as far as what the data centre has.
+    /// Returns whether the fold, whose next offset is `next`, has caught up with the data centre.
     ///
-    /// Guard: a fresh VM that took callers with an older configuration than its peers would
-    /// make an accepted configuration go back for those callers. It waits for the log's end
-    /// as of its first answer, and for the furthest ready peer that it hears.
-    pub fn reached(
+    /// Guard: a new VM that accepted callers with an older configuration than its peers would
+    /// appear to revert an accepted configuration for those callers. It waits until it has folded
+    /// up to the end of the log as of the first answer or, if the log has not answered, up to the
+    /// most advanced ready peer.
+    pub fn has_caught_up(
         &self,
         options: &Options,
         peers: &Peers,
@@ -27,7 +28,7 @@
         started: Instant,
         next: Offset,
     ) -> bool {
-        if !self.listed || now.since(started) < options.settle() {
+        if !self.has_vm_list || now.since(started) < options.discovery_time() {
             return false;
         }
         let known = peers
--- a/daisy-membership/src/source.rs
+++ b/daisy-membership/src/source.rs
@@ -1,7 +1,7 @@
-//! Where an entry VM reads the log's records from.
+//! Selects where an entry VM reads the records of the log from.
 //!
-//! One entry VM of a data centre reads the log across the region link and passes the records
-//! on, because every byte across that link is paid for.
+//! One entry VM of a data centre reads the log across the region link and forwards the records
+//! to the others, because traffic on that link is charged by the byte.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 
 use crate::{Heartbeat, Options, Peers};
 
-/// Where records come from.
+/// Where the records of the log are read from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordSource {
     /// The platform's log.
@@ -27,125 +27,129 @@
     }
 }
 
-/// What bears on the choice.
+/// The inputs of the selection.
 #[derive(Debug)]
-pub(crate) struct View<'a> {
+pub(crate) struct SourceInputs<'a> {
     pub options: &'a Options,
     pub peers: &'a Peers,
     pub holder: Option<VmId>,
-    /// Whether the holder's silence begins to look like its death.
-    pub holder_silent: bool,
+    /// Whether half of the holder's timeout has passed without a heartbeat.
+    pub is_holder_overdue: bool,
     pub next: Offset,
     pub log_answers: bool,
 }
 
-/// Where an entry VM reads, and what speaks against a source.
+/// The selected source, and what is known against a source.
 #[derive(Debug)]
-pub(crate) struct Reading {
+pub(crate) struct SourceSelector {
     source: RecordSource,
-    /// A peer that made no progress, and until when it is left aside.
-    avoided: Option<(VmId, Instant)>,
-    /// Since when a live peer is ahead, and the own offset then.
+    /// A peer that made no progress, and until when it is not selected.
+    excluded: Option<(VmId, Instant)>,
+    /// Since when a live peer has been ahead of this process, and the own offset at that time.
     behind: Option<(Instant, Offset)>,
 }
 
-impl Reading {
-    /// From the log, as long as nothing else is known.
-    pub fn new() -> Reading {
-        Reading { source: RecordSource::Log, avoided: None, behind: None }
+impl SourceSelector {
+    /// Returns the initial state, which reads from the log.
+    pub fn new() -> SourceSelector {
+        SourceSelector { source: RecordSource::Log, excluded: None, behind: None }
     }
 
-    /// Where records are read from.
+    /// Returns where records are read from.
     pub fn source(&self) -> RecordSource {
         self.source
     }
 
-    /// Leaves a peer aside for a while.
-    pub fn avoid(&mut self, now: Instant, options: &Options, peer: VmId) {
-        self.avoided = Some((peer, now + options.log_timeout() * 2));
+    /// Excludes a peer for twice the log timeout.
+    pub fn exclude(&mut self, now: Instant, options: &Options, peer: VmId) {
+        self.excluded = Some((peer, now + options.log_timeout() * 2));
     }
 
-    /// Chooses anew; the source, if it has changed.
-    pub fn try_change(&mut self, now: Instant, view: &View<'_>) -> Option<RecordSource> {
-        self.notice_stall(now, view);
-        let avoided = self.avoided.filter(|(_, until)| now < *until).map(|(vm, _)| vm);
-        let source = choose(now, view, avoided);
+    /// Selects the source again; returns it if it has changed.
+    pub fn try_update(&mut self, now: Instant, inputs: &SourceInputs<'_>) -> Option<RecordSource> {
+        self.detect_stall(now, inputs);
+        let excluded = self.excluded.filter(|(_, until)| now < *until).map(|(vm, _)| vm);
+        let source = choose(now, inputs, excluded);
         let changed = source != self.source;
         self.source = source;
         changed.then_some(source)
     }
 
-    /// Guard: a parent may hang while its heartbeats go on, and everybody below it would stay
-    /// behind: a configuration not in force there. Whoever is behind a live peer for the time
-    /// of a change-over leaves its source for another.
-    fn notice_stall(&mut self, now: Instant, view: &View<'_>) {
+    /// Excludes the source if it makes no progress.
+    ///
+    /// Guard: the reads of a parent may hang while it still sends heartbeats. All VMs below it
+    /// would then stay behind, and a new configuration would not come into force there. A VM that
+    /// makes no progress for the holder timeout while a live peer is ahead changes its source.
+    fn detect_stall(&mut self, now: Instant, inputs: &SourceInputs<'_>) {
         let RecordSource::Peer(parent) = self.source else {
             self.behind = None;
             return;
         };
-        let mut near = view.peers.live_local_peers(view.options, now);
-        if !near.any(|(_, peer)| peer.last.is_some_and(|last| last.next > view.next)) {
+        let mut local = inputs.peers.live_local_peers(inputs.options, now);
+        if !local.any(|(_, peer)| peer.last.is_some_and(|last| last.next > inputs.next)) {
             self.behind = None;
             return;
         }
         match self.behind {
-            Some((since, at)) if at == view.next => {
-                if now.since(since) >= view.options.holder_timeout {
+            Some((since, at)) if at == inputs.next => {
+                if now.since(since) >= inputs.options.holder_timeout {
                     self.behind = None;
-                    self.avoid(now, view.options, parent);
+                    self.exclude(now, inputs.options, parent);
                 }
             }
-            _ => self.behind = Some((now, view.next)),
+            _ => self.behind = Some((now, inputs.next)),
         }
     }
 }
 
-/// Peers that read from one entry VM at most.
+/// The most peers that read from one entry VM.
 ///
-/// With all of them at the reader, it would send each record seven times in a data centre of
-/// eight; with two, nobody sends more than twice what it reads, and eight are three steps deep.
-const FAN_OUT: usize = 2;
-
-/// Chooses the source. The holder, or the lowest live peer that reads the log, reads it for
-/// all. The others stand in a tree below it, in the order of their numbers, and each reads from
-/// its parent. While the log gives no answer, the peer that knows most is read.
-fn choose(now: Instant, view: &View<'_>, avoided: Option<VmId>) -> RecordSource {
-    let own = view.options.vm;
-    let candidates: Vec<(VmId, Heartbeat)> = view
+/// If all peers read from the reader, it would send each record seven times in a data centre of
+/// eight. With two, no VM sends more than twice what it reads, and the tree of eight is three
+/// levels deep.
+const MAX_CHILDREN: usize = 2;
+
+/// Selects the source. The holder, or the live peer with the lowest id that reads the log, reads
+/// it for all. The others form a tree below it in the order of their ids, and each reads from its
+/// parent. While the log does not answer, the most advanced peer is the source.
+fn choose(now: Instant, inputs: &SourceInputs<'_>, excluded: Option<VmId>) -> RecordSource {
+    let own = inputs.options.vm;
+    let candidates: Vec<(VmId, Heartbeat)> = inputs
         .peers
-        .live_local_peers(view.options, now)
-        .filter(|(vm, peer)| !peer.leaving() && Some(*vm) != avoided)
+        .live_local_peers(inputs.options, now)
+        .filter(|(vm, peer)| !peer.is_leaving() && Some(*vm) != excluded)
         .filter_map(|(vm, peer)| peer.last.map(|last| (vm, last)))
         .collect();
     let own_reading =
-        if view.log_answers { RecordSource::Log } else { most_advanced(view, &candidates) };
-    // Whoever may have to claim needs the log at first hand before the timeout is over.
-    if view.holder == Some(own) || view.holder_silent {
+        if inputs.log_answers { RecordSource::Log } else { most_advanced(inputs, &candidates) };
+    // A VM that may have to claim must read the log directly before the timeout is over.
+    if inputs.holder == Some(own) || inputs.is_holder_overdue {
         return own_reading;
     }
     let readers = candidates.iter().filter(|(_, last)| last.reads_log).map(|(vm, _)| *vm);
-    let Some(reader) = readers.min_by_key(|vm| (Some(*vm) != view.holder, *vm)) else {
+    let Some(reader) = readers.min_by_key(|vm| (Some(*vm) != inputs.holder, *vm)) else {
         return own_reading;
     };
-    if Some(reader) != view.holder && own < reader && view.log_answers {
+    if Some(reader) != inputs.holder && own < reader && inputs.log_answers {
         return RecordSource::Log;
     }
     RecordSource::Peer(parent(own, reader, &candidates))
 }
 
-/// The parent of `own` in the tree below `reader`.
+/// Returns the parent of `own` in the tree below `reader`.
 ///
-/// All order the entry VMs alike, reader first and then by number, so that the parent always
-/// stands before the child and no circle comes about where views agree.
+/// All VMs use the same order, the reader first and then by id. A parent therefore always precedes
+/// its children, and no cycle can form as long as the VMs agree on the candidates.
 fn parent(own: VmId, reader: VmId, candidates: &[(VmId, Heartbeat)]) -> VmId {
     let before = candidates.iter().map(|(vm, _)| *vm).filter(|vm| *vm < own && *vm != reader);
     let mut order = vec![reader];
     order.extend(before);
-    order[(order.len() - 1) / FAN_OUT]
+    order[(order.len() - 1) / MAX_CHILDREN]
 }
 
-fn most_advanced(view: &View<'_>, candidates: &[(VmId, Heartbeat)]) -> RecordSource {
-    let ahead = candidates.iter().filter(|(_, last)| last.next > view.next);
+/// Returns the candidate that is furthest ahead of this process; the log if none is.
+fn most_advanced(inputs: &SourceInputs<'_>, candidates: &[(VmId, Heartbeat)]) -> RecordSource {
+    let ahead = candidates.iter().filter(|(_, last)| last.next > inputs.next);
     ahead
         .max_by_key(|(_, last)| last.next)
         .map_or(RecordSource::Log, |(vm, _)| RecordSource::Peer(*vm))
--- a/daisy-membership/tests/membership/readiness.rs
+++ b/daisy-membership/tests/membership/readiness.rs
@@ -85,5 +85,5 @@
 
     status_after(&mut membership, &events);
 
-    assert!(membership.peers().get(VmId(1)).expect("heard of").leaving());
+    assert!(membership.peers().get(VmId(1)).expect("heard of").is_leaving());
 }
