--- a/daisy-membership/tests/membership.rs
+++ b/daisy-membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Tests of the membership's decisions on schedules of loss, delay, pauses and cuts.
+//! Tests of membership under message loss, delay, paused processes and cut links.
 
 #[path = "membership/changeover.rs"]
 mod changeover;
--- a/daisy-membership/tests/membership/fleet.rs
+++ b/daisy-membership/tests/membership/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry VMs that exchange heartbeats and read one log, in steps of explicit time.
+//! A simulation of entry VMs that exchange heartbeats and read one log, with simulated time.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 };
 use daisy_model::{DcId, Epoch, Instant, Name, Offset, Resources, Vm, VmId, VmRole, VmStatus};
 
-/// One step of time.
+/// The simulated time of one step.
 pub const STEP: Duration = Duration::from_millis(50);
 
 /// One entry VM.
 pub struct Node {
     pub membership: Membership,
     pub alive: bool,
-    pub frozen: bool,
-    pub reaches_log: bool,
-    /// Sends heartbeats, but reads nothing more.
-    pub stuck: bool,
+    pub is_paused: bool,
+    pub can_reach_log: bool,
+    /// Whether its reads hang while it still sends heartbeats.
+    pub is_reading_stuck: bool,
     pub next: Offset,
     pub ready: bool,
-    /// What came while it was frozen, and what is still on its way.
+    /// Heartbeats in transit and those received during a pause, with their delivery times.
     inbox: Vec<(Instant, Heartbeat)>,
 }
 
@@ -37,12 +37,13 @@
     pub nodes: Vec<Node>,
     pub vms: Vec<Vm>,
     pub claims: Vec<Claim>,
-    /// Whether the log answers anybody.
-    pub log_up: bool,
-    /// Pairs of VMs between which nothing passes.
-    pub cuts: Vec<(VmId, VmId)>,
-    /// Heartbeats lost of a thousand, and the most that one is late.
+    /// Whether the log answers at all.
+    pub is_log_up: bool,
+    /// Pairs of VMs whose link is cut.
+    pub cut_links: Vec<(VmId, VmId)>,
+    /// Heartbeats lost per thousand.
     pub loss: u32,
+    /// The longest delay of a heartbeat.
     pub delay: Duration,
     log: Vec<(DcId, HolderClaim)>,
     random: u64,
@@ -72,7 +73,7 @@
 }
 
 impl Fleet {
-    /// `per_dc` entry VMs in each of `dcs` data centres, numbered from 1 in turn.
+    /// Starts `per_dc` entry VMs in each of `dcs` data centres, with ids counted from 1.
     pub fn new(dcs: u16, per_dc: u32, seed: u64) -> Fleet {
         let ids = (0..dcs).flat_map(|dc| (0..per_dc).map(move |at| (dc, at)));
         let vms: Vec<Vm> = ids.map(|(dc, at)| vm(u32::from(dc) * per_dc + at + 1, dc)).collect();
@@ -81,8 +82,8 @@
             nodes: Vec::new(),
             vms: vms.clone(),
             claims: Vec::new(),
-            log_up: true,
-            cuts: Vec::new(),
+            is_log_up: true,
+            cut_links: Vec::new(),
             loss: 0,
             delay: Duration::from_millis(10),
             log: Vec::new(),
@@ -94,14 +95,14 @@
         fleet
     }
 
-    /// Starts an entry VM that is in the list.
+    /// Starts an entry VM that is in the VM list.
     pub fn add(&mut self, vm: u32, dc: u16) {
         self.nodes.push(Node {
             membership: Membership::new(self.now, options(vm, dc)),
             alive: true,
-            frozen: false,
-            reaches_log: true,
-            stuck: false,
+            is_paused: false,
+            can_reach_log: true,
+            is_reading_stuck: false,
             next: Offset(0),
             ready: false,
             inbox: Vec::new(),
@@ -111,14 +112,14 @@
         self.event(at, Event::Vms(&vms));
     }
 
-    /// The position of `vm`.
+    /// Returns the index of the newest process of `vm`.
     pub fn at(&self, vm: VmId) -> usize {
         let found = self.nodes.iter().rposition(|it| it.membership.options().vm == vm);
         found.expect("a VM of the fleet")
     }
 
-    /// The lowest entry VM that is not `vm`.
-    pub fn lowest_but(&self, vm: VmId) -> VmId {
+    /// Returns the entry VM with the lowest id apart from `vm`.
+    pub fn lowest_other(&self, vm: VmId) -> VmId {
         let all = self.nodes.iter().map(|it| it.membership.options().vm);
         all.filter(|it| *it != vm).min().expect("another entry VM")
     }
@@ -129,7 +130,7 @@
         self.log.push((DcId(u16::MAX), holder_claim));
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -137,8 +138,12 @@
         }
     }
 
-    /// Lets time pass until `wanted` holds; the time that took.
-    pub fn until(&mut self, limit: Duration, wanted: impl Fn(&Fleet) -> bool) -> Option<Duration> {
+    /// Runs until `wanted` returns true and returns the time that took; `None` after `limit`.
+    pub fn run_until(
+        &mut self,
+        limit: Duration,
+        wanted: impl Fn(&Fleet) -> bool,
+    ) -> Option<Duration> {
         let began = self.now;
         while self.now.since(began) <= limit {
             if wanted(self) {
@@ -149,25 +154,25 @@
         None
     }
 
-    /// The entry VMs that act as holder of `dc`.
+    /// Returns the entry VMs that act as holder of `dc`.
     pub fn holders(&self, dc: u16) -> Vec<VmId> {
         let acting = |it: &&Node| it.alive && matches!(it.membership.role(), Role::Holder(_));
         let own = self.nodes.iter().filter(|it| it.membership.options().dc == DcId(dc));
         own.filter(acting).map(|it| it.membership.options().vm).collect()
     }
 
-    /// Steps once: deliveries and a tick for everybody that runs, then reads of the log.
+    /// Runs one step: each running VM gets its heartbeats and a tick, then reads the log.
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         for at in 0..self.nodes.len() {
-            if !self.nodes[at].alive || self.nodes[at].frozen {
+            if !self.nodes[at].alive || self.nodes[at].is_paused {
                 continue;
             }
             for beat in self.due(at) {
                 self.event(at, Event::Heartbeat(beat));
             }
             self.event(at, Event::Tick);
-            if !self.nodes[at].stuck {
+            if !self.nodes[at].is_reading_stuck {
                 self.read(at);
             }
         }
@@ -184,22 +189,22 @@
     fn read(&mut self, at: usize) {
         let end = Offset(self.log.len() as u64);
         match self.nodes[at].membership.source() {
-            RecordSource::Log if self.log_up && self.nodes[at].reaches_log => {
+            RecordSource::Log if self.is_log_up && self.nodes[at].can_reach_log => {
                 self.fold(at, end);
                 let asked = self.now;
                 self.event(at, Event::Log { asked, end: Some(end) });
             }
             RecordSource::Log => self.event(at, Event::LogFailed),
-            RecordSource::Peer(vm) => self.follow(at, vm),
+            RecordSource::Peer(vm) => self.read_from_peer(at, vm),
         }
     }
 
-    fn follow(&mut self, at: usize, vm: VmId) {
+    fn read_from_peer(&mut self, at: usize, vm: VmId) {
         let peer = self.at(vm);
         let own = self.nodes[at].membership.options().vm;
-        if !self.nodes[peer].alive || self.cut(own, vm) {
+        if !self.nodes[peer].alive || self.is_cut(own, vm) {
             self.event(at, Event::SourceFailed(vm));
-        } else if !self.nodes[peer].frozen {
+        } else if !self.nodes[peer].is_paused {
             self.fold(at, self.nodes[peer].next);
         }
     }
@@ -215,21 +220,21 @@
         self.event(at, Event::Folded { next, generation: 0, holder_claim });
     }
 
-    /// Gives an event to a node and carries its actions out.
+    /// Passes an event to a node and applies the resulting actions.
     pub fn event(&mut self, at: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         self.nodes[at].membership.step(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(at, action);
+            self.apply_action(at, action);
         }
     }
 
-    fn carry_out(&mut self, at: usize, action: Action) {
+    fn apply_action(&mut self, at: usize, action: Action) {
         let Options { vm, dc, .. } = *self.nodes[at].membership.options();
         match action {
             Action::Beat(to) => self.send(at, to),
             Action::Claim => {
-                if self.log_up && self.nodes[at].reaches_log {
+                if self.is_log_up && self.nodes[at].can_reach_log {
                     let epoch = Epoch(self.log.len() as u64 + 1);
                     self.log.push((dc, HolderClaim { holder: vm, epoch, released: false }));
                     self.claims.push(Claim { dc, vm });
@@ -246,22 +251,22 @@
 
     fn send(&mut self, from: usize, to: VmId) {
         let beat = self.nodes[from].membership.heartbeat(self.now);
-        if self.cut(beat.vm, to) || self.random(1_000) < self.loss {
+        if self.is_cut(beat.vm, to) || self.random(1_000) < self.loss {
             return;
         }
         let Some(to) = self.nodes.iter().rposition(|it| it.membership.options().vm == to) else {
             return;
         };
         let micros = u32::try_from(self.delay.as_micros()).expect("short delays");
-        let late = Duration::from_micros(u64::from(self.random(micros.max(1))));
-        self.nodes[to].inbox.push((self.now + late, beat));
+        let delivery_delay = Duration::from_micros(u64::from(self.random(micros.max(1))));
+        self.nodes[to].inbox.push((self.now + delivery_delay, beat));
     }
 
-    fn cut(&self, a: VmId, b: VmId) -> bool {
-        self.cuts.contains(&(a, b)) || self.cuts.contains(&(b, a))
+    fn is_cut(&self, a: VmId, b: VmId) -> bool {
+        self.cut_links.contains(&(a, b)) || self.cut_links.contains(&(b, a))
     }
 
-    /// A number below `bound` (xorshift).
+    /// Returns a pseudo-random number below `bound` (xorshift).
     pub fn random(&mut self, bound: u32) -> u32 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -269,7 +274,7 @@
         (self.random % u64::from(bound)) as u32
     }
 
-    /// Whether everybody that runs takes callers.
+    /// Returns whether all running VMs accept callers.
     pub fn all_ready(&self) -> bool {
         let mut alive = self.nodes.iter().filter(|it| it.alive);
         alive.all(|it| it.membership.status() == Status::Ready && it.ready)
--- a/daisy-membership/tests/membership/pauses.rs
+++ b/daisy-membership/tests/membership/pauses.rs
@@ -1,4 +1,4 @@
-//! Processes that are paused, and links that are cut.
+//! Paused processes and cut links.
 
 use std::time::Duration;
 
@@ -7,54 +7,56 @@
 
 use crate::fleet::Fleet;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIME_LIMIT: Duration = Duration::from_secs(20);
 
-fn settled(per_dc: u32) -> Fleet {
+fn started_fleet(per_dc: u32) -> Fleet {
     let mut fleet = Fleet::new(1, per_dc, 5);
-    fleet.until(LIMIT, |it| it.all_ready() && it.holders(0).len() == 1).expect("a quiet start");
+    fleet
+        .run_until(TIME_LIMIT, |it| it.all_ready() && it.holders(0).len() == 1)
+        .expect("an undisturbed start");
     fleet.run(Duration::from_secs(2));
     fleet
 }
 
-/// The holder's VM is paused for half a minute and wakes. Meanwhile a peer has claimed. The
-/// first thing that the old holder does must not be an order to a worker: all it has to show
-/// is older than its pause.
+/// The holder's VM is paused for half a minute, and a peer claims meanwhile. After the pause the
+/// old holder must not send an order to a worker: everything that confirms it as holder is older
+/// than the pause.
 #[test]
 fn a_paused_holder_does_not_act_when_it_wakes() {
-    let mut fleet = settled(3);
+    let mut fleet = started_fleet(3);
     let holder = fleet.holders(0)[0];
     let at = fleet.at(holder);
-    fleet.nodes[at].frozen = true;
+    fleet.nodes[at].is_paused = true;
     fleet.run(Duration::from_secs(30));
-    fleet.nodes[at].frozen = false;
-    fleet.nodes[at].reaches_log = false;
+    fleet.nodes[at].is_paused = false;
+    fleet.nodes[at].can_reach_log = false;
 
     fleet.step();
     assert!(!matches!(fleet.nodes[at].membership.role(), Role::Holder(_)));
 
-    fleet.nodes[at].reaches_log = true;
+    fleet.nodes[at].can_reach_log = true;
     fleet.run(Duration::from_secs(5));
     assert_eq!(fleet.nodes[at].membership.role(), Role::Idle);
     assert_eq!(fleet.claims.len(), 2, "{:?}", fleet.claims);
 }
 
-/// A peer is paused for ten seconds. When it wakes it has heard nobody for as long, but the
-/// silence was its own: a claim then would stop placement for a change-over without need.
+/// A peer is paused for ten seconds. After the pause it has received no heartbeat for that time,
+/// but because of its own pause. A claim would interrupt placement with a needless changeover.
 #[test]
 fn a_paused_peer_does_not_claim_when_it_wakes() {
-    // Wherever in the rhythm of heartbeats the pause begins and ends.
+    // The pause begins and ends at any point of the heartbeat interval.
     for offset in (0..500).step_by(50) {
-        let mut fleet = settled(4);
+        let mut fleet = started_fleet(4);
         let holder = fleet.holders(0)[0];
-        let paused = fleet.lowest_but(holder);
+        let paused = fleet.lowest_other(holder);
         let at = fleet.at(paused);
-        // What is sent to it meanwhile is lost, as with a full socket buffer.
-        fleet.cuts = (1..=4).map(|vm| (paused, VmId(vm))).collect();
+        // Heartbeats sent to it meanwhile are lost, as with a full socket buffer.
+        fleet.cut_links = (1..=4).map(|vm| (paused, VmId(vm))).collect();
         fleet.run(Duration::from_millis(100));
-        fleet.nodes[at].frozen = true;
+        fleet.nodes[at].is_paused = true;
         fleet.run(Duration::from_millis(10_000 + offset));
-        fleet.nodes[at].frozen = false;
-        fleet.cuts.clear();
+        fleet.nodes[at].is_paused = false;
+        fleet.cut_links.clear();
 
         fleet.run(Duration::from_secs(10));
 
@@ -63,29 +65,29 @@
     }
 }
 
-/// The link between the holder and one peer is cut, both reach everybody else. The peer hears
-/// of the holder from the others, and does not depose it.
+/// The link between the holder and one peer is cut; both reach all other VMs. The peer gets
+/// evidence of the holder from the others and must not replace it.
 #[test]
-fn one_cut_link_is_no_reason_for_a_claim() {
-    let mut fleet = settled(4);
+fn a_peer_does_not_claim_when_only_its_link_to_the_holder_is_cut() {
+    let mut fleet = started_fleet(4);
     let holder = fleet.holders(0)[0];
-    let peer = fleet.lowest_but(holder);
-    fleet.cuts.push((holder, peer));
+    let peer = fleet.lowest_other(holder);
+    fleet.cut_links.push((holder, peer));
 
     fleet.run(Duration::from_secs(30));
 
     assert_eq!(fleet.claims.len(), 1, "{:?}", fleet.claims);
 }
 
-/// A holder is cut off from its peers and the log, but not from its workers. It cannot show
-/// that it still is the holder: it renews leases and starts nothing, while a peer takes over.
+/// A holder cannot reach its peers and the log, but still reaches its workers. It cannot confirm
+/// that it still is the holder, so it renews leases and starts nothing while a peer claims.
 #[test]
-fn a_holder_that_is_cut_off_starts_nothing() {
-    let mut fleet = settled(3);
+fn an_isolated_holder_starts_nothing() {
+    let mut fleet = started_fleet(3);
     let holder = fleet.holders(0)[0];
     let at = fleet.at(holder);
-    fleet.nodes[at].reaches_log = false;
-    fleet.cuts = (1..=3).map(|vm| (holder, VmId(vm))).collect();
+    fleet.nodes[at].can_reach_log = false;
+    fleet.cut_links = (1..=3).map(|vm| (holder, VmId(vm))).collect();
 
     fleet.run(Duration::from_secs(6));
 
@@ -95,18 +97,18 @@
     assert_ne!(others, [holder]);
 }
 
-/// A data centre is cut off from the log for minutes. Its holder is heard by its peers, so it
-/// goes on with what it has checked out, and nothing changes hands.
+/// A data centre cannot reach the log for minutes. The peers receive the holder's heartbeats, so it
+/// continues with the tasks that it has checked out, and the holder does not change.
 #[test]
 fn a_data_centre_without_the_log_keeps_its_holder() {
-    let mut fleet = settled(3);
+    let mut fleet = started_fleet(3);
     let holder = fleet.holders(0)[0];
-    fleet.log_up = false;
+    fleet.is_log_up = false;
 
     fleet.run(Duration::from_secs(120));
 
     assert_eq!(fleet.holders(0), [holder]);
-    fleet.log_up = true;
+    fleet.is_log_up = true;
     fleet.run(Duration::from_secs(10));
     assert_eq!(fleet.claims.len(), 1, "{:?}", fleet.claims);
 }
--- a/daisy-membership/tests/membership/readiness.rs
+++ b/daisy-membership/tests/membership/readiness.rs
@@ -1,11 +1,11 @@
-//! When a fresh entry VM takes callers.
+//! When an entry VM that has just started accepts callers.
 
 use daisy_membership::{Event, Heartbeat, Membership, Status};
 use daisy_model::{DcId, Instant, Offset, VmId};
 
 use crate::fleet::{options, vm};
 
-fn fresh() -> Membership {
+fn new_membership() -> Membership {
     let mut membership = Membership::new(Instant::from_millis(0), options(2, 0));
     let vms = [vm(1, 0), vm(2, 0)];
     membership.step(Instant::from_millis(10), Event::Vms(&vms), &mut Vec::new());
@@ -37,11 +37,11 @@
     membership.status()
 }
 
-/// A fresh VM comes up while configurations are published. A caller that reaches it before it
-/// has folded the log would be served by an old configuration: the change seems to go back.
+/// A new VM starts while configurations are published. If it served callers before it has folded
+/// the log, it would use an old configuration, as if the change had been reverted.
 #[test]
-fn waits_for_the_end_of_the_log() {
-    let mut membership = fresh();
+fn a_new_vm_is_not_ready_before_it_reaches_the_end_of_the_log() {
+    let mut membership = new_membership();
     let asked = Instant::from_millis(1_990);
     let end = Event::Log { asked, end: Some(Offset(40)) };
 
@@ -49,11 +49,11 @@
     assert_eq!(status_after(&mut membership, &[folded(40)]), Status::Ready);
 }
 
-/// A fresh VM comes up while its data centre is cut off from the log: it goes on with what its
-/// data centre has, and not before it has that.
+/// A new VM starts while its data centre cannot reach the log. It becomes ready once it has the
+/// records that its ready peers have, and not earlier.
 #[test]
-fn cut_off_goes_on_with_what_its_data_centre_has() {
-    let mut membership = fresh();
+fn without_the_log_a_new_vm_is_ready_once_it_has_caught_up_with_its_peers() {
+    let mut membership = new_membership();
 
     assert_eq!(status_after(&mut membership, &[folded(3)]), Status::Starting);
     let ahead = [beat(1, 7, Status::Ready), folded(6)];
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_peer_that_is_not_ready_itself_shows_nothing() {
-    let mut membership = fresh();
+fn a_peer_that_is_not_ready_does_not_make_a_new_vm_ready() {
+    let mut membership = new_membership();
 
     let events = [beat(1, 0, Status::Starting), folded(0)];
 
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn without_a_list_of_vms_there_is_no_readiness() {
+fn a_new_vm_is_not_ready_without_a_vm_list() {
     let mut membership = Membership::new(Instant::from_millis(0), options(2, 0));
     let end = Event::Log { asked: Instant::from_millis(1_990), end: Some(Offset(0)) };
 
@@ -79,11 +79,11 @@
 }
 
 #[test]
-fn a_late_heartbeat_does_not_take_a_stop_back() {
-    let mut membership = fresh();
+fn a_reordered_heartbeat_does_not_cancel_a_planned_stop() {
+    let mut membership = new_membership();
     let events = [beat(9, 0, Status::Leaving), beat(8, 0, Status::Ready)];
 
     status_after(&mut membership, &events);
 
-    assert!(membership.peers().get(VmId(1)).expect("heard of").is_leaving());
+    assert!(membership.peers().get(VmId(1)).expect("a peer that sent heartbeats").is_leaving());
 }
--- a/daisy-membership/tests/membership/schedules.rs
+++ b/daisy-membership/tests/membership/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of loss, delay, pauses, deaths and outages, from fixed seeds.
+//! Random schedules of loss, delay, pauses, killed processes and outages, from fixed seeds.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 
 use crate::fleet::Fleet;
 
-/// Seeds every run; a seed that found a fault is added here.
+/// The seeds of every run; a seed that found a fault is added here.
 const SEEDS: [u64; 3] = [20_261, 4_242, 77];
-/// Schedules for each seed.
+/// The number of schedules for each seed.
 const TESTS: u64 = 40;
-/// Entry VMs of each of the two data centres.
+/// The number of entry VMs in each of the two data centres.
 const PER_DC: u32 = 4;
 
-/// What happens to an entry VM, or to the log.
+/// A fault of an entry VM or of the log.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     Pause(u32),
@@ -23,12 +23,12 @@
     LogDown,
 }
 
-/// A fault, when it begins and how long it lasts.
+/// A fault, the wait before it and its duration.
 #[derive(Debug, Clone, Copy)]
-struct Planned {
+struct PlannedFault {
     fault: Fault,
     wait: Duration,
-    lasts: Duration,
+    duration: Duration,
 }
 
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
     seed: u64,
     loss: u32,
     delay: Duration,
-    faults: Vec<Planned>,
+    faults: Vec<PlannedFault>,
 }
 
 impl Arbitrary for Schedule {
@@ -53,8 +53,8 @@
                 _ => Fault::LogDown,
             };
             let wait = Duration::from_millis(u64::from(below(4_000)));
-            let lasts = Duration::from_millis(u64::from(200 + below(8_000)));
-            faults.push(Planned { fault, wait, lasts });
+            let duration = Duration::from_millis(u64::from(200 + below(8_000)));
+            faults.push(PlannedFault { fault, wait, duration });
         }
         let loss = below(200);
         let delay = Duration::from_millis(u64::from(1 + below(150)));
@@ -69,36 +69,36 @@
     }
 }
 
-fn set(fleet: &mut Fleet, fault: Fault, on: bool) {
+fn apply_fault(fleet: &mut Fleet, fault: Fault, on: bool) {
     match fault {
-        Fault::Pause(vm) => fleet.nodes[vm as usize - 1].frozen = on,
-        Fault::CutFromLog(vm) => fleet.nodes[vm as usize - 1].reaches_log = !on,
-        Fault::LogDown => fleet.log_up = !on,
+        Fault::Pause(vm) => fleet.nodes[vm as usize - 1].is_paused = on,
+        Fault::CutFromLog(vm) => fleet.nodes[vm as usize - 1].can_reach_log = !on,
+        Fault::LogDown => fleet.is_log_up = !on,
         Fault::Kill(vm) => fleet.nodes[vm as usize - 1].alive = false,
     }
 }
 
-fn play(schedule: &Schedule, faults: bool) -> Fleet {
+fn run_schedule(schedule: &Schedule, faults: bool) -> Fleet {
     let mut fleet = Fleet::new(2, PER_DC, schedule.seed);
-    let settled = |it: &Fleet| (0..2).all(|dc| it.holders(dc).len() == 1);
-    fleet.until(Duration::from_secs(20), settled).expect("a quiet start");
+    let started_fleet = |it: &Fleet| (0..2).all(|dc| it.holders(dc).len() == 1);
+    fleet.run_until(Duration::from_secs(20), started_fleet).expect("an undisturbed start");
     (fleet.loss, fleet.delay) = (schedule.loss, schedule.delay);
     for planned in schedule.faults.iter().filter(|_| faults) {
         fleet.run(planned.wait);
-        set(&mut fleet, planned.fault, true);
-        fleet.run(planned.lasts);
-        set(&mut fleet, planned.fault, false);
+        apply_fault(&mut fleet, planned.fault, true);
+        fleet.run(planned.duration);
+        apply_fault(&mut fleet, planned.fault, false);
     }
     fleet.run(Duration::from_secs(15));
     fleet
 }
 
-/// However the faults fall, each data centre that has an entry VM left comes back to one
-/// holder, and no entry VM ever claims the workers of another data centre.
+/// After any faults, each data centre that has a live entry VM gets exactly one holder again, and
+/// no entry VM ever claims the workers of another data centre.
 #[test]
-fn one_holder_comes_back_after_any_faults() {
+fn each_data_centre_has_one_holder_after_any_faults() {
     check(|schedule| {
-        let fleet = play(&schedule, true);
+        let fleet = run_schedule(&schedule, true);
         let own = |dc: u16| (u32::from(dc) * PER_DC + 1)..=(u32::from(dc + 1) * PER_DC);
         let foreign = fleet.claims.iter().any(|it| !own(it.dc.0).contains(&it.vm.0));
         let held = (0..2).all(|dc| {
@@ -110,15 +110,15 @@
     });
 }
 
-/// Each fault makes at most one change-over, and one more where two candidates claim at the
-/// same time: claims do not race on and on.
+/// Each fault causes at most one changeover, and one more where two candidates claim at the same
+/// time: candidates must not replace each other again and again.
 #[test]
-fn no_more_claims_than_faults_ask_for() {
-    check(|schedule| play(&schedule, true).claims.len() <= 2 + 2 * schedule.faults.len());
+fn at_most_two_claims_are_made_per_fault() {
+    check(|schedule| run_schedule(&schedule, true).claims.len() <= 2 + 2 * schedule.faults.len());
 }
 
-/// Lost and late heartbeats alone, up to one in five and 150 ms, depose nobody.
+/// Loss of up to one heartbeat in five and delays of up to 150 ms alone must not replace a holder.
 #[test]
-fn loss_and_delay_alone_depose_nobody() {
-    check(|schedule| play(&schedule, false).claims.len() == 2);
+fn loss_and_delay_alone_cause_no_further_claim() {
+    check(|schedule| run_schedule(&schedule, false).claims.len() == 2);
 }
--- a/daisy-membership/tests/membership/source.rs
+++ b/daisy-membership/tests/membership/source.rs
@@ -1,4 +1,4 @@
-//! Who reads the log across the region link.
+//! Which entry VM reads the log across the region link.
 
 use std::time::Duration;
 
@@ -7,26 +7,28 @@
 
 use crate::fleet::{Fleet, Node};
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIME_LIMIT: Duration = Duration::from_secs(20);
 
-fn reads(node: &Node) -> bool {
+fn reads_log(node: &Node) -> bool {
     node.alive && node.membership.source() == RecordSource::Log
 }
 
 fn readers(fleet: &Fleet) -> usize {
-    fleet.nodes.iter().filter(|it| reads(it)).count()
+    fleet.nodes.iter().filter(|it| reads_log(it)).count()
 }
 
-fn settled() -> Fleet {
+fn started_fleet() -> Fleet {
     let mut fleet = Fleet::new(1, 6, 3);
-    fleet.until(LIMIT, |it| it.all_ready() && it.holders(0).len() == 1).expect("a quiet start");
+    fleet
+        .run_until(TIME_LIMIT, |it| it.all_ready() && it.holders(0).len() == 1)
+        .expect("an undisturbed start");
     fleet.run(Duration::from_secs(3));
     fleet
 }
 
 #[test]
 fn one_entry_vm_of_a_data_centre_reads_the_log() {
-    let mut fleet = settled();
+    let mut fleet = started_fleet();
 
     for _ in 0..200 {
         fleet.step();
@@ -34,30 +36,30 @@
     }
 }
 
-/// The reader is cut off from the log, the others are not. Another one takes the reading over,
-/// and the old reader learns what is new from it: a change is in force everywhere within 5 s.
+/// The reader cannot reach the log, the others can. Another VM must read it instead and forward
+/// records to the old reader, so that a change is in force everywhere within 5 s.
 #[test]
-fn another_one_reads_when_the_reader_is_cut_off() {
-    let mut fleet = settled();
-    let reader = fleet.nodes.iter().position(reads).expect("a reader");
-    fleet.nodes[reader].reaches_log = false;
+fn another_entry_vm_reads_when_the_reader_cannot_reach_the_log() {
+    let mut fleet = started_fleet();
+    let reader = fleet.nodes.iter().position(reads_log).expect("a reader");
+    fleet.nodes[reader].can_reach_log = false;
 
-    let other = |it: &Fleet| it.nodes.iter().enumerate().any(|(at, it)| at != reader && reads(it));
-    let took = fleet.until(LIMIT, other).expect("another reader");
+    let other =
+        |it: &Fleet| it.nodes.iter().enumerate().any(|(at, it)| at != reader && reads_log(it));
+    let took = fleet.run_until(TIME_LIMIT, other).expect("another reader");
 
     assert!(took <= Duration::from_secs(5), "{took:?}");
-    assert_eq!(fleet.claims.len(), 1, "the holder is still heard");
+    assert_eq!(fleet.claims.len(), 1, "the holder was replaced although its heartbeats arrive");
 }
 
-/// The reader dies: the others go to the log themselves until one of them has it, and agree
-/// on one reader again.
+/// The reader dies. The others read the log themselves until they agree on one reader again.
 #[test]
 fn a_dead_reader_is_replaced() {
-    let mut fleet = settled();
-    let reader = fleet.nodes.iter().position(reads).expect("a reader");
+    let mut fleet = started_fleet();
+    let reader = fleet.nodes.iter().position(reads_log).expect("a reader");
     fleet.nodes[reader].alive = false;
 
-    let took = fleet.until(LIMIT, |it| readers(it) >= 1).expect("a reader");
+    let took = fleet.run_until(TIME_LIMIT, |it| readers(it) >= 1).expect("a reader");
     fleet.run(Duration::from_secs(8));
 
     assert!(took <= Duration::from_secs(3), "{took:?}");
@@ -65,9 +67,11 @@
 }
 
 #[test]
-fn nobody_passes_records_on_to_more_than_two() {
+fn no_entry_vm_forwards_records_to_more_than_two_peers() {
     let mut fleet = Fleet::new(1, 16, 3);
-    fleet.until(LIMIT, |it| it.all_ready() && it.holders(0).len() == 1).expect("a quiet start");
+    fleet
+        .run_until(TIME_LIMIT, |it| it.all_ready() && it.holders(0).len() == 1)
+        .expect("an undisturbed start");
     fleet.run(Duration::from_secs(5));
 
     let mut parents: Vec<VmId> = Vec::new();
@@ -83,25 +87,26 @@
     }
 }
 
-/// An entry VM in the middle hangs in its reading, but its heartbeats go on. Those below it see
-/// peers ahead of them, and must not wait for it: a change is in force everywhere within 5 s.
+/// The reads of a VM in the middle of the tree hang, but it still sends heartbeats. The VMs below
+/// it see that peers are ahead of them and must change their source, so that a change is in force
+/// everywhere within 5 s.
 #[test]
-fn a_stuck_parent_is_left() {
-    let mut fleet = settled();
+fn a_parent_whose_reads_hang_is_replaced() {
+    let mut fleet = started_fleet();
     let parent = fleet.nodes.iter().find_map(|it| match it.membership.source() {
-        RecordSource::Peer(vm) if !reads(&fleet.nodes[fleet.at(vm)]) => Some(vm),
+        RecordSource::Peer(vm) if !reads_log(&fleet.nodes[fleet.at(vm)]) => Some(vm),
         _ => None,
     });
-    let stuck = fleet.at(parent.expect("a parent below the reader"));
-    fleet.nodes[stuck].stuck = true;
+    let is_reading_stuck = fleet.at(parent.expect("a parent below the reader"));
+    fleet.nodes[is_reading_stuck].is_reading_stuck = true;
     fleet.append();
 
     let wanted = fleet.nodes[0].next.0 + 1;
     let everywhere = |it: &Fleet| {
-        let mut others = it.nodes.iter().enumerate().filter(|(at, _)| *at != stuck);
+        let mut others = it.nodes.iter().enumerate().filter(|(at, _)| *at != is_reading_stuck);
         others.all(|(_, node)| node.next.0 >= wanted)
     };
-    let took = fleet.until(LIMIT, everywhere).expect("in force");
+    let took = fleet.run_until(TIME_LIMIT, everywhere).expect("all other VMs read the new record");
 
     assert!(took <= Duration::from_secs(5), "{took:?}");
 }
