--- a/daisy-ledger/src/append.rs
+++ b/daisy-ledger/src/append.rs
@@ -1,4 +1,5 @@
-//! What a process appends: in batches, in order, again after lost answers, within a budget.
+//! The queue of records that a process appends: in batches, in order, with retries after lost
+//! answers, within a budget of appends.
 
 use std::{collections::VecDeque, ops::Range, time::Duration};
 
@@ -6,35 +7,36 @@
 
 use crate::{AppendId, Batch, Record};
 
-/// How a queue works.
+/// Options of a [`Queue`].
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Names this process in append ids; drawn at random when it starts.
+    /// Identifies this process in append ids; chosen at random when it starts.
     pub sender: u64,
-    /// The least time between the starts of two appends: this process's share of the budget.
+    /// The shortest time between the starts of two appends: this process's share of the budget.
     ///
-    /// 200 appends a second for 48 entry VMs (the platform takes a few hundred) leave 250 ms.
+    /// 200 appends a second for 48 entry VMs (the platform accepts a few hundred) give 250 ms.
     pub interval: Duration,
     /// The most records of one append.
     pub max_records: usize,
-    /// The most bytes of one append, by [`Record::weight`]; one record alone may be longer.
-    pub max_weight: usize,
-    /// How long an answer is waited for before the append is sent again.
+    /// The most bytes of one append by [`Record::weight`]; a single record may exceed
+    /// it.
+    pub max_bytes: usize,
+    /// How long to wait for an answer before the append is sent again.
     pub timeout: Duration,
-    /// The longest wait between two attempts; the first is `interval`, then it doubles.
+    /// The longest wait between two attempts; it starts at `interval` and doubles each time.
     pub max_backoff: Duration,
-    /// The most records that wait; more are refused.
+    /// The most waiting records; further ones are rejected.
     pub capacity: usize,
 }
 
 impl Options {
-    /// The usual options of a process called `sender` that may append once in `interval`.
+    /// Returns the default options of a process `sender` that may append once per `interval`.
     pub fn new(sender: u64, interval: Duration) -> Options {
         Options {
             sender,
             interval,
             max_records: 512,
-            max_weight: 256 << 10,
+            max_bytes: 256 << 10,
             timeout: Duration::from_secs(2),
             max_backoff: Duration::from_secs(5),
             capacity: 20_000,
@@ -42,32 +44,32 @@
     }
 }
 
-/// What a queue learns.
+/// Input of [`Queue::step`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The platform answered that the append stands at `offset`.
+    /// The platform answered that the append is in the log at `offset`.
     Answered {
         /// The append.
         id: AppendId,
-        /// Where it stands.
+        /// Its offset.
         offset: Offset,
     },
-    /// No answer came, or one that leaves the outcome open.
+    /// No answer was received, or one that leaves the outcome unknown.
     Unanswered {
         /// The append.
         id: AppendId,
     },
-    /// The platform asks to wait; nothing was appended.
+    /// The platform is busy and asks to retry later; nothing was appended.
     Busy {
         /// The append.
         id: AppendId,
     },
-    /// The platform will never take the append, such as one that is too long.
+    /// The platform will never accept the append, for example because it is too long.
     Rejected {
         /// The append.
         id: AppendId,
     },
-    /// The fold met the append, so it stands in the log whether an answer came or not.
+    /// The append was folded, so it is in the log even if no answer was received.
     Folded {
         /// The append.
         id: AppendId,
@@ -76,7 +78,7 @@
     Tick,
 }
 
-/// What a queue wants done.
+/// Output of [`Queue::step`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Append the batch, under its id.
@@ -87,37 +89,38 @@
     Dropped(Range<u64>),
 }
 
-/// Too many records wait, since the platform is down or slow; the caller gets its record back.
+/// Too many records are waiting because the platform is down or slow; returns the record to the
+/// caller.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{waiting} records wait for the log")]
-pub struct Full {
-    /// The record that was not taken.
+pub struct QueueFull {
+    /// The record that was not accepted.
     pub record: Box<Record>,
-    /// How many wait.
+    /// The number of waiting records.
     pub waiting: usize,
 }
 
-/// Batches that have an answer but have not been folded; more wait for the reader.
+/// The most batches that are answered but not yet folded; further ones wait for the reader.
 const MAX_UNFOLDED: usize = 64;
 
 #[derive(Debug)]
 struct Outstanding {
     batch: Batch,
     tickets: Range<u64>,
-    /// Whether an attempt is under way.
-    sent: bool,
-    /// Whether the last attempt that ended got no answer.
-    lost: bool,
-    /// When to give the attempt up or, if none is under way, to start the next one.
-    next: Instant,
+    /// Whether an attempt has been sent and its outcome is not known yet.
+    is_in_flight: bool,
+    /// Whether the last finished attempt got no answer.
+    is_answer_lost: bool,
+    /// When the attempt in flight times out or, if there is none, when the next one starts.
+    deadline: Instant,
     backoff: Duration,
 }
 
-/// The records that a process wants in the log.
+/// The queue of records that a process appends to the log.
 ///
-/// One append is outstanding at a time, and is sent again under the same id until it is
-/// answered or seen in the log: records thus stand in the log in the order in which they were
-/// pushed, and a fold that remembers only the last id of each sender takes each once.
+/// One append is outstanding at a time, and it is sent again under the same id until it is
+/// answered or folded. Records are therefore in the log in the order in which they were pushed,
+/// and a fold that remembers only the last id of each sender applies each of them once.
 #[derive(Debug)]
 pub struct Queue {
     options: Options,
@@ -126,11 +129,11 @@
     next_seq: u64,
     outstanding: Option<Outstanding>,
     unfolded: VecDeque<(u64, Range<u64>)>,
-    earliest: Instant,
+    next_send_at: Instant,
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Returns an empty queue.
     pub fn new(options: Options) -> Queue {
         Queue {
             options,
@@ -139,17 +142,17 @@
             next_seq: 1,
             outstanding: None,
             unfolded: VecDeque::new(),
-            earliest: Instant::default(),
+            next_send_at: Instant::default(),
         }
     }
 
-    /// Takes a record in and gives its ticket; tickets count from 0.
+    /// Adds a record and returns its ticket; tickets count from 0. Fails if the queue is full.
     ///
     /// Call [`Queue::step`] with [`Event::Tick`] afterwards to have it sent.
-    pub fn push(&mut self, record: Record) -> Result<u64, Full> {
+    pub fn push(&mut self, record: Record) -> Result<u64, QueueFull> {
         let waiting = self.waiting.len();
         if waiting >= self.options.capacity {
-            return Err(Full { record: Box::new(record), waiting });
+            return Err(QueueFull { record: Box::new(record), waiting });
         }
         let ticket = self.next_ticket;
         self.next_ticket += 1;
@@ -157,79 +160,79 @@
         Ok(ticket)
     }
 
-    /// Takes `event` in at `now` and pushes what is to be done.
+    /// Handles `event` at `now` and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Answered { id, .. } => self.answered(id),
-            Event::Unanswered { id } => self.try_later(now, id, true),
-            Event::Busy { id } => self.try_later(now, id, false),
+            Event::Unanswered { id } => self.schedule_retry(now, id, true),
+            Event::Busy { id } => self.schedule_retry(now, id, false),
             Event::Rejected { id } => self.rejected(id, actions),
             Event::Folded { id } => self.folded(id, actions),
-            Event::Tick => self.give_up_attempt(now),
+            Event::Tick => self.expire_attempt(now),
         }
         self.send(now, actions);
     }
 
-    /// When to call [`Queue::step`] next if nothing else happens.
+    /// Returns when to call [`Queue::step`] next if no other event occurs.
     pub fn wake(&self) -> Option<Instant> {
         match &self.outstanding {
-            Some(outstanding) => Some(outstanding.next),
-            None if self.can_batch() => Some(self.earliest),
+            Some(outstanding) => Some(outstanding.deadline),
+            None if self.can_batch() => Some(self.next_send_at),
             None => None,
         }
     }
 
-    /// The number of records that are not known to be in the log.
+    /// Returns the number of records that are not known to be in the log.
     pub fn backlog(&self) -> usize {
         let outstanding = self.outstanding.as_ref().map_or(0, |it| it.batch.records.len());
         self.waiting.len() + outstanding
     }
 
-    /// Whether the log takes appends, as far as is known.
+    /// Returns whether the log is believed to accept appends.
     ///
-    /// Guard: it is out of reach only as long as an append is tried again. The loss of an answer
-    /// may be noticed after the fold met the append; taken by itself it would stand for ever, as
-    /// nothing is sent while the log is out of reach.
+    /// Guard: the log is treated as unreachable only while an append is being retried. The loss of
+    /// an answer may be detected after the append was folded. If that alone made the log count as
+    /// unreachable, it would stay so for ever, since nothing is sent while it is unreachable.
     pub fn is_reachable(&self) -> bool {
-        self.outstanding.as_ref().is_none_or(|it| !it.lost)
+        self.outstanding.as_ref().is_none_or(|it| !it.is_answer_lost)
     }
 
     fn can_batch(&self) -> bool {
         !self.waiting.is_empty() && self.unfolded.len() < MAX_UNFOLDED
     }
 
-    /// Takes the outstanding append out if it is `id`.
-    fn take(&mut self, id: AppendId) -> Option<Outstanding> {
+    /// Removes and returns the outstanding append if its id is `id`.
+    fn take_outstanding(&mut self, id: AppendId) -> Option<Outstanding> {
         self.outstanding.take_if(|it| it.batch.id == id)
     }
 
     fn answered(&mut self, id: AppendId) {
-        if let Some(done) = self.take(id) {
+        if let Some(done) = self.take_outstanding(id) {
             self.unfolded.push_back((id.seq, done.tickets));
         }
     }
 
-    fn try_later(&mut self, now: Instant, id: AppendId, lost: bool) {
+    fn schedule_retry(&mut self, now: Instant, id: AppendId, is_answer_lost: bool) {
         let max_backoff = self.options.max_backoff;
         let Some(outstanding) = self.outstanding.as_mut().filter(|it| it.batch.id == id) else {
             return;
         };
-        if !outstanding.sent {
+        if !outstanding.is_in_flight {
             return;
         }
-        outstanding.sent = false;
-        outstanding.lost = lost;
-        outstanding.next = now + outstanding.backoff;
+        outstanding.is_in_flight = false;
+        outstanding.is_answer_lost = is_answer_lost;
+        outstanding.deadline = now + outstanding.backoff;
         outstanding.backoff = (outstanding.backoff * 2).min(max_backoff);
     }
 
     fn rejected(&mut self, id: AppendId, actions: &mut Vec<Action>) {
-        if let Some(rejected) = self.take(id) {
+        if let Some(rejected) = self.take_outstanding(id) {
             actions.push(Action::Dropped(rejected.tickets));
         }
     }
 
-    /// An answer can be lost after the append took effect: the log itself then tells.
+    /// Handles a folded append. It also counts as answered, because its answer may have been lost.
     fn folded(&mut self, id: AppendId, actions: &mut Vec<Action>) {
         if id.sender != self.options.sender {
             return;
@@ -239,24 +242,24 @@
         actions.extend(self.unfolded.drain(..done).map(|(_, tickets)| Action::Done(tickets)));
     }
 
-    fn give_up_attempt(&mut self, now: Instant) {
-        let expired = self.outstanding.as_ref().filter(|it| it.sent && it.next <= now);
+    fn expire_attempt(&mut self, now: Instant) {
+        let expired = self.outstanding.as_ref().filter(|it| it.is_in_flight && it.deadline <= now);
         if let Some(id) = expired.map(|it| it.batch.id) {
-            self.try_later(now, id, true);
+            self.schedule_retry(now, id, true);
         }
     }
 
     fn send(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if self.outstanding.is_none() && self.can_batch() && self.earliest <= now {
+        if self.outstanding.is_none() && self.can_batch() && self.next_send_at <= now {
             self.outstanding = Some(self.next_batch(now));
         }
         let Some(outstanding) = &mut self.outstanding else { return };
-        if outstanding.sent || outstanding.next > now || self.earliest > now {
+        if outstanding.is_in_flight || outstanding.deadline > now || self.next_send_at > now {
             return;
         }
-        outstanding.sent = true;
-        outstanding.next = now + self.options.timeout;
-        self.earliest = now + self.options.interval;
+        outstanding.is_in_flight = true;
+        outstanding.deadline = now + self.options.timeout;
+        self.next_send_at = now + self.options.interval;
         actions.push(Action::Send(outstanding.batch.clone()));
     }
 
@@ -266,8 +269,7 @@
         let mut weight = 0;
         while let Some(record) = self.waiting.front() {
             weight += record.weight();
-            let full =
-                records.len() >= self.options.max_records || weight > self.options.max_weight;
+            let full = records.len() >= self.options.max_records || weight > self.options.max_bytes;
             if full && !records.is_empty() {
                 break;
             }
@@ -278,6 +280,13 @@
         self.next_seq += 1;
         let batch = Batch { id, records };
         let backoff = self.options.interval.max(Duration::from_millis(10));
-        Outstanding { batch, tickets, sent: false, lost: false, next: now, backoff }
+        Outstanding {
+            batch,
+            tickets,
+            is_in_flight: false,
+            is_answer_lost: false,
+            deadline: now,
+            backoff,
+        }
     }
 }
--- a/daisy-ledger/src/change.rs
+++ b/daisy-ledger/src/change.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: accepted or refused, always in the audit trail.
+//! Applies operators' changes. Each is accepted or refused, and recorded in the audit trail.
 
 use daisy_model::{
     Change, Command, Condition, Exit, Generation, JobId, JobKind, JobSpec, Name, Offset, Policy,
@@ -13,22 +13,22 @@
 impl State {
     /// The most tasks of one job.
     pub const MAX_TASKS: u32 = 100_000;
-    /// The most tasks waiting or running together: four times the users' size plan.
+    /// The most tasks of all jobs that are waiting or running: four times the users' size plan.
     pub const MAX_OPEN_TASKS: u32 = 100_000;
     /// The most teams: the users plan for 29.
     pub const MAX_TEAMS: usize = 1_000;
     /// The most VMs drained at one time.
     pub const MAX_DRAINED: usize = 10_000;
-    /// The most entries of the audit trail; half of them at least are for changes of jobs once
-    /// there are so many, and half for all others.
+    /// The most entries of the audit trail. Changes of jobs and all other changes have half of it
+    /// each; one kind uses more only while the other kind has fewer entries than its half.
     ///
-    /// With 8,600 jobs and 360 other changes a day (the users' size plan) that is half a day of
-    /// jobs and two weeks of the others. The trail is the largest part of a snapshot.
+    /// With 8,600 jobs and 360 other changes a day (the users' size plan), that covers half a day
+    /// of job changes and two weeks of the others. The trail is the largest part of a snapshot.
     pub const MAX_AUDIT_ENTRIES: usize = 10_000;
-    /// The longest statement, in bytes.
-    pub const MAX_TEXT: usize = 4_096;
-    /// Entries dropped at one time, so that trimming costs little for each change.
-    const AUDIT_STEP: usize = 1_000;
+    /// The greatest length of a statement, in bytes.
+    pub const MAX_STATEMENT_BYTES: usize = 4_096;
+    /// The number of entries removed at a time, so that trimming costs little per change.
+    const AUDIT_TRIM_COUNT: usize = 1_000;
 
     pub(crate) fn change(&mut self, offset: Offset, change: &Change) -> Outcome {
         let generation = Generation(offset.0 + 1);
@@ -45,7 +45,7 @@
             }
         };
         let mut change = change.clone();
-        if change.text.len() > State::MAX_TEXT {
+        if change.text.len() > State::MAX_STATEMENT_BYTES {
             change.text = "(too long)".into();
         }
         self.audit(AuditEntry { offset, change, verdict });
@@ -59,30 +59,34 @@
         self.audit.push(entry);
     }
 
-    /// Drops the oldest entries of those about jobs or of all others, whichever are more.
+    /// Removes the oldest entries about jobs or the oldest other entries, whichever are more.
     ///
-    /// Thousands of jobs a day would otherwise push out in a day or two who drained a VM.
+    /// Otherwise thousands of jobs a day would displace the record of who drained a VM within a
+    /// day or two.
     fn trim_audit(&mut self) {
         let jobs = self.audit.iter().filter(|it| is_about_job(&it.change.command)).count();
-        let drops_jobs = jobs * 2 > self.audit.len();
-        let mut left = State::AUDIT_STEP;
+        let drops_job_entries = jobs * 2 > self.audit.len();
+        let mut remaining = State::AUDIT_TRIM_COUNT;
         let mut dropped = Generation(0);
         self.audit.retain(|entry| {
-            let drops = left > 0 && is_about_job(&entry.change.command) == drops_jobs;
+            let drops = remaining > 0 && is_about_job(&entry.change.command) == drops_job_entries;
             if drops {
-                left -= 1;
+                remaining -= 1;
                 dropped = Generation(entry.offset.0 + 1);
             }
             !drops
         });
-        let from =
-            if drops_jobs { &mut self.audit_start.jobs } else { &mut self.audit_start.others };
+        let from = if drops_job_entries {
+            &mut self.audit_start.jobs
+        } else {
+            &mut self.audit_start.others
+        };
         *from = dropped;
     }
 
     fn try_change(&mut self, generation: Generation, change: &Change) -> Result<(), Refusal> {
-        if change.text.len() > State::MAX_TEXT {
-            return Err(Refusal::TooLong);
+        if change.text.len() > State::MAX_STATEMENT_BYTES {
+            return Err(Refusal::StatementTooLong);
         }
         if let Some(condition) = change.condition {
             self.check_condition(condition, &change.command)?;
@@ -102,19 +106,20 @@
         }
     }
 
-    /// Holds if the subject has not changed after the generation that the operator saw.
+    /// Fails if the subject has changed after the generation that the operator saw.
     ///
-    /// Operators race one another; without this the later statement would silently undo the
-    /// earlier one. The order of the log decides, and the loser is told who came first.
+    /// Operators may make changes at the same time; without this check, the later statement would
+    /// silently overwrite the earlier one. The order of the log decides, and the error names the
+    /// operator whose statement came first.
     fn check_condition(&self, condition: Condition, command: &Command) -> Result<(), Refusal> {
         let seen = condition.generation;
         if seen > self.generation {
-            return Err(Refusal::Future { seen, newest: self.generation });
+            return Err(Refusal::GenerationNotReached { seen, newest: self.generation });
         }
         let AuditStart { jobs, others } = self.audit_start;
         let oldest = if is_about_job(command) { jobs } else { others };
         if seen < oldest {
-            return Err(Refusal::TooOld { seen, oldest });
+            return Err(Refusal::GenerationTooOld { seen, oldest });
         }
         let subject = Subject::of(command);
         let newer = self.audit.iter().rev().take_while(|it| it.offset.0 + 1 > seen.0);
@@ -144,7 +149,7 @@
             return Err(Refusal::Duplicate { name: spec.name.clone(), job });
         }
         check_numbers(spec.tasks, spec.size)?;
-        self.check_room(team, None, spec.kind, spec.tasks, spec.size)?;
+        self.check_capacity(team, None, spec.kind, spec.tasks, spec.size)?;
         let tasks = vec![Task::NEW; spec.tasks as usize];
         self.jobs.create(Job {
             spec: spec.clone(),
@@ -158,9 +163,9 @@
         Ok(())
     }
 
-    /// Checks that a job, created or, if `changed`, changed, has room beside all others and
-    /// within its team's quota.
-    fn check_room(
+    /// Checks that a new job, or the changed version of the job `changed`, stays within the limit
+    /// on open tasks and within its team's quota.
+    fn check_capacity(
         &self,
         team: TeamId,
         changed: Option<JobId>,
@@ -171,15 +176,15 @@
         let others = self.jobs.iter().filter(|(id, _)| Some(*id) != changed);
         let open: u64 = others.map(|(_, job)| u64::from(job.open)).sum();
         if open + u64::from(tasks) > u64::from(State::MAX_OPEN_TASKS) {
-            return Err(Refusal::Full);
+            return Err(Refusal::TooManyOpenTasks);
         }
         let overflow = || Refusal::Overflow { tasks, size };
         let total = size.try_mul(tasks).ok_or_else(overflow)?;
-        // All tasks of a service run at one time; tasks of a batch job may go one by one.
+        // All tasks of a service run at the same time; tasks of a batch job may run one by one.
         let needed = match kind {
             JobKind::Batch => size,
             JobKind::Service => {
-                self.services_of(team, changed).try_add(total).ok_or_else(overflow)?
+                self.declared_service_use(team, changed).try_add(total).ok_or_else(overflow)?
             }
         };
         match self.teams.get(team) {
@@ -196,7 +201,9 @@
             Some((_, job)) if job.spec.kind != kind => {
                 Err(Refusal::WrongKind { name: name.clone(), kind: job.spec.kind })
             }
-            Some((_, job)) if job.cancelled || job.open == 0 => Err(Refusal::Over(name.clone())),
+            Some((_, job)) if job.cancelled || job.open == 0 => {
+                Err(Refusal::JobEnded(name.clone()))
+            }
             Some(found) => Ok(found),
         }
     }
@@ -215,10 +222,11 @@
         let tasks = tasks.unwrap_or(spec.tasks);
         let size = size.unwrap_or(spec.size);
         let grows = tasks > spec.tasks || !size.fits(spec.size);
-        // A smaller job needs no room: it may be how a team gets below its quota.
+        // A job that does not grow is not checked against the quota: reducing it may be how a
+        // team gets back below its quota.
         check_numbers(tasks, size)?;
         if grows {
-            self.check_room(job.team, Some(id), spec.kind, tasks, size)?;
+            self.check_capacity(job.team, Some(id), spec.kind, tasks, size)?;
         }
         let before = job.spec.tasks;
         let Some(job) = self.jobs.get_mut(id) else { return Ok(()) };
@@ -226,12 +234,12 @@
         job.spec.size = size;
         job.spec.tasks = tasks;
         job.generation = generation;
-        self.jobs.touch(id, self.next);
+        self.jobs.mark_modified(id, self.next);
         self.resize(id, before);
         Ok(())
     }
 
-    /// Makes the tasks fit the declared number, which was `before`.
+    /// Adds or ends tasks to match the declared number of tasks, which was `before`.
     fn resize(&mut self, id: JobId, before: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let declared = job.spec.tasks;
@@ -244,8 +252,8 @@
             job.open += 1;
         }
         let closed = end_pending(job, declared as usize);
-        self.jobs.refresh(id);
-        self.close(id, closed);
+        self.jobs.rebuild_queue(id);
+        self.count_ended(id, closed);
     }
 
     fn cancel(
@@ -259,9 +267,9 @@
         job.cancelled = true;
         job.generation = generation;
         let closed = end_pending(job, 0);
-        self.jobs.touch(id, self.next);
-        self.jobs.refresh(id);
-        self.close(id, closed);
+        self.jobs.mark_modified(id, self.next);
+        self.jobs.rebuild_queue(id);
+        self.count_ended(id, closed);
         Ok(())
     }
 
@@ -273,7 +281,7 @@
             return Ok(());
         }
         if self.teams.len() >= State::MAX_TEAMS {
-            return Err(Refusal::TooMany { what: "teams", max: State::MAX_TEAMS });
+            return Err(Refusal::LimitReached { what: "teams", max: State::MAX_TEAMS });
         }
         let (used, used_by_services) = (Resources::ZERO, Resources::ZERO);
         self.teams.alloc(Team { name: name.clone(), limit, used, used_by_services });
@@ -283,7 +291,7 @@
     fn drain(&mut self, vm: &Name) -> Result<(), Refusal> {
         let Err(at) = self.drained.binary_search(vm) else { return Ok(()) };
         if self.drained.len() >= State::MAX_DRAINED {
-            return Err(Refusal::TooMany { what: "drained VMs", max: State::MAX_DRAINED });
+            return Err(Refusal::LimitReached { what: "drained VMs", max: State::MAX_DRAINED });
         }
         self.drained.insert(at, vm.clone());
         Ok(())
@@ -323,12 +331,12 @@
     }
 }
 
-/// Whether a task was ended by a change to fewer tasks or by a stop, with nothing to show.
+/// Returns whether a task was ended without a result, by a stop or a lower number of tasks.
 fn was_stopped(task: &Task) -> bool {
     task.state == TaskState::Ended(Exit::Stopped)
 }
 
-/// Ends the pending tasks from `from` on; returns how many those are.
+/// Ends the pending tasks with an index of at least `from`; returns their number.
 fn end_pending(job: &mut Job, from: usize) -> u32 {
     let mut closed = 0;
     for task in job.tasks.iter_mut().skip(from) {
@@ -346,10 +354,10 @@
 
 fn check_numbers(tasks: u32, size: Resources) -> Result<(), Refusal> {
     if tasks == 0 || tasks > State::MAX_TASKS {
-        return Err(Refusal::Tasks { found: tasks });
+        return Err(Refusal::TaskCount { found: tasks });
     }
     if size.cpu_milli == 0 || size.memory_mib == 0 {
-        return Err(Refusal::NoSize);
+        return Err(Refusal::ZeroSize);
     }
     Ok(())
 }
--- a/daisy-ledger/src/checkout.rs
+++ b/daisy-ledger/src/checkout.rs
@@ -1,14 +1,18 @@
-//! Claims of data centres, and the tasks that their holders have.
+//! Applies claims of data centres, and checkouts, returns, placements and exits of tasks.
 
 use daisy_model::{DcId, Ended, Epoch, Exit, JobId, JobKind, Offset, Resources, TaskId, VmId};
 
-use crate::{HolderClaim, Outcome, Owner, Placement, State, Task, TaskState, exit, quota::Rooms};
+use crate::{
+    HolderClaim, Outcome, Owner, Placement, State, Task, TaskState, exit, quota::QuotaHeadroom,
+};
 
 impl State {
-    /// The epoch of a claim is its offset plus one, so a later claim always fences an earlier.
+    /// Applies a claim. Its epoch is its offset plus one, so that a later claim always fences an
+    /// earlier one.
     pub(crate) fn claim(&mut self, offset: Offset, dc: DcId, holder: VmId) -> Outcome {
         let epoch = Epoch(offset.0 + 1);
-        // Two claims in one append would share an epoch, and with it the fence: the first wins.
+        // Two claims in one append would have the same epoch, and fencing could not distinguish
+        // them: only the first takes effect.
         if self.holders.get(&dc).is_some_and(|it| it.epoch >= epoch) {
             return self.stale();
         }
@@ -17,7 +21,7 @@
     }
 
     pub(crate) fn release(&mut self, dc: DcId, epoch: Epoch) -> Outcome {
-        if !self.holds(dc, epoch) {
+        if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
         if let Some(holding) = self.holders.get_mut(&dc) {
@@ -26,15 +30,15 @@
         Outcome::Released
     }
 
-    /// Grants the tasks that are still pending, startable and within their team's quota.
+    /// Grants the tasks that are still pending, may run and fit the quota of their team.
     pub(crate) fn checkout(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> Outcome {
-        if !self.holds(dc, epoch) {
+        if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
         let mut granted = Vec::new();
-        let mut rooms = Rooms::default();
+        let mut quota_headroom = QuotaHeadroom::default();
         for &task in tasks {
-            if self.try_grant(task, Owner { dc, epoch }, &mut rooms).is_some() {
+            if self.try_grant(task, Owner { dc, epoch }, &mut quota_headroom).is_some() {
                 granted.push(task);
             }
         }
@@ -43,13 +47,18 @@
         Outcome::Granted(granted)
     }
 
-    fn try_grant(&mut self, id: TaskId, owner: Owner, rooms: &mut Rooms) -> Option<()> {
+    fn try_grant(
+        &mut self,
+        id: TaskId,
+        owner: Owner,
+        quota_headroom: &mut QuotaHeadroom,
+    ) -> Option<()> {
         let job = self.jobs.get(id.job)?;
         if job.cancelled || self.is_paused(job.spec.kind, job.spec.priority) {
             return None;
         }
         let (size, team, kind) = (job.spec.size, job.team, job.spec.kind);
-        if !size.fits(rooms.room(self, team, kind)?) {
+        if !size.fits(quota_headroom.headroom(self, team, kind)?) {
             return None;
         }
         let team = self.teams.get_mut(team)?;
@@ -63,66 +72,66 @@
         }
         task.size = size;
         task.state = TaskState::CheckedOut(owner);
-        self.jobs.touch(id.job, self.next);
+        self.jobs.mark_modified(id.job, self.next);
         Some(())
     }
 
-    pub(crate) fn give_back(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> Outcome {
-        if !self.holds(dc, epoch) {
+    pub(crate) fn return_tasks(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> Outcome {
+        if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
-        let taken = tasks.iter().filter(|&&task| self.try_give_back(dc, task).is_some()).count();
-        self.took(taken, tasks.len())
+        let taken = tasks.iter().filter(|&&task| self.try_return(dc, task).is_some()).count();
+        self.took_effect(taken, tasks.len())
     }
 
-    fn try_give_back(&mut self, dc: DcId, id: TaskId) -> Option<()> {
+    fn try_return(&mut self, dc: DcId, id: TaskId) -> Option<()> {
         let job = self.jobs.get(id.job)?;
         let wanted = !job.cancelled && id.index < job.spec.tasks;
-        let task = self.out_mut(dc, id)?;
-        // An incarnation recorded as placed has started: giving it back would let another
-        // data centre start the task a second time.
+        let task = self.checked_out_mut(dc, id)?;
+        // An incarnation recorded as placed has started: if it were returned, another data centre
+        // could start the task a second time.
         if task.incarnation > task.ended {
             return None;
         }
         let size = task.size;
         task.state = if wanted { TaskState::Pending } else { TaskState::Ended(Exit::Stopped) };
-        self.settle(id, size);
+        self.finish_checkout(id, size);
         Some(())
     }
 
     pub(crate) fn placed(&mut self, dc: DcId, epoch: Epoch, placements: &[Placement]) -> Outcome {
-        if !self.holds(dc, epoch) {
+        if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
         let taken = placements.iter().filter(|&it| self.try_place(dc, it).is_some()).count();
-        self.took(taken, placements.len())
+        self.took_effect(taken, placements.len())
     }
 
     fn try_place(&mut self, dc: DcId, placement: &Placement) -> Option<()> {
-        let task = self.out_mut(dc, placement.task)?;
-        // Told late, after the incarnation ended or a later one started.
+        let task = self.checked_out_mut(dc, placement.task)?;
+        // Recorded late, after the incarnation has ended or a later one has started.
         if placement.incarnation <= task.ended || placement.incarnation < task.incarnation {
             return None;
         }
         task.incarnation = placement.incarnation;
         task.vm = Some(placement.vm);
-        self.jobs.touch(placement.task.job, self.next);
+        self.jobs.mark_modified(placement.task.job, self.next);
         Some(())
     }
 
     pub(crate) fn ended(&mut self, dc: DcId, epoch: Epoch, exits: &[Ended]) -> Outcome {
-        if !self.holds(dc, epoch) {
+        if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
         let taken = exits.iter().filter(|&it| self.try_end(dc, it).is_some()).count();
-        self.took(taken, exits.len())
+        self.took_effect(taken, exits.len())
     }
 
     fn try_end(&mut self, dc: DcId, ended: &Ended) -> Option<()> {
         let id = ended.task;
-        let mut task = *self.out_mut(dc, id)?;
-        // A worker keeps an exit report until it is acknowledged, so two holders in turn may
-        // record it; taken twice it would end, or resume, a later incarnation.
+        let mut task = *self.checked_out_mut(dc, id)?;
+        // A worker keeps an exit report until it is acknowledged, so two successive holders may
+        // record it. Applied twice, it would end or resume a later incarnation.
         if ended.incarnation <= task.ended || ended.incarnation < task.incarnation {
             return None;
         }
@@ -130,20 +139,20 @@
         let size = task.size;
         task.incarnation = ended.incarnation;
         task.ended = ended.incarnation;
-        exit::end(job, id.index, &mut task, ended.exit);
-        *self.out_mut(dc, id)? = task;
-        self.settle(id, size);
+        exit::end_incarnation(job, id.index, &mut task, ended.exit);
+        *self.checked_out_mut(dc, id)? = task;
+        self.finish_checkout(id, size);
         Some(())
     }
 
-    fn out_mut(&mut self, dc: DcId, id: TaskId) -> Option<&mut Task> {
+    fn checked_out_mut(&mut self, dc: DcId, id: TaskId) -> Option<&mut Task> {
         let task = self.jobs.get_mut(id.job)?.tasks.get_mut(id.index as usize)?;
         matches!(task.state, TaskState::CheckedOut(owner) if owner.dc == dc).then_some(task)
     }
 
-    /// Accounts for a task that is no longer out and took `size`.
-    fn settle(&mut self, id: TaskId, size: Resources) {
-        self.jobs.touch(id.job, self.next);
+    /// Updates quota, queue and job for a task of `size` that is no longer checked out.
+    fn finish_checkout(&mut self, id: TaskId, size: Resources) {
+        self.jobs.mark_modified(id.job, self.next);
         let Some(job) = self.jobs.get(id.job) else { return };
         if let Some(team) = self.teams.get_mut(job.team) {
             team.used = team.used.try_sub(size).unwrap_or_default();
@@ -153,17 +162,17 @@
         }
         match self.jobs.task(id).map(|task| task.state) {
             Some(TaskState::Pending) => self.jobs.enqueue(id),
-            Some(TaskState::Ended(_)) => self.close(id.job, 1),
+            Some(TaskState::Ended(_)) => self.count_ended(id.job, 1),
             _ => {}
         }
     }
 
-    /// Notes that `count` more tasks of `job` have ended.
-    pub(crate) fn close(&mut self, id: JobId, count: u32) {
+    /// Records that `count` more tasks of the job `id` have ended.
+    pub(crate) fn count_ended(&mut self, id: JobId, count: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.open = job.open.saturating_sub(count);
         if job.open == 0 && count > 0 {
-            self.jobs.finish(id);
+            self.jobs.record_finished(id);
         }
     }
 
@@ -172,8 +181,8 @@
         Outcome::Stale
     }
 
-    fn took(&mut self, taken: usize, of: usize) -> Outcome {
+    fn took_effect(&mut self, taken: usize, of: usize) -> Outcome {
         self.counts.ignored += (of - taken) as u64;
-        Outcome::Took(taken)
+        Outcome::TookEffect(taken)
     }
 }
--- a/daisy-ledger/src/exit.rs
+++ b/daisy-ledger/src/exit.rs
@@ -1,28 +1,28 @@
-//! What becomes of a task whose incarnation ended.
+//! The state of a task after an incarnation of it has ended.
 
 use daisy_model::{Exit, JobKind};
 
 use crate::{Job, Task, TaskState};
 
-/// Errors of its own after which a restartable task is given up.
+/// The number of failures after which a restartable task is not run again.
 ///
-/// More than one, since a broken worker fails everything that it starts.
+/// It is more than one, because a broken worker fails every task that it starts.
 pub(crate) const MAX_FAILURES: u8 = 3;
 
-/// Ends the open incarnation of `task`, which has the position `index` in `job`.
-pub(crate) fn end(job: &Job, index: u32, task: &mut Task, exit: Exit) {
+/// Ends the current incarnation of `task`, which has the index `index` in `job`.
+pub(crate) fn end_incarnation(job: &Job, index: u32, task: &mut Task, exit: Exit) {
     if exit == Exit::Failed {
         task.failures = task.failures.saturating_add(1);
     }
-    // A checkpoint is resumed by one incarnation only: whatever that one comes to, the token
-    // is spent, or work after the checkpoint would be done twice.
+    // Only one incarnation resumes a checkpoint. The token is used up however that incarnation
+    // ends; otherwise the work after the checkpoint would be done twice.
     task.checkpoint = match exit {
         Exit::Checkpointed(token) => Some(token),
         _ => None,
     };
     let wanted = !job.cancelled && index < job.spec.tasks;
-    let again = wanted && runs_again(job, task, exit);
-    task.state = if again { TaskState::Pending } else { TaskState::Ended(exit) };
+    let will_run_again = wanted && runs_again(job, task, exit);
+    task.state = if will_run_again { TaskState::Pending } else { TaskState::Ended(exit) };
 }
 
 fn runs_again(job: &Job, task: &Task, exit: Exit) -> bool {
@@ -31,11 +31,11 @@
         Exit::Checkpointed(_) => true,
         Exit::Done => service,
         Exit::Failed => service || (job.spec.restartable && task.failures < MAX_FAILURES),
-        // Nothing runs any more, but a part of the work was done: only a service, which has
-        // no end to reach, or work declared restartable may start afresh.
+        // The task no longer runs, but part of its work was done. Only a service, whose work
+        // never ends, or a job declared restartable may start again from the beginning.
         Exit::Stopped | Exit::LeaseLapsed => service || job.spec.restartable,
         Exit::Refused => false,
-        // The work may have been done whole: never run again what is not declared so.
+        // The work may have been completed: only a job declared restartable runs again.
         Exit::Unknown => job.spec.restartable,
     }
 }
--- a/daisy-ledger/src/fold.rs
+++ b/daisy-ledger/src/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the log into state.
+//! Folds log entries into the state.
 
 use daisy_model::{Epoch, Generation, Offset, TaskId};
 
@@ -7,45 +7,45 @@
     snapshot::{CompleteSnapshot, Part},
 };
 
-/// What became of a log entry.
+/// How the fold treated a log entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryStatus {
-    /// Its records were folded.
+    /// Its records were applied, or the entry was skipped because it does not decode.
     Folded,
     /// The same append was folded at an earlier offset.
     Repeated,
-    /// The offset is below the next one: this entry was folded before.
+    /// The offset is below the next one: the entry at this offset was folded before.
     AlreadyFolded,
-    /// The offset is above the next one: entries in between are missing, and nothing was done.
+    /// The offset is above the next one: entries in between are missing, and nothing was changed.
     Gap,
 }
 
-/// What became of one record.
+/// The result of applying one record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The change is in force from the generation on.
     Accepted(Generation),
     /// The change was refused.
     Refused(Refusal),
-    /// The data centre is held under the epoch.
+    /// The claim is in force, under this epoch.
     Claimed(Epoch),
-    /// The data centre is given up.
+    /// The holder has released the data centre.
     Released,
-    /// The tasks that were checked out, sorted.
+    /// The tasks that were checked out, sorted by id.
     Granted(Vec<TaskId>),
     /// How many returns, placements or exits took effect.
-    Took(usize),
+    TookEffect(usize),
     /// The epoch is not in force; the record had no effect.
     Stale,
-    /// The request may run: its key was not announced before.
+    /// The key was not announced before, so the request may run.
     Announced,
-    /// The key was announced before; that announcement alone may run.
+    /// The key was announced before; only the request of that announcement may run.
     AlreadyAnnounced(Intent),
-    /// A part of a snapshot was noted.
-    Noted,
+    /// A part of a snapshot was recorded.
+    SnapshotPartRecorded,
 }
 
-/// What became of a log entry and its records.
+/// How a log entry was treated, and the results of its records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
     /// Whether the entry was folded.
@@ -54,9 +54,9 @@
     pub outcomes: Vec<Outcome>,
 }
 
-/// Where a record stands, and who appended it.
+/// The position of a record in the log, and its sender.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct RecordLocation {
     offset: Offset,
     position: u32,
     sender: u64,
@@ -65,33 +65,34 @@
 impl State {
     /// Folds the log entry at `offset`.
     ///
-    /// Equal entries in equal order always come to an equal state: nothing here depends on
-    /// the process, the time or the way in which entries were fetched.
+    /// The same entries in the same order always give the same state: the result does not depend
+    /// on the process, the time or how the entries were fetched.
     pub fn apply(&mut self, offset: Offset, batch: &Batch) -> Applied {
-        if let Some(status) = self.out_of_turn(offset) {
+        if let Some(status) = self.check_order(offset) {
             return Applied { status, outcomes: Vec::new() };
         }
         self.next = Offset(offset.0 + 1);
-        // An append whose answer was lost is sent again and may stand in the log twice; taken
-        // twice, a change would be made twice and a task checked out anew.
-        if !self.senders.note(batch.id, offset) {
+        // An append whose answer was lost is sent again and may be in the log twice. Applied
+        // twice, a change would be made twice and a task be checked out again.
+        if !self.senders.register(batch.id, offset) {
             self.counts.repeated += 1;
             return Applied { status: EntryStatus::Repeated, outcomes: Vec::new() };
         }
         let records = batch.records.iter().enumerate();
         let outcomes = records.map(|(position, record)| {
-            let place = Place { offset, position: position as u32, sender: batch.id.sender };
-            self.apply_record(place, record)
+            let location =
+                RecordLocation { offset, position: position as u32, sender: batch.id.sender };
+            self.apply_record(location, record)
         });
         let outcomes = outcomes.collect();
         Applied { status: EntryStatus::Folded, outcomes }
     }
 
-    /// Passes over the log entry at `offset`, which does not decode.
+    /// Skips the log entry at `offset`, which does not decode.
     ///
-    /// Every process meets the same bytes and passes over them alike, so states stay equal.
+    /// Every process reads the same bytes and skips them in the same way, so states stay equal.
     pub fn skip(&mut self, offset: Offset) -> EntryStatus {
-        if let Some(status) = self.out_of_turn(offset) {
+        if let Some(status) = self.check_order(offset) {
             return status;
         }
         self.next = Offset(offset.0 + 1);
@@ -99,7 +100,7 @@
         EntryStatus::Folded
     }
 
-    fn out_of_turn(&self, offset: Offset) -> Option<EntryStatus> {
+    fn check_order(&self, offset: Offset) -> Option<EntryStatus> {
         match offset.cmp(&self.next) {
             std::cmp::Ordering::Less => Some(EntryStatus::AlreadyFolded),
             std::cmp::Ordering::Equal => None,
@@ -107,14 +108,14 @@
         }
     }
 
-    fn apply_record(&mut self, place: Place, record: &Record) -> Outcome {
-        let Place { offset, position, sender } = place;
+    fn apply_record(&mut self, location: RecordLocation, record: &Record) -> Outcome {
+        let RecordLocation { offset, position, sender } = location;
         match record {
             Record::Change(change) => self.change(offset, change),
             Record::Claim { dc, holder } => self.claim(offset, *dc, *holder),
             Record::Release { dc, epoch } => self.release(*dc, *epoch),
             Record::Checkout { dc, epoch, tasks } => self.checkout(*dc, *epoch, tasks),
-            Record::Return { dc, epoch, tasks } => self.give_back(*dc, *epoch, tasks),
+            Record::Return { dc, epoch, tasks } => self.return_tasks(*dc, *epoch, tasks),
             Record::Placed { dc, epoch, placements } => self.placed(*dc, *epoch, placements),
             Record::Ended { dc, epoch, exits } => self.ended(*dc, *epoch, exits),
             Record::Intent { key, entry } => {
@@ -126,18 +127,18 @@
             }
             Record::Snapshot { through, part, parts, .. } => {
                 let part = Part { sender, through: *through, part: *part, parts: *parts };
-                self.note_part(offset, part)
+                self.record_snapshot_part(offset, part)
             }
         }
     }
 
-    /// Follows snapshots in the log, so that every process knows when the next one is due.
-    fn note_part(&mut self, offset: Offset, part: Part) -> Outcome {
+    /// Records a snapshot part, so that every process knows when the next snapshot is due.
+    fn record_snapshot_part(&mut self, offset: Offset, part: Part) -> Outcome {
         let whole = self.snapshots.push(part, ()).is_some();
         let newer = self.snapshot.is_none_or(|mark| mark.through < part.through);
         if whole && newer {
             self.snapshot = Some(CompleteSnapshot { through: part.through, last: offset });
         }
-        Outcome::Noted
+        Outcome::SnapshotPartRecorded
     }
 }
--- a/daisy-ledger/src/intents.rs
+++ b/daisy-ledger/src/intents.rs
@@ -1,4 +1,4 @@
-//! Which non-idempotent requests have been announced in the log.
+//! The non-idempotent requests that have been announced in the log.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 /// The first announcement of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Intent {
-    /// Where it stands in the log.
+    /// The offset of its log entry.
     pub offset: Offset,
     /// The position of its record in that entry.
     pub position: u32,
@@ -15,48 +15,48 @@
     pub entry: VmId,
 }
 
-/// Announced keys to a bound, oldest forgotten first.
+/// The announced keys, limited in number; the oldest are removed first.
 ///
-/// Keys are digests, spread evenly, so one sorted vector of all of them would be moved by half
-/// at each insertion. Several short ones cost a search in each of them instead.
+/// Keys are evenly distributed digests, so an insertion into one sorted vector of all keys would
+/// move half of it on average. Several short vectors instead cost a search in each of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Intents {
-    runs: VecDeque<SortedMap<u128, Intent>>,
+    chunks: VecDeque<SortedMap<u128, Intent>>,
 }
 
 impl Intents {
-    /// Keys of one sorted vector.
-    const RUN: usize = 1_024;
-    /// The fewest keys remembered once so many have been announced.
+    /// The number of keys of one sorted vector.
+    const CHUNK_LEN: usize = 1_024;
+    /// The number of newest keys that are remembered at least.
     ///
-    /// A key is forgotten after this many newer ones. At 200 announced requests a second, the
-    /// whole budget of appends, that is over five minutes; the retry window is two.
-    pub const MIN_REMEMBERED: usize = 64 * Intents::RUN;
+    /// A key is removed only after this many newer ones. At 200 announced requests a second, the
+    /// whole budget of appends, that takes over five minutes; the retry window is two minutes.
+    pub const MIN_REMEMBERED: usize = 64 * Intents::CHUNK_LEN;
 
-    /// The first announcement of `key`.
+    /// Returns the first announcement of `key`.
     pub fn get(&self, key: u128) -> Option<&Intent> {
-        self.runs.iter().rev().find_map(|run| run.get(&key))
+        self.chunks.iter().rev().find_map(|chunk| chunk.get(&key))
     }
 
-    /// Keys and announcements, oldest run first.
+    /// Iterates over keys and announcements, oldest vector first.
     pub fn iter(&self) -> impl Iterator<Item = (u128, Intent)> {
-        self.runs.iter().flat_map(|run| run.iter().map(|(&key, &intent)| (key, intent)))
+        self.chunks.iter().flat_map(|chunk| chunk.iter().map(|(&key, &intent)| (key, intent)))
     }
 
-    /// The number of keys remembered.
+    /// Returns the number of remembered keys.
     pub fn len(&self) -> usize {
-        self.runs.iter().map(SortedMap::len).sum()
+        self.chunks.iter().map(SortedMap::len).sum()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key is remembered.
     pub fn is_empty(&self) -> bool {
-        self.runs.is_empty()
+        self.chunks.is_empty()
     }
 
-    /// Notes an announcement; gives the earlier one if the key has been announced before.
+    /// Records an announcement; fails with the earlier one if the key has been announced before.
     ///
-    /// A caller who retries through another entry VM must not have an order run twice: of
-    /// several announcements of a key only the first in the log's order may run.
+    /// A caller that retries through another entry VM must not have its request run twice: of
+    /// several announcements of a key, only the first in the order of the log may run.
     pub(crate) fn announce(&mut self, key: u128, intent: Intent) -> Result<(), Intent> {
         if let Some(first) = self.get(key) {
             return Err(*first);
@@ -66,21 +66,21 @@
     }
 
     fn push(&mut self, key: u128, intent: Intent) {
-        let full = self.runs.back().is_none_or(|run| run.len() >= Intents::RUN);
+        let full = self.chunks.back().is_none_or(|chunk| chunk.len() >= Intents::CHUNK_LEN);
         if full {
-            if self.len() >= Intents::MIN_REMEMBERED + Intents::RUN {
-                self.runs.pop_front();
+            if self.len() >= Intents::MIN_REMEMBERED + Intents::CHUNK_LEN {
+                self.chunks.pop_front();
             }
-            self.runs.push_back(SortedMap::new());
+            self.chunks.push_back(SortedMap::new());
         }
-        if let Some(run) = self.runs.back_mut() {
-            run.insert(key, intent);
+        if let Some(chunk) = self.chunks.back_mut() {
+            chunk.insert(key, intent);
         }
     }
 }
 
 impl FromIterator<(u128, Intent)> for Intents {
-    /// Puts together what [`Intents::iter`] gave.
+    /// Restores the keys from the items of [`Intents::iter`], in their order.
     fn from_iter<I: IntoIterator<Item = (u128, Intent)>>(iter: I) -> Intents {
         let mut intents = Intents::default();
         for (key, intent) in iter {
--- a/daisy-ledger/src/jobs.rs
+++ b/daisy-ledger/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs by id and by name, and the queue of tasks that nobody has.
+//! Jobs by id and by name, and the queue of tasks that are not checked out.
 
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 
 /// All jobs that have not been compacted away.
 ///
-/// Ids are given in the order of creation and never again; lookups search a sorted vector.
+/// Ids are assigned in the order of creation and never reused; lookups search a sorted vector.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Jobs {
     next: JobId,
@@ -20,64 +20,65 @@
 }
 
 impl Jobs {
-    /// The most finished jobs kept, oldest forgotten first: about five hours of
-    /// 8,600 jobs a day (the users' size plan).
+    /// The most finished jobs kept; the job that finished first is removed first. That is about
+    /// five hours at 8,600 jobs a day (the users' size plan).
     pub const MAX_FINISHED_JOBS: usize = 2_000;
-    /// The most tasks that finished jobs keep together.
+    /// The most tasks of all finished jobs that are kept.
     pub const MAX_FINISHED_TASKS: usize = 25_000;
 
-    /// The job with the id `job`; `None` if there is none or it has been compacted away.
+    /// Returns the job with the id `job`; `None` if there is none or it has been compacted away.
     pub fn get(&self, job: JobId) -> Option<&Job> {
         self.entries.get(&job)
     }
 
-    /// The newest job with `name`.
+    /// Returns the newest job called `name`.
     pub fn by_name(&self, name: &Name) -> Option<(JobId, &Job)> {
         let id = *self.names.get(name)?;
         self.entries.get(&id).map(|job| (id, job))
     }
 
-    /// The task, unless its job has been compacted away.
+    /// Returns the task, unless it does not exist or its job has been compacted away.
     pub fn task(&self, task: TaskId) -> Option<&Task> {
         self.entries.get(&task.job)?.tasks.get(task.index as usize)
     }
 
-    /// Jobs in the order of creation.
+    /// Iterates over the jobs in the order of creation.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = (JobId, &Job)> {
         self.entries.iter().map(|(&id, job)| (id, job))
     }
 
-    /// The number of jobs, finished ones included.
+    /// Returns the number of jobs, including finished ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no jobs.
+    /// Returns whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Tasks that nobody has, sorted by job and index.
+    /// Returns the tasks that are not checked out and have not ended, sorted by job and index.
     pub fn pending(&self) -> &[TaskId] {
         &self.pending
     }
 
-    /// Finished jobs, the one finished first in front.
+    /// Iterates over the finished jobs in the order in which they finished.
     pub fn finished(&self) -> impl Iterator<Item = JobId> {
         self.finished.iter().copied()
     }
 
-    /// The id that the next job gets.
+    /// Returns the id that the next job will get.
     pub fn next_id(&self) -> JobId {
         self.next
     }
 
-    /// Whether `task` was of a job that has been compacted away: it will not run again.
-    pub fn is_forgotten(&self, task: TaskId) -> bool {
+    /// Returns whether the job of `task` has been compacted away, so that the task will not run
+    /// again.
+    pub fn is_compacted(&self, task: TaskId) -> bool {
         task.job < self.next && !self.entries.contains_key(&task.job)
     }
 
-    /// Puts jobs back together from their parts; indices are built anew.
+    /// Restores the jobs from their parts; the indices are rebuilt.
     pub fn from_parts(
         next: JobId,
         jobs: impl IntoIterator<Item = (JobId, Job)>,
@@ -110,29 +111,29 @@
         self.entries.get_mut(&job)
     }
 
-    /// Notes that the entry before `next` changed the job or one of its tasks.
-    pub(crate) fn touch(&mut self, job: JobId, next: Offset) {
+    /// Records that the entry before the offset `next` changed the job or one of its tasks.
+    pub(crate) fn mark_modified(&mut self, job: JobId, next: Offset) {
         if let Some(job) = self.entries.get_mut(&job) {
             job.modified_before = next;
         }
     }
 
-    /// Builds the queue of `job` anew after a change to many of its tasks.
-    pub(crate) fn refresh(&mut self, id: JobId) {
+    /// Rebuilds the queue of the job `id` after a change of many of its tasks.
+    pub(crate) fn rebuild_queue(&mut self, id: JobId) {
         let from = self.pending.partition_point(|it| it.job < id);
         let to = self.pending.partition_point(|it| it.job <= id);
         let Some(job) = self.entries.get(&id) else { return };
         self.pending.splice(from..to, pending_of(id, job));
     }
 
-    /// Puts one task into the queue.
+    /// Adds one task to the queue.
     pub(crate) fn enqueue(&mut self, task: TaskId) {
         if let Err(at) = self.pending.binary_search(&task) {
             self.pending.insert(at, task);
         }
     }
 
-    /// Takes tasks out of the queue; `taken` is sorted.
+    /// Removes the tasks `taken`, which are sorted, from the queue.
     pub(crate) fn dequeue(&mut self, taken: &[TaskId]) {
         match taken {
             [] => {}
@@ -145,8 +146,9 @@
         }
     }
 
-    /// Notes that the last task of `job` has ended, and forgets the oldest finished jobs.
-    pub(crate) fn finish(&mut self, id: JobId) {
+    /// Records that the last task of the job `id` has ended, and removes the finished jobs that
+    /// exceed the limits, oldest first.
+    pub(crate) fn record_finished(&mut self, id: JobId) {
         let Some(job) = self.entries.get(&id) else { return };
         self.finished.push_back(id);
         self.finished_tasks += job.tasks.len();
@@ -154,18 +156,18 @@
             || self.finished_tasks > Jobs::MAX_FINISHED_TASKS
         {
             let Some(oldest) = self.finished.pop_front() else { return };
-            self.forget(oldest);
+            self.remove_job(oldest);
         }
     }
 
-    fn forget(&mut self, id: JobId) {
+    fn remove_job(&mut self, id: JobId) {
         let Some(job) = self.entries.remove(&id) else { return };
         self.finished_tasks = self.finished_tasks.saturating_sub(job.tasks.len());
         let name = job.spec.name;
         if self.names.get(&name) != Some(&id) {
             return;
         }
-        // An older job of that name may still have tasks that are about to stop.
+        // An older job of the same name may still have tasks that have not stopped.
         let older = self.entries.iter().rev().find(|(_, job)| job.spec.name == name);
         match older.map(|(&id, _)| id) {
             Some(older) => self.names.insert(name, older),
--- a/daisy-ledger/src/lib.rs
+++ b/daisy-ledger/src/lib.rs
@@ -1,7 +1,7 @@
 //! Log records of daisyshift and their deterministic fold into state.
 //!
-//! The platform's log is the only thing that lasts. Every process folds the same
-//! records in the order of their offsets and so comes to the same [`State`].
+//! The platform's log is the only durable storage. Every process folds the same records in the
+//! order of their offsets and so computes the same [`State`].
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-ledger/src/quota.rs
+++ b/daisy-ledger/src/quota.rs
@@ -1,36 +1,44 @@
-//! What teams' quotas leave for more tasks.
+//! The resources that teams' quotas leave for further tasks.
 
 use daisy_model::{JobId, JobKind, Resources, SortedMap, TeamId};
 
 use crate::State;
 
-/// What teams' quotas leave, while nothing is declared or changed in between.
+/// Computes the headroom of teams' quotas; valid as long as no job is declared or changed.
 #[derive(Debug, Default)]
-pub(crate) struct Rooms {
-    /// What the declared services of a team take; costly to work out for each task.
+pub(crate) struct QuotaHeadroom {
+    /// The resources that the declared services of each team use; cached because computing them
+    /// for each task is costly.
     services: SortedMap<TeamId, Resources>,
 }
 
-impl Rooms {
-    /// What more tasks of a kind may take.
+impl QuotaHeadroom {
+    /// Returns the resources that further tasks of a kind may use; `None` if any part of the quota
+    /// is exceeded.
     ///
-    /// Batch work has no part in what the team's services take when all their tasks run. A
-    /// service's task whose VM failed waits for its next start for a moment: if batch work could
-    /// take its room meanwhile, the service would run short until that work ends.
-    pub(crate) fn room(&mut self, state: &State, id: TeamId, kind: JobKind) -> Option<Resources> {
+    /// Batch work cannot use the share that the team's services need when all their tasks run. A
+    /// task of a service whose VM failed waits for its next start for a moment. If batch work
+    /// could use its share meanwhile, the service would lack capacity until that work ends.
+    pub(crate) fn headroom(
+        &mut self,
+        state: &State,
+        id: TeamId,
+        kind: JobKind,
+    ) -> Option<Resources> {
         let team = state.teams.get(id)?;
         let left = team.limit.try_sub(team.used)?;
         if kind == JobKind::Service {
             return Some(left);
         }
-        let services = self.services.get_or_insert_with(id, || state.services_of(id, None));
+        let services =
+            self.services.get_or_insert_with(id, || state.declared_service_use(id, None));
         let used_by_batch = team.used.try_sub(team.used_by_services)?;
         let left_by_services = team.limit.try_sub(*services)?.try_sub(used_by_batch)?;
         Some(smaller(left, left_by_services))
     }
 }
 
-/// The smaller of each part.
+/// Returns the smaller value of each part.
 fn smaller(a: Resources, b: Resources) -> Resources {
     Resources {
         cpu_milli: a.cpu_milli.min(b.cpu_milli),
@@ -40,14 +48,15 @@
 }
 
 impl State {
-    /// What more tasks of a kind may take within the quota of `team`; zero when any part of the
-    /// quota is overdrawn.
+    /// Returns the resources that further tasks of a kind may use within the quota of `team`; zero
+    /// if any part of the quota is exceeded.
     pub fn quota_headroom(&self, team: TeamId, kind: JobKind) -> Resources {
-        Rooms::default().room(self, team, kind).unwrap_or_default()
+        QuotaHeadroom::default().headroom(self, team, kind).unwrap_or_default()
     }
 
-    /// What the services of `team` take together when all their tasks run, `except` one.
-    pub(crate) fn services_of(&self, team: TeamId, except: Option<JobId>) -> Resources {
+    /// Returns the resources that all services of `team`, apart from `except`, use when all their
+    /// tasks run.
+    pub(crate) fn declared_service_use(&self, team: TeamId, except: Option<JobId>) -> Resources {
         let services = self.jobs.iter().filter(|(id, job)| {
             let running = !job.cancelled && job.open > 0;
             running && job.team == team && job.spec.kind == JobKind::Service && Some(*id) != except
--- a/daisy-ledger/src/record.rs
+++ b/daisy-ledger/src/record.rs
@@ -1,19 +1,19 @@
-//! What is appended to the platform's log.
+//! The records that are appended to the platform's log.
 
 use daisy_model::{Change, DcId, Ended, Epoch, Incarnation, Offset, TaskId, VmId};
 
-/// Names one append of one process, so that a repeated append is taken once.
+/// Identifies one append of one process, so that a repeated append is applied once.
 ///
 /// An append whose answer was lost is sent again under the same id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AppendId {
-    /// Drawn at random by each process when it starts.
+    /// The process; each process chooses a random number when it starts.
     pub sender: u64,
-    /// Counts the sender's appends.
+    /// The sequence number of the append among those of its sender.
     pub seq: u64,
 }
 
-/// Where an incarnation of a task was started.
+/// The worker on which an incarnation of a task was started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Placement {
     /// The task.
@@ -24,7 +24,7 @@
     pub vm: VmId,
 }
 
-/// One fact or wish in the log.
+/// One entry of an append: a request that the fold decides on, or a fact that it records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Record {
     /// An operator's change; the fold accepts or refuses it.
@@ -36,23 +36,24 @@
         /// The entry VM.
         holder: VmId,
     },
-    /// A holder gives its data centre up.
+    /// A holder releases its data centre.
     Release {
         /// The data centre.
         dc: DcId,
         /// The holder's epoch.
         epoch: Epoch,
     },
-    /// Hands pending tasks to an epoch; the fold grants those that are still pending.
+    /// Requests pending tasks for an epoch; the fold grants those that are still pending, may run
+    /// and fit the quota of their team.
     Checkout {
         /// The data centre.
         dc: DcId,
         /// The holder's epoch.
         epoch: Epoch,
-        /// The tasks asked for.
+        /// The requested tasks.
         tasks: Vec<TaskId>,
     },
-    /// Gives checked-out tasks back that never started under this epoch or an earlier one.
+    /// Returns checked-out tasks to the queue that never started under this or an earlier epoch.
     Return {
         /// The data centre.
         dc: DcId,
@@ -61,7 +62,7 @@
         /// The tasks.
         tasks: Vec<TaskId>,
     },
-    /// Where tasks were started, told in bulk after the fact.
+    /// Where tasks were started, recorded in bulk afterwards.
     Placed {
         /// The data centre.
         dc: DcId,
@@ -70,7 +71,7 @@
         /// The placements.
         placements: Vec<Placement>,
     },
-    /// How tasks ended, told in bulk before the workers' exit reports are acknowledged.
+    /// How tasks ended, recorded in bulk before the workers' exit reports are acknowledged.
     Ended {
         /// The data centre.
         dc: DcId,
@@ -83,7 +84,7 @@
     Intent {
         /// A digest of service and key.
         key: u128,
-        /// The entry VM that is going to run it.
+        /// The entry VM that will run it.
         entry: VmId,
     },
     /// A part of a snapshot, appended before the records that it covers expire.
@@ -99,22 +100,22 @@
     },
 }
 
-/// Records that one process appends at one time.
+/// The records of one append.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// The append's name.
+    /// The id of the append.
     pub id: AppendId,
-    /// The records, folded in turn.
+    /// The records, folded in this order.
     pub records: Vec<Record>,
 }
 
 impl Record {
-    /// About how many bytes the record takes in the log; never far below the truth.
+    /// Returns the approximate size of the record in the log, in bytes; never much too low.
     pub fn weight(&self) -> usize {
-        /// A small record: a few integers.
+        /// The size of a record of a few integers.
         const BASE: usize = 32;
         match self {
-            // A job's names and numbers besides the text.
+            // The names and numbers of a job in addition to the text.
             Record::Change(change) => 16 * BASE + change.text.len(),
             Record::Claim { .. } | Record::Release { .. } | Record::Intent { .. } => BASE,
             Record::Checkout { tasks, .. } | Record::Return { tasks, .. } => {
--- a/daisy-ledger/src/refusal.rs
+++ b/daisy-ledger/src/refusal.rs
@@ -13,7 +13,7 @@
     /// No job has the name.
     #[error("job {0} is unknown")]
     UnknownJob(Name),
-    /// A job that has not ended has the name.
+    /// Another job that has not ended has the name.
     #[error("job {name} exists already, as number {job}")]
     Duplicate {
         /// The name.
@@ -26,24 +26,24 @@
     WrongKind {
         /// The name.
         name: Name,
-        /// What the job is.
+        /// The kind of the job.
         kind: JobKind,
     },
-    /// The job is cancelled or has ended.
+    /// The job was cancelled or has ended.
     #[error("job {0} has ended")]
-    Over(Name),
-    /// A job has no tasks or too many.
+    JobEnded(Name),
+    /// The job would have no tasks or too many.
     #[error("a job has 1 to {max} tasks, not {found}", max = State::MAX_TASKS)]
-    Tasks {
+    TaskCount {
         /// The number declared.
         found: u32,
     },
     /// All jobs together would have too many tasks.
     #[error("more than {} tasks would be waiting or running", State::MAX_OPEN_TASKS)]
-    Full,
-    /// A task takes nothing.
+    TooManyOpenTasks,
+    /// The size of a task has no processor time or no memory.
     #[error("a task takes at least 1m of processor and 1Mi of memory")]
-    NoSize,
+    ZeroSize,
     /// The sizes of all tasks together overflow.
     #[error("{tasks} tasks of {size} are more than can be counted")]
     Overflow {
@@ -52,12 +52,12 @@
         /// The size of each.
         size: Resources,
     },
-    /// What must run at one time is more than the team's quota.
+    /// The tasks that must run at the same time need more than the team's quota.
     #[error("needs {needed} at one time; the quota of team {team} is {limit}")]
     Quota {
         /// The team.
         team: Name,
-        /// What must run at one time.
+        /// What these tasks need.
         needed: Resources,
         /// The quota.
         limit: Resources,
@@ -69,18 +69,18 @@
     Conflict {
         /// What was changed.
         subject: Box<str>,
-        /// The generation that the loser had seen.
+        /// The generation named in the refused statement.
         seen: Generation,
-        /// Who came first.
+        /// The operator whose statement came first.
         who: Name,
         /// The statement that came first.
         text: Box<str>,
-        /// The generation that it made.
+        /// The generation of that statement.
         generation: Generation,
     },
     /// The generation named has not been reached.
     #[error("generation {seen} is not reached; the newest is {newest}")]
-    Future {
+    GenerationNotReached {
         /// The generation named.
         seen: Generation,
         /// The newest generation.
@@ -88,24 +88,24 @@
     },
     /// The audit trail does not reach back to the generation named.
     #[error("generation {seen} is too old to check; the audit trail begins after {oldest}")]
-    TooOld {
+    GenerationTooOld {
         /// The generation named.
         seen: Generation,
         /// The last generation before the audit trail.
         oldest: Generation,
     },
     /// The statement is too long for the audit trail.
-    #[error("a statement has at most {} bytes", State::MAX_TEXT)]
-    TooLong,
-    /// There is nothing to take back.
+    #[error("a statement has at most {} bytes", State::MAX_STATEMENT_BYTES)]
+    StatementTooLong,
+    /// The drain or pause to be undone is not in force.
     #[error("{0} is not in force")]
     NotInForce(Box<str>),
-    /// A list of declared things is full.
+    /// The limit on the number of declared teams or drained VMs is reached.
     #[error("no more than {max} {what}")]
-    TooMany {
-        /// What there would be too many of.
+    LimitReached {
+        /// What is limited.
         what: &'static str,
-        /// The most.
+        /// The limit.
         max: usize,
     },
     /// A field of a policy is out of range.
@@ -113,7 +113,7 @@
     Policy {
         /// The field.
         field: &'static str,
-        /// What it must be.
+        /// The values that are allowed.
         reason: &'static str,
     },
 }
--- a/daisy-ledger/src/senders.rs
+++ b/daisy-ledger/src/senders.rs
@@ -1,27 +1,27 @@
-//! Which appends have been folded already.
+//! Detects appends that have been folded before.
 
 use daisy_model::{Offset, SortedMap};
 
 use crate::AppendId;
 
-/// The last append folded of each sender, to a bound.
+/// The last folded append of each sender, for a limited number of senders.
 ///
-/// A sender has one append outstanding at a time and sends it again under the same id
-/// until it is answered, so a lower or equal number is a repetition.
+/// A sender has one append outstanding at a time and sends it again under the same id until it
+/// is answered, so a sequence number that is not higher than the last one is a repetition.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Senders {
     last: SortedMap<u64, (u64, Offset)>,
 }
 
 impl Senders {
-    /// The most senders remembered; the one silent for longest is forgotten first.
+    /// The most senders remembered; the one whose last append is oldest is removed first.
     ///
-    /// With 48 entry VMs and 130 restarts a day (the users' size plan) this is three weeks:
-    /// no process waits that long with an unanswered append.
+    /// With 48 entry VMs and 130 restarts a day (the users' size plan), that covers three weeks:
+    /// no process retries an unanswered append for that long.
     pub const MAX_SENDERS: usize = 4_096;
 
-    /// Notes `id` at `offset`; false if that append has been folded before.
-    pub fn note(&mut self, id: AppendId, offset: Offset) -> bool {
+    /// Records the append `id` at `offset`; returns false if it has been folded before.
+    pub fn register(&mut self, id: AppendId, offset: Offset) -> bool {
         if let Some((seq, at)) = self.last.get_mut(&id.sender) {
             if id.seq <= *seq {
                 return false;
@@ -30,18 +30,18 @@
             return true;
         }
         if self.last.len() >= Senders::MAX_SENDERS {
-            self.forget_oldest();
+            self.remove_oldest();
         }
         self.last.insert(id.sender, (id.seq, offset));
         true
     }
 
-    /// Senders with their last append and where it stands, sorted by sender.
+    /// Iterates over the last append of each sender and its offset, sorted by sender.
     pub fn iter(&self) -> impl Iterator<Item = (AppendId, Offset)> {
         self.last.iter().map(|(&sender, &(seq, offset))| (AppendId { sender, seq }, offset))
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let oldest = self.last.iter().min_by_key(|(_, (_, at))| *at).map(|(&sender, _)| sender);
         if let Some(sender) = oldest {
             self.last.remove(&sender);
--- a/daisy-ledger/src/snapshot.rs
+++ b/daisy-ledger/src/snapshot.rs
@@ -1,19 +1,19 @@
-//! When to write a snapshot, and which parts make a whole one.
+//! When to write a snapshot, and which parts form a complete one.
 
 use std::time::Duration;
 
 use daisy_model::Offset;
 
-/// A whole snapshot in the log.
+/// A complete snapshot in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CompleteSnapshot {
     /// It covers every record below this offset.
     pub through: Offset,
-    /// Where its last part stands.
+    /// The offset of its last part.
     pub last: Offset,
 }
 
-/// A part's place in its snapshot.
+/// Identifies a part of a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
     /// The process that writes the snapshot.
@@ -26,31 +26,31 @@
     pub parts: u32,
 }
 
-/// A snapshot of which the first parts have been seen.
+/// A snapshot of which only the first parts have been seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartialSnapshot<T> {
-    /// The place of the last part seen.
+    /// The last part seen.
     pub seen: Part,
     /// One item for each part seen.
     pub items: Vec<T>,
 }
 
-/// Collects parts of snapshots, which several processes may write at one time.
+/// Collects the parts of snapshots, which several processes may write at the same time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Collector<T> {
     partial: Vec<PartialSnapshot<T>>,
 }
 
 impl<T> Collector<T> {
-    /// The most unfinished snapshots; the one begun first is dropped first.
+    /// The most unfinished snapshots; the one that began first is dropped first.
     pub const MAX_UNFINISHED: usize = 4;
     /// The most parts of one snapshot.
     pub const MAX_PARTS: u32 = 4_096;
 
-    /// Takes a part in; gives the items of all parts when it was the last one.
+    /// Adds a part; returns the items of all parts if it was the last one.
     ///
-    /// A sender appends in order, so a part out of order means that the sender gave up:
-    /// what it had begun is dropped.
+    /// A sender appends its parts in order, so a part out of order means that the sender has
+    /// abandoned its earlier snapshot, which is dropped.
     pub fn push(&mut self, part: Part, item: T) -> Option<Vec<T>> {
         let known = self.partial.iter().position(|it| it.seen.sender == part.sender);
         let mut partial = match known {
@@ -77,7 +77,7 @@
         None
     }
 
-    /// Unfinished snapshots.
+    /// Iterates over the unfinished snapshots.
     pub fn iter(&self) -> impl Iterator<Item = &PartialSnapshot<T>> {
         self.partial.iter()
     }
@@ -100,52 +100,54 @@
     same && part.part == seen.part + 1
 }
 
-/// When snapshots are due.
+/// The limits after which a snapshot is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Log entries after which a new one is due, so that a cold start folds a short tail.
+    /// The number of log entries after which a new snapshot is due, so that a process that starts
+    /// has few entries to fold after the snapshot.
     pub entries: u64,
-    /// Bytes after which a new one is due.
+    /// The number of bytes after which a new snapshot is due.
     pub bytes: u64,
-    /// Age at which a new one is due.
+    /// The age at which a new snapshot is due.
     pub age: Duration,
 }
 
 impl Options {
-    /// Options for a log that keeps records for `retention`.
+    /// Returns the options for a log that keeps records for `retention`.
     ///
-    /// The age is a third of it: an outage of the log may take up the rest, and the snapshot
-    /// and its tail are still there when it ends.
+    /// The age is a third of the retention: even if an outage of the log lasts for the rest of it,
+    /// the snapshot and the entries after it are still there when the outage ends.
     pub fn for_retention(retention: Duration) -> Options {
         Options { entries: 500_000, bytes: 64 << 20, age: retention / 3 }
     }
 }
 
-/// What has happened since the last whole snapshot was begun.
+/// What has happened since the last complete snapshot was begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SinceSnapshot {
     /// Log entries folded.
     pub entries: u64,
     /// Their bytes.
     pub bytes: u64,
-    /// Time since this process read the snapshot, or the log's first record if there is none;
-    /// the retention, for a process that does not know.
+    /// The time since this process read the snapshot or, if there is none, the first record of the
+    /// log; a process that does not know either uses the retention.
     pub age: Duration,
 }
 
-/// Whether a process that is `rank`-th among those that may write a snapshot, from 0, should
-/// write one now.
+/// Returns whether the process at position `rank`, from 0, among those that may write a snapshot
+/// should write one now.
 ///
-/// Each waits an eighth longer than the one before it, so that usually one writes, and another
-/// does when that one is gone. Two at one time do no harm: both are whole.
+/// Each process waits an eighth longer than the one before it, so that usually only one writes,
+/// and another one does if the first is lost. Two snapshots at the same time do no harm: both are
+/// complete.
 pub fn due(options: &Options, since: &SinceSnapshot, rank: u32) -> bool {
-    let waits = u64::from(8 + rank.min(MAX_RANK));
-    let entries = options.entries.saturating_mul(waits) / 8;
-    let bytes = options.bytes.saturating_mul(waits) / 8;
+    let eighths = u64::from(8 + rank.min(MAX_RANK));
+    let entries = options.entries.saturating_mul(eighths) / 8;
+    let bytes = options.bytes.saturating_mul(eighths) / 8;
     let age = options.age * (8 + rank.min(MAX_RANK)) / 8;
     since.entries >= entries || since.bytes >= bytes || since.age >= age
 }
 
-/// The last rank that waits longer than the one before: with it, a third of the retention has
-/// become five eighths.
+/// The last rank that waits longer than the one before it. It waits 15/8 times the limit, so that
+/// the age of a third of the retention becomes five eighths of it.
 const MAX_RANK: u32 = 7;
--- a/daisy-ledger/src/state.rs
+++ b/daisy-ledger/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the fold of the log comes to.
+//! The state that results from folding the log.
 
 use daisy_model::{
     Arena, Change, DcId, Epoch, Exit, Generation, Incarnation, JobKind, JobSpec, Name, Offset,
@@ -15,59 +15,59 @@
 pub struct Team {
     /// The team's name.
     pub name: Name,
-    /// The most that its running tasks may take together.
+    /// The most resources that its running tasks may use together.
     pub limit: Resources,
-    /// What its checked-out tasks take together.
+    /// The sum of the sizes of its checked-out tasks.
     pub used: Resources,
-    /// The part of that which tasks of services take.
+    /// The part of `used` that belongs to tasks of services.
     pub used_by_services: Resources,
 }
 
-/// The holder of a data centre.
+/// The newest claim of a data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderClaim {
-    /// The entry VM.
+    /// The entry VM that made the claim.
     pub holder: VmId,
-    /// Its fencing token.
+    /// The fencing token of the claim.
     pub epoch: Epoch,
-    /// Whether the holder has given the data centre up.
+    /// Whether the holder has released the data centre.
     pub released: bool,
 }
 
-/// Who may start a task.
+/// The data centre that may start a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Owner {
     /// The data centre that checked the task out.
     pub dc: DcId,
-    /// The epoch under which it did; a later holder of the same data centre inherits it.
+    /// The epoch of the checkout; a later holder of the same data centre takes the task over.
     pub epoch: Epoch,
 }
 
-/// What the ledger knows of a task; where it runs at this moment is the holder's to say.
+/// The state of a task in the ledger; only the holder knows where the task runs at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
-    /// Nobody has it.
+    /// Not checked out by any data centre.
     Pending,
-    /// A data centre has it, and it runs or is about to.
+    /// Checked out by a data centre: the task runs there or is about to.
     CheckedOut(Owner),
-    /// It will not run again.
+    /// Ended; the task will not run again.
     Ended(Exit),
 }
 
 /// A task as the ledger knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Task {
-    /// Pending, out or ended.
+    /// Whether the task is pending, checked out or ended.
     pub state: TaskState,
     /// The last incarnation recorded; 0 before the first.
     pub incarnation: Incarnation,
     /// The last incarnation recorded as ended; the owner may only start the one after it.
     pub ended: Incarnation,
-    /// The worker of that incarnation, once recorded.
+    /// The worker of the last recorded incarnation, if a placement was recorded.
     pub vm: Option<VmId>,
     /// The checkpoint to resume from.
     pub checkpoint: Option<u64>,
-    /// What the task was last checked out with, and takes while it is out.
+    /// The size with which the task was last checked out, in use while it is checked out.
     pub size: Resources,
     /// How often the task ended with an error of its own.
     pub failures: u8,
@@ -85,7 +85,7 @@
         failures: 0,
     };
 
-    /// The one incarnation that the task's owner may start.
+    /// Returns the only incarnation that the task's owner may start.
     pub fn next_incarnation(&self) -> Incarnation {
         Incarnation(self.ended.0.saturating_add(1))
     }
@@ -94,41 +94,41 @@
 /// A service or batch job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// As declared, with accepted changes.
+    /// The declaration, including accepted changes.
     pub spec: JobSpec,
     /// The team.
     pub team: TeamId,
     /// Whether operators cancelled it.
     pub cancelled: bool,
-    /// The tasks by index; after a change to fewer, those at `spec.tasks` and above go.
+    /// The tasks by index; after a change to fewer tasks, those from `spec.tasks` on are ended.
     pub tasks: Vec<Task>,
     /// The number of tasks that have not ended.
     pub open: u32,
     /// The generation of the job's last change.
     pub generation: Generation,
-    /// What [`State::next`] became by the last entry that changed the job or one of its tasks.
+    /// The value of [`State::next`] after the last entry that changed the job or one of its tasks.
     ///
-    /// Who has seen the state at some `next` can pass over jobs that were touched no later.
+    /// A reader that has seen the state at some `next` can skip jobs with a value up to that.
     pub modified_before: Offset,
 }
 
-/// What came of an operator's change.
+/// The outcome of an operator's change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// In force from the given generation on.
+    /// Accepted; in force from the given generation on.
     Accepted(Generation),
-    /// Nothing changed, for the reason given.
+    /// Refused for the given reason; nothing changed.
     Refused(Box<str>),
 }
 
-/// One line of the audit trail.
+/// One entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AuditEntry {
-    /// Where the change stands in the log.
+    /// The offset of the change in the log.
     pub offset: Offset,
-    /// Who, when and what.
+    /// The change, with its operator, time and statement.
     pub change: Change,
-    /// What came of it.
+    /// The outcome of the change.
     pub verdict: ChangeOutcome,
 }
 
@@ -141,10 +141,10 @@
     pub others: Generation,
 }
 
-/// What the fold took no effect of.
+/// Counts of what the fold skipped, ignored or refused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FoldCounters {
-    /// Appends folded before, sent again by their sender.
+    /// Appends that had been folded before and were sent again by their sender.
     pub repeated: u64,
     /// Records under an epoch that is no longer in force.
     pub stale: u64,
@@ -165,9 +165,9 @@
     pub generation: Generation,
     /// Teams in the order of creation.
     pub teams: Arena<TeamId, Team>,
-    /// Jobs in the order of creation, finished ones included until compacted.
+    /// Jobs in the order of creation, including finished ones until they are compacted away.
     pub jobs: Jobs,
-    /// Holders by data centre.
+    /// The newest claim of each data centre.
     pub holders: SortedMap<DcId, HolderClaim>,
     /// VMs drained by operators, sorted.
     pub drained: Vec<Name>,
@@ -175,34 +175,34 @@
     pub paused: Vec<WorkClass>,
     /// The policy in force, and the generation that published it.
     pub policy: (Generation, Policy),
-    /// The audit trail, oldest first, to a bound.
+    /// The audit trail, oldest entry first, limited in length.
     pub audit: Vec<AuditEntry>,
-    /// Where the audit trail begins.
+    /// The generations from which the audit trail is complete.
     pub audit_start: AuditStart,
     /// The last append of each sender.
     pub senders: Senders,
-    /// Announced non-idempotent requests.
+    /// Non-idempotent requests that have been announced.
     pub intents: Intents,
-    /// The newest whole snapshot in the log.
+    /// The newest complete snapshot in the log.
     pub snapshot: Option<CompleteSnapshot>,
-    /// Snapshots of which only the first parts are in the log.
+    /// Snapshots of which only the first parts are in the log so far.
     pub snapshots: Collector<()>,
-    /// What took no effect.
+    /// Counts of what had no effect.
     pub counts: FoldCounters,
 }
 
 impl State {
-    /// The task, unless there is none or its job has been compacted away.
+    /// Returns the task, unless it does not exist or its job has been compacted away.
     pub fn task(&self, task: TaskId) -> Option<&Task> {
         self.jobs.task(task)
     }
 
-    /// The team called `name`.
+    /// Returns the team called `name`.
     pub fn team(&self, name: &Name) -> Option<(TeamId, &Team)> {
         self.teams.iter().find(|(_, team)| team.name == *name)
     }
 
-    /// Whether work of a job is paused by operators.
+    /// Returns whether operators have paused work of this kind and priority.
     pub fn is_paused(&self, kind: JobKind, priority: Priority) -> bool {
         let batch = kind == JobKind::Batch;
         self.paused.iter().any(|class| match class {
@@ -211,13 +211,13 @@
         })
     }
 
-    /// Whether operators have drained the VM called `name`.
+    /// Returns whether operators have drained the VM called `name`.
     pub fn is_drained(&self, name: &Name) -> bool {
         self.drained.binary_search(name).is_ok()
     }
 
-    /// Whether `epoch` is in force in `dc`.
-    pub fn holds(&self, dc: DcId, epoch: Epoch) -> bool {
+    /// Returns whether `epoch` is in force in `dc`: its claim is the newest and not released.
+    pub fn is_epoch_in_force(&self, dc: DcId, epoch: Epoch) -> bool {
         self.holders.get(&dc).is_some_and(|it| it.epoch == epoch && !it.released)
     }
 }
--- a/daisy-ledger/src/subject.rs
+++ b/daisy-ledger/src/subject.rs
@@ -1,10 +1,10 @@
-//! What a change is about.
+//! The subject of a change.
 
 use std::fmt;
 
 use daisy_model::{Command, Name, WorkClass};
 
-/// The thing that a change is about; two changes of one subject can conflict.
+/// What a change modifies; two changes of the same subject can conflict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Subject<'a> {
     /// A job, by name.
@@ -20,7 +20,7 @@
 }
 
 impl<'a> Subject<'a> {
-    /// The subject of `command`.
+    /// Returns the subject of `command`.
     pub fn of(command: &'a Command) -> Subject<'a> {
         match command {
             Command::Create(spec) => Subject::Job(&spec.name),
--- a/daisy-ledger/tests/append.rs
+++ b/daisy-ledger/tests/append.rs
@@ -148,7 +148,7 @@
 
 #[test]
 fn long_records_go_in_appends_of_their_own() {
-    let mut queue = Queue::new(Options { max_weight: 1_000, ..Options::new(9, INTERVAL) });
+    let mut queue = Queue::new(Options { max_bytes: 1_000, ..Options::new(9, INTERVAL) });
     queue.push(Record::Change(change("ana", Command::Create(batch_job("a", 1))))).expect("room");
     let bytes = vec![0; 5_000];
     let part = Record::Snapshot { through: Offset(0), part: 0, parts: 1, bytes };
--- a/daisy-ledger/tests/change.rs
+++ b/daisy-ledger/tests/change.rs
@@ -113,7 +113,7 @@
 fn a_generation_that_is_not_reached_is_refused() {
     let mut log = Log::with_team();
     let outcome = log.change_if("ana", Command::Pause(WorkClass::Batch), Generation(99));
-    let expected = Refusal::Future { seen: Generation(99), newest: Generation(1) };
+    let expected = Refusal::GenerationNotReached { seen: Generation(99), newest: Generation(1) };
     assert_eq!(outcome, Outcome::Refused(expected));
 }
 
@@ -130,7 +130,10 @@
 
     assert!(log.state.audit.len() <= State::MAX_AUDIT_ENTRIES);
     let oldest = Generation(1_000);
-    assert_eq!(outcome, Outcome::Refused(Refusal::TooOld { seen: Generation(1), oldest }));
+    assert_eq!(
+        outcome,
+        Outcome::Refused(Refusal::GenerationTooOld { seen: Generation(1), oldest })
+    );
 }
 
 /// Thousands of jobs come and go after a VM was drained. The operators still find who drained
@@ -151,7 +154,7 @@
 
     assert!(matches!(log.state.audit[1].change.command, Command::Drain { .. }));
     assert!(matches!(outcome, Outcome::Refused(Refusal::Conflict { .. })));
-    assert!(matches!(job, Outcome::Refused(Refusal::TooOld { .. })));
+    assert!(matches!(job, Outcome::Refused(Refusal::GenerationTooOld { .. })));
 }
 
 #[test]
@@ -242,8 +245,8 @@
 
     assert_eq!(jobs.len(), daisy_ledger::Jobs::MAX_FINISHED_JOBS + 1);
     assert!(jobs.by_name(&name("first")).is_some());
-    assert!(jobs.is_forgotten(task(5, 0)));
-    assert!(!jobs.is_forgotten(task(0, 0)));
+    assert!(jobs.is_compacted(task(5, 0)));
+    assert!(!jobs.is_compacted(task(0, 0)));
 }
 
 #[test]
--- a/daisy-ledger/tests/checkout.rs
+++ b/daisy-ledger/tests/checkout.rs
@@ -63,7 +63,7 @@
     assert!(outcomes.iter().all(|it| *it == Outcome::Stale));
     assert_eq!(log.state.jobs, before);
     assert_eq!(log.state.counts.stale, 5);
-    assert!(log.state.holds(DC, new));
+    assert!(log.state.is_epoch_in_force(DC, new));
 }
 
 /// Two entry VMs' claims could stand in one append only by a fault. They would share an epoch,
@@ -97,7 +97,7 @@
 
     assert_eq!(evicted.state, TaskState::Pending);
     assert_eq!((evicted.checkpoint, evicted.next_incarnation()), (Some(77), Incarnation(2)));
-    assert_eq!(doubled, Outcome::Took(0));
+    assert_eq!(doubled, Outcome::TookEffect(0));
     assert_eq!(owner(&log, 0), Some(DC));
     log.end(DC, next, task(0, 0), 2, Exit::Done);
     assert_eq!(state_of(&log, 0), TaskState::Ended(Exit::Done));
@@ -173,7 +173,7 @@
     let tasks = vec![task(0, 0), task(0, 1)];
     let outcome = log.record(Record::Return { dc: DC, epoch, tasks });
 
-    assert_eq!(outcome, Outcome::Took(1));
+    assert_eq!(outcome, Outcome::TookEffect(1));
     assert_eq!(owner(&log, 0), Some(DC));
     assert_eq!(state_of(&log, 1), TaskState::Pending);
 }
