--- a/daisy-ledger/src/append.rs
+++ b/daisy-ledger/src/append.rs
@@ -18,7 +18,7 @@
     pub interval: Duration,
     /// The most records of one append.
     pub max_records: usize,
-    /// The most bytes of one append by [`Record::weight`]; a single record may exceed
+    /// The most bytes of one append by [`Record::approximate_bytes`]; a single record may exceed
     /// it.
     pub max_bytes: usize,
     /// How long to wait for an answer before the append is sent again.
@@ -266,10 +266,11 @@
     fn next_batch(&mut self, now: Instant) -> Outstanding {
         let first_ticket = self.next_ticket - self.waiting.len() as u64;
         let mut records: Vec<Record> = Vec::new();
-        let mut weight = 0;
+        let mut approximate_bytes = 0;
         while let Some(record) = self.waiting.front() {
-            weight += record.weight();
-            let full = records.len() >= self.options.max_records || weight > self.options.max_bytes;
+            approximate_bytes += record.approximate_bytes();
+            let full = records.len() >= self.options.max_records
+                || approximate_bytes > self.options.max_bytes;
             if full && !records.is_empty() {
                 break;
             }
--- a/daisy-ledger/src/record.rs
+++ b/daisy-ledger/src/record.rs
@@ -111,7 +111,7 @@
 
 impl Record {
     /// Returns the approximate size of the record in the log, in bytes; never much too low.
-    pub fn weight(&self) -> usize {
+    pub fn approximate_bytes(&self) -> usize {
         /// The size of a record of a few integers.
         const BASE: usize = 32;
         match self {
--- a/daisy-measure/src/ledger/size.rs
+++ b/daisy-measure/src/ledger/size.rs
@@ -84,7 +84,7 @@
     let encode_ms = millis(began);
     let first = fleet.state().next;
     let parts = records.len();
-    let snapshot_bytes = records.iter().map(Record::weight).sum();
+    let snapshot_bytes = records.iter().map(Record::approximate_bytes).sum();
     fleet.append_all(records);
     fleet.run(TAIL_SECONDS, PEAK_STARTS * percent / 100);
     let (log, _) = fleet.into_traffic();
