--- a/daisy-ledger/tests/append.rs
+++ b/daisy-ledger/tests/append.rs
@@ -1,4 +1,4 @@
-//! The queue of appends: order, lost answers, bounds, budget.
+//! The queue of appends: order, lost answers, limits, budget.
 
 mod common;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn records_pushed_meanwhile_share_the_next_append() {
+fn records_pushed_while_an_append_is_outstanding_share_the_next_one() {
     let mut queue = queue();
     queue.push(record(0)).expect("room");
     let first = step(&mut queue, 0, Event::Tick);
@@ -50,16 +50,16 @@
     let second = step(&mut queue, 100, Event::Tick);
 
     assert_eq!(sent(&first)[0].records, [record(0)]);
-    assert!(early.is_empty(), "the budget of appends is kept");
+    assert!(early.is_empty(), "an append was sent before the interval of the budget had passed");
     assert_eq!(sent(&second)[0].records, [record(1), record(2), record(3), record(4)]);
     assert_eq!(queue.backlog(), 5);
 }
 
-/// The platform takes an append and its answer is lost, twice. The queue sends the same bytes
-/// under the same id, waiting longer each time, until the log itself shows the append; what was
-/// pushed later goes after it.
+/// The platform accepts an append and its answer is lost, twice. The queue sends the same records
+/// under the same id, waiting longer each time, until the append is folded. Records pushed later
+/// are sent after it.
 #[test]
-fn a_lost_answer_is_made_good_by_the_log() {
+fn an_append_with_a_lost_answer_is_repeated_until_it_is_folded() {
     let mut queue = queue();
     queue.push(record(0)).expect("room");
     let first = step(&mut queue, 0, Event::Tick);
@@ -78,9 +78,9 @@
     assert_eq!(sent(&folded)[0].records, [record(1)]);
 }
 
-/// The loss of an answer is noticed after the log has shown the append, and nothing else waits.
+/// The loss of an answer is detected after the append was folded, and no other record waits.
 #[test]
-fn a_loss_noticed_after_the_log_shows_the_append_leaves_the_log_in_reach() {
+fn an_answer_lost_after_the_append_was_folded_leaves_the_log_reachable() {
     let mut queue = queue();
     queue.push(record(0)).expect("room");
     let first = step(&mut queue, 0, Event::Tick);
@@ -88,13 +88,13 @@
     step(&mut queue, 10, Event::Folded { id });
     step(&mut queue, 11, Event::Unanswered { id });
 
-    assert!(queue.is_reachable(), "no later try would say so");
+    assert!(queue.is_reachable(), "no later append could make the log reachable again");
     assert_eq!(queue.wake(), None);
 }
 
-/// An answer is lost before the log shows the append: until then the outcome is open.
+/// An answer is lost before the append is folded. Until it is folded, the outcome is unknown.
 #[test]
-fn the_log_is_out_of_reach_from_a_lost_answer_until_the_log_shows_the_append() {
+fn the_log_is_unreachable_from_a_lost_answer_until_the_append_is_folded() {
     let mut queue = queue();
     queue.push(record(0)).expect("room");
     let first = step(&mut queue, 0, Event::Tick);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_log_that_asks_to_wait_is_in_reach() {
+fn a_busy_log_is_reachable() {
     let mut queue = queue();
     queue.push(record(0)).expect("room");
     let first = step(&mut queue, 0, Event::Tick);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_full_queue_gives_the_record_back() {
+fn a_full_queue_returns_the_record() {
     let mut queue = Queue::new(Options { capacity: 2, ..Options::new(9, INTERVAL) });
     queue.push(record(0)).expect("room");
     queue.push(record(1)).expect("room");
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_append_that_is_never_taken_is_dropped_by_name() {
+fn a_rejected_append_is_dropped_with_its_tickets() {
     let mut queue = queue();
     queue.push(record(0)).expect("room");
     let first = step(&mut queue, 0, Event::Tick);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn long_records_go_in_appends_of_their_own() {
+fn a_record_above_the_size_limit_has_an_append_of_its_own() {
     let mut queue = Queue::new(Options { max_bytes: 1_000, ..Options::new(9, INTERVAL) });
     queue.push(Record::Change(change("ana", Command::Create(batch_job("a", 1))))).expect("room");
     let bytes = vec![0; 5_000];
@@ -160,10 +160,10 @@
     assert_eq!(sent(&second)[0].records, [part]);
 }
 
-/// The log of a platform that loses appends, loses answers after the effect, or delivers an
-/// append again later, as told by a script of bytes.
-fn entries(records: &[Record], faults: &[u8]) -> Vec<Batch> {
-    let mut entries = Vec::new();
+/// Returns the log of a platform that loses appends, loses answers after the append took effect,
+/// or applies an append late. Each byte of `faults` selects the fault of one append.
+fn log_entries(records: &[Record], faults: &[u8]) -> Vec<Batch> {
+    let mut log_entries = Vec::new();
     let mut queue = queue();
     for record in records {
         queue.push(record.clone()).expect("room");
@@ -182,24 +182,24 @@
                 late = Some(batch.clone());
             }
             if !matches!(fault, Some(0 | 2)) {
-                entries.push(batch);
+                log_entries.push(batch);
             }
             let event = match fault {
                 Some(0..=2) => Event::Unanswered { id },
                 Some(3) => Event::Folded { id },
                 _ => {
-                    entries.extend(late.take());
+                    log_entries.extend(late.take());
                     Event::Answered { id, offset: Offset(0) }
                 }
             };
             actions = step(&mut queue, millis, event);
         }
     }
-    entries
+    log_entries
 }
 
-/// What a state says apart from the places of its records in the log.
-fn essence(state: &State) -> impl PartialEq + std::fmt::Debug {
+/// Returns the content of a state without the offsets of its records.
+fn content_without_offsets(state: &State) -> impl PartialEq + std::fmt::Debug {
     let jobs = state.jobs.iter().map(|(id, job)| (id, job.spec.clone(), job.tasks.clone()));
     let jobs: Vec<_> = jobs.collect();
     let teams: Vec<_> = state.teams.iter().map(|(_, team)| team.clone()).collect();
@@ -208,10 +208,10 @@
     (jobs, teams, state.drained.clone(), state.paused.clone(), audit)
 }
 
-/// Whatever the platform loses, repeats or delivers late, and however records fall into
-/// batches, the log folds to what the records say one by one.
+/// Whatever the platform loses, repeats or applies late, and however the records are batched, the
+/// log folds to the same state as the single records in their order.
 #[test]
-fn faults_and_batches_make_no_difference() {
+fn faults_and_batching_do_not_change_the_folded_state() {
     fn same(steps: Vec<script::Step>, faults: Vec<u8>) -> bool {
         // The holder's claims come first, so that epochs do not depend on the batches.
         let mut plain = Log::with_team();
@@ -225,10 +225,10 @@
         }
         let mut again = Log::with_team();
         assert_eq!(claims, [again.claim(DcId(0), 1), again.claim(DcId(1), 2)]);
-        for batch in entries(&records, &faults) {
+        for batch in log_entries(&records, &faults) {
             again.append(batch);
         }
-        assert_eq!(essence(&again.state), essence(&plain.state));
+        assert_eq!(content_without_offsets(&again.state), content_without_offsets(&plain.state));
         true
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(120, 23)).tests(200);
--- a/daisy-ledger/tests/change.rs
+++ b/daisy-ledger/tests/change.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: accepted, refused, racing, audited.
+//! Operators' changes: acceptance, refusal, conflicts and the audit trail.
 
 mod common;
 
@@ -21,8 +21,8 @@
     Command::Change { kind, job, tasks: Some(tasks), priority: None, size: None }
 }
 
-/// Operators send changes that cannot be carried out. Each is told why, the declared state stays
-/// as it was, and the audit trail names who, what and the cause.
+/// Operators send changes that cannot be applied. Each gets the reason, the declared state stays
+/// unchanged, and the audit trail records the operator, the change and the reason.
 #[test]
 fn refused_changes_leave_the_state_as_it_was() {
     let mut log = Log::with_team();
@@ -83,11 +83,11 @@
     }
 }
 
-/// Two operators read generation 3. Ana drains a VM; Rui, who has not seen it, wants to take the
-/// drain back. The log has Ana's statement first, so Rui's is refused and names Ana's. A change
-/// of something else does not stand in his way.
+/// Two operators have seen generation 2. Ana drains a VM; Rui, who has not seen that, sends
+/// an undrain of the same VM. Ana's statement is first in the log, so Rui's is refused, and the
+/// refusal names Ana's. Rui's change of another subject is accepted.
 #[test]
-fn the_loser_of_a_race_is_told_who_won() {
+fn a_conflicting_change_is_refused_and_names_the_earlier_one() {
     let mut log = Log::with_team();
     log.change(Command::Create(batch_job("render", 2)));
     let seen = log.state.generation;
@@ -110,17 +110,17 @@
 }
 
 #[test]
-fn a_generation_that_is_not_reached_is_refused() {
+fn a_condition_on_a_future_generation_is_refused() {
     let mut log = Log::with_team();
     let outcome = log.change_if("ana", Command::Pause(WorkClass::Batch), Generation(99));
     let expected = Refusal::GenerationNotReached { seen: Generation(99), newest: Generation(1) };
     assert_eq!(outcome, Outcome::Refused(expected));
 }
 
-/// The audit trail is full and its oldest entries are dropped. An operator whose generation is
-/// older must not be told that nothing has changed since.
+/// The audit trail is full and its oldest entries are removed. A condition on an older generation
+/// must not pass as if nothing had changed since.
 #[test]
-fn the_audit_trail_is_bounded_and_says_where_it_begins() {
+fn a_condition_older_than_the_bounded_audit_trail_is_refused() {
     let mut log = Log::with_team();
     for _ in 0..State::MAX_AUDIT_ENTRIES {
         log.change(Command::Pause(WorkClass::Batch));
@@ -136,10 +136,10 @@
     );
 }
 
-/// Thousands of jobs come and go after a VM was drained. The operators still find who drained
-/// it, and a racing statement about it is still judged.
+/// Thousands of jobs are created and cancelled after a VM was drained. The audit trail still shows
+/// who drained it, and a conflicting statement about it is still detected.
 #[test]
-fn jobs_do_not_push_other_changes_out_of_the_audit_trail() {
+fn changes_of_jobs_do_not_displace_other_changes_from_the_audit_trail() {
     let mut log = Log::with_team();
     log.change(Command::Drain { vm: name("vm-1") });
     for _ in 0..State::MAX_AUDIT_ENTRIES {
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn policy_keeps_the_parts_that_are_not_named() {
+fn publishing_a_policy_leaves_unnamed_parts_unchanged() {
     let mut log = Log::new();
     log.change(Command::Publish(PolicyChange { tail: Some(700), ..PolicyChange::default() }));
     log.change(Command::Publish(PolicyChange { evictions: Some(9), ..PolicyChange::default() }));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn fewer_and_more_tasks() {
+fn changing_the_number_of_tasks_ends_pending_tasks_and_adds_new_ones() {
     let mut log = Log::with_team();
     log.change(Command::Create(batch_job("render", 3)));
     let epoch = log.claim(DC, 1);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_name_is_free_again_once_its_job_has_ended() {
+fn a_name_can_be_reused_once_its_job_has_ended() {
     let mut log = Log::with_team();
     log.change(Command::Create(batch_job("render", 1)));
     log.change(cancel("render"));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn priority_and_size_change_for_later_checkouts() {
+fn a_new_size_applies_to_later_checkouts_only() {
     let mut log = Log::with_team();
     log.change(Command::Create(batch_job("render", 2)));
     let epoch = log.claim(DC, 1);
@@ -230,10 +230,10 @@
     assert_eq!(used, Resources { cpu_milli: 4_000, memory_mib: 2_048, accelerators: 0 });
 }
 
-/// Thousands of jobs a day come and go for months. The ledger must not grow without limit,
-/// while what still waits stays.
+/// Thousands of jobs a day are created and finish for months. The ledger must not grow without
+/// limit, and a job that still waits must be kept.
 #[test]
-fn finished_jobs_are_forgotten_in_turn() {
+fn the_oldest_finished_jobs_are_removed() {
     let mut log = Log::with_team();
     log.change(Command::Create(batch_job("first", 1)));
     for _ in 0..daisy_ledger::Jobs::MAX_FINISHED_JOBS + 10 {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_quota_below_use_stops_new_checkouts_only() {
+fn a_quota_below_current_use_prevents_new_checkouts_only() {
     let mut log = Log::with_team();
     log.change(Command::Create(batch_job("render", 3)));
     let epoch = log.claim(DC, 1);
--- a/daisy-ledger/tests/checkout.rs
+++ b/daisy-ledger/tests/checkout.rs
@@ -1,4 +1,4 @@
-//! Claims, checkouts and exits: nobody has a task twice.
+//! Claims, checkouts and exits: a task has at most one owner.
 
 mod common;
 
@@ -25,10 +25,10 @@
     log.state.task(task(0, index)).expect("a task").state
 }
 
-/// Two data centres ask for the same tasks at one time. The log has one request first; the other
-/// gets only what is left, so no task is started in both.
+/// Two data centres request the same task at the same time. The first request in the log gets it;
+/// the other gets only the rest, so that no task is started in both.
 #[test]
-fn data_centres_race_for_tasks_and_the_log_decides() {
+fn a_task_requested_by_two_data_centres_is_granted_to_the_first_in_the_log() {
     let mut log = log_with_job(3);
     let (here, there) = (log.claim(DC, 1), log.claim(OTHER_DC, 2));
 
@@ -40,10 +40,10 @@
     assert_eq!(owner(&log, 1), Some(DC));
 }
 
-/// A holder is paused, another entry VM claims its data centre, and the old holder wakes with
-/// records in hand. All of them must come to nothing, or a task would be owned twice.
+/// A holder is paused, another entry VM claims its data centre, and the old holder resumes and
+/// appends its records. None may have an effect, or a task could have two owners.
 #[test]
-fn records_of_a_stale_epoch_come_to_nothing() {
+fn records_of_a_stale_epoch_have_no_effect() {
     let mut log = log_with_job(2);
     let old = log.claim(DC, 1);
     log.checkout(DC, old, &[task(0, 0)]);
@@ -66,8 +66,8 @@
     assert!(log.state.is_epoch_in_force(DC, new));
 }
 
-/// Two entry VMs' claims could stand in one append only by a fault. They would share an epoch,
-/// and the workers' fence could not tell them apart.
+/// Only a fault could put the claims of two entry VMs into one append. They would have the same
+/// epoch, and the workers' fencing could not distinguish them.
 #[test]
 fn claims_in_one_append_do_not_share_an_epoch() {
     let mut log = Log::new();
@@ -80,11 +80,11 @@
     assert_eq!(log.state.holders.get(&DC).expect("held").holder, VmId(1));
 }
 
-/// A task is checkpointed and evicted. Its exit report is recorded, the holder dies before it
-/// acknowledges it, and the next holder records it again after the task has been resumed. The
-/// resumed task must stay as it is, and its work is resumed once only.
+/// A task is checkpointed and evicted. Its exit report is recorded, but the holder dies before it
+/// acknowledges the report, and the next holder records it again after the task has been resumed.
+/// The resumed task must not change, and its work is resumed only once.
 #[test]
-fn an_eviction_recorded_twice_resumes_the_task_once() {
+fn an_eviction_recorded_twice_does_not_resume_the_task_twice() {
     let mut log = log_with_job(1);
     let epoch = log.claim(DC, 1);
     log.checkout(DC, epoch, &[task(0, 0)]);
@@ -118,38 +118,40 @@
     assert_eq!(log.state.task(task(0, 0)).expect("a task").checkpoint, None);
 }
 
-/// What becomes of a task depends on how it ended and on what was declared. Work that was not
-/// declared restartable never runs again after an exit that leaves its outcome open.
+/// Whether a task runs again depends on how it ended and on what was declared. Work that was not
+/// declared restartable never runs again after an exit that leaves its outcome unknown.
 #[test]
-fn fate_by_exit_and_declaration() {
+fn whether_a_task_runs_again_depends_on_its_exit_and_declaration() {
     let batch = batch_job("render", 1);
     let restartable = JobSpec { restartable: true, ..batch_job("render", 1) };
     let service = service("render", 1);
-    let again = TaskState::Pending;
-    let over = TaskState::Ended;
+    let pending = TaskState::Pending;
+    let ended = TaskState::Ended;
     let cases = [
-        (Exit::Done, over(Exit::Done), over(Exit::Done), again),
-        (Exit::Failed, over(Exit::Failed), again, again),
-        (Exit::Checkpointed(1), again, again, again),
-        (Exit::Stopped, over(Exit::Stopped), again, again),
-        (Exit::LeaseLapsed, over(Exit::LeaseLapsed), again, again),
-        (Exit::Unknown, over(Exit::Unknown), again, again),
+        (Exit::Done, ended(Exit::Done), ended(Exit::Done), pending),
+        (Exit::Failed, ended(Exit::Failed), pending, pending),
+        (Exit::Checkpointed(1), pending, pending, pending),
+        (Exit::Stopped, ended(Exit::Stopped), pending, pending),
+        (Exit::LeaseLapsed, ended(Exit::LeaseLapsed), pending, pending),
+        (Exit::Unknown, ended(Exit::Unknown), pending, pending),
     ];
-    for (exit, plain_fate, restartable_fate, service_fate) in cases {
+    for (exit, batch_state, restartable_state, service_state) in cases {
         let specs = [&batch, &restartable, &service];
-        for (spec, fate) in specs.into_iter().zip([plain_fate, restartable_fate, service_fate]) {
+        for (spec, expected) in
+            specs.into_iter().zip([batch_state, restartable_state, service_state])
+        {
             let mut log = Log::with_team();
             log.change(Command::Create(spec.clone()));
             let epoch = log.claim(DC, 1);
             log.checkout(DC, epoch, &[task(0, 0)]);
             log.end(DC, epoch, task(0, 0), 1, exit);
-            assert_eq!(state_of(&log, 0), fate, "{exit:?} of {spec:?}");
+            assert_eq!(state_of(&log, 0), expected, "{exit:?} of {spec:?}");
         }
     }
 }
 
 #[test]
-fn a_task_that_fails_again_and_again_is_given_up() {
+fn a_restartable_task_is_not_run_again_after_three_failures() {
     let mut log = Log::with_team();
     log.change(Command::Create(JobSpec { restartable: true, ..batch_job("render", 1) }));
     let epoch = log.claim(DC, 1);
@@ -160,10 +162,10 @@
     assert_eq!(state_of(&log, 0), TaskState::Ended(Exit::Failed));
 }
 
-/// A holder gives back a task that it had started: another data centre would start it a second
-/// time. The ledger has the placement on record and keeps the task where it is.
+/// A holder returns a task that it had started, so that another data centre could start it a
+/// second time. The ledger has recorded the placement and leaves the task checked out.
 #[test]
-fn a_started_task_cannot_be_given_back() {
+fn a_started_task_cannot_be_returned_to_the_queue() {
     let mut log = log_with_job(2);
     let epoch = log.claim(DC, 1);
     log.checkout(DC, epoch, &[task(0, 0), task(0, 1)]);
@@ -178,10 +180,10 @@
     assert_eq!(state_of(&log, 1), TaskState::Pending);
 }
 
-/// Every task of the job is cancelled in a burst while some are out. What nobody has ends at
-/// once; what is out ends with its exit, even a checkpoint, and does not come back.
+/// A job is cancelled while some of its tasks are checked out. The pending ones end at once; those
+/// checked out end with their exit, even if that is a checkpoint, and do not run again.
 #[test]
-fn cancelled_tasks_do_not_come_back() {
+fn tasks_of_a_cancelled_job_do_not_run_again() {
     let mut log = log_with_job(3);
     let epoch = log.claim(DC, 1);
     log.checkout(DC, epoch, &[task(0, 0), task(0, 1)]);
@@ -198,10 +200,10 @@
     assert!(log.state.jobs.pending().is_empty());
 }
 
-/// Two data centres check out tasks of one team at one time. Together they must stay within its
-/// quota, which neither can see to alone.
+/// Two data centres check out tasks of one team at the same time. Together they must stay within
+/// its quota, which neither can ensure alone.
 #[test]
-fn quotas_hold_across_data_centres() {
+fn quotas_are_enforced_across_data_centres() {
     let mut log = log_with_job(4);
     log.change(quota("bakery", size(2_000, 100_000)));
     let (here, there) = (log.claim(DC, 1), log.claim(OTHER_DC, 2));
@@ -214,10 +216,10 @@
     assert_eq!((first.len(), second.len(), third.len()), (1, 1, 1));
 }
 
-/// A service's task loses its VM and waits for its next start, while batch work of the same team
-/// waits too and asks first. The room that the quota gives to the service must still be there.
+/// A task of a service loses its VM and waits for its next start. Batch work of the same team
+/// requests its checkout first. The service must still get its share of the quota.
 #[test]
-fn batch_work_leaves_room_for_services() {
+fn batch_work_cannot_use_the_quota_that_services_need() {
     let mut log = Log::with_team();
     log.change(quota("bakery", size(4_000, 100_000)));
     log.change(Command::Create(service("shop", 2)));
@@ -246,10 +248,11 @@
     assert!(!log.state.is_paused(JobKind::Batch, daisy_model::Priority::Low));
 }
 
-/// A buyer's order is sent through two entry VMs, which announce it at one time. Only the first
-/// in the log may run it; an announcement sent again after a lost answer is still its own.
+/// A request with one key is sent through two entry VMs, which both announce it. Only the first
+/// announcement in the log may run it, and the second learns which one that is. An announcement
+/// that is sent again after a lost answer has the same append id and is not folded again.
 #[test]
-fn the_first_intent_of_a_key_wins() {
+fn only_the_first_intent_of_a_key_may_run() {
     let mut log = Log::new();
     let intent = |entry| Record::Intent { key: 7, entry: VmId(entry) };
 
@@ -262,7 +265,7 @@
 }
 
 #[test]
-fn intents_are_kept_to_a_bound() {
+fn the_number_of_intents_is_limited() {
     let mut log = Log::new();
     let kept = daisy_ledger::Intents::MIN_REMEMBERED as u128;
     for key in 0..kept + 5_000 {
@@ -273,13 +276,13 @@
     assert!(intents.get(0).is_none());
 }
 
-/// Claims, checkouts, returns, evictions, exits and cancellations of two data centres in any
-/// order, with stale epochs and doubled reports. At every step a task has one owner, changes
-/// owner only after it was ended or given back, a checkpoint is resumed by one incarnation, and
-/// quotas and queues add up.
+/// Claims, checkouts, returns, evictions, exits and cancellations of two data centres in any order,
+/// with stale epochs and repeated reports. At every step a task has at most one owner, changes its
+/// owner only after it was ended or returned, a checkpoint is resumed by one incarnation only, and
+/// the quotas in use and the queue match the tasks.
 #[test]
-fn no_order_of_events_gives_a_task_two_owners() {
-    fn holds(steps: Vec<script::Step>) -> bool {
+fn a_task_has_one_owner_under_any_order_of_events() {
+    fn one_owner_at_every_step(steps: Vec<script::Step>) -> bool {
         let mut log = Log::with_team();
         let mut resumed: Vec<(u64, Incarnation)> = Vec::new();
         for (token, step) in (1..).zip(steps) {
@@ -293,7 +296,7 @@
                 assert_eq!(
                     job.modified_before == log.state.next,
                     unlike,
-                    "touched when it changed"
+                    "modified_before must be updated exactly when the job changes"
                 );
                 for (index, task) in job.tasks.iter().enumerate() {
                     let id = common::task(id.0, index as u32);
@@ -312,7 +315,7 @@
         true
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(300, 17)).tests(300);
-    check.quickcheck(holds as fn(Vec<script::Step>) -> bool);
+    check.quickcheck(one_owner_at_every_step as fn(Vec<script::Step>) -> bool);
 }
 
 fn check_task(
@@ -322,12 +325,12 @@
 ) {
     let Some(before) = before else { return };
     if let (TaskState::CheckedOut(was), TaskState::CheckedOut(is)) = (before.state, after.state) {
-        assert_eq!(was, is, "owner changed in one step");
+        assert_eq!(was, is, "the owner changed without a return or an exit");
     }
     if let (TaskState::Ended(_), TaskState::CheckedOut(_)) = (before.state, after.state) {
         panic!("an ended task was checked out");
     }
-    assert!(after.ended >= before.ended, "an ended incarnation came back");
+    assert!(after.ended >= before.ended, "the number of the last ended incarnation decreased");
     if let (TaskState::CheckedOut(_), Some(token)) = (after.state, after.checkpoint) {
         let by = after.next_incarnation();
         match resumed.iter().find(|(it, _)| *it == token) {
--- a/daisy-ledger/tests/common/mod.rs
+++ b/daisy-ledger/tests/common/mod.rs
@@ -11,7 +11,7 @@
 pub const DC: DcId = DcId(0);
 pub const OTHER_DC: DcId = DcId(1);
 
-/// A log that appends and folds at once.
+/// A log that folds each append at once.
 pub struct Log {
     pub state: State,
     pub entries: Vec<Batch>,
@@ -22,7 +22,7 @@
         Log { state: State::default(), entries: Vec::new() }
     }
 
-    /// A log with team `bakery`, which has room for 100 cores.
+    /// Returns a log with the team `bakery`, whose quota has 100 cores.
     pub fn with_team() -> Log {
         let mut log = Log::new();
         log.change(quota("bakery", size(100_000, 100_000)));
@@ -101,7 +101,7 @@
     Command::Cancel { kind: JobKind::Batch, job: name(job) }
 }
 
-/// A batch job of team `bakery`: one core and 1 GiB a task, not restartable.
+/// Returns a batch job of team `bakery`: one core and 1 GiB per task, not restartable.
 pub fn batch_job(job: &str, tasks: u32) -> JobSpec {
     JobSpec {
         name: name(job),
--- a/daisy-ledger/tests/common/script.rs
+++ b/daisy-ledger/tests/common/script.rs
@@ -5,7 +5,7 @@
 
 use super::{batch_job, cancel, change, name, quota, service, size, task};
 
-/// One step of a generated script: a kind and two choices.
+/// One step of a generated script: the kind of record and two numbers that choose its content.
 pub type Step = (u8, u8, u8);
 
 const JOBS: [&str; 4] = ["render", "prices", "shop", "quotes"];
@@ -18,7 +18,8 @@
     Exit::Unknown,
 ];
 
-/// The record of a step. Epochs are those in force in `state`, or stale for some choices.
+/// Returns the record of a step. Its epoch is the one in force in `state`, or a stale one for some
+/// choices.
 pub fn record(state: &State, step: Step, token: u64) -> Record {
     let (kind, a, b) = step;
     let dc = DcId(u16::from(a % 2));
@@ -48,7 +49,7 @@
 
 fn incarnation(state: &State, task: TaskId, choice: u8) -> Incarnation {
     let next = state.task(task).map_or(1, |it| it.next_incarnation().0);
-    // Now and then a report of an earlier incarnation comes again.
+    // Some reports are about an earlier incarnation.
     Incarnation(if choice.is_multiple_of(5) { next - 1 } else { next })
 }
 
@@ -89,7 +90,7 @@
     }
 }
 
-/// The sum of the sizes of checked-out tasks of some jobs, worked out anew.
+/// Recomputes the sum of the sizes of the checked-out tasks of the jobs that `wanted` selects.
 pub fn out_size(state: &State, wanted: impl Fn(&Job) -> bool) -> Resources {
     let jobs = state.jobs.iter().map(|(_, job)| job).filter(|job| wanted(job));
     let out =
--- a/daisy-ledger/tests/fold.rs
+++ b/daisy-ledger/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold: order, repetition, damage.
+//! The fold: order of entries, repeated appends, damaged entries.
 
 mod common;
 
@@ -16,11 +16,11 @@
     Batch { id: AppendId { sender: 7, seq }, records }
 }
 
-/// An operator creates a job; the platform takes the append, but its answer is lost. The entry
-/// VM sends it again, and the log holds it twice. The operator must not see a refusal for a
-/// duplicate name, nor a second job.
+/// An operator creates a job. The platform accepts the append, but its answer is lost, so the entry
+/// VM sends it again and it is in the log twice. This must neither be refused as a duplicate name
+/// nor create a second job.
 #[test]
-fn an_append_sent_again_after_a_lost_answer_counts_once() {
+fn an_append_repeated_after_a_lost_answer_is_applied_once() {
     let mut log = Log::with_team();
     let create = batch(1, Command::Create(batch_job("render", 3)));
 
@@ -34,10 +34,10 @@
     assert_eq!(log.state.counts.repeated, 1);
 }
 
-/// A reader gets pages of the log from a peer and from the platform, which overlap, and one
-/// page is missing in between. It must neither fold twice nor fold past the missing page.
+/// A reader gets overlapping pages of the log from a peer and from the platform, and one page in
+/// between is missing. It must neither fold an entry twice nor skip the missing page.
 #[test]
-fn entries_out_of_turn_change_nothing() {
+fn entries_out_of_order_change_nothing() {
     let mut log = Log::with_team();
     let before = log.state.clone();
     let entry = batch(1, quota("shop", size(1, 1)));
@@ -50,10 +50,10 @@
     assert_eq!(log.state, before);
 }
 
-/// One log entry is damaged. Every process passes over it alike and counts it, and later
-/// entries still take effect.
+/// One log entry is damaged. Every process skips and counts it in the same way, and later entries
+/// still take effect.
 #[test]
-fn a_damaged_entry_is_passed_over_and_counted() {
+fn a_damaged_entry_is_skipped_and_counted() {
     let mut state = State::default();
 
     let skipped = state.skip(Offset(0));
@@ -66,9 +66,9 @@
 }
 
 #[derive(Debug, Clone)]
-struct Wild(Record);
+struct ArbitraryRecord(Record);
 
-/// A number that is small, huge or anything, so that some records hit and some overflow.
+/// Returns a small, a huge or any number, so that some records match the state and some overflow.
 fn number(g: &mut Gen) -> u32 {
     let any = u32::arbitrary(g);
     match any % 4 {
@@ -78,33 +78,33 @@
     }
 }
 
-fn wild_size(g: &mut Gen) -> Resources {
+fn arbitrary_size(g: &mut Gen) -> Resources {
     Resources { cpu_milli: number(g), memory_mib: number(g), accelerators: number(g) }
 }
 
-fn wild_command(g: &mut Gen) -> Command {
+fn arbitrary_command(g: &mut Gen) -> Command {
     let (job, kind) = (name("wild"), JobKind::Batch);
-    // Few enough tasks to be quick, or far too many.
+    // Few tasks, so that the test is fast, or far too many.
     let tasks = if bool::arbitrary(g) { number(g) % 50 } else { u32::MAX };
     match u8::arbitrary(g) % 4 {
-        0 => quota("bakery", wild_size(g)),
-        1 => Command::Create(JobSpec { size: wild_size(g), ..batch_job("wild", tasks) }),
+        0 => quota("bakery", arbitrary_size(g)),
+        1 => Command::Create(JobSpec { size: arbitrary_size(g), ..batch_job("wild", tasks) }),
         2 => {
-            let size = Some(wild_size(g));
+            let size = Some(arbitrary_size(g));
             Command::Change { kind, job, tasks: Some(tasks), priority: None, size }
         }
         _ => Command::Publish(PolicyChange { tail: Some(number(g)), ..PolicyChange::default() }),
     }
 }
 
-impl Arbitrary for Wild {
-    fn arbitrary(g: &mut Gen) -> Wild {
+impl Arbitrary for ArbitraryRecord {
+    fn arbitrary(g: &mut Gen) -> ArbitraryRecord {
         let dc = DcId(number(g) as u16);
         let epoch = Epoch(u64::from(number(g)));
         let id = task(number(g), number(g));
         let incarnation = Incarnation(number(g));
         let vm = VmId(number(g));
-        Wild(match u8::arbitrary(g) % 9 {
+        ArbitraryRecord(match u8::arbitrary(g) % 9 {
             0 => Record::Claim { dc, holder: vm },
             1 => Record::Release { dc, epoch },
             2 => Record::Checkout { dc, epoch, tasks: vec![id; 3] },
@@ -123,17 +123,18 @@
                 parts: number(g),
                 bytes: Vec::new(),
             },
-            _ => Record::Change(change("ana", wild_command(g))),
+            _ => Record::Change(change("ana", arbitrary_command(g))),
         })
     }
 }
 
-/// Sound entries can hold any numbers. Whatever they are, the fold goes on, and goes on alike.
+/// Entries that decode can contain any numbers. The fold must handle all of them, and a second
+/// fold must give the same state.
 #[test]
-fn wild_records_never_stop_the_fold() {
-    fn folds(records: Vec<Wild>) -> bool {
+fn records_with_arbitrary_numbers_never_stop_the_fold() {
+    fn folds(records: Vec<ArbitraryRecord>) -> bool {
         let mut log = Log::with_team();
-        for Wild(record) in records {
+        for ArbitraryRecord(record) in records {
             log.record(record);
         }
         let mut again = State::default();
@@ -143,5 +144,5 @@
         again == log.state
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(200, 53)).tests(500);
-    check.quickcheck(folds as fn(Vec<Wild>) -> bool);
+    check.quickcheck(folds as fn(Vec<ArbitraryRecord>) -> bool);
 }
--- a/daisy-ledger/tests/snapshot.rs
+++ b/daisy-ledger/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! When snapshots are due, and which parts make one.
+//! When snapshots are due, and which parts form a complete one.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn due_by_entries_bytes_or_age_long_before_the_retention_ends() {
+fn a_snapshot_is_due_by_entries_bytes_or_age_well_within_the_retention() {
     let options = Options::for_retention(RETENTION);
     assert!(!due(&options, &since(1_000, 1_000, 1_199), 0));
     assert!(due(&options, &since(0, 0, 1_200), 0));
@@ -32,17 +32,17 @@
 }
 
 #[test]
-fn later_ranks_wait_longer_but_not_too_long() {
+fn higher_ranks_wait_longer_up_to_a_limit() {
     let options = Options::for_retention(RETENTION);
     assert!(!due(&options, &since(0, 0, 1_200), 1));
     assert!(due(&options, &since(0, 0, 1_350), 1));
     assert!(due(&options, &since(0, 0, 2_250), 1_000));
 }
 
-/// Two processes write snapshots at one time, so their parts stand between one another, and a
-/// third dies in the middle of its own. Each whole one is found and the rest is passed over.
+/// Two processes write snapshots at the same time, so that their parts are interleaved, and a third
+/// process omits a part of its own. The complete snapshots are found and the third is dropped.
 #[test]
-fn parts_of_several_writers_are_told_apart() {
+fn interleaved_parts_of_several_writers_are_separated() {
     let mut collector = Collector::default();
     let pushed = [
         collector.push(part(1, 10, 0, 2), 'a'),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn unfinished_snapshots_are_kept_to_a_bound() {
+fn the_number_of_unfinished_snapshots_is_limited() {
     let mut collector = Collector::default();
     for sender in 0..100 {
         collector.push(part(sender, 1, 0, 2), ());
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_fold_knows_the_newest_whole_snapshot() {
+fn the_fold_records_the_newest_complete_snapshot() {
     let mut log = Log::with_team();
     for part in 0..2 {
         let record =
