--- a/daisy-model/src/arena.rs
+++ b/daisy-model/src/arena.rs
@@ -4,7 +4,7 @@
 
 use crate::Key;
 
-/// Elements numbered in the order of their creation; an element is never removed.
+/// Elements with keys in the order of their creation; elements are never removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arena<K, T> {
     items: Vec<T>,
@@ -12,7 +12,7 @@
 }
 
 impl<K: Key, T> Arena<K, T> {
-    /// An empty arena.
+    /// Returns an empty arena.
     pub fn new() -> Arena<K, T> {
         Arena { items: Vec::new(), key: PhantomData }
     }
@@ -24,32 +24,32 @@
         key
     }
 
-    /// The element at `key`.
+    /// Returns the element at `key`.
     pub fn get(&self, key: K) -> Option<&T> {
         self.items.get(key.index())
     }
 
-    /// The element at `key`, to change.
+    /// Returns a mutable reference to the element at `key`.
     pub fn get_mut(&mut self, key: K) -> Option<&mut T> {
         self.items.get_mut(key.index())
     }
 
-    /// The number of elements.
+    /// Returns the number of elements.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing is stored.
+    /// Returns whether there are no elements.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Keys and elements in the order of creation.
+    /// Iterates over keys and elements in the order of creation.
     pub fn iter(&self) -> impl Iterator<Item = (K, &T)> {
         self.items.iter().enumerate().map(|(index, item)| (K::from_index(index), item))
     }
 
-    /// Keys and elements to change, in the order of creation.
+    /// Iterates over keys and mutable elements in the order of creation.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut T)> {
         self.items.iter_mut().enumerate().map(|(index, item)| (K::from_index(index), item))
     }
--- a/daisy-model/src/command.rs
+++ b/daisy-model/src/command.rs
@@ -1,4 +1,4 @@
-//! What operators may change.
+//! Changes that operators can make.
 
 use crate::{Generation, JobKind, JobSpec, Name, PolicyChange, Priority, Resources, WallTime};
 
@@ -7,7 +7,7 @@
 pub enum WorkClass {
     /// All batch work.
     Batch,
-    /// Work of one priority.
+    /// All work of one priority.
     Priority(Priority),
 }
 
@@ -16,17 +16,17 @@
 pub enum Command {
     /// Creates a service or batch job.
     Create(JobSpec),
-    /// Changes parts of a job; absent parts stay as they are.
+    /// Changes parts of a job; absent parts stay unchanged.
     Change {
         /// Service or batch, as the statement said.
         kind: JobKind,
         /// The job to change.
         job: Name,
-        /// New number of tasks.
+        /// The new number of tasks.
         tasks: Option<u32>,
-        /// New priority.
+        /// The new priority.
         priority: Option<Priority>,
-        /// New size of tasks started from now on.
+        /// The new size of tasks that are started from now on.
         size: Option<Resources>,
     },
     /// Cancels a job; its tasks are stopped.
@@ -36,49 +36,49 @@
         /// The job to cancel.
         job: Name,
     },
-    /// Sets what a team's running tasks may take together; creates the team.
+    /// Sets the quota of a team, and creates the team if it does not exist.
     Quota {
         /// The team.
         team: Name,
-        /// The most that its running tasks may take.
+        /// The most resources that its running tasks may use together.
         limit: Resources,
     },
-    /// Nothing new goes to a VM, and what may be evicted leaves it.
+    /// Starts no further tasks on a VM, and moves evictable tasks away from it.
     Drain {
         /// The VM by name.
         vm: Name,
     },
-    /// Takes a drain back.
+    /// Ends the drain of a VM.
     Undrain {
         /// The VM by name.
         vm: Name,
     },
-    /// Starts nothing of a class until it is resumed.
+    /// Starts no tasks of a class until it is resumed.
     Pause(WorkClass),
-    /// Takes a pause back.
+    /// Ends the pause of a class.
     Resume(WorkClass),
-    /// Publishes a policy; parts that are not named stay as they are.
+    /// Publishes a policy; parts that are not named stay unchanged.
     Publish(PolicyChange),
 }
 
-/// What must hold for a change to be accepted.
+/// A condition under which a change is accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Condition {
-    /// The generation that the operator saw.
+    /// The generation that the operator saw: the subject must not have changed since.
     pub generation: Generation,
 }
 
-/// An operator's change on its way to the log.
+/// An operator's change, as it is appended to the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The operator's name, from the token that was shown.
+    /// The operator's name, from the token that was presented.
     pub who: Name,
-    /// When the entry VM took the statement, for the audit trail.
+    /// When the entry VM received the statement, for the audit trail.
     pub at: WallTime,
-    /// The statement as written.
+    /// The statement as the operator wrote it.
     pub text: Box<str>,
-    /// What it means.
+    /// The parsed statement.
     pub command: Command,
-    /// `if generation N`.
+    /// The condition `if generation N` of the statement.
     pub condition: Option<Condition>,
 }
--- a/daisy-model/src/exit.rs
+++ b/daisy-model/src/exit.rs
@@ -3,18 +3,19 @@
 /// How one incarnation of a task ended, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// The task did its work.
+    /// The task completed its work.
     Done,
-    /// The task ended with an error of its own.
+    /// The task itself failed.
     Failed,
-    /// The task was checkpointed and then stopped; the token names its checkpoint.
+    /// The task was checkpointed and then stopped; the token identifies the checkpoint.
     Checkpointed(u64),
     /// The task was stopped without a checkpoint.
     Stopped,
-    /// The worker ended the task because its lease lapsed.
+    /// The worker stopped the task because its lease had expired.
     LeaseLapsed,
-    /// It never ran: it found no room for long, and its job may be refused. Said by the holder.
+    /// The task never ran: no worker had capacity for it for a long time, and its job allows
+    /// refusal. Recorded by the holder, not reported by a worker.
     Refused,
-    /// The worker is gone for good, and whether the task did its work is unknown.
+    /// The worker is permanently lost, and it is unknown whether the task completed its work.
     Unknown,
 }
--- a/daisy-model/src/id.rs
+++ b/daisy-model/src/id.rs
@@ -35,11 +35,11 @@
 }
 
 number_id! {
-    /// A data centre, by its position in the settings' sorted list of data centres.
+    /// A data centre: its index in the sorted list of data centres in the settings.
     DcId(u16)
 }
 number_id! {
-    /// A VM, by the number that the platform's VM list gives it; never given twice.
+    /// A VM: its number in the platform's VM list; a number is never reused.
     VmId(u32)
 }
 number_id! {
@@ -57,7 +57,7 @@
 number_id! {
     /// The fencing token of a data centre's holder: the offset of its claim, plus one.
     ///
-    /// Zero is no epoch, so that a worker that has never been claimed accepts any.
+    /// Zero is never used, so that a worker that has not seen an epoch yet accepts any.
     Epoch(u64)
 }
 number_id! {
@@ -65,7 +65,7 @@
     Generation(u64)
 }
 number_id! {
-    /// Counts the starts of one task; the first start is incarnation 1.
+    /// The number of a start of a task; the first start is incarnation 1.
     Incarnation(u32)
 }
 number_id! {
@@ -78,7 +78,7 @@
 pub struct TaskId {
     /// The job that the task belongs to.
     pub job: JobId,
-    /// The position of the task in its job, from 0.
+    /// The index of the task in its job, from 0.
     pub index: u32,
 }
 
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name(Box<str>);
 
-/// Why a text is no [`Name`].
+/// Why a text is not a valid [`Name`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
     /// The text is empty or longer than 63 bytes.
@@ -106,24 +106,24 @@
 }
 
 impl Name {
-    /// The longest name, in bytes.
+    /// The greatest length of a name, in bytes.
     pub const MAX_LEN: usize = 63;
 
-    /// Checks `text` and makes a name of it.
+    /// Returns `text` as a name; fails if it is not valid.
     pub fn new(text: &str) -> Result<Name, NameError> {
         if text.is_empty() || text.len() > Name::MAX_LEN {
             return Err(NameError::Length);
         }
-        let starts_well = text.as_bytes()[0].is_ascii_lowercase();
-        let all_known =
+        let starts_with_letter = text.as_bytes()[0].is_ascii_lowercase();
+        let has_only_allowed_characters =
             text.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-        if !(starts_well && all_known) {
+        if !(starts_with_letter && has_only_allowed_characters) {
             return Err(NameError::Character);
         }
         Ok(Name(text.into()))
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/daisy-model/src/job.rs
+++ b/daisy-model/src/job.rs
@@ -4,23 +4,23 @@
 
 use crate::{Name, Resources};
 
-/// Whether a job answers requests or runs to its end.
+/// Whether a job answers requests or runs to completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobKind {
     /// Answers requests until it is cancelled.
     Service,
-    /// Runs to its end.
+    /// Runs to completion.
     Batch,
 }
 
-/// Which work goes first; a later variant goes before an earlier one.
+/// The order in which work is placed; a later variant has a higher priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Whenever there is room.
+    /// Runs when there is free capacity.
     Low,
-    /// Ordinary batch work.
+    /// Regular batch work.
     Normal,
-    /// Starts within 3.5 s (the users' size plan); may evict what is declared evictable.
+    /// Must start within 3.5 s (the users' size plan); may evict work that is declared evictable.
     Urgent,
     /// Latency-critical services.
     Critical,
@@ -33,7 +33,7 @@
 }
 
 impl fmt::Display for Priority {
-    /// The operators' word for the priority.
+    /// Writes the name that operators use for the priority.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Priority::Low => "low",
@@ -44,40 +44,41 @@
     }
 }
 
-/// What the operators allow to be done to a job's work.
+/// What the scheduler may do to the tasks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tolerance {
-    /// May wait or be throttled.
+    /// Tasks may wait or be throttled.
     pub delay: bool,
-    /// May be checkpointed, stopped and resumed.
+    /// Tasks may be checkpointed, stopped and resumed later.
     pub evict: bool,
-    /// May be refused for good when there is no room.
+    /// Tasks may be refused permanently when there is no capacity.
     pub refuse: bool,
 }
 
-/// A service or batch job as declared.
+/// A service or batch job as operators declare it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobSpec {
-    /// Unique among jobs that are not cancelled.
+    /// The name; unique among jobs that are not cancelled and have not ended.
     pub name: Name,
-    /// The team whose quota the job counts against.
+    /// The team whose quota the job uses.
     pub team: Name,
     /// Service or batch.
     pub kind: JobKind,
     /// Number of tasks, at least 1.
     pub tasks: u32,
-    /// What each task takes, as declared.
+    /// The declared size of each task.
     pub size: Resources,
-    /// Which work goes first.
+    /// The priority of the job's tasks.
     pub priority: Priority,
-    /// What may be done to the work.
+    /// What the scheduler may do to the tasks.
     pub tolerance: Tolerance,
-    /// Whether a task whose fate is unknown may run again from its start.
+    /// Whether a task whose outcome is unknown may run again from the beginning.
     pub restartable: bool,
-    /// Declared run time of a batch task; `None` if not declared.
+    /// The declared run time of a batch task; `None` if not declared.
     pub run_time: Option<Duration>,
-    /// Data centres in order of preference; empty for all.
+    /// The allowed data centres in order of preference; empty for all.
     pub data_centres: Vec<Name>,
-    /// Bytes that a task moves over the region link if it runs away from its first data centre.
+    /// The bytes that a task transfers over the region link if it runs outside its first data
+    /// centre.
     pub region_bytes: u64,
 }
--- a/daisy-model/src/lib.rs
+++ b/daisy-model/src/lib.rs
@@ -1,7 +1,7 @@
 //! Ids, time, resources, jobs, VMs and commands shared by every daisyshift crate.
 //!
-//! Data types only: what decides lives in the crates above, and nothing here
-//! reads a clock, a socket or a file.
+//! This crate contains data types only: decisions are made in the crates that depend on it, and
+//! nothing here reads a clock, a socket or a file.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-model/src/policy.rs
+++ b/daisy-model/src/policy.rs
@@ -1,50 +1,50 @@
-//! The published configuration that steers policy.
+//! The policy that operators publish.
 
 use std::time::Duration;
 
-/// What counts how much, in thousandths; tail latency always goes first.
+/// The weights of the scheduling objectives, in thousandths; tail latency always has precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Objective {
-    /// Weight of the services' tail latency.
+    /// The weight of the services' tail latency.
     pub tail: u32,
-    /// Weight of batch throughput.
+    /// The weight of batch throughput.
     pub throughput: u32,
-    /// Weight of evictions.
+    /// The weight of evictions.
     pub evictions: u32,
 }
 
-/// Policy in force; published through the log, one version at a time.
+/// A version of the policy; published through the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Policy {
-    /// What counts how much.
+    /// The weights of the scheduling objectives.
     pub objective: Objective,
-    /// Share of recent successes that retries and hedges may add, in thousandths.
+    /// The number of retries and hedges allowed per thousand recent successes.
     pub retry_budget: u32,
-    /// How long the answer of a keyed request is kept for retries.
+    /// How long the answer to a request with a key is stored for retries.
     pub retry_window: Duration,
-    /// Bytes per second that requests may move over the region link.
+    /// The bytes per second that requests may transfer over the region link.
     pub region_bytes: u64,
-    /// Processor use of a worker above which batch work is throttled, in thousandths.
+    /// The processor use of a worker above which batch work is throttled, in thousandths.
     pub throttle_above: u32,
 }
 
 impl Default for Policy {
-    /// The values of `docs/OPERATING.md`.
+    /// Returns the default values, which `docs/OPERATING.md` lists.
     fn default() -> Policy {
         Policy {
             objective: Objective { tail: 800, throughput: 150, evictions: 50 },
             retry_budget: 100,
             retry_window: Duration::from_secs(120),
-            // Half of 30 Mbit/s: the other half is left to the users' own traffic.
+            // Half of 30 Mbit/s; the other half is reserved for the users' own traffic.
             region_bytes: 1_875_000,
             throttle_above: 800,
         }
     }
 }
 
-/// New values of some parts of the policy; absent parts stay as they are.
+/// New values of some parts of the policy; absent parts stay unchanged.
 ///
-/// Two operators who publish different parts at one time thus both get their way.
+/// If two operators publish different parts at the same time, both changes therefore take effect.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PolicyChange {
     /// See [`Objective::tail`].
@@ -64,7 +64,7 @@
 }
 
 impl PolicyChange {
-    /// The policy that this change makes of `policy`.
+    /// Returns `policy` with this change applied.
     pub fn apply(&self, policy: &Policy) -> Policy {
         let Objective { tail, throughput, evictions } = policy.objective;
         Policy {
--- a/daisy-model/src/resources.rs
+++ b/daisy-model/src/resources.rs
@@ -1,23 +1,23 @@
-//! What a VM holds and a task takes.
+//! The capacity of VMs and the sizes of tasks.
 
 use std::fmt;
 
-/// Processors, memory and accelerators; exact integers, so that sums never drift.
+/// Processors, memory and accelerators; integers, so that sums are exact.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Resources {
-    /// Processor time in thousandths of a core.
+    /// Processors in thousandths of a core.
     pub cpu_milli: u32,
     /// Memory in MiB.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// The number of accelerators.
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Nothing at all.
+    /// No resources.
     pub const ZERO: Resources = Resources { cpu_milli: 0, memory_mib: 0, accelerators: 0 };
 
-    /// The sum, or `None` where a part overflows.
+    /// Returns the sum, or `None` if a part overflows.
     pub fn try_add(self, rhs: Resources) -> Option<Resources> {
         Some(Resources {
             cpu_milli: self.cpu_milli.checked_add(rhs.cpu_milli)?,
@@ -26,7 +26,7 @@
         })
     }
 
-    /// The difference, or `None` where a part would be negative.
+    /// Returns the difference, or `None` if a part would be negative.
     pub fn try_sub(self, rhs: Resources) -> Option<Resources> {
         Some(Resources {
             cpu_milli: self.cpu_milli.checked_sub(rhs.cpu_milli)?,
@@ -35,7 +35,7 @@
         })
     }
 
-    /// The product with a count, or `None` where a part overflows.
+    /// Returns the product with a count, or `None` if a part overflows.
     pub fn try_mul(self, count: u32) -> Option<Resources> {
         Some(Resources {
             cpu_milli: self.cpu_milli.checked_mul(count)?,
@@ -44,7 +44,7 @@
         })
     }
 
-    /// How many times `need` fits into this; a part that is not needed does not count.
+    /// Returns how many times `need` fits into this; parts that `need` does not use are ignored.
     pub fn count_fitting(self, need: Resources) -> u32 {
         let times = |part: u32, need: u32| part.checked_div(need).unwrap_or(u32::MAX);
         let processors = times(self.cpu_milli, need.cpu_milli);
@@ -52,9 +52,9 @@
         processors.min(memory).min(times(self.accelerators, need.accelerators))
     }
 
-    /// Whether all of this fits into `room`.
-    pub fn fits(self, room: Resources) -> bool {
-        room.try_sub(self).is_some()
+    /// Returns whether every part of this fits into `available`.
+    pub fn fits(self, available: Resources) -> bool {
+        available.try_sub(self).is_some()
     }
 }
 
--- a/daisy-model/src/sorted.rs
+++ b/daisy-model/src/sorted.rs
@@ -9,12 +9,12 @@
 }
 
 impl<K: Ord, V> SortedMap<K, V> {
-    /// An empty map.
+    /// Returns an empty map.
     pub fn new() -> SortedMap<K, V> {
         SortedMap { entries: Vec::new() }
     }
 
-    /// Stores `value` at `key` and returns the value that stood there.
+    /// Stores `value` at `key` and returns the previous value.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         match self.position(&key) {
             Ok(at) => Some(std::mem::replace(&mut self.entries[at].1, value)),
@@ -25,17 +25,17 @@
         }
     }
 
-    /// The value at `key`.
+    /// Returns the value at `key`.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.position(key).ok().map(|at| &self.entries[at].1)
     }
 
-    /// The value at `key`, to change.
+    /// Returns a mutable reference to the value at `key`.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         self.position(key).ok().map(|at| &mut self.entries[at].1)
     }
 
-    /// The value at `key`, made by `default` if there was none.
+    /// Returns the value at `key`, which `default` creates if there is none.
     pub fn get_or_insert_with(&mut self, key: K, default: impl FnOnce() -> V) -> &mut V {
         let at = match self.position(&key) {
             Ok(at) => at,
@@ -47,12 +47,12 @@
         &mut self.entries[at].1
     }
 
-    /// Takes the value at `key` out.
+    /// Removes the value at `key` and returns it.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         self.position(key).ok().map(|at| self.entries.remove(at).1)
     }
 
-    /// Whether there is a value at `key`.
+    /// Returns whether there is a value at `key`.
     pub fn contains_key(&self, key: &K) -> bool {
         self.position(key).is_ok()
     }
@@ -62,27 +62,27 @@
         self.entries.retain_mut(|(key, value)| keep(key, value));
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Entries in the order of their keys.
+    /// Iterates over the entries in the order of their keys.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = (&K, &V)> {
         self.entries.iter().map(|(key, value)| (key, value))
     }
 
-    /// Entries in the order of their keys, values to change.
+    /// Iterates over the entries in the order of their keys, with mutable values.
     pub fn iter_mut(&mut self) -> impl DoubleEndedIterator<Item = (&K, &mut V)> {
         self.entries.iter_mut().map(|(key, value)| (&*key, value))
     }
 
-    /// Entries whose keys lie in `from..to`.
+    /// Iterates over the entries whose keys are in `from..to`.
     pub fn range(&self, from: &K, to: &K) -> impl DoubleEndedIterator<Item = (&K, &V)> {
         let start = self.entries.partition_point(|(key, _)| key < from);
         let end = self.entries.partition_point(|(key, _)| key < to).max(start);
@@ -90,7 +90,7 @@
     }
 
     fn position(&self, key: &K) -> Result<usize, usize> {
-        // The common case is an append in key order: look at the end first.
+        // Most keys are inserted in ascending order, so the last entry is compared first.
         match self.entries.last() {
             Some((last, _)) if last < key => Err(self.entries.len()),
             _ => self.entries.binary_search_by(|(probe, _)| probe.cmp(key)),
--- a/daisy-model/src/time.rs
+++ b/daisy-model/src/time.rs
@@ -1,24 +1,23 @@
-//! Time as an argument: a process's own monotonic clock, and wall time for the audit trail.
+//! Time values: instants of a process's own monotonic clock, and wall time for the audit trail.
 
 use std::{
     ops::{Add, Sub},
     time::Duration,
 };
 
-/// A point of one process's monotonic clock, in microseconds since that process began.
+/// An instant of one process's monotonic clock, in microseconds since that process started.
 ///
-/// Instants of different processes are never compared: no decision rests on clocks
-/// that agree.
+/// Instants of different processes are never compared: no decision depends on synchronised clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Instant(pub u64);
 
 impl Instant {
-    /// The instant `millis` milliseconds after the process began.
+    /// Returns the instant `millis` milliseconds after the process started.
     pub fn from_millis(millis: u64) -> Instant {
         Instant(millis.saturating_mul(1_000))
     }
 
-    /// Time from `earlier` to this instant, zero if `earlier` is later.
+    /// Returns the time from `earlier` to this instant, or zero if `earlier` is later.
     pub fn since(self, earlier: Instant) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -42,6 +41,6 @@
     }
 }
 
-/// Wall-clock time in milliseconds since 1970 UTC: for people and the audit trail only.
+/// Wall-clock time in milliseconds since 1970 UTC, used only for display and the audit trail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct WallTime(pub u64);
--- a/daisy-model/src/vm.rs
+++ b/daisy-model/src/vm.rs
@@ -1,10 +1,10 @@
-//! VMs as the platform's list names them.
+//! VMs as listed by the platform.
 
 use std::net::SocketAddr;
 
 use crate::{DcId, Name, Resources, VmId};
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VmRole {
     /// Runs a process of daisyshift.
@@ -13,34 +13,34 @@
     Worker,
 }
 
-/// What the platform says of a VM; the list lags behind the truth.
+/// The status of a VM in the platform's list; the list may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VmStatus {
-    /// In use.
+    /// The VM is in use.
     Live,
-    /// About to be taken away: nothing new goes there.
+    /// The VM will be removed soon: no further tasks are started there.
     Leaving,
 }
 
 /// A VM of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Vm {
-    /// The platform's number of the VM; a replacement gets a new one.
+    /// The number that the platform assigned to the VM; a replacement gets a new one.
     pub id: VmId,
     /// The name that operators use.
     pub name: Name,
-    /// The data centre that the VM stands in.
+    /// The data centre of the VM.
     pub dc: DcId,
     /// The rack within the data centre.
     pub rack: u16,
-    /// What the VM is for.
+    /// The role of the VM.
     pub role: VmRole,
-    /// Live or leaving.
+    /// The status of the VM.
     pub status: VmStatus,
-    /// An entry VM's address for peers; a worker's address for control.
+    /// The address for control traffic: of an entry VM for its peers, of a worker for its holder.
     pub control: SocketAddr,
-    /// A worker's address for requests to services that run on it.
+    /// The address of a worker for requests to the services that run on it.
     pub backend: Option<SocketAddr>,
-    /// What the VM holds in all.
+    /// The total capacity of the VM.
     pub capacity: Resources,
 }
--- a/daisy-model/src/worker.rs
+++ b/daisy-model/src/worker.rs
@@ -1,21 +1,21 @@
-//! What the holder of a data centre and a worker say to one another.
+//! The calls of a data centre's holder to a worker, and the worker's reports.
 
 use std::time::Duration;
 
 use crate::{Epoch, Exit, Incarnation, Resources, TaskId};
 
-/// One order to a worker; carried out only under an epoch that is not stale.
+/// An order to a worker; carried out only if the epoch of its call is not stale.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Order {
     /// Starts an incarnation; a worker starts each incarnation at most once.
     Start {
         /// The task.
         task: TaskId,
-        /// Which start of the task this is.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// What the task takes on the worker.
+        /// The resources that the task uses on the worker.
         size: Resources,
-        /// The checkpoint to resume from.
+        /// The token of the checkpoint to resume from.
         checkpoint: Option<u64>,
     },
     /// Stops an incarnation without a checkpoint.
@@ -38,10 +38,10 @@
         task: TaskId,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// The share in thousandths; 1000 takes the limit away.
+        /// The share in thousandths; 1000 removes the limit.
         share: u32,
     },
-    /// Lets the worker forget the exit report of an incarnation.
+    /// Acknowledges the exit report of an incarnation, so that the worker can delete it.
     Acknowledge {
         /// The task.
         task: TaskId,
@@ -50,25 +50,25 @@
     },
 }
 
-/// Everything that the holder says to a worker at one time.
+/// A call of the holder to a worker.
 ///
-/// One call renews the lease of all that runs on the worker.
+/// Each call renews the leases of all tasks that run on the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerCall {
-    /// The holder's fencing token; the worker refuses one lower than it has seen.
+    /// The holder's fencing token; the worker rejects a token lower than the highest it has seen.
     pub epoch: Epoch,
-    /// How long tasks of the worker may go on without another call.
+    /// How long the tasks of the worker may continue without another call.
     pub lease: Duration,
-    /// Orders, carried out in turn.
+    /// The orders, carried out in this order.
     pub orders: Vec<Order>,
 }
 
-/// What came of one order.
+/// The result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResult {
-    /// Carried out, or had been before.
+    /// The order was carried out, now or earlier.
     Done,
-    /// No room for the task; nothing was started.
+    /// The worker has no capacity for the task; nothing was started.
     NoRoom,
     /// The worker does not know the incarnation.
     Unknown,
@@ -76,20 +76,20 @@
     Failed,
 }
 
-/// A task that runs on a worker.
+/// A running task in the report of its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Running {
     /// The task.
     pub task: TaskId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// What it was started with.
+    /// The size with which it was started.
     pub size: Resources,
     /// Its share of processors, in thousandths.
     pub share: u32,
 }
 
-/// An exit report, kept by the worker until it is acknowledged.
+/// An exit report, which the worker keeps until it is acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ended {
     /// The task.
@@ -100,14 +100,14 @@
     pub exit: Exit,
 }
 
-/// Measured use of one task; lags behind the truth.
+/// The measured resource use of a task; some seconds old.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
     /// The task.
     pub task: TaskId,
     /// Processors and memory in use.
     pub used: Resources,
-    /// Slowdown in thousandths: 1000 is undisturbed, 2000 takes twice as long.
+    /// The slowdown in thousandths: 1000 is full speed, 2000 means twice the run time.
     pub slowdown: u32,
 }
 
@@ -118,14 +118,14 @@
     pub epoch: Epoch,
     /// Whether the call's epoch was accepted; if not, nothing was carried out.
     pub accepted: bool,
-    /// What the worker holds in all.
+    /// The total capacity of the worker.
     pub capacity: Resources,
-    /// What came of each order, in the call's order.
+    /// The results of the orders, in the order of the call.
     pub results: Vec<OrderResult>,
-    /// All that runs after the orders.
+    /// All tasks that run after the orders were carried out.
     pub running: Vec<Running>,
-    /// All exit reports that are not acknowledged.
+    /// All exit reports that have not been acknowledged.
     pub ended: Vec<Ended>,
-    /// Measured use, from some seconds ago.
+    /// The measured resource use of tasks, some seconds old.
     pub usage: Vec<Usage>,
 }
--- a/daisy-model/tests/id.rs
+++ b/daisy-model/tests/id.rs
@@ -1,4 +1,4 @@
-//! Names are checked once, where they come in.
+//! Names are checked when they are created.
 
 use daisy_model::{Name, NameError};
 
--- a/daisy-model/tests/resources.rs
+++ b/daisy-model/tests/resources.rs
@@ -1,4 +1,4 @@
-//! Resources are exact: what overflows or goes below zero is refused.
+//! Arithmetic on resources is exact: an overflow or a negative part gives `None`.
 
 use daisy_model::Resources;
 use quickcheck::{Gen, QuickCheck};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_sum_taken_apart_gives_its_parts() {
+fn subtracting_one_summand_from_a_sum_gives_the_other() {
     fn property(a: (u32, u32, u32), b: (u32, u32, u32)) -> bool {
         let (a, b) = (resources(a.0, a.1, a.2), resources(b.0, b.1, b.2));
         match a.try_add(b) {
@@ -26,17 +26,17 @@
 }
 
 #[test]
-fn one_missing_part_is_enough_not_to_fit() {
-    let room = resources(1_000, 512, 0);
+fn resources_do_not_fit_if_one_part_is_too_large() {
+    let available = resources(1_000, 512, 0);
 
-    assert!(resources(1_000, 512, 0).fits(room));
-    assert!(!resources(1_001, 0, 0).fits(room));
-    assert!(!resources(0, 513, 0).fits(room));
-    assert!(!resources(0, 0, 1).fits(room));
+    assert!(resources(1_000, 512, 0).fits(available));
+    assert!(!resources(1_001, 0, 0).fits(available));
+    assert!(!resources(0, 513, 0).fits(available));
+    assert!(!resources(0, 0, 1).fits(available));
 }
 
 #[test]
-fn overflow_is_refused() {
+fn sums_and_products_that_overflow_are_none() {
     let most = resources(u32::MAX, 0, 0);
 
     assert_eq!(most.try_add(resources(1, 0, 0)), None);
@@ -44,11 +44,11 @@
 }
 
 #[test]
-fn the_scarcest_part_says_how_many_times_a_need_fits() {
-    let room = Resources { cpu_milli: 12_000, memory_mib: 1_000, accelerators: 0 };
+fn the_scarcest_part_limits_how_often_a_need_fits() {
+    let available = Resources { cpu_milli: 12_000, memory_mib: 1_000, accelerators: 0 };
     let need = Resources { cpu_milli: 3_000, memory_mib: 400, accelerators: 0 };
 
-    assert_eq!(room.count_fitting(need), 2);
-    assert_eq!(room.count_fitting(Resources { memory_mib: 0, ..need }), 4);
-    assert_eq!(room.count_fitting(Resources { accelerators: 1, ..need }), 0);
+    assert_eq!(available.count_fitting(need), 2);
+    assert_eq!(available.count_fitting(Resources { memory_mib: 0, ..need }), 4);
+    assert_eq!(available.count_fitting(Resources { accelerators: 1, ..need }), 0);
 }
--- a/daisy-model/tests/sorted.rs
+++ b/daisy-model/tests/sorted.rs
@@ -1,4 +1,4 @@
-//! The sorted vector behaves as a map.
+//! The sorted vector behaves like a map.
 
 use std::collections::BTreeMap;
 
@@ -13,20 +13,20 @@
 }
 
 #[test]
-fn behaves_as_a_map() {
+fn a_sorted_map_behaves_like_a_btree_map() {
     fn property(steps: Vec<(u8, Option<u16>)>) -> bool {
         let mut map = SortedMap::new();
-        let mut model = BTreeMap::new();
+        let mut reference = BTreeMap::new();
         for (key, value) in steps {
             let same = match value {
-                Some(value) => map.insert(key, value) == model.insert(key, value),
-                None => map.remove(&key) == model.remove(&key),
+                Some(value) => map.insert(key, value) == reference.insert(key, value),
+                None => map.remove(&key) == reference.remove(&key),
             };
             if !same {
                 return false;
             }
         }
-        map.iter().eq(model.iter())
+        map.iter().eq(reference.iter())
     }
 
     fixed().quickcheck(property as fn(Vec<(u8, Option<u16>)>) -> bool);
