--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -199,7 +199,7 @@
             Input::PeerVms(listing) if listing.version <= self.vms_version => {}
             Input::PeerVms(listing) => self.list(now, listing),
             Input::VmsUnchanged => self.confirm_list(now),
-            Input::Beat { beat, in_flight } => {
+            Input::Heartbeat { beat, in_flight } => {
                 self.requests.peer_in_flight(beat.vm, in_flight);
                 self.step(now, Event::Heartbeat(beat));
             }
@@ -254,7 +254,7 @@
 
     fn carry_out(&mut self, now: Instant, action: Action) {
         match action {
-            Action::Beat(vm) => self.tell(now, vm),
+            Action::Heartbeat(vm) => self.tell(now, vm),
             Action::Claim => {
                 log::info!("event=claim dc={} vm={}", self.identity.dc, self.identity.vm);
                 self.out.metrics.claims.inc();
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -48,7 +48,7 @@
     /// The platform's VM list is still the version passed on last.
     VmsUnchanged,
     /// A peer's heartbeat.
-    Beat {
+    Heartbeat {
         /// The heartbeat.
         beat: Heartbeat,
         /// All that the peer has in flight, by backend server.
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -224,7 +224,7 @@
         let full = self.in_flight.is_none();
         let known = self.in_flight.as_deref().map_or(&[][..], Vec::as_slice);
         let in_flight = changed_counts(known, &told.in_flight);
-        let notice = NoticeWire::from(&Notice::Beat { beat: told.beat, full, in_flight });
+        let notice = NoticeWire::from(&Notice::Heartbeat { beat: told.beat, full, in_flight });
         self.notices.send(&notice, false).await?;
         self.in_flight = Some(told.in_flight);
         Ok(())
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -175,13 +175,13 @@
                 }
             };
             let input = match notice {
-                Notice::Beat { beat, .. } if beat.vm != from => {
+                Notice::Heartbeat { beat, .. } if beat.vm != from => {
                     refuse(&mut respond, StatusCode::BAD_REQUEST)?;
                     anyhow::bail!("heartbeat of {} on the stream of {from}", beat.vm);
                 }
-                Notice::Beat { beat, full, in_flight } => {
+                Notice::Heartbeat { beat, full, in_flight } => {
                     let in_flight = mirror.in_flight(full, in_flight);
-                    Input::Beat { beat, in_flight }
+                    Input::Heartbeat { beat, in_flight }
                 }
                 Notice::Replicas(change) => Input::Replicas(mirror.replicas(change)),
             };
--- a/daisy-entry/tests/control/peers.rs
+++ b/daisy-entry/tests/control/peers.rs
@@ -31,7 +31,7 @@
         reads_log: false,
         evidence: None,
     };
-    frame(&NoticeWire::from(&Notice::Beat { beat, full: true, in_flight: Vec::new() }))
+    frame(&NoticeWire::from(&Notice::Heartbeat { beat, full: true, in_flight: Vec::new() }))
 }
 
 /// Sends `body` as entry VM 9 and gives the status of the answer, if one comes before the end.
--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -58,7 +58,7 @@
 /// What travels.
 #[derive(Debug)]
 enum Message {
-    Beat { to: usize, beat: Heartbeat },
+    Heartbeat { to: usize, beat: Heartbeat },
     Appended { from: usize, record: Record },
     Call { from: usize, vm: VmId, call: WorkerCall },
     NoAnswer { from: usize, vm: VmId },
@@ -268,7 +268,7 @@
         self.entries[at].membership.step(self.now, event, &mut actions);
         for action in actions {
             match action {
-                daisy_membership::Action::Beat(to) => self.beat(at, to),
+                daisy_membership::Action::Heartbeat(to) => self.beat(at, to),
                 daisy_membership::Action::Claim => {
                     let holder = VmId(FIRST_ENTRY + at as u32);
                     let record = Record::Claim { dc: DcId(0), holder };
@@ -293,7 +293,7 @@
     fn beat(&mut self, at: usize, to: VmId) {
         let beat = self.entries[at].membership.heartbeat(self.now);
         let to = (to.0 - FIRST_ENTRY) as usize;
-        self.flying.push_back((self.now + PEER_DELAY, Message::Beat { to, beat }));
+        self.flying.push_back((self.now + PEER_DELAY, Message::Heartbeat { to, beat }));
     }
 
     fn append(&mut self, from: usize, record: Record) {
@@ -320,10 +320,10 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Beat { to, beat } if self.entries[to].alive => {
+            Message::Heartbeat { to, beat } if self.entries[to].alive => {
                 self.step_membership(to, daisy_membership::Event::Heartbeat(beat));
             }
-            Message::Beat { .. } => {}
+            Message::Heartbeat { .. } => {}
             // An append that is on its way takes effect though its sender is dead.
             Message::Appended { from, record } => {
                 let is_claim = matches!(record, Record::Claim { .. });
--- a/daisy-membership/src/heartbeat_targets.rs
+++ b/daisy-membership/src/heartbeat_targets.rs
@@ -55,7 +55,7 @@
         }
         for (vm, peer) in self.peers.iter_mut().filter(|(vm, _)| due_targets.contains(vm)) {
             peer.last_sent = Some(now);
-            actions.push(Action::Beat(vm));
+            actions.push(Action::Heartbeat(vm));
         }
     }
 
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Send the current [heartbeat](Membership::heartbeat) to a peer.
-    Beat(VmId),
+    Heartbeat(VmId),
     /// Append a claim; the caller must abandon it if it gets no answer within a heartbeat interval.
     Claim,
     /// Append the release of the claim with this epoch, after all records appended under it.
--- a/daisy-membership/tests/membership/fleet.rs
+++ b/daisy-membership/tests/membership/fleet.rs
@@ -232,7 +232,7 @@
     fn apply_action(&mut self, at: usize, action: Action) {
         let Options { vm, dc, .. } = *self.nodes[at].membership.options();
         match action {
-            Action::Beat(to) => self.send(at, to),
+            Action::Heartbeat(to) => self.send(at, to),
             Action::Claim => {
                 if self.is_log_up && self.nodes[at].can_reach_log {
                     let epoch = Epoch(self.log.len() as u64 + 1);
--- a/daisy-wire/src/peer/notice.rs
+++ b/daisy-wire/src/peer/notice.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
     /// The sender's heartbeat.
-    Beat {
+    Heartbeat {
         /// The heartbeat.
         beat: Heartbeat,
         /// Whether `in_flight` is all there is, or only what has changed.
@@ -80,8 +80,8 @@
 /// See [`Notice`].
 #[derive(Debug, Encode, Decode)]
 pub enum NoticeWire {
-    /// See [`Notice::Beat`].
-    Beat {
+    /// See [`Notice::Heartbeat`].
+    Heartbeat {
         /// The heartbeat.
         beat: BeatWire,
         /// Whether all is told.
@@ -96,7 +96,7 @@
 impl From<&Notice> for NoticeWire {
     fn from(notice: &Notice) -> NoticeWire {
         match notice {
-            Notice::Beat { beat, full, in_flight } => NoticeWire::Beat {
+            Notice::Heartbeat { beat, full, in_flight } => NoticeWire::Heartbeat {
                 beat: beat_to_wire(*beat),
                 full: *full,
                 in_flight: in_flight.iter().map(|(vm, count)| (vm.0, *count)).collect(),
@@ -118,7 +118,7 @@
 
     fn try_from(notice: NoticeWire) -> Result<Notice, WireError> {
         Ok(match notice {
-            NoticeWire::Beat { beat, full, in_flight } => Notice::Beat {
+            NoticeWire::Heartbeat { beat, full, in_flight } => Notice::Heartbeat {
                 beat: beat_from_wire(beat)?,
                 full,
                 in_flight: in_flight.into_iter().map(|(vm, count)| (VmId(vm), count)).collect(),
--- a/daisy-wire/tests/peer.rs
+++ b/daisy-wire/tests/peer.rs
@@ -27,7 +27,7 @@
         reads_log: true,
         evidence: Some(Evidence { epoch: Epoch(11), seq: 3 }),
     };
-    Notice::Beat { beat, full: false, in_flight: vec![(VmId(101), 8), (VmId(102), 0)] }
+    Notice::Heartbeat { beat, full: false, in_flight: vec![(VmId(101), 8), (VmId(102), 0)] }
 }
 
 fn replicas(added: Vec<Replica>) -> Notice {
