--- a/daisy-ledger/src/checkout.rs
+++ b/daisy-ledger/src/checkout.rs
@@ -80,13 +80,14 @@
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
-        let taken = tasks.iter().filter(|&&task| self.try_return(dc, task).is_some()).count();
-        self.took_effect(taken, tasks.len())
+        let effective_count =
+            tasks.iter().filter(|&&task| self.try_return(dc, task).is_some()).count();
+        self.took_effect(effective_count, tasks.len())
     }
 
     fn try_return(&mut self, dc: DcId, id: TaskId) -> Option<()> {
         let job = self.jobs.get(id.job)?;
-        let wanted = !job.cancelled && id.index < job.spec.tasks;
+        let is_declared = !job.cancelled && id.index < job.spec.tasks;
         let task = self.checked_out_mut(dc, id)?;
         // An incarnation recorded as placed has started: if it were returned, another data centre
         // could start the task a second time.
@@ -94,7 +95,7 @@
             return None;
         }
         let size = task.size;
-        task.state = if wanted { TaskState::Pending } else { TaskState::Ended(Exit::Stopped) };
+        task.state = if is_declared { TaskState::Pending } else { TaskState::Ended(Exit::Stopped) };
         self.finish_checkout(id, size);
         Some(())
     }
@@ -103,8 +104,9 @@
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
-        let taken = placements.iter().filter(|&it| self.try_place(dc, it).is_some()).count();
-        self.took_effect(taken, placements.len())
+        let effective_count =
+            placements.iter().filter(|&it| self.try_place(dc, it).is_some()).count();
+        self.took_effect(effective_count, placements.len())
     }
 
     fn try_place(&mut self, dc: DcId, placement: &Placement) -> Option<()> {
@@ -123,8 +125,8 @@
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
-        let taken = exits.iter().filter(|&it| self.try_end(dc, it).is_some()).count();
-        self.took_effect(taken, exits.len())
+        let effective_count = exits.iter().filter(|&it| self.try_end(dc, it).is_some()).count();
+        self.took_effect(effective_count, exits.len())
     }
 
     fn try_end(&mut self, dc: DcId, ended: &Ended) -> Option<()> {
@@ -181,8 +183,8 @@
         Outcome::Stale
     }
 
-    fn took_effect(&mut self, taken: usize, of: usize) -> Outcome {
-        self.counts.ignored += (of - taken) as u64;
-        Outcome::TookEffect(taken)
+    fn took_effect(&mut self, effective_count: usize, of: usize) -> Outcome {
+        self.counts.ignored += (of - effective_count) as u64;
+        Outcome::TookEffect(effective_count)
     }
 }
--- a/daisy-ledger/src/exit.rs
+++ b/daisy-ledger/src/exit.rs
@@ -20,8 +20,8 @@
         Exit::Checkpointed(token) => Some(token),
         _ => None,
     };
-    let wanted = !job.cancelled && index < job.spec.tasks;
-    let will_run_again = wanted && runs_again(job, task, exit);
+    let is_declared = !job.cancelled && index < job.spec.tasks;
+    let will_run_again = is_declared && runs_again(job, task, exit);
     task.state = if will_run_again { TaskState::Pending } else { TaskState::Ended(exit) };
 }
 
--- a/daisy-ledger/tests/append.rs
+++ b/daisy-ledger/tests/append.rs
@@ -40,10 +40,10 @@
 #[test]
 fn records_pushed_while_an_append_is_outstanding_share_the_next_one() {
     let mut queue = queue();
-    queue.push(record(0)).expect("room");
+    queue.push(record(0)).expect("the queue is not full");
     let first = step(&mut queue, 0, Event::Tick);
     for holder in 1..=5 {
-        queue.push(record(holder)).expect("room");
+        queue.push(record(holder)).expect("the queue is not full");
     }
     let id = sent(&first)[0].id;
     let early = step(&mut queue, 10, Event::Answered { id, offset: Offset(0) });
@@ -61,9 +61,9 @@
 #[test]
 fn an_append_with_a_lost_answer_is_repeated_until_it_is_folded() {
     let mut queue = queue();
-    queue.push(record(0)).expect("room");
+    queue.push(record(0)).expect("the queue is not full");
     let first = step(&mut queue, 0, Event::Tick);
-    queue.push(record(1)).expect("room");
+    queue.push(record(1)).expect("the queue is not full");
     let expired = step(&mut queue, 2_000, Event::Tick);
     let again = step(&mut queue, 2_100, Event::Tick);
     let id = sent(&first)[0].id;
@@ -82,7 +82,7 @@
 #[test]
 fn an_answer_lost_after_the_append_was_folded_leaves_the_log_reachable() {
     let mut queue = queue();
-    queue.push(record(0)).expect("room");
+    queue.push(record(0)).expect("the queue is not full");
     let first = step(&mut queue, 0, Event::Tick);
     let id = sent(&first)[0].id;
     step(&mut queue, 10, Event::Folded { id });
@@ -96,7 +96,7 @@
 #[test]
 fn the_log_is_unreachable_from_a_lost_answer_until_the_append_is_folded() {
     let mut queue = queue();
-    queue.push(record(0)).expect("room");
+    queue.push(record(0)).expect("the queue is not full");
     let first = step(&mut queue, 0, Event::Tick);
     let id = sent(&first)[0].id;
     let before = queue.is_reachable();
@@ -114,7 +114,7 @@
 #[test]
 fn a_busy_log_is_reachable() {
     let mut queue = queue();
-    queue.push(record(0)).expect("room");
+    queue.push(record(0)).expect("the queue is not full");
     let first = step(&mut queue, 0, Event::Tick);
     let id = sent(&first)[0].id;
     let early = step(&mut queue, 10, Event::Busy { id });
@@ -128,8 +128,8 @@
 #[test]
 fn a_full_queue_returns_the_record() {
     let mut queue = Queue::new(Options { capacity: 2, ..Options::new(9, INTERVAL) });
-    queue.push(record(0)).expect("room");
-    queue.push(record(1)).expect("room");
+    queue.push(record(0)).expect("the queue is not full");
+    queue.push(record(1)).expect("the queue is not full");
     let full = queue.push(record(2)).expect_err("full");
     assert_eq!((*full.record, full.waiting), (record(2), 2));
 }
@@ -137,9 +137,9 @@
 #[test]
 fn a_rejected_append_is_dropped_with_its_tickets() {
     let mut queue = queue();
-    queue.push(record(0)).expect("room");
+    queue.push(record(0)).expect("the queue is not full");
     let first = step(&mut queue, 0, Event::Tick);
-    queue.push(record(1)).expect("room");
+    queue.push(record(1)).expect("the queue is not full");
     let id = sent(&first)[0].id;
     let actions = step(&mut queue, 200, Event::Rejected { id });
     assert_eq!(actions[0], Action::Dropped(0..1));
@@ -149,10 +149,12 @@
 #[test]
 fn a_record_above_the_size_limit_has_an_append_of_its_own() {
     let mut queue = Queue::new(Options { max_bytes: 1_000, ..Options::new(9, INTERVAL) });
-    queue.push(Record::Change(change("ana", Command::Create(batch_job("a", 1))))).expect("room");
+    queue
+        .push(Record::Change(change("ana", Command::Create(batch_job("a", 1)))))
+        .expect("the queue is not full");
     let bytes = vec![0; 5_000];
     let part = Record::Snapshot { through: Offset(0), part: 0, parts: 1, bytes };
-    queue.push(part.clone()).expect("room");
+    queue.push(part.clone()).expect("the queue is not full");
     let first = step(&mut queue, 0, Event::Tick);
     let id = sent(&first)[0].id;
     let second = step(&mut queue, 200, Event::Answered { id, offset: Offset(0) });
@@ -166,10 +168,10 @@
     let mut log_entries = Vec::new();
     let mut queue = queue();
     for record in records {
-        queue.push(record.clone()).expect("room");
+        queue.push(record.clone()).expect("the queue is not full");
     }
     let mut faults = faults.iter().copied();
-    let mut late: Option<Batch> = None;
+    let mut delayed_batch: Option<Batch> = None;
     let mut millis = 0;
     while queue.backlog() > 0 {
         millis += 50;
@@ -179,7 +181,7 @@
             let id = batch.id;
             let fault = faults.next().map(|it| it % 5);
             if fault == Some(2) {
-                late = Some(batch.clone());
+                delayed_batch = Some(batch.clone());
             }
             if !matches!(fault, Some(0 | 2)) {
                 log_entries.push(batch);
@@ -188,7 +190,7 @@
                 Some(0..=2) => Event::Unanswered { id },
                 Some(3) => Event::Folded { id },
                 _ => {
-                    log_entries.extend(late.take());
+                    log_entries.extend(delayed_batch.take());
                     Event::Answered { id, offset: Offset(0) }
                 }
             };
@@ -214,13 +216,13 @@
 fn faults_and_batching_do_not_change_the_folded_state() {
     fn same(steps: Vec<script::Step>, faults: Vec<u8>) -> bool {
         // The holder's claims come first, so that epochs do not depend on the batches.
-        let mut plain = Log::with_team();
-        let claims = [plain.claim(DcId(0), 1), plain.claim(DcId(1), 2)];
+        let mut single_records_log = Log::with_team();
+        let claims = [single_records_log.claim(DcId(0), 1), single_records_log.claim(DcId(1), 2)];
         let mut records = Vec::new();
         for (token, (kind, a, b)) in (1..).zip(steps) {
             let step = (if kind % 16 < 2 { 12 } else { kind }, a, b);
-            let record = script::record(&plain.state, step, token);
-            plain.record(record.clone());
+            let record = script::record(&single_records_log.state, step, token);
+            single_records_log.record(record.clone());
             records.push(record);
         }
         let mut again = Log::with_team();
@@ -228,7 +230,10 @@
         for batch in log_entries(&records, &faults) {
             again.append(batch);
         }
-        assert_eq!(content_without_offsets(&again.state), content_without_offsets(&plain.state));
+        assert_eq!(
+            content_without_offsets(&again.state),
+            content_without_offsets(&single_records_log.state)
+        );
         true
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(120, 23)).tests(200);
--- a/daisy-ledger/tests/checkout.rs
+++ b/daisy-ledger/tests/checkout.rs
@@ -267,12 +267,14 @@
 #[test]
 fn the_number_of_intents_is_limited() {
     let mut log = Log::new();
-    let kept = daisy_ledger::Intents::MIN_REMEMBERED as u128;
-    for key in 0..kept + 5_000 {
+    let min_remembered = daisy_ledger::Intents::MIN_REMEMBERED as u128;
+    for key in 0..min_remembered + 5_000 {
         log.record(Record::Intent { key: key.wrapping_mul(0x9e37_79b9_7f4a_7c15), entry: VmId(1) });
     }
     let intents = &log.state.intents;
-    assert!(intents.len() >= kept as usize && intents.len() < kept as usize + 2_048);
+    assert!(
+        intents.len() >= min_remembered as usize && intents.len() < min_remembered as usize + 2_048
+    );
     assert!(intents.get(0).is_none());
 }
 
--- a/daisy-membership/src/heartbeat_targets.rs
+++ b/daisy-membership/src/heartbeat_targets.rs
@@ -62,21 +62,21 @@
     /// Returns the peers to which a heartbeat is due.
     fn due_targets(&self, now: Instant) -> Vec<VmId> {
         // A process that has just started sends at the full rate, so that peers learn of it.
-        let holds = self.holder_state.own_epoch(&self.options).is_some();
-        let urgent = holds || self.status == Status::Starting;
-        let local_period = self.options.local_period(urgent, self.peers.local_count());
+        let is_holder = self.holder_state.own_epoch(&self.options).is_some();
+        let at_full_rate = is_holder || self.status == Status::Starting;
+        let local_period = self.options.local_period(at_full_rate, self.peers.local_count());
         let remote = if self.represents_dc(now) { self.remote_targets() } else { Vec::new() };
         // A tick may come a little early or late; half a heartbeat interval of slack keeps the
         // rate.
         let slack = self.options.heartbeat / 2;
         let is_due = |(vm, peer): &(VmId, &Peer)| {
             let local = peer.dc == self.options.dc;
-            let wanted = match local {
+            let is_target = match local {
                 true => peer.listed || peer.last_received.is_some(),
                 false => remote.contains(vm),
             };
             let period = if local { local_period } else { self.options.remote_period() };
-            wanted && peer.last_sent.is_none_or(|at| now.since(at) + slack >= period)
+            is_target && peer.last_sent.is_none_or(|at| now.since(at) + slack >= period)
         };
         self.peers.iter().filter(is_due).map(|(vm, _)| vm).collect()
     }
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -274,15 +274,15 @@
         // the same time do not claim at the same time.
         let still_discovering =
             now.since(self.started) < self.options.peer_timeout(self.peers.local_count());
-        let present = |vm: VmId, peer: &Peer| {
+        let is_live_candidate = |vm: VmId, peer: &Peer| {
             let not_yet_received = still_discovering && peer.listed && peer.last_received.is_none();
             not_yet_received || (self.peers.alive(&self.options, now, vm) && !peer.is_leaving())
         };
         let local = self.peers.iter().filter(|(_, peer)| peer.dc == self.options.dc);
-        let before = local
+        let candidates_before = local
             .filter(|(vm, _)| *vm < self.options.vm && Some(*vm) != current_holder)
-            .filter(|(vm, peer)| present(*vm, peer));
-        u32::try_from(before.count()).unwrap_or(u32::MAX)
+            .filter(|(vm, peer)| is_live_candidate(*vm, peer));
+        u32::try_from(candidates_before.count()).unwrap_or(u32::MAX)
     }
 
     fn claim(&mut self, now: Instant, actions: &mut Vec<Action>) {
@@ -322,9 +322,9 @@
             };
         }
         let Some(holder_claim) = self.holder_state.holder_claim else { return Role::Idle };
-        let first = self.rank(now) == 0;
-        let dead = self.holder_state.is_vacant(&self.options, now);
-        match first && dead && !self.log_answers(now) {
+        let is_first_candidate = self.rank(now) == 0;
+        let is_vacant = self.holder_state.is_vacant(&self.options, now);
+        match is_first_candidate && is_vacant && !self.log_answers(now) {
             true => Role::LeaseRenewer(holder_claim.epoch),
             false => Role::Idle,
         }
--- a/daisy-membership/src/readiness.rs
+++ b/daisy-membership/src/readiness.rs
@@ -31,15 +31,15 @@
         if !self.has_vm_list || now.since(started) < options.discovery_time() {
             return false;
         }
-        let known = peers
+        let newest_ready_offset = peers
             .live_local_peers(options, now)
             .filter_map(|(_, peer)| peer.last)
             .filter(|last| last.status == Status::Ready)
             .map(|last| last.next)
             .max();
-        match (self.log_end, known) {
+        match (self.log_end, newest_ready_offset) {
             (Some(end), _) => next >= end,
-            (None, Some(known)) => next >= known,
+            (None, Some(newest_ready_offset)) => next >= newest_ready_offset,
             (None, None) => false,
         }
     }
--- a/daisy-membership/tests/membership/changeover.rs
+++ b/daisy-membership/tests/membership/changeover.rs
@@ -59,7 +59,7 @@
         assert_eq!(
             fleet.claims.len(),
             2,
-            "more than one claim replaced the holder: {:?}",
+            "expected exactly one claim after the holder died: {:?}",
             fleet.claims
         );
     }
