--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use daisy_ledger::Record;
-use daisy_membership::{Heartbeat, Source};
+use daisy_membership::{Heartbeat, RecordSource};
 use daisy_model::{Epoch, Instant, Offset, VmId};
 use daisy_wire::peer::{PeerAnswer, PeerQuery};
 use tokio::sync::oneshot;
@@ -37,7 +37,7 @@
     /// A read got no answer, or a peer's stream ended.
     ReadFailed {
         /// Where it was read.
-        source: Source,
+        source: RecordSource,
     },
     /// A try to append has ended.
     Appended(Appended),
@@ -48,7 +48,7 @@
     /// The platform's VM list is still the version passed on last.
     VmsUnchanged,
     /// A peer's heartbeat.
-    Beat {
+    Heartbeat {
         /// The heartbeat.
         beat: Heartbeat,
         /// All that the peer has in flight, by backend server.
--- a/daisy-ledger/src/lib.rs
+++ b/daisy-ledger/src/lib.rs
@@ -1,7 +1,7 @@
 //! Log records of daisyshift and their deterministic fold into state.
 //!
-//! The platform's log is the only thing that lasts. Every process folds the same
-//! records in the order of their offsets and so comes to the same [`State`].
+//! The platform's log is the only durable storage. Every process folds the same records in the
+//! order of their offsets and so computes the same [`State`].
 
 #![deny(missing_docs, unsafe_code)]
 
@@ -21,14 +21,15 @@
 mod subject;
 
 pub use crate::{
-    fold::{Applied, Outcome, Status},
+    fold::{Applied, EntryStatus, Outcome},
     intents::{Intent, Intents},
     jobs::Jobs,
     record::{AppendId, Batch, Placement, Record},
     refusal::Refusal,
     senders::Senders,
     state::{
-        AuditEntry, AuditFrom, Counts, Holding, Job, Owner, State, Task, TaskState, Team, Verdict,
+        AuditEntry, AuditStart, ChangeOutcome, FoldCounters, HolderClaim, Job, Owner, State, Task,
+        TaskState, Team,
     },
     subject::Subject,
 };
--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -10,7 +10,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use daisy_ledger::{AppendId, Batch, Record, State};
-use daisy_membership::{Heartbeat, Holding, Membership, Role};
+use daisy_membership::{Heartbeat, HolderClaim, Membership, Role};
 use daisy_model::{DcId, Epoch, Instant, Order, Resources, Vm, VmId, WorkerCall};
 use daisy_placement::{Holder, Options, WorkerStatus};
 use hdrhistogram::Histogram;
@@ -58,7 +58,7 @@
 /// What travels.
 #[derive(Debug)]
 enum Message {
-    Beat { to: usize, beat: Heartbeat },
+    Heartbeat { to: usize, beat: Heartbeat },
     Appended { from: usize, record: Record },
     Call { from: usize, vm: VmId, call: WorkerCall },
     NoAnswer { from: usize, vm: VmId },
@@ -237,7 +237,7 @@
     }
 
     fn tick_entry(&mut self, at: usize) {
-        let holding = self.state.holders.get(&DcId(0)).map(|it| Holding {
+        let holder_claim = self.state.holders.get(&DcId(0)).map(|it| HolderClaim {
             holder: it.holder,
             epoch: it.epoch,
             released: it.released,
@@ -248,7 +248,7 @@
         let vms = self.vms.clone();
         for event in [
             daisy_membership::Event::Vms(&vms),
-            daisy_membership::Event::Folded { next, generation, holding },
+            daisy_membership::Event::Folded { next, generation, holder_claim },
             daisy_membership::Event::Log { asked, end: Some(next) },
             daisy_membership::Event::Tick,
         ] {
@@ -268,14 +268,16 @@
         self.entries[at].membership.step(self.now, event, &mut actions);
         for action in actions {
             match action {
-                daisy_membership::Action::Beat(to) => self.beat(at, to),
+                daisy_membership::Action::Heartbeat(to) => self.beat(at, to),
                 daisy_membership::Action::Claim => {
                     let holder = VmId(FIRST_ENTRY + at as u32);
                     let record = Record::Claim { dc: DcId(0), holder };
                     self.append(at, record);
                 }
-                daisy_membership::Action::Become(Role::Holder(epoch)) => self.take_over(at, epoch),
-                daisy_membership::Action::Become(_) => self.entries[at].holder = None,
+                daisy_membership::Action::ChangeRole(Role::Holder(epoch)) => {
+                    self.take_over(at, epoch)
+                }
+                daisy_membership::Action::ChangeRole(_) => self.entries[at].holder = None,
                 _ => {}
             }
         }
@@ -291,7 +293,7 @@
     fn beat(&mut self, at: usize, to: VmId) {
         let beat = self.entries[at].membership.heartbeat(self.now);
         let to = (to.0 - FIRST_ENTRY) as usize;
-        self.flying.push_back((self.now + PEER_DELAY, Message::Beat { to, beat }));
+        self.flying.push_back((self.now + PEER_DELAY, Message::Heartbeat { to, beat }));
     }
 
     fn append(&mut self, from: usize, record: Record) {
@@ -318,10 +320,10 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Beat { to, beat } if self.entries[to].alive => {
+            Message::Heartbeat { to, beat } if self.entries[to].alive => {
                 self.step_membership(to, daisy_membership::Event::Heartbeat(beat));
             }
-            Message::Beat { .. } => {}
+            Message::Heartbeat { .. } => {}
             // An append that is on its way takes effect though its sender is dead.
             Message::Appended { from, record } => {
                 let is_claim = matches!(record, Record::Claim { .. });
--- a/daisy-query/src/explain/effect.rs
+++ b/daisy-query/src/explain/effect.rs
@@ -54,7 +54,8 @@
 /// Adds a line with the number of tasks of a new job that fit into the team's quota now.
 fn add_startable_count(table: &mut Table, state: &State, spec: &JobSpec) {
     let Some((team, _)) = state.team(&spec.team) else { return };
-    let startable = count_that_fit(spec.size, state.quota_room(team, spec.kind)).min(spec.tasks);
+    let startable =
+        count_that_fit(spec.size, state.quota_headroom(team, spec.kind)).min(spec.tasks);
     table.add_line("quota", format!("leaves room for {startable} of them now"));
 }
 
@@ -100,7 +101,7 @@
 /// Returns how many tasks with an index of at least `from` are checked out.
 fn count_checked_out_from(job: &Job, from: usize) -> usize {
     let rest = job.tasks.iter().skip(from);
-    rest.filter(|task| matches!(task.state, TaskState::Out(_))).count()
+    rest.filter(|task| matches!(task.state, TaskState::CheckedOut(_))).count()
 }
 
 fn cancel(table: &mut Table, before: &State, name: &Name) {
@@ -158,7 +159,8 @@
 
 /// Returns the VM on which a task runs according to the ledger.
 fn recorded_vm(task: &Task) -> Option<VmId> {
-    let is_running = matches!(task.state, TaskState::Out(_)) && task.incarnation > task.ended;
+    let is_running =
+        matches!(task.state, TaskState::CheckedOut(_)) && task.incarnation > task.ended;
     if is_running { task.vm } else { None }
 }
 
--- a/daisy-query/src/why/fleet.rs
+++ b/daisy-query/src/why/fleet.rs
@@ -1,6 +1,6 @@
 //! Answers `why vm` and `why request-class`.
 
-use daisy_ledger::{Holding, State, TaskState};
+use daisy_ledger::{HolderClaim, State, TaskState};
 use daisy_model::{Command, DcId, Name, Vm, VmId, VmRole, VmStatus};
 
 use crate::{
@@ -44,7 +44,7 @@
 }
 
 fn add_held_data_centres(table: &mut Table, state: &State, live: &LiveView, vm: VmId) {
-    let held: Vec<(&DcId, &Holding)> =
+    let held: Vec<(&DcId, &HolderClaim)> =
         state.holders.iter().filter(|(_, it)| it.holder == vm).collect();
     for (dc, holding) in held {
         let (dc, epoch) = (live.dc(*dc), holding.epoch);
@@ -56,7 +56,7 @@
 fn add_worker_state(table: &mut Table, state: &State, live: &LiveView, vm: &Vm) {
     let tasks = state.jobs.iter().flat_map(|(_, job)| &job.tasks);
     let recorded = tasks.filter(|task| {
-        let is_checked_out = matches!(task.state, TaskState::Out(_));
+        let is_checked_out = matches!(task.state, TaskState::CheckedOut(_));
         is_checked_out && task.vm == Some(vm.id) && task.incarnation > task.ended
     });
     table.add_line("ledger", format!("tasks recorded there: {}", recorded.count()));
--- a/daisy-query/src/why/task.rs
+++ b/daisy-query/src/why/task.rs
@@ -71,7 +71,7 @@
             table.add_line("ledger", "waits: no data centre has checked it out");
             add_next_start(table, task);
         }
-        TaskState::Out(owner) => add_owner(table, state, live, owner, task),
+        TaskState::CheckedOut(owner) => add_owner(table, state, live, owner, task),
         TaskState::Ended(exit) => {
             let incarnation = task.ended;
             let meaning = text::exit_meaning(exit);
@@ -131,7 +131,7 @@
     }
     let Some(team) = state.teams.get(job.team) else { return };
     let (used, limit) = (team.used, team.limit);
-    let free = state.quota_room(job.team, spec.kind);
+    let free = state.quota_headroom(job.team, spec.kind);
     let effect = if spec.size.fits(free) { "one more fits" } else { "one more does not fit" };
     let subject = ChangeSubject::Team(&team.name);
     let kind = text::kind(spec.kind);
@@ -147,7 +147,7 @@
 }
 
 fn add_live_state(table: &mut Table, live: &LiveView, id: TaskId, task: &Task) {
-    if !matches!(task.state, TaskState::Out(_)) {
+    if !matches!(task.state, TaskState::CheckedOut(_)) {
         return;
     }
     let running = live.tasks.get(&id);
--- a/daisy-workflow/src/balance.rs
+++ b/daisy-workflow/src/balance.rs
@@ -62,7 +62,7 @@
     /// Returns how many long-running tasks that each need this much of one worker fit into the free
     /// blocks.
     fn task_slots(&self, need: Resources) -> u64 {
-        self.free_blocks.iter().map(|it| u64::from(it.holds(need))).sum()
+        self.free_blocks.iter().map(|it| u64::from(it.count_fitting(need))).sum()
     }
 
     /// Returns the load with this demand added.
