--- a/daisy-entry/src/proxy.rs
+++ b/daisy-entry/src/proxy.rs
@@ -64,7 +64,7 @@
     /// Bounds against abuse.
     pub limits: Limits,
     /// Between not ready and the close of the callers' port in a planned stop.
-    pub balancer: Duration,
+    pub balancer_delay: Duration,
     /// Seeds the draws of backend servers and request ids; differs between processes.
     pub seed: u64,
 }
@@ -76,7 +76,7 @@
             vm: settings.vm,
             dc: settings.data_centre,
             limits: settings.limits.clone(),
-            balancer: settings.timing.balancer,
+            balancer_delay: settings.timing.balancer,
             seed,
         }
     }
@@ -205,7 +205,7 @@
             if first {
                 log::info!("event=draining vm={}", self.core.options.vm);
                 self.stage.send_replace(Stage::Leaving);
-                tokio::time::sleep(self.core.options.balancer).await;
+                tokio::time::sleep(self.core.options.balancer_delay).await;
                 self.stage.send_replace(Stage::Closed);
             }
             let _ = done.wait_for(|done| *done).await;
--- a/daisy-entry/tests/proxy/fixture.rs
+++ b/daisy-entry/tests/proxy/fixture.rs
@@ -112,7 +112,7 @@
         vm: VmId(1),
         dc: DcId(0),
         limits: Limits::default(),
-        balancer: Duration::from_millis(50),
+        balancer_delay: Duration::from_millis(50),
         seed: 7,
     }
 }
--- a/daisy-measure/src/proxy.rs
+++ b/daisy-measure/src/proxy.rs
@@ -130,7 +130,7 @@
         vm: VmId(1),
         dc: DcId(0),
         limits: Limits::default(),
-        balancer: Duration::ZERO,
+        balancer_delay: Duration::ZERO,
         seed: 1,
     };
     let proxy = Proxy::new(options, watched, NoPeers);
