--- a/daisy-entry/src/append_calls.rs
+++ b/daisy-entry/src/append_calls.rs
@@ -14,9 +14,9 @@
 
 /// What came of one try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Outcome {
+pub(crate) enum AppendOutcome {
     /// It stands in the log.
-    At(Offset),
+    Stored(Offset),
     /// Whether it stands there is open, or the log is out of reach.
     Unanswered,
     /// The log takes no more appends for a moment; nothing was appended.
@@ -34,24 +34,24 @@
             Ok(bytes) => outcome(platform.append(id, Bytes::from(bytes)).await),
             Err(e) => {
                 log::error!("event=append_rejected seq={} cause=\"{e}\"", id.seq);
-                Outcome::Rejected
+                AppendOutcome::Rejected
             }
         };
         let _ = control.send(Input::Appended(Appended { id, asked, outcome })).await;
     });
 }
 
-fn outcome(result: Result<Offset, PlatformError>) -> Outcome {
+fn outcome(result: Result<Offset, PlatformError>) -> AppendOutcome {
     match result {
-        Ok(offset) => Outcome::At(offset),
-        Err(PlatformError::Busy) => Outcome::Busy,
+        Ok(offset) => AppendOutcome::Stored(offset),
+        Err(PlatformError::Busy) => AppendOutcome::Busy,
         Err(PlatformError::Status(status)) if is_final(status) => {
             log::error!("event=append_rejected status={status}");
-            Outcome::Rejected
+            AppendOutcome::Rejected
         }
         Err(e) => {
             log::debug!("event=append_failed cause=\"{e}\"");
-            Outcome::Unanswered
+            AppendOutcome::Unanswered
         }
     }
 }
--- a/daisy-entry/src/boundary.rs
+++ b/daisy-entry/src/boundary.rs
@@ -27,13 +27,13 @@
     /// Notes in the platform's log that the request with the digest `key` is about to run.
     ///
     /// Of several for one key the first in the log wins, whoever appended it.
-    fn intend(&self, key: u128, timeout: Duration) -> impl Future<Output = Intent> + Send {
+    fn announce_intent(&self, key: u128, timeout: Duration) -> impl Future<Output = Intent> + Send {
         let _ = (key, timeout);
         async { Intent::Unavailable }
     }
 }
 
-/// What came of a [`PeerKeys::intend`].
+/// What came of a [`PeerKeys::announce_intent`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Intent {
     /// The first for its key: the request may run.
--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -7,13 +7,13 @@
 mod fold;
 mod holder;
 mod input;
-mod look;
+mod publish;
+mod query_data;
 mod ready;
 mod replicas;
 mod restore;
 mod routes;
 mod status;
-mod tell;
 
 use std::{sync::Arc, time::Duration};
 
@@ -32,11 +32,11 @@
     time::{MissedTickBehavior, interval, sleep},
 };
 
-use self::{append::Appends, fold::Suspect, holder::Driver, restore::Snapshots};
+use self::{append::Appends, fold::UndecodableEntry, holder::Driver, restore::Snapshots};
 pub(crate) use self::{
-    append::{Appended, Verdict},
+    append::{Appended, SubmitOutcome},
     input::{Input, Page},
-    look::Sight,
+    query_data::QueryData,
     replicas::Replicas,
     status::StatusJson,
 };
@@ -45,16 +45,16 @@
     clock::Clock,
     metrics::Metrics,
     peers::{Links, Tail},
-    platform::{Listing, Platform},
-    reader::{self, Plan},
+    platform::{Platform, VmListing},
+    reader::{self, ReadPlan},
 };
 
 /// Between ticks of the state machines: a fifth of the shortest period that they keep.
 const TICK: Duration = Duration::from_millis(100);
 /// Inputs that wait for the control task before their senders do.
-pub(crate) const QUEUE: usize = 1024;
+pub(crate) const INPUT_QUEUE: usize = 1024;
 /// The longest pause between looks at the queue of appends.
-const MAX_WAKE: Duration = Duration::from_secs(1);
+const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Who this process is.
 #[derive(Debug, Clone)]
@@ -81,7 +81,7 @@
     pub platform: Platform,
     pub links: Links,
     pub tail: Tail,
-    pub plan: watch::Sender<Plan>,
+    pub plan: watch::Sender<ReadPlan>,
     pub routes: watch::Sender<Arc<Routes>>,
     pub ready: watch::Sender<bool>,
     /// The way back in, for tasks that the control task spawns.
@@ -106,14 +106,14 @@
     /// A cold start that is not at the log's end yet.
     restore: Option<Restore>,
     /// An entry of the log that did not decode, until it is read again.
-    suspect: Option<Suspect>,
+    undecodable: Option<UndecodableEntry>,
     /// The offset of the configuration in force and when it came into force here.
     config: Option<(Offset, WallTime)>,
     routes_dirty: bool,
     /// When the link to a silent peer was last given up.
-    resets: SortedMap<VmId, Instant>,
+    last_resets: SortedMap<VmId, Instant>,
     /// Whether peers are to be told of replicas at the next tick.
-    tell_all: bool,
+    replicas_changed: bool,
     /// Since when the membership is ready for callers.
     ready_since: Option<Instant>,
 }
@@ -142,11 +142,11 @@
             replicas: SortedMap::new(),
             snapshots: Snapshots::new(clock.now()),
             restore: None,
-            suspect: None,
+            undecodable: None,
             config: None,
             routes_dirty: true,
-            resets: SortedMap::new(),
-            tell_all: false,
+            last_resets: SortedMap::new(),
+            replicas_changed: false,
             ready_since: None,
         }
     }
@@ -158,103 +158,105 @@
         loop {
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 _ = ticks.tick() => self.tick(),
-                () = sleep(self.until_wake()) => {}
+                () = sleep(self.time_until_wake()) => {}
             }
             self.flush(self.clock.now());
         }
     }
 
     /// Until the queue of appends wants to be looked at.
-    fn until_wake(&self) -> Duration {
+    fn time_until_wake(&self) -> Duration {
         let wake = self.appends.wake();
-        wake.map_or(MAX_WAKE, |at| at.since(self.clock.now()).min(MAX_WAKE))
+        wake.map_or(MAX_WAKE_INTERVAL, |at| at.since(self.clock.now()).min(MAX_WAKE_INTERVAL))
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.clock.now();
         match input {
             Input::Page(page, ack) => {
-                let next = self.take_page(now, page);
+                let next = self.handle_page(now, page);
                 let _ = ack.send(next);
             }
             Input::Snapshot { bytes, ack } => {
-                let next = self.load(now, &bytes);
+                let next = self.load_peer_state(now, &bytes);
                 let _ = ack.send(next);
             }
             Input::Expired { first, ack } => {
-                let next = self.expired(first);
+                let next = self.handle_log_expired(first);
                 let _ = ack.send(next);
             }
-            Input::ReadFailed { source } => self.read_failed(now, source),
-            Input::Appended(appended) => self.appended(now, appended),
+            Input::ReadFailed { source } => self.handle_read_failure(now, source),
+            Input::Appended(appended) => self.handle_append_result(now, appended),
             Input::Vms(listing) => {
-                self.list(now, listing);
-                self.confirm_list(now);
+                self.update_vm_list(now, listing);
+                self.confirm_vm_list(now);
             }
             // A peer's answer may cross a newer one of the platform.
             Input::PeerVms(listing) if listing.version <= self.vms_version => {}
-            Input::PeerVms(listing) => self.list(now, listing),
-            Input::VmsUnchanged => self.confirm_list(now),
-            Input::Beat { beat, in_flight } => {
+            Input::PeerVms(listing) => self.update_vm_list(now, listing),
+            Input::VmsUnchanged => self.confirm_vm_list(now),
+            Input::Heartbeat { beat, in_flight } => {
                 self.requests.peer_in_flight(beat.vm, in_flight);
-                self.step(now, Event::Heartbeat(beat));
+                self.step_membership(now, Event::Heartbeat(beat));
             }
-            Input::Replicas(replicas) => self.hear_replicas(replicas),
-            Input::Worker { by, epoch, vm, outcome } => {
-                self.worker_answered(now, (by, epoch), vm, outcome);
+            Input::Replicas(replicas) => self.handle_replicas(replicas),
+            Input::Worker { issuer, epoch, vm, outcome } => {
+                self.handle_worker_answer(now, (issuer, epoch), vm, outcome);
+            }
+            Input::WorkerUpdate { epoch, vm, update } => {
+                self.handle_worker_update(now, epoch, vm, update)
             }
-            Input::WorkerUpdate { epoch, vm, news } => self.worker_news(now, epoch, vm, news),
             Input::Question { question, reply } => {
-                let _ = reply.send(self.answer(now, question));
+                let _ = reply.send(self.answer_peer(now, question));
             }
             Input::Encode { reply } => {
                 let _ = reply.send(self.encode());
             }
             Input::Submit { record, reply } => self.submit(record, reply),
-            Input::Look { reply } => {
-                let _ = reply.send(self.sight(now));
+            Input::QueryData { reply } => {
+                let _ = reply.send(self.query_data(now));
             }
             Input::Status { reply } => {
                 let _ = reply.send(self.status(now));
             }
-            Input::Stop => self.step(now, Event::Stop),
-            Input::Flushed { reply } => self.when_flushed(reply),
+            Input::Stop => self.step_membership(now, Event::Stop),
+            Input::Flushed { reply } => self.notify_when_flushed(reply),
         }
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.step(now, Event::Tick);
-        self.drive(now, daisy_placement::Event::Tick);
-        self.care(now, LeaseRenewerEvent::Tick);
+        self.step_membership(now, Event::Tick);
+        self.drive_holder(now, daisy_placement::Event::Tick);
+        self.drive_lease_renewer(now, LeaseRenewerEvent::Tick);
         self.update_plan(now);
         self.publish_replicas();
-        self.tell_replicas(now);
+        self.broadcast_replicas(now);
         self.write_snapshot(now);
-        if self.routes_dirty || self.entries_changed(now) {
+        if self.routes_dirty || self.have_entries_changed(now) {
             self.publish_routes(now);
         }
         // After the routes, so that the first caller finds them.
-        self.show_ready(now);
-        self.observe(now);
+        self.publish_readiness(now);
+        self.update_metrics(now);
     }
 
     /// Lets the membership decide, and carries out what it wants.
-    fn step(&mut self, now: Instant, event: Event<'_>) {
+    fn step_membership(&mut self, now: Instant, event: Event<'_>) {
         let mut actions = Vec::new();
         self.membership.step(now, event, &mut actions);
         for action in actions {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
     }
 
-    fn carry_out(&mut self, now: Instant, action: Action) {
+    fn execute(&mut self, now: Instant, action: Action) {
         match action {
-            Action::Beat(vm) => self.tell(now, vm),
+            Action::Beat(vm) => self.send_update(now, vm),
             Action::Claim => {
                 log::info!("event=claim dc={} vm={}", self.identity.dc, self.identity.vm);
                 self.out.metrics.claims.inc();
@@ -275,21 +277,23 @@
 
     fn update_plan(&mut self, now: Instant) {
         let options = self.membership.options();
-        let alone = self.membership.peers().live_near(options, now).next().is_none();
-        let wait = reader::poll_wait(self.identity.holder_timeout, alone);
-        let plan = Plan { source: self.membership.source(), wait };
+        let has_no_peers = self.membership.peers().live_near(options, now).next().is_none();
+        let wait = reader::poll_wait(self.identity.holder_timeout, has_no_peers);
+        let plan = ReadPlan { source: self.membership.source(), wait };
         self.out.plan.send_if_modified(|it| std::mem::replace(it, plan) != plan);
     }
 
-    fn read_failed(&mut self, now: Instant, source: daisy_membership::Source) {
+    fn handle_read_failure(&mut self, now: Instant, source: daisy_membership::Source) {
         match source {
-            daisy_membership::Source::Log => self.step(now, Event::LogFailed),
-            daisy_membership::Source::Peer(vm) => self.step(now, Event::SourceFailed(vm)),
+            daisy_membership::Source::Log => self.step_membership(now, Event::LogFailed),
+            daisy_membership::Source::Peer(vm) => {
+                self.step_membership(now, Event::SourceFailed(vm))
+            }
         }
     }
 
-    fn list(&mut self, now: Instant, listing: Listing) {
-        let Listing { version, mut vms } = listing;
+    fn update_vm_list(&mut self, now: Instant, listing: VmListing) {
+        let VmListing { version, mut vms } = listing;
         vms.sort_by_key(|vm| vm.id);
         self.vms_version = version;
         self.vms = Arc::from(vms);
@@ -297,7 +301,7 @@
         let others = vms.iter().filter(|vm| vm.role == daisy_model::VmRole::Entry);
         let others = others.filter(|vm| vm.id != self.identity.vm);
         self.out.links.set_addresses(others.map(|vm| (vm.id, vm.control)).collect());
-        self.step(now, Event::Vms(&vms));
+        self.step_membership(now, Event::Vms(&vms));
         self.routes_dirty = true;
     }
 
@@ -305,13 +309,13 @@
     /// only by a list that is young enough. An unchanged list that nobody confirms never is,
     /// and such tasks would stay blocked until the list happens to change. A peer's list, which
     /// it may have read long ago, settles nothing.
-    fn confirm_list(&mut self, now: Instant) {
+    fn confirm_vm_list(&mut self, now: Instant) {
         let vms = Arc::clone(&self.vms);
-        self.drive(now, daisy_placement::Event::Vms(&vms));
-        self.care(now, LeaseRenewerEvent::Vms(&vms));
+        self.drive_holder(now, daisy_placement::Event::Vms(&vms));
+        self.drive_lease_renewer(now, LeaseRenewerEvent::Vms(&vms));
     }
 
-    fn answer(&mut self, now: Instant, question: Question) -> Answer {
+    fn answer_peer(&mut self, now: Instant, question: Question) -> Answer {
         match question {
             Question::Vms { known } if !self.vms.is_empty() && known < Some(self.vms_version) => {
                 Answer::Vms { version: self.vms_version, vms: self.vms.to_vec() }
@@ -325,7 +329,7 @@
     }
 
     /// Whether an entry VM has come to life or fallen silent since routes were published.
-    fn entries_changed(&self, now: Instant) -> bool {
+    fn have_entries_changed(&self, now: Instant) -> bool {
         let entries = routes::entries(now, self.identity.dc, &self.membership);
         entries != self.out.routes.borrow().entries
     }
@@ -333,7 +337,7 @@
     fn publish_routes(&mut self, now: Instant) {
         self.routes_dirty = false;
         let version = self.out.routes.borrow().version + 1;
-        let parts = routes::Parts {
+        let parts = routes::RouteSources {
             now,
             dc: self.identity.dc,
             regions: &self.identity.regions,
@@ -353,7 +357,7 @@
         });
     }
 
-    fn observe(&self, now: Instant) {
+    fn update_metrics(&self, now: Instant) {
         let options = self.membership.options();
         let alive = self.membership.peers().iter();
         let alive =
--- a/daisy-entry/src/control/append.rs
+++ b/daisy-entry/src/control/append.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    append_calls::{self, Outcome as Try},
+    append_calls::{self, AppendOutcome},
     boundary::RequestSide,
     control::Control,
 };
@@ -23,11 +23,11 @@
 /// few hundred. At 50 ms the log itself was 2.2 KB a second at the peak of 62 starts a second
 /// (`daisy-measure ledger`), more than a node may spend on all of control. A first append after
 /// a pause does not wait.
-const INTERVAL: Duration = Duration::from_millis(150);
+const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(150);
 
 /// What became of a record that somebody waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum SubmitOutcome {
     /// The fold has decided.
     Folded(Outcome),
     /// It is not in the log and will not be.
@@ -42,7 +42,7 @@
     /// When it was sent.
     pub asked: Instant,
     /// What came of it.
-    pub outcome: Try,
+    pub outcome: AppendOutcome,
 }
 
 /// Records on their way to the log.
@@ -50,11 +50,11 @@
 pub(super) struct Appends {
     queue: Queue,
     /// By ticket.
-    waiters: SortedMap<u64, oneshot::Sender<Verdict>>,
+    waiters: SortedMap<u64, oneshot::Sender<SubmitOutcome>>,
     /// Names claims, which do not go through the queue.
-    claims: AppendId,
+    last_claim: AppendId,
     /// What was last told about the log's reach.
-    told_reachable: bool,
+    reported_reachable: bool,
     flushing: Vec<oneshot::Sender<()>>,
 }
 
@@ -62,10 +62,10 @@
     /// Nothing on its way, for the process that `sender` names.
     pub fn new(sender: u64) -> Appends {
         Appends {
-            queue: Queue::new(Options::new(sender, INTERVAL)),
+            queue: Queue::new(Options::new(sender, MIN_APPEND_INTERVAL)),
             waiters: SortedMap::new(),
-            claims: AppendId { sender: !sender, seq: 0 },
-            told_reachable: true,
+            last_claim: AppendId { sender: !sender, seq: 0 },
+            reported_reachable: true,
             flushing: Vec::new(),
         }
     }
@@ -99,14 +99,14 @@
     ///
     /// While the log is out of reach nothing more is taken in: its sender would be told that
     /// it failed, and see it take effect an hour later.
-    pub(super) fn submit(&mut self, record: Record, reply: oneshot::Sender<Verdict>) {
+    pub(super) fn submit(&mut self, record: Record, reply: oneshot::Sender<SubmitOutcome>) {
         if !self.appends.reachable() {
-            let _ = reply.send(Verdict::NotSent("the log takes no appends"));
+            let _ = reply.send(SubmitOutcome::NotSent("the log takes no appends"));
             return;
         }
         match self.appends.queue.push(record) {
             Ok(ticket) => drop(self.appends.waiters.insert(ticket, reply)),
-            Err(_) => drop(reply.send(Verdict::NotSent("too many records wait for the log"))),
+            Err(_) => drop(reply.send(SubmitOutcome::NotSent("too many records wait for the log"))),
         }
     }
 
@@ -116,28 +116,28 @@
     /// that came in between. It goes past the queue, which would send it again until the end
     /// of an outage, and another claim is a new decision.
     pub(super) fn append_claim(&mut self) {
-        self.appends.claims.seq += 1;
+        self.appends.last_claim.seq += 1;
         let record = Record::Claim { dc: self.identity.dc, holder: self.identity.vm };
-        let batch = Batch { id: self.appends.claims, records: vec![record] };
+        let batch = Batch { id: self.appends.last_claim, records: vec![record] };
         self.send(batch);
     }
 
     /// Takes the outcome of a try in.
-    pub(super) fn appended(&mut self, now: Instant, appended: Appended) {
+    pub(super) fn handle_append_result(&mut self, now: Instant, appended: Appended) {
         let Appended { id, asked, outcome } = appended;
-        self.out.metrics.append(matches!(outcome, Try::At(_)));
-        if matches!(outcome, Try::At(_)) {
-            self.step(now, MembershipEvent::Log { asked, end: None });
+        self.out.metrics.append(matches!(outcome, AppendOutcome::Stored(_)));
+        if matches!(outcome, AppendOutcome::Stored(_)) {
+            self.step_membership(now, MembershipEvent::Log { asked, end: None });
         }
-        if id.sender == self.appends.claims.sender {
-            self.step(now, MembershipEvent::ClaimEnded);
+        if id.sender == self.appends.last_claim.sender {
+            self.step_membership(now, MembershipEvent::ClaimEnded);
             return;
         }
         let event = match outcome {
-            Try::At(offset) => Event::Answered { id, offset },
-            Try::Unanswered => Event::Unanswered { id },
-            Try::Busy => Event::Busy { id },
-            Try::Rejected => Event::Rejected { id },
+            AppendOutcome::Stored(offset) => Event::Answered { id, offset },
+            AppendOutcome::Unanswered => Event::Unanswered { id },
+            AppendOutcome::Busy => Event::Busy { id },
+            AppendOutcome::Rejected => Event::Rejected { id },
         };
         self.step_queue(now, event, None);
     }
@@ -158,7 +158,7 @@
     }
 
     /// Tells `waiter` when everything that was to be appended is in the log.
-    pub(super) fn when_flushed(&mut self, waiter: oneshot::Sender<()>) {
+    pub(super) fn notify_when_flushed(&mut self, waiter: oneshot::Sender<()>) {
         self.appends.flushing.push(waiter);
     }
 
@@ -173,35 +173,35 @@
                 Action::Done(tickets) => {
                     let outcomes = outcomes.filter(|_| Some(at) == last).unwrap_or(&[]);
                     for (ticket, outcome) in tickets.clone().zip(outcomes) {
-                        self.tell_waiter(ticket, Some(Verdict::Folded(outcome.clone())));
+                        self.resolve_waiter(ticket, Some(SubmitOutcome::Folded(outcome.clone())));
                     }
-                    tickets.for_each(|ticket| self.tell_waiter(ticket, None));
+                    tickets.for_each(|ticket| self.resolve_waiter(ticket, None));
                 }
                 Action::Dropped(tickets) => {
-                    let verdict = Verdict::NotSent("the log does not take it");
-                    tickets.for_each(|it| self.tell_waiter(it, Some(verdict.clone())));
+                    let outcome = SubmitOutcome::NotSent("the log does not take it");
+                    tickets.for_each(|it| self.resolve_waiter(it, Some(outcome.clone())));
                 }
             }
         }
-        self.note_reach(now);
+        self.report_reachability(now);
     }
 
     /// Tells the holder when the log has come into or out of reach.
-    fn note_reach(&mut self, now: Instant) {
+    fn report_reachability(&mut self, now: Instant) {
         let reachable = self.appends.queue.is_reachable();
-        if self.appends.told_reachable != reachable {
-            self.appends.told_reachable = reachable;
+        if self.appends.reported_reachable != reachable {
+            self.appends.reported_reachable = reachable;
             log::warn!("event=log_appends reachable={reachable}");
-            self.drive(now, daisy_placement::Event::Log { reachable });
+            self.drive_holder(now, daisy_placement::Event::Log { reachable });
         }
     }
 
     /// Tells a waiter; without a verdict its sender is dropped, and the outcome stays open.
-    fn tell_waiter(&mut self, ticket: u64, verdict: Option<Verdict>) {
+    fn resolve_waiter(&mut self, ticket: u64, outcome: Option<SubmitOutcome>) {
         if let Some(waiter) = self.appends.waiters.remove(&ticket)
-            && let Some(verdict) = verdict
+            && let Some(outcome) = outcome
         {
-            let _ = waiter.send(verdict);
+            let _ = waiter.send(outcome);
         }
     }
 
--- a/daisy-entry/src/control/fold.rs
+++ b/daisy-entry/src/control/fold.rs
@@ -16,31 +16,31 @@
 
 /// An entry of the log that did not decode when it was first read.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Suspect {
+pub(super) struct UndecodableEntry {
     offset: Offset,
     bytes: Bytes,
 }
 
 /// Whether the fold can go on after an entry.
-enum Folded {
-    On,
+enum FoldProgress {
+    Continue,
     Halt,
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
     /// Takes a page in, and tells the offset to read on from.
-    pub(super) fn take_page(&mut self, now: Instant, page: Page) -> Offset {
+    pub(super) fn handle_page(&mut self, now: Instant, page: Page) -> Offset {
         let Page { asked, bounds, records } = page;
         let end = bounds.map(|(_, end)| end);
         if let Some((first, _)) = bounds {
-            self.snapshots.kept_from(first);
+            self.snapshots.set_first_retained(first);
         }
         let next = match self.restore.take() {
             Some(restore) => self.restore_page(now, restore, end, &records),
             None => self.fold_page(now, &records),
         };
         if end.is_some() {
-            self.step(now, Event::Log { asked, end });
+            self.step_membership(now, Event::Log { asked, end });
         }
         next
     }
@@ -52,59 +52,59 @@
             if *offset < self.state.next {
                 continue;
             }
-            if let Folded::Halt = self.fold_entry(now, *offset, bytes) {
+            if let FoldProgress::Halt = self.fold_entry(now, *offset, bytes) {
                 break;
             }
         }
         if self.state.next != before {
-            self.folded(now);
+            self.after_fold(now);
         }
         self.state.next
     }
 
-    fn fold_entry(&mut self, now: Instant, offset: Offset, bytes: &Bytes) -> Folded {
+    fn fold_entry(&mut self, now: Instant, offset: Offset, bytes: &Bytes) -> FoldProgress {
         let batch = match daisy_wire::log::decode(bytes) {
             Ok(batch) => batch,
-            Err(e) => return self.undecoded(offset, bytes, &e),
+            Err(e) => return self.handle_undecodable(offset, bytes, &e),
         };
         let generation = self.state.generation;
         let state = Arc::make_mut(&mut self.state);
         let applied = state.apply(offset, &batch);
         if applied.status == daisy_ledger::Status::Gap {
             log::warn!("event=log_gap offset={offset} next={}", self.state.next);
-            return Folded::Halt;
+            return FoldProgress::Halt;
         }
         self.out.tail.push(offset, bytes.clone());
-        self.snapshots.folded(now, &self.state, bytes.len());
+        self.snapshots.record_folded(now, &self.state, bytes.len());
         if self.state.generation != generation {
             self.config = Some((offset, self.clock.wall()));
         }
-        self.learn(now, &batch, applied);
-        Folded::On
+        self.process_outcomes(now, &batch, applied);
+        FoldProgress::Continue
     }
 
     /// Guard: bytes spoilt on their way would be passed over here and folded elsewhere, and
     /// states would differ for ever. An entry is passed over only when a second read gives the
     /// same bytes; one of a newer version stops the fold, as newer processes take it in.
-    fn undecoded(&mut self, offset: Offset, bytes: &Bytes, e: &WireError) -> Folded {
+    fn handle_undecodable(&mut self, offset: Offset, bytes: &Bytes, e: &WireError) -> FoldProgress {
         if matches!(e, WireError::Version { .. }) {
             log::error!("event=log_entry_newer offset={offset} cause=\"{e}\"");
-            return Folded::Halt;
+            return FoldProgress::Halt;
         }
-        let suspect = Suspect { offset, bytes: bytes.clone() };
-        if self.suspect.as_ref() != Some(&suspect) {
-            self.suspect = Some(suspect);
-            return Folded::Halt;
+        let undecodable = UndecodableEntry { offset, bytes: bytes.clone() };
+        if self.undecodable.as_ref() != Some(&undecodable) {
+            self.undecodable = Some(undecodable);
+            return FoldProgress::Halt;
         }
         log::error!("event=log_entry_skipped offset={offset} cause=\"{e}\"");
         Arc::make_mut(&mut self.state).skip(offset);
         self.out.tail.push(offset, bytes.clone());
-        self.suspect = None;
-        Folded::On
+        self.undecodable = None;
+        FoldProgress::Continue
     }
 
     /// Tells who waits for the batch, and looks for signs of life of the holder.
-    fn learn(&mut self, now: Instant, batch: &Batch, applied: Applied) {
+    fn process_outcomes(&mut self, now: Instant, batch: &Batch, applied: Applied) {
         self.append_folded(now, batch.id, &applied.outcomes);
         for (record, outcome) in batch.records.iter().zip(&applied.outcomes) {
             if let (Record::Change(change), Outcome::Refused(refusal)) = (record, outcome) {
@@ -113,13 +113,13 @@
             if let Some((dc, epoch)) = epoch_of(record)
                 && dc == self.identity.dc
             {
-                self.step(now, Event::HolderSign(epoch));
+                self.step_membership(now, Event::HolderSign(epoch));
             }
         }
     }
 
     /// The fold has moved on.
-    pub(super) fn folded(&mut self, now: Instant) {
+    pub(super) fn after_fold(&mut self, now: Instant) {
         self.out.tail.publish(self.state.next);
         let holding = self.state.holders.get(&self.identity.dc).map(|it| Holding {
             holder: it.holder,
@@ -128,13 +128,13 @@
         });
         let event =
             Event::Folded { next: self.state.next, generation: self.state.generation.0, holding };
-        self.step(now, event);
+        self.step_membership(now, event);
         let state = Arc::clone(&self.state);
         let own = self.identity.dc;
         for (dc, holding) in state.holders.iter().filter(|(dc, _)| **dc != own) {
-            self.step(now, Event::FarHolder { dc: *dc, holder: holding.holder });
+            self.step_membership(now, Event::FarHolder { dc: *dc, holder: holding.holder });
         }
-        self.drive(now, daisy_placement::Event::Ledger(&state));
+        self.drive_holder(now, daisy_placement::Event::Ledger(&state));
         self.routes_dirty = true;
     }
 }
--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -11,7 +11,7 @@
 use crate::{
     boundary::RequestSide,
     control::{Control, Identity},
-    worker_calls::{self, Answered, By, Line, Silence, WorkerUpdate},
+    worker_calls::{self, CallFailure, CallIssuer, CallTarget, WorkerAnswer, WorkerUpdate},
 };
 
 /// The holder or caretaker, while this entry VM is one.
@@ -21,12 +21,12 @@
     /// A holder that cannot show its lease decides nothing until it can again.
     suspended: bool,
     /// Workers whose answers came while the holder was suspended.
-    unheard: Vec<VmId>,
-    caretaker: Option<(Epoch, LeaseRenewer)>,
+    answered_while_suspended: Vec<VmId>,
+    lease_renewer: Option<(Epoch, LeaseRenewer)>,
     /// What each worker has told, so that it tells changes only.
     mirrors: SortedMap<VmId, Mirror>,
     /// Workers whose news are waited for; one wait a worker.
-    watched: SortedMap<VmId, ()>,
+    pending_update_waits: SortedMap<VmId, ()>,
 }
 
 impl Driver {
@@ -48,13 +48,13 @@
         log::info!("event=role dc={} role={name} epoch={epoch}", self.identity.dc);
         match role {
             Role::Idle => self.driver = Driver::default(),
-            Role::LeaseRenewer(epoch) => self.take_care(now, epoch),
-            Role::Holder(epoch) => self.hold(now, epoch),
+            Role::LeaseRenewer(epoch) => self.start_lease_renewer(now, epoch),
+            Role::Holder(epoch) => self.start_or_resume_holder(now, epoch),
         }
     }
 
-    fn hold(&mut self, now: Instant, epoch: Epoch) {
-        self.driver.caretaker = None;
+    fn start_or_resume_holder(&mut self, now: Instant, epoch: Epoch) {
+        self.driver.lease_renewer = None;
         let resumed = self.driver.holder.as_ref().is_some_and(|it| it.epoch() == epoch);
         if !resumed {
             self.driver = Driver::default();
@@ -62,121 +62,137 @@
         }
         self.driver.suspended = false;
         let reachable = self.appends.reachable();
-        self.drive(now, Event::Log { reachable });
+        self.drive_holder(now, Event::Log { reachable });
         let (state, vms) = (self.state.clone(), self.vms.clone());
-        self.drive(now, Event::Ledger(&state));
+        self.drive_holder(now, Event::Ledger(&state));
         if !resumed {
             // One that goes on waits for the next read: the list at hand may be old by now.
-            self.drive(now, Event::Vms(&vms));
+            self.drive_holder(now, Event::Vms(&vms));
         }
         // What those workers said is old by now: to the holder their answers are lost.
-        for vm in std::mem::take(&mut self.driver.unheard) {
-            self.drive(now, Event::CallFailed { vm, sent: true });
+        for vm in std::mem::take(&mut self.driver.answered_while_suspended) {
+            self.drive_holder(now, Event::CallFailed { vm, sent: true });
         }
     }
 
-    fn take_care(&mut self, now: Instant, epoch: Epoch) {
+    fn start_lease_renewer(&mut self, now: Instant, epoch: Epoch) {
         self.driver.suspended = true;
-        let caretaker = LeaseRenewer::new(options(&self.identity, epoch));
-        self.driver.caretaker = Some((epoch, caretaker));
+        let lease_renewer = LeaseRenewer::new(options(&self.identity, epoch));
+        self.driver.lease_renewer = Some((epoch, lease_renewer));
         let vms = self.vms.clone();
-        self.care(now, LeaseRenewerEvent::Vms(&vms));
+        self.drive_lease_renewer(now, LeaseRenewerEvent::Vms(&vms));
     }
 
     /// Lets the holder decide, if there is one, and carries out what it wants.
-    pub(super) fn drive(&mut self, now: Instant, event: Event<'_>) {
+    pub(super) fn drive_holder(&mut self, now: Instant, event: Event<'_>) {
         let Some(holder) = self.driver.active() else { return };
         let mut actions = Vec::new();
         holder.step(now, event, &mut actions);
-        self.carry_out_for(By::Holder, actions);
+        self.execute_for(CallIssuer::Holder, actions);
     }
 
     /// Lets the caretaker decide, if there is one, and carries out what it wants.
-    pub(super) fn care(&mut self, now: Instant, event: LeaseRenewerEvent<'_>) {
-        let Some((_, caretaker)) = &mut self.driver.caretaker else { return };
+    pub(super) fn drive_lease_renewer(&mut self, now: Instant, event: LeaseRenewerEvent<'_>) {
+        let Some((_, lease_renewer)) = &mut self.driver.lease_renewer else { return };
         let mut actions = Vec::new();
-        caretaker.step(now, event, &mut actions);
-        self.carry_out_for(By::LeaseRenewer, actions);
+        lease_renewer.step(now, event, &mut actions);
+        self.execute_for(CallIssuer::LeaseRenewer, actions);
     }
 
-    fn carry_out_for(&mut self, by: By, actions: Vec<Action>) {
+    fn execute_for(&mut self, issuer: CallIssuer, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Append(record) => self.append(record),
                 Action::Call { vm, call } => {
                     let seen = self.driver.mirrors.get(&vm).and_then(Mirror::seen);
-                    worker_calls::spawn(self.line(vm), by, call, seen);
+                    worker_calls::spawn(self.call_target(vm), issuer, call, seen);
                 }
             }
         }
     }
 
     /// Takes a worker's answer in, if it is for who decides now.
-    pub(super) fn worker_answered(
+    pub(super) fn handle_worker_answer(
         &mut self,
         now: Instant,
-        (by, epoch): (By, Epoch),
+        (issuer, epoch): (CallIssuer, Epoch),
         vm: VmId,
-        outcome: Result<Answered, Silence>,
+        outcome: Result<WorkerAnswer, CallFailure>,
     ) {
         self.out.metrics.worker_call(outcome.is_ok());
-        let outcome = outcome.and_then(|answered| self.complete(vm, answered));
-        match by {
-            By::LeaseRenewer if self.driver.caretaker.as_ref().is_some_and(|it| it.0 == epoch) => {
+        let outcome = outcome.and_then(|answered| self.complete_report(vm, answered));
+        match issuer {
+            CallIssuer::LeaseRenewer
+                if self.driver.lease_renewer.as_ref().is_some_and(|it| it.0 == epoch) =>
+            {
                 let event = match outcome {
                     Ok(report) => LeaseRenewerEvent::Report { vm, epoch: report.epoch },
                     Err(_) => LeaseRenewerEvent::CallFailed { vm },
                 };
-                self.care(now, event);
+                self.drive_lease_renewer(now, event);
             }
-            By::Holder if self.driver.holder.as_ref().is_some_and(|it| it.epoch() == epoch) => {
+            CallIssuer::Holder
+                if self.driver.holder.as_ref().is_some_and(|it| it.epoch() == epoch) =>
+            {
                 if self.driver.suspended {
-                    self.driver.unheard.push(vm);
+                    self.driver.answered_while_suspended.push(vm);
                 }
                 match &outcome {
                     Ok(report) => {
-                        self.drive(now, Event::Report { vm, report });
-                        self.watch(vm, epoch);
+                        self.drive_holder(now, Event::Report { vm, report });
+                        self.wait_for_update(vm, epoch);
+                    }
+                    Err(silence) => {
+                        self.drive_holder(now, Event::CallFailed { vm, sent: silence.sent })
                     }
-                    Err(silence) => self.drive(now, Event::CallFailed { vm, sent: silence.sent }),
                 }
             }
             // Of a holding that has ended.
-            By::LeaseRenewer | By::Holder => {}
+            CallIssuer::LeaseRenewer | CallIssuer::Holder => {}
         }
     }
 
     /// Makes a worker's whole report of what it has told before and what it tells now.
-    fn complete(&mut self, vm: VmId, answered: Answered) -> Result<WorkerReport, Silence> {
+    fn complete_report(
+        &mut self,
+        vm: VmId,
+        answered: WorkerAnswer,
+    ) -> Result<WorkerReport, CallFailure> {
         let mirror = self.driver.mirrors.get_or_insert_with(vm, Mirror::new);
-        mirror.take(&answered.orders, answered.report).ok_or(Silence { sent: true })
+        mirror.take(&answered.orders, answered.report).ok_or(CallFailure { sent: true })
     }
 
     /// Waits for a worker's news, unless somebody does already.
-    fn watch(&mut self, vm: VmId, epoch: Epoch) {
+    fn wait_for_update(&mut self, vm: VmId, epoch: Epoch) {
         let Some(seen) = self.driver.mirrors.get(&vm).and_then(Mirror::seen) else { return };
-        if !self.driver.watched.contains_key(&vm) {
-            self.driver.watched.insert(vm, ());
-            worker_calls::watch(self.line(vm), epoch, seen);
+        if !self.driver.pending_update_waits.contains_key(&vm) {
+            self.driver.pending_update_waits.insert(vm, ());
+            worker_calls::wait_for_update(self.call_target(vm), epoch, seen);
         }
     }
 
     /// Has a worker called that has news; one that did not answer is asked again only after
     /// its next report.
-    pub(super) fn worker_news(&mut self, now: Instant, epoch: Epoch, vm: VmId, news: WorkerUpdate) {
+    pub(super) fn handle_worker_update(
+        &mut self,
+        now: Instant,
+        epoch: Epoch,
+        vm: VmId,
+        update: WorkerUpdate,
+    ) {
         if self.driver.holder.as_ref().is_none_or(|it| it.epoch() != epoch) {
             return;
         }
-        self.driver.watched.remove(&vm);
-        match news {
-            WorkerUpdate::Some => self.drive(now, Event::WorkerUpdate { vm }),
-            WorkerUpdate::None => self.watch(vm, epoch),
+        self.driver.pending_update_waits.remove(&vm);
+        match update {
+            WorkerUpdate::Available => self.drive_holder(now, Event::WorkerUpdate { vm }),
+            WorkerUpdate::Unchanged => self.wait_for_update(vm, epoch),
             WorkerUpdate::Unreachable => {}
         }
     }
 
-    fn line(&self, vm: VmId) -> Line {
-        Line {
+    fn call_target(&self, vm: VmId) -> CallTarget {
+        CallTarget {
             http: self.out.http.clone(),
             vm,
             address: self.worker(vm).map(|it| it.control),
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -10,9 +10,9 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    control::{Appended, Replicas, Sight, StatusJson, Verdict},
-    platform::Listing,
-    worker_calls::{Answered, By, Silence, WorkerUpdate},
+    control::{Appended, QueryData, Replicas, StatusJson, SubmitOutcome},
+    platform::VmListing,
+    worker_calls::{CallFailure, CallIssuer, WorkerAnswer, WorkerUpdate},
 };
 
 /// One event for the control task.
@@ -42,13 +42,13 @@
     /// A try to append has ended.
     Appended(Appended),
     /// A new version of the platform's VM list.
-    Vms(Listing),
+    Vms(VmListing),
     /// A newer version of it as a peer has it.
-    PeerVms(Listing),
+    PeerVms(VmListing),
     /// The platform's VM list is still the version passed on last.
     VmsUnchanged,
     /// A peer's heartbeat.
-    Beat {
+    Heartbeat {
         /// The heartbeat.
         beat: Heartbeat,
         /// All that the peer has in flight, by backend server.
@@ -59,13 +59,13 @@
     /// A call to a worker has ended.
     Worker {
         /// Who called.
-        by: By,
+        issuer: CallIssuer,
         /// The epoch of the call.
         epoch: Epoch,
         /// The worker.
         vm: VmId,
         /// Its answer.
-        outcome: Result<Answered, Silence>,
+        outcome: Result<WorkerAnswer, CallFailure>,
     },
     /// A wait for a worker's news has ended.
     WorkerUpdate {
@@ -74,7 +74,7 @@
         /// The worker.
         vm: VmId,
         /// How.
-        news: WorkerUpdate,
+        update: WorkerUpdate,
     },
     /// A peer asks.
     Question {
@@ -93,12 +93,12 @@
         /// The record.
         record: Record,
         /// Told what the fold made of it; dropped when that stays open.
-        reply: oneshot::Sender<Verdict>,
+        reply: oneshot::Sender<SubmitOutcome>,
     },
     /// An operator looks.
-    Look {
+    QueryData {
         /// Told what there is to see.
-        reply: oneshot::Sender<Sight>,
+        reply: oneshot::Sender<QueryData>,
     },
     /// A check asks how this entry VM stands.
     Status {
--- a/daisy-entry/src/control/tell.rs
+++ b/daisy-entry/src/control/publish.rs
@@ -9,42 +9,42 @@
 use crate::{
     boundary::RequestSide,
     control::{Control, Replicas, StatusJson, replicas, status::PeerJson},
-    peers::{Command, Told},
+    peers::{Command, PeerUpdate},
 };
 
 /// Before a connection to a silent peer is made anew.
-const RESET_PERIOD: Duration = Duration::from_secs(3);
+const RESET_INTERVAL: Duration = Duration::from_secs(3);
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
     /// Sends the present heartbeat to a peer, with all else that it should know.
-    pub(super) fn tell(&mut self, now: Instant, vm: VmId) {
-        self.reset_if_silent(now, vm);
+    pub(super) fn send_update(&mut self, now: Instant, vm: VmId) {
+        self.reset_if_unresponsive(now, vm);
         let near = self.membership.peers().get(vm).is_some_and(|it| it.dc == self.identity.dc);
         let mut in_flight = match near {
             true => self.requests.in_flight(),
             false => Vec::new(),
         };
         in_flight.sort_unstable();
-        let told = Told {
+        let update = PeerUpdate {
             beat: self.membership.heartbeat(now),
             in_flight: Arc::new(in_flight),
             replicas: self.replicas_for(now, near),
         };
-        self.out.links.send(vm, Command::Tell(told));
+        self.out.links.send(vm, Command::Update(update));
     }
 
     /// Guard: a connection through a link that was cut may hang until TCP gives up, many
     /// minutes after the link is back, and the peer would stay silent for as long. The
     /// connection to a peer that is not heard is made anew every few seconds.
-    fn reset_if_silent(&mut self, now: Instant, vm: VmId) {
+    fn reset_if_unresponsive(&mut self, now: Instant, vm: VmId) {
         let options = self.membership.options();
         if self.membership.peers().alive(options, now, vm) {
-            self.resets.insert(vm, now);
+            self.last_resets.insert(vm, now);
             return;
         }
-        let last = *self.resets.get_or_insert_with(vm, || now);
-        if now.since(last) >= RESET_PERIOD {
-            self.resets.insert(vm, now);
+        let last = *self.last_resets.get_or_insert_with(vm, || now);
+        if now.since(last) >= RESET_INTERVAL {
+            self.last_resets.insert(vm, now);
             self.out.links.send(vm, Command::Reset);
         }
     }
@@ -70,11 +70,11 @@
         let version = known.map_or(1, |it| it.version + 1);
         self.replicas.insert(dc, Arc::new(Replicas { dc, epoch, version, all }));
         self.routes_dirty = true;
-        self.tell_all = true;
+        self.replicas_changed = true;
     }
 
     /// Takes in where services run, as a peer tells it.
-    pub(super) fn hear_replicas(&mut self, replicas: Arc<Replicas>) {
+    pub(super) fn handle_replicas(&mut self, replicas: Arc<Replicas>) {
         let own = replicas.dc == self.identity.dc;
         if own && matches!(self.membership.role(), Role::Holder(epoch) if epoch >= replicas.epoch) {
             return;
@@ -84,16 +84,16 @@
         }
         self.replicas.insert(replicas.dc, replicas);
         self.routes_dirty = true;
-        self.tell_all = true;
+        self.replicas_changed = true;
     }
 
     /// Passes changed replicas on without waiting for the next heartbeat.
-    pub(super) fn tell_replicas(&mut self, now: Instant) {
-        if !std::mem::take(&mut self.tell_all) || !self.membership.speaks(now) {
+    pub(super) fn broadcast_replicas(&mut self, now: Instant) {
+        if !std::mem::take(&mut self.replicas_changed) || !self.membership.speaks(now) {
             return;
         }
         for vm in self.membership.audience() {
-            self.tell(now, vm);
+            self.send_update(now, vm);
         }
     }
 
--- a/daisy-entry/src/control/look.rs
+++ b/daisy-entry/src/control/query_data.rs
@@ -12,7 +12,7 @@
 
 /// What an operator's look is answered from, but for what other holders know.
 #[derive(Debug, Clone)]
-pub(crate) struct Sight {
+pub(crate) struct QueryData {
     /// The fold of the log.
     pub state: Arc<State>,
     /// The platform's VM list.
@@ -27,11 +27,11 @@
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
     /// What an operator's look is answered from.
-    pub(super) fn sight(&mut self, now: Instant) -> Sight {
+    pub(super) fn query_data(&mut self, now: Instant) -> QueryData {
         let own = self.live(now).unwrap_or_default();
         let holders = self.state.holders.iter().filter(|(_, it)| !it.released);
         let holders = holders.map(|(_, it)| it.holder).filter(|vm| *vm != self.identity.vm);
-        Sight {
+        QueryData {
             state: Arc::clone(&self.state),
             vms: Arc::clone(&self.vms),
             dcs: self.identity.dcs.clone(),
--- a/daisy-entry/src/control/ready.rs
+++ b/daisy-entry/src/control/ready.rs
@@ -9,14 +9,14 @@
 
 /// How long a process that could take callers waits to learn where services run: several
 /// heartbeats. After that nobody in the data centre seems to know, and it has to go on.
-const REPLICAS_WAIT: Duration = Duration::from_secs(3);
+const REPLICAS_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
     /// Takes in whether the membership is ready for callers.
     pub(super) fn set_ready(&mut self, now: Instant, ready: bool) {
         self.ready_since = ready.then_some(now);
         self.routes_dirty = true;
-        self.show_ready(now);
+        self.publish_readiness(now);
     }
 
     /// Lets the balancer send callers once there is something to send them to; from then on
@@ -25,10 +25,10 @@
     /// Guard: a fresh process that shows itself ready when it has the log, and hears a heartbeat
     /// later where services run, refuses all callers in between; in a rolling restart they
     /// see refusals at each step.
-    pub(super) fn show_ready(&mut self, now: Instant) {
+    pub(super) fn publish_readiness(&mut self, now: Instant) {
         let shown = *self.out.ready.borrow();
         let ready = self.ready_since.is_some_and(|since| {
-            shown || self.knows_backends() || now.since(since) >= REPLICAS_WAIT
+            shown || self.is_any_backend_known() || now.since(since) >= REPLICAS_TIMEOUT
         });
         let next = self.state.next;
         self.out.ready.send_if_modified(|shown| {
@@ -42,7 +42,7 @@
     }
 
     /// Whether a backend server of any service is known, or there is no service at all.
-    fn knows_backends(&self) -> bool {
+    fn is_any_backend_known(&self) -> bool {
         let is_service = |open: u32, kind: JobKind| open > 0 && kind == JobKind::Service;
         let mut jobs = self.state.jobs.iter();
         let has_services = jobs.any(|(_, job)| is_service(job.open, job.spec.kind));
--- a/daisy-entry/src/control/replicas.rs
+++ b/daisy-entry/src/control/replicas.rs
@@ -40,16 +40,16 @@
 /// refused, until the workers have answered; what the last holder told stands until then.
 pub(crate) fn of_holder(holder: &Holder, before: Option<&Arc<Replicas>>) -> Vec<Replica> {
     let workers = holder.workers();
-    let unheard = workers.iter().filter(|it| it.status == WorkerStatus::NeverAnswered);
-    let mut unheard: Vec<VmId> = unheard.map(|it| it.vm).collect();
-    unheard.sort_unstable();
+    let never_answered = workers.iter().filter(|it| it.status == WorkerStatus::NeverAnswered);
+    let mut never_answered: Vec<VmId> = never_answered.map(|it| it.vm).collect();
+    never_answered.sort_unstable();
     let mut all: Vec<Replica> = holder
         .replicas()
         .iter()
         .map(|it| Replica { job: it.job, vm: it.vm, leaving: it.leaving })
         .collect();
     let old = before.iter().flat_map(|it| it.all.iter());
-    all.extend(old.filter(|it| unheard.binary_search(&it.vm).is_ok()).copied());
+    all.extend(old.filter(|it| never_answered.binary_search(&it.vm).is_ok()).copied());
     all.sort_unstable();
     // One that stays sorts before one that leaves: the server goes on for the service.
     all.dedup_by_key(|it| (it.job, it.vm));
--- a/daisy-entry/src/control/restore.rs
+++ b/daisy-entry/src/control/restore.rs
@@ -17,7 +17,7 @@
 /// Bytes of one part of a snapshot: half of the longest append.
 const PART_BYTES: usize = 512 << 10;
 /// The share of the log's records, in thirds, that may lie before a snapshot that still counts.
-const KEPT_THIRDS: u64 = 2;
+const FALLBACK_THIRDS: u64 = 2;
 
 /// What has happened since the last whole snapshot.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     }
 
     /// An entry was folded.
-    pub fn folded(&mut self, now: Instant, state: &State, bytes: usize) {
+    pub fn record_folded(&mut self, now: Instant, state: &State, bytes: usize) {
         let through = state.snapshot.map(|mark| mark.through);
         if through != self.through {
             (self.through, self.seen, self.bytes) = (through, now, 0);
@@ -50,7 +50,7 @@
     }
 
     /// The log tells which record is its first.
-    pub fn kept_from(&mut self, first: Offset) {
+    pub fn set_first_retained(&mut self, first: Offset) {
         self.first = first;
     }
 
@@ -68,18 +68,18 @@
         let since = Since { entries, bytes: self.bytes, age: now.since(self.seen) };
         let options = snapshot::Options::for_retention(retention);
         // The log drops records: a third of what it keeps may pass before the next snapshot.
-        let kept = state.next.0.saturating_sub(self.first.0);
-        let expiring = self.first > Offset(0) && entries * 3 >= kept * (3 - KEPT_THIRDS);
-        let turn = rank == 0 || entries * 3 >= kept * KEPT_THIRDS;
-        entries > 0 && (snapshot::due(&options, &since, rank) || (expiring && turn))
+        let retained = state.next.0.saturating_sub(self.first.0);
+        let expiring = self.first > Offset(0) && entries * 3 >= retained * (3 - FALLBACK_THIRDS);
+        let is_own_turn = rank == 0 || entries * 3 >= retained * FALLBACK_THIRDS;
+        entries > 0 && (snapshot::due(&options, &since, rank) || (expiring && is_own_turn))
     }
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
     /// The log begins after the next record: goes on with its first one, looking for a snapshot.
-    pub(super) fn expired(&mut self, first: Offset) -> Offset {
+    pub(super) fn handle_log_expired(&mut self, first: Offset) -> Offset {
         log::warn!("event=cold_start first={first} next={}", self.state.next);
-        self.snapshots.kept_from(first);
+        self.snapshots.set_first_retained(first);
         self.restore = Some(Restore::new(first));
         first
     }
@@ -111,7 +111,7 @@
     }
 
     /// Takes a peer's state in place of records that it no longer has.
-    pub(super) fn load(&mut self, now: Instant, bytes: &[u8]) -> Offset {
+    pub(super) fn load_peer_state(&mut self, now: Instant, bytes: &[u8]) -> Offset {
         match daisy_wire::snapshot::decode(bytes) {
             Ok(state) => self.adopt(now, state),
             Err(e) => log::error!("event=peer_state_refused cause=\"{e}\""),
@@ -132,7 +132,7 @@
         }
         self.state = Arc::new(state);
         self.restore = None;
-        self.folded(now);
+        self.after_fold(now);
     }
 
     /// The whole state, for a peer.
--- a/daisy-entry/src/control/routes.rs
+++ b/daisy-entry/src/control/routes.rs
@@ -11,12 +11,12 @@
 use crate::control::Replicas;
 
 /// Requests that a backend server works on at one time, on both users' workers.
-const SLOTS: u32 = 8;
+const SLOTS_PER_BACKEND: u32 = 8;
 /// Connections that a backend server takes from all entry VMs, on both users' workers.
-const CONNECTIONS: u32 = 64;
+const CONNECTIONS_PER_BACKEND: u32 = 64;
 
 /// What routes are built from.
-pub(crate) struct Parts<'a> {
+pub(crate) struct RouteSources<'a> {
     pub now: Instant,
     pub dc: DcId,
     pub regions: &'a [u16],
@@ -28,7 +28,7 @@
 }
 
 /// The routes of version `version`.
-pub(crate) fn build(version: u64, parts: &Parts<'_>) -> Routes {
+pub(crate) fn build(version: u64, parts: &RouteSources<'_>) -> Routes {
     Routes {
         version,
         dc: parts.dc,
@@ -47,18 +47,18 @@
 pub(crate) fn entries(now: Instant, dc: DcId, membership: &Membership) -> Vec<(DcId, VmId)> {
     let options = membership.options();
     let peers = membership.peers();
-    let counts = |(vm, peer): &(VmId, &daisy_membership::Peer)| {
+    let is_counted = |(vm, peer): &(VmId, &daisy_membership::Peer)| {
         if peer.dc == dc { peers.alive(options, now, *vm) } else { peer.listed }
     };
     let mut entries: Vec<(DcId, VmId)> =
-        peers.iter().filter(counts).map(|(vm, peer)| (peer.dc, vm)).collect();
+        peers.iter().filter(is_counted).map(|(vm, peer)| (peer.dc, vm)).collect();
     entries.push((options.dc, options.vm));
     entries.sort_unstable();
     entries
 }
 
 /// Entry VMs that the platform's list names, itself included.
-fn listed(parts: &Parts<'_>) -> Vec<(DcId, VmId)> {
+fn listed(parts: &RouteSources<'_>) -> Vec<(DcId, VmId)> {
     let options = parts.membership.options();
     let entries = parts.vms.iter().filter(|vm| vm.role == VmRole::Entry);
     let mut listed: Vec<(DcId, VmId)> = entries.map(|vm| (vm.dc, vm.id)).collect();
@@ -68,7 +68,7 @@
     listed
 }
 
-fn services(parts: &Parts<'_>) -> SortedMap<Name, Service> {
+fn services(parts: &RouteSources<'_>) -> SortedMap<Name, Service> {
     let mut services = SortedMap::new();
     for (id, job) in parts.state.jobs.iter() {
         if job.spec.kind != JobKind::Service || job.cancelled {
@@ -96,16 +96,16 @@
     services
 }
 
-fn backend(parts: &Parts<'_>, replica: Replica) -> Option<Backend> {
+fn backend(parts: &RouteSources<'_>, replica: Replica) -> Option<Backend> {
     let at = parts.vms.binary_search_by_key(&replica.vm, |it| it.id).ok()?;
     let vm = &parts.vms[at];
-    let leaves = vm.status == VmStatus::Leaving || parts.state.is_drained(&vm.name);
+    let is_vm_leaving = vm.status == VmStatus::Leaving || parts.state.is_drained(&vm.name);
     Some(Backend {
         vm: vm.id,
         dc: vm.dc,
         address: vm.backend?,
-        slots: SLOTS,
-        connections: CONNECTIONS,
-        leaving: replica.leaving || leaves,
+        slots: SLOTS_PER_BACKEND,
+        connections: CONNECTIONS_PER_BACKEND,
+        leaving: replica.leaving || is_vm_leaving,
     })
 }
--- a/daisy-entry/src/control/status.rs
+++ b/daisy-entry/src/control/status.rs
@@ -15,7 +15,7 @@
     pub ready: bool,
     /// `starting`, `ready` or `leaving`.
     pub status: &'static str,
-    /// `idle`, `holder` or `caretaker`.
+    /// `idle`, `holder` or `lease_renewer`.
     pub role: &'static str,
     /// Where records are read: `log`, or a peer's number.
     pub source: String,
--- a/daisy-entry/src/entry.rs
+++ b/daisy-entry/src/entry.rs
@@ -22,11 +22,11 @@
     clock::Clock,
     control::{self, Control, Identity, Input, Outputs},
     metrics::Metrics,
-    operators::{self, Port, Tokens},
-    peers::{Allowed, Keys, Links, Server, Tail},
+    operators::{self, OperatorContext, Tokens},
+    peers::{AllowedPeers, Links, PeerKeyClient, Server, Tail},
     platform::Platform,
     proxy::{self, Proxy},
-    reader::{self, Plan, Reader},
+    reader::{self, ReadPlan, Reader},
     vm_list,
 };
 
@@ -49,7 +49,7 @@
 pub struct Entry {
     addresses: Addresses,
     control: mpsc::Sender<Input>,
-    proxy: Proxy<Keys>,
+    proxy: Proxy<PeerKeyClient>,
     serving: JoinHandle<()>,
     tasks: JoinSet<()>,
 }
@@ -60,11 +60,11 @@
 ///
 /// If one of the addresses in `settings` cannot be taken.
 pub async fn start(settings: Settings) -> anyhow::Result<Entry> {
-    let ports = Ports::open(&settings).await?;
-    let addresses = ports.addresses()?;
-    let (control, inputs) = mpsc::channel(control::QUEUE);
+    let listeners = Listeners::open(&settings).await?;
+    let addresses = listeners.addresses()?;
+    let (control, inputs) = mpsc::channel(control::INPUT_QUEUE);
     let (routes, follow_routes) = watch::channel(Arc::new(Routes::default()));
-    let parts = Parts::new(settings, control.clone());
+    let parts = ProcessContext::new(settings, control.clone());
     let proxy = parts.proxy(follow_routes);
     let (metrics, mut registry) = Metrics::registered();
     proxy.register_metrics(&mut registry);
@@ -76,25 +76,25 @@
     let mut tasks = JoinSet::new();
     tasks.spawn(parts.control_task(&proxy, outputs).run(inputs));
     tasks.spawn(parts.reader(follow_plan).run());
-    tasks.spawn(parts.server(&proxy).run(ports.peers));
-    tasks.spawn(operators::serve(Arc::new(parts.operators(metrics)), ports.operators));
+    tasks.spawn(parts.server(&proxy).run(listeners.peers));
+    tasks.spawn(operators::serve(Arc::new(parts.operators(metrics)), listeners.operators));
     let period = parts.settings.timing.vm_list;
     tasks.spawn(vm_list::run(parts.platform, parts.links, period, control.clone()));
-    let serving = tokio::spawn(serve_callers(proxy.clone(), ports.callers, health));
+    let serving = tokio::spawn(serve_callers(proxy.clone(), listeners.callers, health));
     log::info!("event=started vm={} callers={}", parts.settings.vm, addresses.callers);
     Ok(Entry { addresses, control, proxy, serving, tasks })
 }
 
 /// The listeners of a process.
-struct Ports {
+struct Listeners {
     callers: TcpListener,
     peers: TcpListener,
     operators: TcpListener,
 }
 
-impl Ports {
-    async fn open(settings: &Settings) -> anyhow::Result<Ports> {
-        Ok(Ports {
+impl Listeners {
+    async fn open(settings: &Settings) -> anyhow::Result<Listeners> {
+        Ok(Listeners {
             callers: listen(settings.callers).await?,
             peers: listen(settings.peers).await?,
             operators: listen(settings.operators).await?,
@@ -111,7 +111,7 @@
 }
 
 /// What the tasks of a process share.
-struct Parts {
+struct ProcessContext {
     settings: Settings,
     clock: Clock,
     /// Names this process's appends, and seeds what is drawn at random.
@@ -122,12 +122,12 @@
     control: mpsc::Sender<Input>,
 }
 
-impl Parts {
-    fn new(settings: Settings, control: mpsc::Sender<Input>) -> Parts {
+impl ProcessContext {
+    fn new(settings: Settings, control: mpsc::Sender<Input>) -> ProcessContext {
         let from = HeaderValue::from_str(settings.name.as_str());
         let from = from.unwrap_or(HeaderValue::from_static("entry"));
         let http = Http::new(Some((HeaderName::from_static(headers::FROM), from)));
-        Parts {
+        ProcessContext {
             clock: Clock::start(),
             sender: fastrand::u64(..),
             platform: Platform { http, address: settings.platform },
@@ -138,20 +138,20 @@
         }
     }
 
-    fn first_plan(&self) -> Plan {
+    fn first_plan(&self) -> ReadPlan {
         let wait = reader::poll_wait(self.settings.timing.holder_timeout, true);
-        Plan { source: Source::Log, wait }
+        ReadPlan { source: Source::Log, wait }
     }
 
-    fn proxy(&self, routes: RoutesWatch) -> Proxy<Keys> {
+    fn proxy(&self, routes: RoutesWatch) -> Proxy<PeerKeyClient> {
         let own = self.settings.vm;
-        let keys = Keys { own, links: self.links.clone(), control: self.control.clone() };
+        let keys = PeerKeyClient { own, links: self.links.clone(), control: self.control.clone() };
         Proxy::new(proxy::Options::new(&self.settings, self.sender), routes, keys)
     }
 
     fn outputs(
         &self,
-        plan: watch::Sender<Plan>,
+        plan: watch::Sender<ReadPlan>,
         routes: watch::Sender<Arc<Routes>>,
         ready: watch::Sender<bool>,
         metrics: Metrics,
@@ -169,14 +169,18 @@
         }
     }
 
-    fn control_task(&self, proxy: &Proxy<Keys>, outputs: Outputs) -> Control<Proxy<Keys>> {
+    fn control_task(
+        &self,
+        proxy: &Proxy<PeerKeyClient>,
+        outputs: Outputs,
+    ) -> Control<Proxy<PeerKeyClient>> {
         let options = membership_options(&self.settings);
         let membership = Membership::new(self.clock.now(), options);
         let identity = identity(&self.settings, self.sender);
         Control::new(self.clock, identity, membership, proxy.clone(), outputs)
     }
 
-    fn reader(&self, plan: watch::Receiver<Plan>) -> Reader {
+    fn reader(&self, plan: watch::Receiver<ReadPlan>) -> Reader {
         Reader {
             platform: self.platform.clone(),
             links: self.links.clone(),
@@ -186,9 +190,9 @@
         }
     }
 
-    fn server(&self, proxy: &Proxy<Keys>) -> Server<Proxy<Keys>> {
+    fn server(&self, proxy: &Proxy<PeerKeyClient>) -> Server<Proxy<PeerKeyClient>> {
         Server {
-            allowed: Allowed::new(self.settings.allowed_peers.clone()),
+            allowed: AllowedPeers::new(self.settings.allowed_peers.clone()),
             requests: proxy.clone(),
             control: self.control.clone(),
             tail: self.tail.clone(),
@@ -196,8 +200,8 @@
         }
     }
 
-    fn operators(&self, metrics: Metrics) -> Port {
-        Port {
+    fn operators(&self, metrics: Metrics) -> OperatorContext {
+        OperatorContext {
             tokens: Tokens::new(self.settings.operator_tokens.clone()),
             clock: self.clock,
             control: self.control.clone(),
@@ -240,7 +244,7 @@
     TcpListener::bind(address).await.with_context(|| format!("listening on {address}"))
 }
 
-async fn serve_callers(proxy: Proxy<Keys>, listener: TcpListener, health: Arc<Health>) {
+async fn serve_callers(proxy: Proxy<PeerKeyClient>, listener: TcpListener, health: Arc<Health>) {
     if let Err(e) = proxy.serve(listener, callers::router(health)).await {
         log::error!("event=callers_port_failed cause=\"{e}\"");
     }
--- a/daisy-entry/src/lib.rs
+++ b/daisy-entry/src/lib.rs
@@ -24,6 +24,6 @@
 
 pub use crate::{
     entry::{Addresses, Entry, start},
-    peers::Keys,
+    peers::PeerKeyClient,
     process::run,
 };
--- a/daisy-entry/src/metrics.rs
+++ b/daisy-entry/src/metrics.rs
@@ -8,13 +8,13 @@
 
 /// How something ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct ResultLabel {
     result: &'static str,
 }
 
 /// Which way bytes went.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Way {
+struct DirectionLabel {
     direction: &'static str,
 }
 
@@ -27,10 +27,10 @@
     pub peers_alive: Gauge,
     pub unsent: Gauge,
     pub claims: Counter,
-    appends: Family<Ended, Counter>,
-    worker_calls: Family<Ended, Counter>,
-    statements: Family<Ended, Counter>,
-    peer_bytes: Family<Way, Counter>,
+    appends: Family<ResultLabel, Counter>,
+    worker_calls: Family<ResultLabel, Counter>,
+    statements: Family<ResultLabel, Counter>,
+    peer_bytes: Family<DirectionLabel, Counter>,
 }
 
 impl Metrics {
@@ -63,23 +63,23 @@
 
     /// A try to append has ended.
     pub fn append(&self, confirmed: bool) {
-        self.appends.get_or_create(&Ended { result: result(confirmed) }).inc();
+        self.appends.get_or_create(&ResultLabel { result: result(confirmed) }).inc();
     }
 
     /// A call to a worker has ended.
     pub fn worker_call(&self, answered: bool) {
-        self.worker_calls.get_or_create(&Ended { result: result(answered) }).inc();
+        self.worker_calls.get_or_create(&ResultLabel { result: result(answered) }).inc();
     }
 
     /// A statement was answered.
     pub fn statement(&self, accepted: bool) {
-        self.statements.get_or_create(&Ended { result: result(accepted) }).inc();
+        self.statements.get_or_create(&ResultLabel { result: result(accepted) }).inc();
     }
 
     /// Bytes of messages so far.
     pub fn peer_traffic(&self, sent: u64, received: u64) {
         let set = |direction: &'static str, bytes: u64| {
-            let counter = self.peer_bytes.get_or_create(&Way { direction });
+            let counter = self.peer_bytes.get_or_create(&DirectionLabel { direction });
             counter.inc_by(bytes.saturating_sub(counter.get()));
         };
         set("sent", sent);
--- a/daisy-entry/src/operators.rs
+++ b/daisy-entry/src/operators.rs
@@ -3,7 +3,7 @@
 //! `docs/PROTOCOL.md` has the requests and their answers.
 
 mod answer;
-mod look;
+mod query;
 mod statements;
 mod token;
 
@@ -35,7 +35,7 @@
 
 /// What the port needs to answer.
 #[derive(Debug)]
-pub(crate) struct Port {
+pub(crate) struct OperatorContext {
     pub tokens: Tokens,
     pub clock: Clock,
     pub control: mpsc::Sender<Input>,
@@ -44,7 +44,7 @@
 }
 
 /// Serves operators on `listener` until the task is aborted.
-pub(crate) async fn serve(port: Arc<Port>, listener: TcpListener) {
+pub(crate) async fn serve(port: Arc<OperatorContext>, listener: TcpListener) {
     let router = Router::new()
         .post("/v1/statements", post_statements)
         .get("/v1/status", get_status)
@@ -84,9 +84,9 @@
     }
 }
 
-fn port(req: &Request) -> Result<Arc<Port>> {
-    let port = req.extensions().get::<Arc<Port>>().cloned();
-    port.ok_or_else(|| StateError::new::<Arc<Port>>().into())
+fn port(req: &Request) -> Result<Arc<OperatorContext>> {
+    let port = req.extensions().get::<Arc<OperatorContext>>().cloned();
+    port.ok_or_else(|| StateError::new::<Arc<OperatorContext>>().into())
 }
 
 /// A JSON answer.
--- a/daisy-entry/src/operators/answer.rs
+++ b/daisy-entry/src/operators/answer.rs
@@ -22,7 +22,7 @@
     }
 
     /// The text is wrong.
-    pub fn wrong(findings: &[Finding]) -> Reply {
+    pub fn invalid(findings: &[Finding]) -> Reply {
         let findings = findings.iter().map(finding_to_json).collect();
         let answer = AnswerJson { findings, ..AnswerJson::default() };
         Reply { status: StatusCode::BAD_REQUEST, answer }
@@ -46,7 +46,7 @@
 }
 
 /// The kind of a result as one word, for the log.
-pub(super) fn word(result: &ResultJson) -> &'static str {
+pub(super) fn result_name(result: &ResultJson) -> &'static str {
     match result {
         ResultJson::Accepted { .. } => "accepted",
         ResultJson::Refused { .. } => "refused",
--- a/daisy-entry/src/operators/look.rs
+++ b/daisy-entry/src/operators/query.rs
@@ -13,8 +13,8 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    control::{Input, Sight},
-    operators::Port,
+    control::{Input, QueryData},
+    operators::OperatorContext,
 };
 
 /// How long another holder may take to tell what it knows.
@@ -24,10 +24,13 @@
 ///
 /// What a holder that does not answer knows is left out, and the answer says so where it
 /// matters: `-` stands for what is not known.
-pub(super) async fn look(port: &Port, statement: &Statement) -> Option<ResultJson> {
-    let (reply, sight) = oneshot::channel();
-    port.control.send(Input::Look { reply }).await.ok()?;
-    let Sight { state, vms, dcs, own, holders } = sight.await.ok()?;
+pub(super) async fn answer_query(
+    port: &OperatorContext,
+    statement: &Statement,
+) -> Option<ResultJson> {
+    let (reply, query_data) = oneshot::channel();
+    port.control.send(Input::QueryData { reply }).await.ok()?;
+    let QueryData { state, vms, dcs, own, holders } = query_data.await.ok()?;
     let mut live = own;
     live.dcs = dcs;
     live.vms = vms.iter().map(|vm| (vm.id, vm.clone())).collect();
@@ -49,10 +52,10 @@
 /// What an operator should know at once of a job that was just created.
 ///
 /// A task that no listed worker holds would otherwise wait for ever without a word.
-pub(super) async fn notes(port: &Port, spec: &JobSpec) -> Option<Vec<String>> {
-    let (reply, sight) = oneshot::channel();
-    port.control.send(Input::Look { reply }).await.ok()?;
-    let Sight { vms, dcs, .. } = sight.await.ok()?;
+pub(super) async fn capacity_notes(port: &OperatorContext, spec: &JobSpec) -> Option<Vec<String>> {
+    let (reply, query_data) = oneshot::channel();
+    port.control.send(Input::QueryData { reply }).await.ok()?;
+    let QueryData { vms, dcs, .. } = query_data.await.ok()?;
     let is_allowed = |vm: &&Vm| {
         let name = dcs.get(usize::from(vm.dc.0));
         spec.data_centres.is_empty() || name.is_some_and(|it| spec.data_centres.contains(it))
--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -10,25 +10,25 @@
 use tokio::{sync::oneshot, time::timeout};
 
 use crate::{
-    control::{Input, Verdict},
+    control::{Input, SubmitOutcome},
     operators::{
-        Port,
-        answer::{Reply, word},
-        look::{look, notes},
+        OperatorContext,
+        answer::{Reply, result_name},
+        query::{answer_query, capacity_notes},
     },
 };
 
 /// How long an operator waits until a change is in force here.
-const VERDICT_TIMEOUT: Duration = Duration::from_secs(8);
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Runs all statements of `text`, and stops after the first that is not accepted.
-pub(super) async fn run(port: &Port, who: Name, text: &str) -> Reply {
+pub(super) async fn run(port: &OperatorContext, who: Name, text: &str) -> Reply {
     let statements = match daisy_language::parse_located(text) {
         Ok(statements) => statements,
         Err(findings) => {
             let count = findings.0.len();
             log::info!("event=statement_refused who={who} cause=findings count={count}");
-            return Reply::wrong(&findings.0);
+            return Reply::invalid(&findings.0);
         }
     };
     let mut results = Vec::new();
@@ -38,14 +38,14 @@
             Statement::Change { command, condition } => {
                 change(port, &who, source, command, condition).await
             }
-            other => look(port, &other).await,
+            other => answer_query(port, &other).await,
         };
         let Some(result) = result else {
             return Reply::failed(StatusCode::SERVICE_UNAVAILABLE, "stopping");
         };
-        let go_on = result.is_good();
+        let should_continue = result.is_good();
         results.push(result);
-        if !go_on {
+        if !should_continue {
             break;
         }
     }
@@ -54,7 +54,7 @@
 
 /// Appends a change and waits until the fold has decided.
 async fn change(
-    port: &Port,
+    port: &OperatorContext,
     who: &Name,
     source: &str,
     command: Command,
@@ -66,30 +66,30 @@
     };
     let at = port.clock.wall();
     let change = Change { who: who.clone(), at, text: source.into(), command, condition };
-    let (reply, verdict) = oneshot::channel();
+    let (reply, outcome) = oneshot::channel();
     let record = Record::Change(change);
     port.control.send(Input::Submit { record, reply }).await.ok()?;
-    let result = match timeout(VERDICT_TIMEOUT, verdict).await {
-        Ok(Ok(Verdict::Folded(Outcome::Accepted(generation)))) => {
+    let result = match timeout(OUTCOME_TIMEOUT, outcome).await {
+        Ok(Ok(SubmitOutcome::Folded(Outcome::Accepted(generation)))) => {
             let notes = match created {
-                Some(spec) => notes(port, &spec).await?,
+                Some(spec) => capacity_notes(port, &spec).await?,
                 None => Vec::new(),
             };
             ResultJson::Accepted { generation: generation.0, notes }
         }
-        Ok(Ok(Verdict::Folded(Outcome::Refused(refusal)))) => {
+        Ok(Ok(SubmitOutcome::Folded(Outcome::Refused(refusal)))) => {
             ResultJson::Refused { cause: refusal.to_string() }
         }
-        Ok(Ok(Verdict::NotSent(cause))) => {
+        Ok(Ok(SubmitOutcome::NotSent(cause))) => {
             ResultJson::Refused { cause: format!("nothing was sent: {cause}") }
         }
-        Ok(Ok(Verdict::Folded(_)) | Err(_)) => ResultJson::Unknown {
+        Ok(Ok(SubmitOutcome::Folded(_)) | Err(_)) => ResultJson::Unknown {
             cause: "the log has it, its verdict was not seen here".to_owned(),
         },
         Err(_) => ResultJson::Unknown {
-            cause: format!("no verdict of the log in {VERDICT_TIMEOUT:?}; it may still come"),
+            cause: format!("no verdict of the log in {OUTCOME_TIMEOUT:?}; it may still come"),
         },
     };
-    log::info!("event=statement who={who} text={source:?} result={}", word(&result));
+    log::info!("event=statement who={who} text={source:?} result={}", result_name(&result));
     Some(result)
 }
--- a/daisy-entry/src/peers.rs
+++ b/daisy-entry/src/peers.rs
@@ -3,22 +3,22 @@
 //! Three paths, in `docs/PROTOCOL.md`: `/v1/notices`, a long stream of heartbeats;
 //! `/v1/records`, the log passed on; `/v1/question`, one question and its answer.
 
-mod counted;
 mod link;
 mod links;
 mod serve;
 mod stream;
 mod tail;
+mod traffic;
 
 pub(crate) use self::{
-    counted::Traffic,
-    link::{Command, Told},
+    link::{Command, PeerUpdate},
     links::Links,
-    serve::{Allowed, Server},
+    serve::{AllowedPeers, Server},
     tail::Tail,
+    traffic::Traffic,
 };
 
-pub use self::links::Keys;
+pub use self::links::PeerKeyClient;
 
 /// The path of the stream of notices.
 const NOTICES: &str = "/v1/notices";
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -43,7 +43,7 @@
 
 /// What is told to a peer at one time.
 #[derive(Debug, Clone)]
-pub(crate) struct Told {
+pub(crate) struct PeerUpdate {
     pub beat: Heartbeat,
     /// Requests in flight by backend server, sorted.
     pub in_flight: Arc<Vec<(VmId, u32)>>,
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Tell the peer.
-    Tell(Told),
+    Update(PeerUpdate),
     /// Ask the peer.
     Ask(Question, oneshot::Sender<Option<Answer>>),
     /// Read the log's records from the peer.
@@ -125,7 +125,7 @@
             // Without a connection the command is dropped: heartbeats grow old at once, and
             // a dropped reply tells its receiver that there is no answer.
             let Some(it) = connection.as_mut() else { continue };
-            if let Err(e) = self.carry_out(it, command).await {
+            if let Err(e) = self.execute(it, command).await {
                 log::debug!("event=peer_link_broken peer={} cause=\"{e}\"", self.peer);
                 connection = None;
             }
@@ -179,9 +179,9 @@
             .body(())
     }
 
-    async fn carry_out(&self, it: &mut Connection, command: Command) -> anyhow::Result<()> {
+    async fn execute(&self, it: &mut Connection, command: Command) -> anyhow::Result<()> {
         match command {
-            Command::Tell(told) => Ok(timeout(NOTICE_TIMEOUT, it.tell(told)).await??),
+            Command::Update(update) => Ok(timeout(NOTICE_TIMEOUT, it.send_update(update)).await??),
             Command::Ask(question, reply) => {
                 let mut requests = it.ready().await?;
                 let (response, stream) = requests.send_request(self.request(QUESTION)?, false)?;
@@ -210,23 +210,23 @@
         Ok(timeout(NOTICE_TIMEOUT, self.requests.clone().ready()).await??)
     }
 
-    async fn tell(&mut self, told: Told) -> Result<(), StreamError> {
-        for replicas in &told.replicas {
+    async fn send_update(&mut self, update: PeerUpdate) -> Result<(), StreamError> {
+        for replicas in &update.replicas {
             let known = self.replicas.get(&replicas.dc);
             if known.is_some_and(|known| known.is_same(replicas)) {
                 continue;
             }
-            let change = change_of(known.map(Arc::as_ref), replicas);
+            let change = replica_change(known.map(Arc::as_ref), replicas);
             let notice = NoticeWire::from(&Notice::Replicas(change));
             self.notices.send(&notice, false).await?;
             self.replicas.insert(replicas.dc, Arc::clone(replicas));
         }
         let full = self.in_flight.is_none();
         let known = self.in_flight.as_deref().map_or(&[][..], Vec::as_slice);
-        let in_flight = changed_counts(known, &told.in_flight);
-        let notice = NoticeWire::from(&Notice::Beat { beat: told.beat, full, in_flight });
+        let in_flight = changed_counts(known, &update.in_flight);
+        let notice = NoticeWire::from(&Notice::Beat { beat: update.beat, full, in_flight });
         self.notices.send(&notice, false).await?;
-        self.in_flight = Some(told.in_flight);
+        self.in_flight = Some(update.in_flight);
         Ok(())
     }
 }
@@ -268,7 +268,7 @@
 }
 
 /// What has changed from `known` to `replicas`.
-fn change_of(known: Option<&Replicas>, replicas: &Replicas) -> ReplicaChange {
+fn replica_change(known: Option<&Replicas>, replicas: &Replicas) -> ReplicaChange {
     let before: &[Replica] = known.map_or(&[], |it| &it.all);
     let missing_in = |all: &[Replica], it: &Replica| all.binary_search(it).is_err();
     let added = replicas.all.iter().filter(|it| missing_in(before, it));
@@ -289,6 +289,6 @@
         counts.binary_search_by_key(&vm, |it| it.0).map_or(0, |at| counts[at].1)
     };
     let changed = now.iter().filter(|(vm, count)| count_in(known, *vm) != *count).copied();
-    let gone = known.iter().filter(|(vm, _)| count_in(now, *vm) == 0).map(|(vm, _)| (*vm, 0));
-    changed.chain(gone).collect()
+    let removed = known.iter().filter(|(vm, _)| count_in(now, *vm) == 0).map(|(vm, _)| (*vm, 0));
+    changed.chain(removed).collect()
 }
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     boundary::{Intent, PeerKeys},
-    control::{Input, Verdict},
+    control::{Input, SubmitOutcome},
     peers::{
         Command, Traffic,
         link::{Link, Records},
@@ -25,12 +25,12 @@
 };
 
 /// Commands that wait for a link; more are dropped, as heartbeats grow old.
-const QUEUE: usize = 256;
+const COMMAND_QUEUE: usize = 256;
 /// How long a peer may take to begin passing records on.
 const RECORDS_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
-struct Open {
+struct OpenLink {
     address: SocketAddr,
     commands: mpsc::Sender<Command>,
 }
@@ -39,7 +39,7 @@
 struct Shared {
     own: VmId,
     addresses: SortedMap<VmId, SocketAddr>,
-    open: SortedMap<VmId, Open>,
+    open: SortedMap<VmId, OpenLink>,
 }
 
 /// The links to all peers; clones share them.
@@ -100,10 +100,10 @@
             return Some(open.commands.clone());
         }
         let address = *shared.addresses.get(&peer)?;
-        let (commands, queue) = mpsc::channel(QUEUE);
+        let (commands, queue) = mpsc::channel(COMMAND_QUEUE);
         let link = Link { own: shared.own, peer, address, traffic: self.traffic.clone() };
         tokio::spawn(link.run(queue));
-        shared.open.insert(peer, Open { address, commands: commands.clone() });
+        shared.open.insert(peer, OpenLink { address, commands: commands.clone() });
         Some(commands)
     }
 
@@ -114,13 +114,13 @@
 
 /// Asks peers about idempotency keys, and the log about intents, for the request side.
 #[derive(Debug, Clone)]
-pub struct Keys {
+pub struct PeerKeyClient {
     pub(crate) own: VmId,
     pub(crate) links: Links,
     pub(crate) control: mpsc::Sender<Input>,
 }
 
-impl PeerKeys<KeyQuery, KeyAnswer> for Keys {
+impl PeerKeys<KeyQuery, KeyAnswer> for PeerKeyClient {
     async fn ask(&self, peer: VmId, query: KeyQuery, timeout: Duration) -> Option<KeyAnswer> {
         match self.links.ask(peer, Question::Key(query), timeout).await? {
             Answer::Key(answer) => Some(answer),
@@ -128,15 +128,15 @@
         }
     }
 
-    async fn intend(&self, key: u128, limit: Duration) -> Intent {
-        let (reply, verdict) = oneshot::channel();
+    async fn announce_intent(&self, key: u128, limit: Duration) -> Intent {
+        let (reply, outcome) = oneshot::channel();
         let record = Record::Intent { key, entry: self.own };
         if self.control.send(Input::Submit { record, reply }).await.is_err() {
             return Intent::Unavailable;
         }
-        match timeout(limit, verdict).await {
-            Ok(Ok(Verdict::Folded(Outcome::Announced))) => Intent::Won,
-            Ok(Ok(Verdict::Folded(Outcome::AnnouncedBefore(_)))) => Intent::Lost,
+        match timeout(limit, outcome).await {
+            Ok(Ok(SubmitOutcome::Folded(Outcome::Announced))) => Intent::Won,
+            Ok(Ok(SubmitOutcome::Folded(Outcome::AnnouncedBefore(_)))) => Intent::Lost,
             // Without the fold's verdict it may yet come to stand in the log.
             _ => Intent::Unavailable,
         }
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -55,14 +55,14 @@
 
 /// Who may connect.
 #[derive(Debug, Clone)]
-pub(crate) struct Allowed {
+pub(crate) struct AllowedPeers {
     addresses: Vec<IpAddr>,
 }
 
-impl Allowed {
+impl AllowedPeers {
     /// Only `addresses`, or everybody if there are none.
-    pub fn new(addresses: Vec<IpAddr>) -> Allowed {
-        Allowed { addresses }
+    pub fn new(addresses: Vec<IpAddr>) -> AllowedPeers {
+        AllowedPeers { addresses }
     }
 
     fn has(&self, address: SocketAddr) -> bool {
@@ -73,7 +73,7 @@
 /// Serves peers.
 #[derive(Debug, Clone)]
 pub(crate) struct Server<R> {
-    pub allowed: Allowed,
+    pub allowed: AllowedPeers,
     pub requests: R,
     pub control: mpsc::Sender<Input>,
     pub tail: Tail,
@@ -83,7 +83,7 @@
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Server<R> {
     /// Accepts connections until it is dropped.
     pub async fn run(self, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(CONNECTIONS));
+        let permits = Arc::new(Semaphore::new(CONNECTIONS));
         loop {
             let (socket, address) = match listener.accept().await {
                 Ok(accepted) => accepted,
@@ -97,7 +97,7 @@
                 log::warn!("event=peer_refused address={address} cause=not_allowed");
                 continue;
             }
-            let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 log::warn!("event=peer_refused address={address} cause=too_many");
                 continue;
             };
@@ -106,7 +106,7 @@
                 if let Err(e) = server.connection(socket).await {
                     log::debug!("event=peer_connection_broken address={address} cause=\"{e:#}\"");
                 }
-                drop(place);
+                drop(permit);
             });
         }
     }
@@ -141,7 +141,7 @@
     ) -> anyhow::Result<()> {
         let (parts, body) = req.into_parts();
         let Some(from) = sender(&parts.headers) else {
-            refuse(&mut respond, StatusCode::BAD_REQUEST)?;
+            reject(&mut respond, StatusCode::BAD_REQUEST)?;
             anyhow::bail!("header {} is missing or malformed", headers::FROM);
         };
         let receiver = Receiver::new(body, MESSAGE_LIMIT);
@@ -150,7 +150,7 @@
             RECORDS => self.records(receiver, respond).await,
             QUESTION => self.question(from, receiver, respond).await,
             other => {
-                refuse(&mut respond, StatusCode::NOT_FOUND)?;
+                reject(&mut respond, StatusCode::NOT_FOUND)?;
                 anyhow::bail!("unknown path {other:?}")
             }
         }
@@ -163,27 +163,27 @@
         mut receiver: Receiver,
         mut respond: SendResponse<Bytes>,
     ) -> anyhow::Result<()> {
-        let mut mirror = Mirror::default();
+        let mut notice_state = NoticeState::default();
         loop {
             let notice = match next_notice(&mut receiver).await {
                 Ok(Some(notice)) => notice,
                 // A link that is given up ends here: its peer is gone or comes back on another.
                 Ok(None) | Err(StreamError::H2(_)) => return Ok(()),
                 Err(e) => {
-                    refuse(&mut respond, StatusCode::BAD_REQUEST)?;
+                    reject(&mut respond, StatusCode::BAD_REQUEST)?;
                     return Err(e.into());
                 }
             };
             let input = match notice {
                 Notice::Beat { beat, .. } if beat.vm != from => {
-                    refuse(&mut respond, StatusCode::BAD_REQUEST)?;
+                    reject(&mut respond, StatusCode::BAD_REQUEST)?;
                     anyhow::bail!("heartbeat of {} on the stream of {from}", beat.vm);
                 }
                 Notice::Beat { beat, full, in_flight } => {
-                    let in_flight = mirror.in_flight(full, in_flight);
-                    Input::Beat { beat, in_flight }
+                    let in_flight = notice_state.in_flight(full, in_flight);
+                    Input::Heartbeat { beat, in_flight }
                 }
-                Notice::Replicas(change) => Input::Replicas(mirror.replicas(change)),
+                Notice::Replicas(change) => Input::Replicas(notice_state.replicas(change)),
             };
             self.control.send(input).await.context("stopping")?;
         }
@@ -246,7 +246,7 @@
         let question = match timeout(QUESTION_TIMEOUT, question).await.context("too slow")? {
             Ok(question) => question,
             Err(e) => {
-                refuse(&mut respond, StatusCode::BAD_REQUEST)?;
+                reject(&mut respond, StatusCode::BAD_REQUEST)?;
                 return Err(e.into());
             }
         };
@@ -275,7 +275,7 @@
     }
 }
 
-fn refuse(respond: &mut SendResponse<Bytes>, status: StatusCode) -> Result<(), h2::Error> {
+fn reject(respond: &mut SendResponse<Bytes>, status: StatusCode) -> Result<(), h2::Error> {
     let mut response = Response::new(());
     *response.status_mut() = status;
     respond.send_response(response, true).map(drop)
@@ -287,12 +287,12 @@
 
 /// What a peer has told on one stream of notices, so that changes can be told alone.
 #[derive(Debug, Default)]
-struct Mirror {
+struct NoticeState {
     in_flight: SortedMap<VmId, u32>,
     replicas: SortedMap<DcId, Vec<Replica>>,
 }
 
-impl Mirror {
+impl NoticeState {
     fn in_flight(&mut self, full: bool, changes: Vec<(VmId, u32)>) -> Vec<(VmId, u32)> {
         if full {
             self.in_flight = SortedMap::new();
--- a/daisy-entry/src/peers/tail.rs
+++ b/daisy-entry/src/peers/tail.rs
@@ -10,12 +10,12 @@
 use tokio::sync::watch;
 
 /// Bytes of records that are kept; a peer that lags further behind gets the state instead.
-const KEPT_BYTES: usize = 8 << 20;
+const MAX_RETAINED_BYTES: usize = 8 << 20;
 /// Bytes of records that go into one message.
 const CHUNK_BYTES: usize = 256 << 10;
 
 #[derive(Debug, Default)]
-struct Kept {
+struct RetainedRecords {
     /// The offset of the first record.
     first: u64,
     records: VecDeque<Bytes>,
@@ -36,30 +36,30 @@
 /// The newest records; clones share them.
 #[derive(Debug, Clone)]
 pub(crate) struct Tail {
-    kept: Arc<Mutex<Kept>>,
+    retained: Arc<Mutex<RetainedRecords>>,
     next: Arc<watch::Sender<Offset>>,
 }
 
 impl Tail {
     /// An empty tail.
     pub fn new() -> Tail {
-        Tail { kept: Arc::default(), next: Arc::new(watch::Sender::new(Offset(0))) }
+        Tail { retained: Arc::default(), next: Arc::new(watch::Sender::new(Offset(0))) }
     }
 
     /// Keeps the record at `offset`, which was just folded.
     pub fn push(&self, offset: Offset, bytes: Bytes) {
-        let mut kept = self.lock();
-        let next = kept.first + kept.records.len() as u64;
+        let mut retained = self.lock();
+        let next = retained.first + retained.records.len() as u64;
         if offset.0 != next {
             // A jump over a snapshot: what came before no longer joins up.
-            *kept = Kept { first: offset.0, ..Kept::default() };
+            *retained = RetainedRecords { first: offset.0, ..RetainedRecords::default() };
         }
-        kept.bytes += bytes.len();
-        kept.records.push_back(bytes);
-        while kept.bytes > KEPT_BYTES {
-            let Some(oldest) = kept.records.pop_front() else { break };
-            kept.bytes -= oldest.len();
-            kept.first += 1;
+        retained.bytes += bytes.len();
+        retained.records.push_back(bytes);
+        while retained.bytes > MAX_RETAINED_BYTES {
+            let Some(oldest) = retained.records.pop_front() else { break };
+            retained.bytes -= oldest.len();
+            retained.first += 1;
         }
     }
 
@@ -78,8 +78,8 @@
         if *self.next.borrow() <= from {
             return Chunk::Nothing;
         }
-        let kept = self.lock();
-        let Some(skip) = from.0.checked_sub(kept.first) else { return Chunk::TooOld };
+        let retained = self.lock();
+        let Some(skip) = from.0.checked_sub(retained.first) else { return Chunk::TooOld };
         let mut bytes = 0;
         let fits = |record: &&Bytes| {
             bytes += record.len();
@@ -87,15 +87,15 @@
         };
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
         let records: Vec<Bytes> =
-            kept.records.iter().skip(skip).take_while(fits).cloned().collect();
+            retained.records.iter().skip(skip).take_while(fits).cloned().collect();
         match records.is_empty() {
             true => Chunk::TooOld,
             false => Chunk::Records(records),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
+    fn lock(&self) -> MutexGuard<'_, RetainedRecords> {
         // A panic in the middle of a push leaves nothing worse than a record too few.
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+        self.retained.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/daisy-entry/src/peers/counted.rs
+++ b/daisy-entry/src/peers/traffic.rs
@@ -34,20 +34,20 @@
     }
 
     /// A socket whose bytes are counted.
-    pub fn count(&self, socket: TcpStream) -> Counted {
-        Counted { socket, traffic: self.clone() }
+    pub fn count(&self, socket: TcpStream) -> CountedSocket {
+        CountedSocket { socket, traffic: self.clone() }
     }
 }
 
 /// A socket whose bytes are counted.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountedSocket {
     socket: TcpStream,
     traffic: Traffic,
 }
 
-impl Counted {
-    fn wrote(&self, outcome: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+impl CountedSocket {
+    fn count_written(&self, outcome: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = outcome {
             self.traffic.sent.fetch_add(bytes as u64, Ordering::Relaxed);
         }
@@ -55,7 +55,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -69,14 +69,14 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let outcome = Pin::new(&mut self.socket).poll_write(cx, buf);
-        self.wrote(outcome)
+        self.count_written(outcome)
     }
 
     fn poll_write_vectored(
@@ -85,7 +85,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let outcome = Pin::new(&mut self.socket).poll_write_vectored(cx, bufs);
-        self.wrote(outcome)
+        self.count_written(outcome)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/daisy-entry/src/platform.rs
+++ b/daisy-entry/src/platform.rs
@@ -60,7 +60,7 @@
 
 /// The platform's list at a version.
 #[derive(Debug, Clone)]
-pub(crate) struct Listing {
+pub(crate) struct VmListing {
     pub version: u64,
     pub vms: Vec<Vm>,
 }
@@ -109,7 +109,7 @@
     }
 
     /// Reads the VM list unless its version is still `since`.
-    pub async fn vms(&self, since: Option<u64>) -> Result<Option<Listing>, PlatformError> {
+    pub async fn vms(&self, since: Option<u64>) -> Result<Option<VmListing>, PlatformError> {
         let target = match since {
             Some(version) => format!("/v1/vms?since={version}"),
             None => "/v1/vms".to_owned(),
@@ -122,7 +122,7 @@
         }
         let list: VmList = json(&checked(reply)?)?;
         let vms = list.vms.into_iter().map(Vm::try_from).collect::<Result<_, WireError>>()?;
-        Ok(Some(Listing { version: list.version, vms }))
+        Ok(Some(VmListing { version: list.version, vms }))
     }
 }
 
--- a/daisy-entry/src/proxy.rs
+++ b/daisy-entry/src/proxy.rs
@@ -20,10 +20,10 @@
 use crate::{
     boundary::{PeerKeys, RequestSide, RoutesWatch},
     proxy::{
-        core::{Core, MAX_KEYED},
+        core::{Core, MAX_KEYED_IN_PROGRESS},
         pool::lock,
         request::Requests,
-        serve::Stage,
+        serve::DrainStage,
     },
 };
 
@@ -45,14 +45,14 @@
 pub use self::body::{AnswerBody, BodyError, Streamed};
 
 /// Between looks at the queue for requests that can no longer finish in time.
-const TICK: Duration = Duration::from_millis(5);
+const QUEUE_TICK: Duration = Duration::from_millis(5);
 
 /// The same while nothing waits: at 5 ms an idle entry VM spent a core's percent on waking up.
 /// Far below the gap by which a freeze is told.
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
 /// Between looks at who is there, for the homes of keys.
-const LOOK: Duration = Duration::from_secs(1);
+const HOMES_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a [`Proxy`] needs of the settings.
 #[derive(Debug, Clone)]
@@ -88,7 +88,7 @@
     core: Arc<Core>,
     routes: RoutesWatch,
     peers: K,
-    stage: Arc<watch::Sender<Stage>>,
+    stage: Arc<watch::Sender<DrainStage>>,
     done: watch::Receiver<bool>,
     finished: Arc<watch::Sender<bool>>,
 }
@@ -101,7 +101,7 @@
             core: Arc::new(Core::new(options)),
             routes,
             peers,
-            stage: Arc::new(watch::Sender::new(Stage::Serving)),
+            stage: Arc::new(watch::Sender::new(DrainStage::Serving)),
             done,
             finished: Arc::new(finished),
         }
@@ -135,7 +135,7 @@
         };
         tokio::select! {
             () = served => {}
-            () = self.follow() => {}
+            () = self.follow_routes() => {}
         }
         self.finished.send_replace(true);
         Ok(())
@@ -143,30 +143,30 @@
 
     /// Ends keyed requests whose callers have left, and hands the keys over.
     async fn leave(&self) {
-        let _ = self.core.keyed.acquire_many(MAX_KEYED).await;
+        let _ = self.core.keyed.acquire_many(MAX_KEYED_IN_PROGRESS).await;
         let messages = lock(&self.core.keys).leave(self.core.clock.now());
-        keyed::hand_over(&self.core, &self.peers, messages, keyed::LEAVE_PATIENCE).await;
+        keyed::hand_over(&self.core, &self.peers, messages, keyed::LEAVE_HANDOVER_TIMEOUT).await;
     }
 
     /// Takes in routes as they change and lets time pass for queue and keys; never returns.
-    async fn follow(&self) {
+    async fn follow_routes(&self) {
         let mut routes = self.routes.clone();
-        let mut ticked = tokio::time::Instant::now();
-        let mut looks = tokio::time::interval(LOOK);
-        looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut last_tick = tokio::time::Instant::now();
+        let mut home_ticks = tokio::time::interval(HOMES_INTERVAL);
+        home_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         routes.mark_changed();
         loop {
-            let pause = if self.core.has_waiting() { TICK } else { IDLE_TICK };
+            let pause = if self.core.has_waiting() { QUEUE_TICK } else { IDLE_TICK };
             tokio::select! {
                 Ok(()) = routes.changed() => {
                     let routes = Arc::clone(&routes.borrow_and_update());
                     self.core.set_routes(&routes);
-                    self.look_for_homes(&routes);
+                    self.refresh_key_homes(&routes);
                 }
-                _ = looks.tick() => self.look_for_homes(&self.routes.borrow()),
-                () = tokio::time::sleep_until(ticked + pause) => {
+                _ = home_ticks.tick() => self.refresh_key_homes(&self.routes.borrow()),
+                () = tokio::time::sleep_until(last_tick + pause) => {
                     self.core.tick();
-                    ticked = tokio::time::Instant::now();
+                    last_tick = tokio::time::Instant::now();
                 }
                 // The pause is a short one from now on.
                 () = self.core.queued.notified() => {}
@@ -174,12 +174,12 @@
         }
     }
 
-    fn look_for_homes(&self, routes: &Routes) {
-        let messages = self.core.set_homes(routes);
+    fn refresh_key_homes(&self, routes: &Routes) {
+        let messages = self.core.update_key_homes(routes);
         if !messages.is_empty() {
             let Proxy { core, peers, .. } = self.clone();
             tokio::spawn(async move {
-                keyed::hand_over(&core, &peers, messages, keyed::JOIN_PATIENCE).await;
+                keyed::hand_over(&core, &peers, messages, keyed::JOIN_HANDOVER_TIMEOUT).await;
             });
         }
     }
@@ -204,9 +204,9 @@
             let first = !self.core.draining.swap(true, Ordering::Relaxed);
             if first {
                 log::info!("event=draining vm={}", self.core.options.vm);
-                self.stage.send_replace(Stage::Leaving);
+                self.stage.send_replace(DrainStage::Leaving);
                 tokio::time::sleep(self.core.options.balancer_delay).await;
-                self.stage.send_replace(Stage::Closed);
+                self.stage.send_replace(DrainStage::Closed);
             }
             let _ = done.wait_for(|done| *done).await;
         }
--- a/daisy-entry/src/proxy/answer.rs
+++ b/daisy-entry/src/proxy/answer.rs
@@ -30,7 +30,7 @@
 }
 
 /// When to come again about a key whose home cannot say yet.
-const KEY_RETRY: Duration = Duration::from_secs(1);
+const KEY_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// The outcome of an answer that a backend server gave.
 pub(super) const ANSWERED: &str = "answered";
 
@@ -54,15 +54,15 @@
     }
 
     /// A refusal for now, that says when to come again.
-    pub(super) fn later(outcome: Outcome, reason: &str, retry_after: Duration) -> Failure {
+    pub(super) fn retryable(outcome: Outcome, reason: &str, retry_after: Duration) -> Failure {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Failure { retry_after: Some(retry_after), ..Failure::new(status, outcome, reason) }
     }
 
     /// Why a keyed request does not run in this attempt.
-    pub(super) fn from_key(stop: KeyDenial, not_run: bool) -> Failure {
+    pub(super) fn from_key_denial(denial: KeyDenial, not_run: bool) -> Failure {
         let outcome = if not_run { Outcome::NotRun } else { Outcome::Unknown };
-        let (status, reason) = match stop {
+        let (status, reason) = match denial {
             KeyDenial::Unknown => (StatusCode::CONFLICT, "key-unknown"),
             KeyDenial::Running => (StatusCode::CONFLICT, "key-in-progress"),
             KeyDenial::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, "key-reused"),
@@ -70,14 +70,14 @@
             KeyDenial::Settling => (StatusCode::SERVICE_UNAVAILABLE, "key-home-settling"),
             KeyDenial::Unreachable => (StatusCode::SERVICE_UNAVAILABLE, "key-home-unreachable"),
         };
-        let final_word = matches!(stop, KeyDenial::Unknown | KeyDenial::Mismatch);
-        let retry_after = (!final_word).then_some(KEY_RETRY);
+        let is_permanent = matches!(denial, KeyDenial::Unknown | KeyDenial::Mismatch);
+        let retry_after = (!is_permanent).then_some(KEY_RETRY_DELAY);
         Failure { retry_after, ..Failure::new(status, outcome, reason) }
     }
 
     /// The same failure of a repeated attempt, of which it proves nothing: an earlier one may have
     /// run.
-    pub(super) fn of_repeat(self) -> Failure {
+    pub(super) fn for_repeated_attempt(self) -> Failure {
         Failure { outcome: Outcome::Unknown, ..self }
     }
 
@@ -106,10 +106,12 @@
             RejectReason::UnknownService => {
                 Failure::new(StatusCode::NOT_FOUND, Outcome::NotRun, "unknown-service")
             }
-            RejectReason::NoBackend => Failure::later(Outcome::NotRun, "no-backend", retry_after),
-            RejectReason::Deadline => Failure::later(Outcome::NotRun, "deadline", retry_after),
-            RejectReason::Overload => Failure::later(Outcome::NotRun, "overload", retry_after),
-            RejectReason::Draining => Failure::later(Outcome::NotRun, "draining", retry_after),
+            RejectReason::NoBackend => {
+                Failure::retryable(Outcome::NotRun, "no-backend", retry_after)
+            }
+            RejectReason::Deadline => Failure::retryable(Outcome::NotRun, "deadline", retry_after),
+            RejectReason::Overload => Failure::retryable(Outcome::NotRun, "overload", retry_after),
+            RejectReason::Draining => Failure::retryable(Outcome::NotRun, "draining", retry_after),
         }
     }
 }
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -23,10 +23,10 @@
 };
 
 /// Bytes of answers kept for repeated attempts: a quarter of what control may take of memory.
-const STORED_BYTES: usize = 64 << 20;
+const MAX_STORED_BYTES: usize = 64 << 20;
 
 /// Keyed requests in progress at one time; each holds at most its short body.
-pub(super) const MAX_KEYED: u32 = 8_192;
+pub(super) const MAX_KEYED_IN_PROGRESS: u32 = 8_192;
 
 /// Shared by all requests; free of the type that asks peers.
 #[derive(Debug)]
@@ -41,12 +41,12 @@
     pub(super) metrics: RequestMetrics,
     /// Told when a request begins to wait.
     pub(super) queued: Notify,
-    deciding: Mutex<Deciding>,
+    router_state: Mutex<RouterState>,
 }
 
 /// The router and those who wait for it, under one lock, so that no grant is lost between them.
 #[derive(Debug)]
-struct Deciding {
+struct RouterState {
     router: Router,
     rng: fastrand::Rng,
     waiters: SortedMap<Ticket, oneshot::Sender<QueueDecision>>,
@@ -54,7 +54,7 @@
 
 /// A place in the queue; dropped, it is given up.
 #[derive(Debug)]
-pub(super) struct Waiting<'a> {
+pub(super) struct QueuedRequest<'a> {
     core: &'a Core,
     ticket: Ticket,
     rx: oneshot::Receiver<QueueDecision>,
@@ -62,39 +62,39 @@
 
 /// What came of an offer.
 #[derive(Debug)]
-pub(super) enum Offered<'a> {
+pub(super) enum AdmissionResult<'a> {
     Send(Target),
-    Wait(Waiting<'a>),
+    Wait(QueuedRequest<'a>),
     Reject(Rejection),
 }
 
 impl Core {
     /// A core without routes.
     pub(super) fn new(options: Options) -> Core {
-        let deciding = Deciding {
+        let router_state = RouterState {
             router: Router::new(options.vm),
             rng: fastrand::Rng::with_seed(options.seed),
             waiters: SortedMap::new(),
         };
         let clock = Clock::new();
-        let limits = KeyLimits { keys: options.limits.keys as usize, bytes: STORED_BYTES };
+        let limits = KeyLimits { keys: options.limits.keys as usize, bytes: MAX_STORED_BYTES };
         let keys = KeyTable::new(options.vm, limits, clock.now());
         Core {
             options,
             clock,
             keys: Mutex::new(keys),
-            keyed: Arc::new(Semaphore::new(MAX_KEYED as usize)),
+            keyed: Arc::new(Semaphore::new(MAX_KEYED_IN_PROGRESS as usize)),
             pool: Pool::default(),
             draining: AtomicBool::new(false),
             metrics: RequestMetrics::new(),
             queued: Notify::new(),
-            deciding: Mutex::new(deciding),
+            router_state: Mutex::new(router_state),
         }
     }
 
     /// Whether requests wait for a backend server.
     pub(super) fn has_waiting(&self) -> bool {
-        !lock(&self.deciding).waiters.is_empty()
+        !lock(&self.router_state).waiters.is_empty()
     }
 
     /// Whether a planned stop has begun.
@@ -103,23 +103,23 @@
     }
 
     /// A number that no other request is likely to have.
-    pub(super) fn draw(&self) -> u64 {
-        lock(&self.deciding).rng.u64(..)
+    pub(super) fn random_id(&self) -> u64 {
+        lock(&self.router_state).rng.u64(..)
     }
 
     /// Asks the router for a backend server.
-    pub(super) fn offer(&self, call: &Call) -> Offered<'_> {
+    pub(super) fn offer(&self, call: &Call) -> AdmissionResult<'_> {
         let now = self.clock.now();
-        let mut deciding = lock(&self.deciding);
-        let Deciding { router, rng, waiters } = &mut *deciding;
+        let mut router_state = lock(&self.router_state);
+        let RouterState { router, rng, waiters } = &mut *router_state;
         match router.offer(now, call, rng) {
-            Admission::Send(target) => Offered::Send(target),
-            Admission::Reject(rejection) => Offered::Reject(rejection),
+            Admission::Send(target) => AdmissionResult::Send(target),
+            Admission::Reject(rejection) => AdmissionResult::Reject(rejection),
             Admission::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 waiters.insert(ticket, tx);
                 self.queued.notify_one();
-                Offered::Wait(Waiting { core: self, ticket, rx })
+                AdmissionResult::Wait(QueuedRequest { core: self, ticket, rx })
             }
         }
     }
@@ -127,40 +127,40 @@
     /// Asks the router for another backend server after a failure.
     pub(super) fn retry(&self, call: &Call, tried: &[VmId]) -> Option<Target> {
         let now = self.clock.now();
-        let mut deciding = lock(&self.deciding);
-        let Deciding { router, rng, .. } = &mut *deciding;
+        let mut router_state = lock(&self.router_state);
+        let RouterState { router, rng, .. } = &mut *router_state;
         router.retry(now, call, tried, rng)
     }
 
     /// After how long a request deserves a second try beside its first.
     pub(super) fn hedge_after(&self, call: &Call) -> Option<Duration> {
-        lock(&self.deciding).router.hedge_after(call)
+        lock(&self.router_state).router.hedge_after(call)
     }
 
     /// Asks the router for a second backend server beside the first.
     pub(super) fn hedge(&self, call: &Call, tried: &[VmId]) -> Option<Target> {
         let now = self.clock.now();
-        let mut deciding = lock(&self.deciding);
-        let Deciding { router, rng, .. } = &mut *deciding;
+        let mut router_state = lock(&self.router_state);
+        let RouterState { router, rng, .. } = &mut *router_state;
         router.hedge(now, call, tried, rng)
     }
 
     /// When a caller is to come again.
     pub(super) fn retry_after(&self, call: &Call) -> Duration {
         let now = self.clock.now();
-        let mut deciding = lock(&self.deciding);
-        let Deciding { router, rng, .. } = &mut *deciding;
+        let mut router_state = lock(&self.router_state);
+        let RouterState { router, rng, .. } = &mut *router_state;
         router.retry_after(now, &call.service, rng)
     }
 
     /// Ends a try.
     pub(super) fn finish(&self, try_id: TryId, report: TryReport) {
         let now = self.clock.now();
-        lock(&self.deciding).apply(|router, rng| router.finish(now, try_id, report, rng), now);
+        lock(&self.router_state).apply(|router, rng| router.finish(now, try_id, report, rng), now);
     }
 
     /// Takes in who is there; returns the keys that have to be handed over.
-    pub(super) fn set_homes(&self, routes: &Routes) -> Vec<(VmId, KeyQuery)> {
+    pub(super) fn update_key_homes(&self, routes: &Routes) -> Vec<(VmId, KeyQuery)> {
         lock(&self.keys).set_routes(self.clock.now(), routes)
     }
 
@@ -190,7 +190,7 @@
     /// Takes in new routes and closes connections to backend servers that are gone.
     pub(super) fn set_routes(&self, routes: &Routes) {
         let now = self.clock.now();
-        lock(&self.deciding).apply(|router, rng| router.set_routes(now, routes, rng), now);
+        lock(&self.router_state).apply(|router, rng| router.set_routes(now, routes, rng), now);
         let backends = || routes.services.iter().flat_map(|(_, service)| &service.backends);
         self.pool.retain(|address| backends().any(|backend| backend.address == *address));
     }
@@ -199,7 +199,7 @@
     pub(super) fn tick(&self) {
         let now = self.clock.now();
         lock(&self.keys).observe_time(now);
-        lock(&self.deciding).apply(|router, rng| router.tick(now, rng), now);
+        lock(&self.router_state).apply(|router, rng| router.tick(now, rng), now);
     }
 
     /// Takes in what a peer has in flight.
@@ -207,16 +207,16 @@
         let now = self.clock.now();
         let take =
             |router: &mut Router, rng: &mut _| router.peer_in_flight(now, peer, in_flight, rng);
-        lock(&self.deciding).apply(take, now);
+        lock(&self.router_state).apply(take, now);
     }
 
     /// Requests in flight by backend server.
     pub(super) fn in_flight(&self) -> Vec<(VmId, u32)> {
-        lock(&self.deciding).router.in_flight()
+        lock(&self.router_state).router.in_flight()
     }
 }
 
-impl Deciding {
+impl RouterState {
     /// Runs `step` and hands its grants to those who wait.
     ///
     /// A grant whose waiter has left is taken back at once, which may grant another.
@@ -225,42 +225,43 @@
         step: impl FnOnce(&mut Router, &mut fastrand::Rng) -> Vec<QueueDecision>,
         now: daisy_model::Instant,
     ) {
-        let mut grants = step(&mut self.router, &mut self.rng);
-        while let Some(grant) = grants.pop() {
-            let ticket = match &grant {
+        let mut decisions = step(&mut self.router, &mut self.rng);
+        while let Some(decision) = decisions.pop() {
+            let ticket = match &decision {
                 QueueDecision::Send(target) => target.ticket,
                 QueueDecision::Reject(ticket, _) => *ticket,
             };
-            let unheard = match self.waiters.remove(&ticket) {
-                Some(tx) => tx.send(grant).err(),
-                None => Some(grant),
+            let undelivered = match self.waiters.remove(&ticket) {
+                Some(tx) => tx.send(decision).err(),
+                None => Some(decision),
             };
-            if let Some(QueueDecision::Send(target)) = unheard {
+            if let Some(QueueDecision::Send(target)) = undelivered {
                 let cancelled = TryReport::without_answer(TryOutcome::Cancelled);
                 let more = self.router.finish(now, target.try_id, cancelled, &mut self.rng);
-                grants.extend(more);
+                decisions.extend(more);
             }
         }
     }
 }
 
-impl Waiting<'_> {
+impl QueuedRequest<'_> {
     /// The router's decision, which comes before the request's deadline.
-    pub(super) async fn decided(mut self) -> Option<QueueDecision> {
+    pub(super) async fn decision(mut self) -> Option<QueueDecision> {
         (&mut self.rx).await.ok()
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         self.rx.close();
         let now = self.core.clock.now();
-        let mut deciding = lock(&self.core.deciding);
-        deciding.waiters.remove(&self.ticket);
-        deciding.router.cancel_waiting(self.ticket);
+        let mut router_state = lock(&self.core.router_state);
+        router_state.waiters.remove(&self.ticket);
+        router_state.router.cancel_waiting(self.ticket);
         if let Ok(QueueDecision::Send(target)) = self.rx.try_recv() {
             let cancelled = TryReport::without_answer(TryOutcome::Cancelled);
-            deciding.apply(|router, rng| router.finish(now, target.try_id, cancelled, rng), now);
+            router_state
+                .apply(|router, rng| router.finish(now, target.try_id, cancelled, rng), now);
         }
     }
 }
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -38,7 +38,7 @@
 
 /// A request as it is sent to backend servers, try after try.
 #[derive(Debug)]
-pub(super) struct Sending {
+pub(super) struct ForwardedRequest {
     /// Method, path and headers, without those of one connection.
     pub(super) parts: Parts,
     /// Its id, the same in every try.
@@ -76,7 +76,7 @@
     ///
     /// Guards against `not-run` for a request whose first try may have run and whose second could
     /// not be sent: the proof must hold for every try.
-    pub(super) fn and(self, other: TryError) -> TryError {
+    pub(super) fn combine(self, other: TryError) -> TryError {
         if self.proves_not_run() { other } else { self }
     }
 
@@ -94,9 +94,9 @@
     }
 }
 
-impl Sending {
+impl ForwardedRequest {
     /// Takes over the caller's head and leaves out what concerns its connection only.
-    pub(super) fn new(mut parts: Parts, id: u64, deadline: Instant) -> Sending {
+    pub(super) fn new(mut parts: Parts, id: u64, deadline: Instant) -> ForwardedRequest {
         strip_hop_by_hop(&mut parts.headers);
         parts.headers.remove(header::EXPECT);
         parts.headers.remove(CONTENT_LENGTH);
@@ -107,7 +107,7 @@
         if let Ok(value) = HeaderValue::from_str(&id) {
             parts.headers.insert(headers::REQUEST_ID, value);
         }
-        Sending { parts, id, deadline }
+        ForwardedRequest { parts, id, deadline }
     }
 
     fn request(&self, body: Outgoing, target: &Target, now: Instant) -> Request<Outgoing> {
@@ -127,12 +127,12 @@
 pub(super) async fn try_once(
     core: &Arc<Core>,
     target: Target,
-    sending: &Sending,
+    forwarded: &ForwardedRequest,
     body: Outgoing,
 ) -> Result<Response<AnswerBody>, TryError> {
     let mut guard = TryGuard::new(Arc::clone(core), target.try_id);
-    let sent = send(core, &target, sending, body);
-    let at = core.clock.timer_at(sending.deadline);
+    let sent = send(core, &target, forwarded, body);
+    let at = core.clock.timer_at(forwarded.deadline);
     let result = tokio::time::timeout_at(at, sent).await.unwrap_or(Err(TryError::Deadline));
     let (lease, response) = match result {
         Ok(answered) => answered,
@@ -147,18 +147,18 @@
         }
     };
     let report = read_report(response.headers());
-    if let Err(err) = check(&response, &sending.id) {
+    if let Err(err) = validate_answer(&response, &forwarded.id) {
         let end = if err == TryError::Refused { TryOutcome::Refused } else { TryOutcome::Broken };
         guard.end(TryReport { end, ..report });
         return Err(err);
     }
-    Ok(pass_on(response, AnswerGuard::new(guard, lease, report, sending.deadline)))
+    Ok(forward_answer(response, AnswerGuard::new(guard, lease, report, forwarded.deadline)))
 }
 
 async fn send(
     core: &Core,
     target: &Target,
-    sending: &Sending,
+    forwarded: &ForwardedRequest,
     body: Outgoing,
 ) -> Result<(Lease, Response<Incoming>), TryError> {
     let leased = core.pool.lease(target.address, target.connections).await;
@@ -173,18 +173,18 @@
     // Guards against a frozen entry VM that wakes and sends what nobody waits for any more: by
     // then a repeated attempt may have run elsewhere. Timers fire too late for it, as what is
     // ready is polled first.
-    if now >= sending.deadline {
+    if now >= forwarded.deadline {
         return Err(TryError::NotSent);
     }
-    let req = sending.request(body, target, now);
+    let req = forwarded.request(body, target, now);
     match lease.tx.try_send_request(req).await {
         Ok(response) => Ok((lease, response)),
-        Err(err) => Err(sent_or_not(err, target)),
+        Err(err) => Err(classify_send_error(err, target)),
     }
 }
 
 /// Only a request that hyper gives back was surely not written.
-fn sent_or_not(mut err: TrySendError<Request<Outgoing>>, target: &Target) -> TryError {
+fn classify_send_error(mut err: TrySendError<Request<Outgoing>>, target: &Target) -> TryError {
     let unwritten = err.take_message().is_some();
     log::debug!("event=try_failed vm={} unwritten={unwritten} error={:?}", target.vm, err.error());
     if unwritten { TryError::NotSent } else { TryError::Broken }
@@ -201,7 +201,7 @@
 }
 
 /// Refuses an answer that is not surely the whole answer to this request.
-fn check(response: &Response<Incoming>, id: &str) -> Result<(), TryError> {
+fn validate_answer(response: &Response<Incoming>, id: &str) -> Result<(), TryError> {
     let map = response.headers();
     // Guards against a late or doubled answer on a reused connection, which a caller would see
     // as another's: such an answer has another id, or none.
@@ -221,7 +221,7 @@
     if framed { Ok(()) } else { Err(TryError::Unframed) }
 }
 
-fn pass_on(response: Response<Incoming>, mut guard: AnswerGuard) -> Response<AnswerBody> {
+fn forward_answer(response: Response<Incoming>, mut guard: AnswerGuard) -> Response<AnswerBody> {
     let (mut parts, body) = response.into_parts();
     strip_hop_by_hop(&mut parts.headers);
     parts.headers.remove(headers::IN_FLIGHT);
--- a/daisy-entry/src/proxy/guard.rs
+++ b/daisy-entry/src/proxy/guard.rs
@@ -73,7 +73,7 @@
     /// The body is whole: the connection may carry another request.
     pub(super) fn complete(&mut self) {
         if let Some(lease) = self.lease.take() {
-            lease.give_back();
+            lease.release();
         }
         self.guard.end(self.report);
     }
--- a/daisy-entry/src/proxy/head.rs
+++ b/daisy-entry/src/proxy/head.rs
@@ -20,7 +20,7 @@
     /// The service.
     pub(super) service: Name,
     /// How long the caller waits.
-    pub(super) patience: Duration,
+    pub(super) time_to_deadline: Duration,
     /// How urgent the caller says it is.
     pub(super) urgency: Urgency,
     /// Who calls.
@@ -72,7 +72,7 @@
         let key = read_key(map)?;
         Ok(Head {
             service,
-            patience: read_deadline(map)?,
+            time_to_deadline: read_deadline(map)?,
             urgency: read_urgency(map)?,
             caller: read_caller(map, address)?,
             idempotent,
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -17,21 +17,21 @@
 /// How long a home is given to answer.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pauses between questions while another attempt runs; doubled from the first to the last.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-const LAST_PAUSE: Duration = Duration::from_millis(200);
+const MIN_CLAIM_PAUSE: Duration = Duration::from_millis(10);
+const MAX_CLAIM_PAUSE: Duration = Duration::from_millis(200);
 /// How long a home that cannot be had is waited for before the caller is told to come again.
-const HOME_PATIENCE: Duration = Duration::from_secs(1);
+const HOME_UNAVAILABLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How much longer than its deadline a request may count as running, for the way to the home.
-const HOLD_MARGIN: Duration = Duration::from_secs(2);
+const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 /// How often the end of a claim is told to a home that does not take it.
 const FINISH_TRIES: u32 = 5;
 /// Between those.
 const FINISH_PAUSE: Duration = Duration::from_millis(100);
 /// How long a peer that has joined is offered what it has not taken: its link may come later than its
 /// heartbeat, and a new home waits as long for the keys of the others.
-pub(super) const JOIN_PATIENCE: Duration = Duration::from_secs(5);
+pub(super) const JOIN_HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The same in a planned stop, which must not wait for peers that are gone.
-pub(super) const LEAVE_PATIENCE: Duration = Duration::from_millis(500);
+pub(super) const LEAVE_HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the platform's log is given to take an intent.
 const INTENT_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -44,7 +44,7 @@
 
 /// What a claim came to.
 #[derive(Debug)]
-pub(super) enum Claimed {
+pub(super) enum ClaimResult {
     /// The request runs.
     Run(Claim),
     /// An earlier attempt ran, with this answer.
@@ -64,45 +64,45 @@
 
 impl<K: PeerKeys<KeyQuery, KeyAnswer>> Keyed<K> {
     /// Claims the key: at its home, and for a repeated attempt in every data centre.
-    pub(super) async fn claim(&self) -> Result<Claimed, Failure> {
-        let begun = self.core.clock.now();
-        let mut pause = FIRST_PAUSE;
-        let mut claim = Claim { id: ClaimId(self.core.draw()), home: None };
+    pub(super) async fn claim(&self) -> Result<ClaimResult, Failure> {
+        let started_at = self.core.clock.now();
+        let mut pause = MIN_CLAIM_PAUSE;
+        let mut claim = Claim { id: ClaimId(self.core.random_id()), home: None };
         loop {
             let home = self.core.home(&self.id);
             claim.home = claim.home.or(home);
-            let mut step = self.ask_home(home, claim.id).await;
-            let granted = matches!(step, KeyStep::Run | KeyStep::QueryOtherDcs);
-            if granted && self.key.logged {
-                step = self.intend().await;
+            let mut step = self.claim_at_home(home, claim.id).await;
+            let is_granted = matches!(step, KeyStep::Run | KeyStep::QueryOtherDcs);
+            if is_granted && self.key.logged {
+                step = self.announce_intent().await;
             } else if step == KeyStep::QueryOtherDcs {
-                step = self.ask_others().await;
+                step = self.fence_other_dcs().await;
             }
-            let stop = match step {
-                KeyStep::Run => return Ok(Claimed::Run(claim)),
+            let denial = match step {
+                KeyStep::Run => return Ok(ClaimResult::Run(claim)),
                 KeyStep::Replay(answer) => {
-                    if granted {
+                    if is_granted {
                         self.finish(claim, ClaimEnd::Answered(answer.clone())).await;
                     }
-                    return Ok(Claimed::Replay(answer));
+                    return Ok(ClaimResult::Replay(answer));
                 }
                 KeyStep::QueryOtherDcs => KeyDenial::Unknown,
-                KeyStep::Stop(stop) | KeyStep::Wait(stop) if granted => {
+                KeyStep::Stop(denial) | KeyStep::Wait(denial) if is_granted => {
                     self.finish(claim, ClaimEnd::NotRun).await;
                     // A finish may overtake the next claim of the same name and release it.
-                    claim = Claim { id: ClaimId(self.core.draw()), home: None };
-                    stop
+                    claim = Claim { id: ClaimId(self.core.random_id()), home: None };
+                    denial
                 }
-                KeyStep::Stop(stop) | KeyStep::Wait(stop) => stop,
+                KeyStep::Stop(denial) | KeyStep::Wait(denial) => denial,
             };
-            if !self.may_wait(stop, begun, pause) {
-                if stop == KeyDenial::Unreachable {
+            if !self.may_wait(denial, started_at, pause) {
+                if denial == KeyDenial::Unreachable {
                     self.finish(claim, ClaimEnd::NotRun).await;
                 }
-                return Err(self.stopped(stop));
+                return Err(self.failure(denial));
             }
             tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LAST_PAUSE);
+            pause = (pause * 2).min(MAX_CLAIM_PAUSE);
         }
     }
 
@@ -116,7 +116,7 @@
                 && self.ask(home, query.clone()).await == Some(KeyAnswer::Acknowledged)
             {
                 if not_run && claim.home != Some(home) {
-                    self.tell_others(home, query).await;
+                    self.finish_at_other_homes(home, query).await;
                 }
                 return;
             }
@@ -126,12 +126,12 @@
     }
 
     /// Tells those beside the home that may have a copy of a claim from a handover.
-    async fn tell_others(&self, home: VmId, query: KeyQuery) {
+    async fn finish_at_other_homes(&self, home: VmId, query: KeyQuery) {
         let others = self.core.candidate_homes(&self.id).into_iter().filter(|it| *it != home);
         join_all(others.map(|it| self.ask(it, query.clone()))).await;
     }
 
-    async fn ask_home(&self, home: Option<VmId>, claim: ClaimId) -> KeyStep {
+    async fn claim_at_home(&self, home: Option<VmId>, claim: ClaimId) -> KeyStep {
         let left = self.deadline.since(self.core.clock.now());
         let repeated = self.key.repeated && !self.key.logged;
         let query = KeyQuery::Claim {
@@ -139,7 +139,7 @@
             request_digest: self.request_digest,
             claim,
             repeated,
-            claim_timeout: left + HOLD_MARGIN,
+            claim_timeout: left + CLAIM_TIMEOUT_MARGIN,
         };
         let Some(home) = home else {
             return KeyStep::Wait(KeyDenial::Unreachable);
@@ -147,7 +147,7 @@
         next_step_after_home(self.ask(home, query).await, repeated)
     }
 
-    async fn ask_others(&self) -> KeyStep {
+    async fn fence_other_dcs(&self) -> KeyStep {
         let candidate_homes = self.core.other_homes(&self.id);
         let answers = join_all(candidate_homes.into_iter().map(async |home| {
             let query =
@@ -158,9 +158,10 @@
     }
 
     /// Notes the request in the platform's log; the first intent for a key wins.
-    async fn intend(&self) -> KeyStep {
+    async fn announce_intent(&self) -> KeyStep {
         let left = self.deadline.since(self.core.clock.now());
-        let intent = self.peers.intend(intent_key(&self.id), left.min(INTENT_TIMEOUT)).await;
+        let intent =
+            self.peers.announce_intent(intent_key(&self.id), left.min(INTENT_TIMEOUT)).await;
         match intent {
             Intent::Won => KeyStep::Run,
             Intent::Lost => KeyStep::Stop(KeyDenial::Unknown),
@@ -173,20 +174,20 @@
     }
 
     /// Whether asking again may help before the caller's patience or the home's ends.
-    fn may_wait(&self, stop: KeyDenial, begun: Instant, pause: Duration) -> bool {
+    fn may_wait(&self, denial: KeyDenial, started_at: Instant, pause: Duration) -> bool {
         let next = self.core.clock.now() + pause;
-        let end = match stop {
+        let end = match denial {
             KeyDenial::Running => self.deadline,
             KeyDenial::Settling | KeyDenial::Unreachable if !self.key.logged => {
-                self.deadline.min(begun + HOME_PATIENCE)
+                self.deadline.min(started_at + HOME_UNAVAILABLE_TIMEOUT)
             }
             _ => return false,
         };
         next < end
     }
 
-    fn stopped(&self, stop: KeyDenial) -> Failure {
-        Failure::from_key(stop, stop.proves_not_run(self.key.repeated))
+    fn failure(&self, denial: KeyDenial) -> Failure {
+        Failure::from_key_denial(denial, denial.proves_not_run(self.key.repeated))
     }
 }
 
@@ -205,12 +206,12 @@
 }
 
 /// Hands keys over: to each peer one message after another, to all peers at one time. A message that
-/// a peer does not take is sent again for `patience`.
+/// a peer does not take is sent again for `timeout`.
 pub(super) async fn hand_over<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
     messages: Vec<(VmId, KeyQuery)>,
-    patience: Duration,
+    timeout: Duration,
 ) {
     let mut by_peer: Vec<(VmId, Vec<KeyQuery>)> = Vec::new();
     for (peer, query) in messages {
@@ -220,7 +221,7 @@
         }
     }
     join_all(by_peer.into_iter().map(async |(peer, queries)| {
-        let taken = hand_over_to(core, peers, peer, queries, patience).await;
+        let taken = hand_over_to(core, peers, peer, queries, timeout).await;
         log::info!("event=keys_handed_over peer={peer} taken={taken}");
     }))
     .await;
@@ -233,12 +234,12 @@
     peers: &K,
     peer: VmId,
     queries: Vec<KeyQuery>,
-    patience: Duration,
+    timeout: Duration,
 ) -> bool {
     for query in queries {
-        let begun = core.clock.now();
+        let started_at = core.clock.now();
         while ask(core, peers, peer, query.clone()).await != Some(KeyAnswer::Acknowledged) {
-            if core.clock.now().since(begun) >= patience {
+            if core.clock.now().since(started_at) >= timeout {
                 return false;
             }
             tokio::time::sleep(FINISH_PAUSE).await;
--- a/daisy-entry/src/proxy/metrics.rs
+++ b/daisy-entry/src/proxy/metrics.rs
@@ -20,22 +20,22 @@
 
 /// Labels of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Answered {
+struct AnswerLabels {
     service: String,
     outcome: String,
 }
 
 /// Label of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Service {
+struct ServiceLabel {
     service: String,
 }
 
 /// The metrics of requests; clones share them.
 #[derive(Debug, Clone)]
 pub(super) struct RequestMetrics {
-    requests: Family<Answered, Counter>,
-    latency: Family<Service, Histogram>,
+    requests: Family<AnswerLabels, Counter>,
+    latency: Family<ServiceLabel, Histogram>,
 }
 
 impl RequestMetrics {
@@ -65,14 +65,15 @@
     ) {
         let malformed =
             matches!(response.status(), StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND);
-        let made_here = response.headers().contains_key(headers::REASON);
-        let named = service.and_then(|it| it.to_str().ok()).filter(|_| !(malformed && made_here));
+        let is_local_answer = response.headers().contains_key(headers::REASON);
+        let named =
+            service.and_then(|it| it.to_str().ok()).filter(|_| !(malformed && is_local_answer));
         let service = named.unwrap_or(UNKNOWN).to_owned();
         let outcome = outcome(response.headers()).to_owned();
         self.latency
-            .get_or_create(&Service { service: service.clone() })
+            .get_or_create(&ServiceLabel { service: service.clone() })
             .observe(took.as_secs_f64());
-        self.requests.get_or_create(&Answered { service, outcome }).inc();
+        self.requests.get_or_create(&AnswerLabels { service, outcome }).inc();
     }
 }
 
--- a/daisy-entry/src/proxy/pool.rs
+++ b/daisy-entry/src/proxy/pool.rs
@@ -37,32 +37,32 @@
 /// All connections of this entry VM to backend servers.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
-    hosts: Mutex<SortedMap<SocketAddr, Arc<Host>>>,
+    hosts: Mutex<SortedMap<SocketAddr, Arc<BackendConnections>>>,
 }
 
 #[derive(Debug, Default)]
-struct Host {
-    state: Mutex<HostState>,
+struct BackendConnections {
+    state: Mutex<BackendConnectionState>,
 }
 
 #[derive(Debug, Default)]
-struct HostState {
+struct BackendConnectionState {
     open: u32,
-    idle: Vec<Connection>,
+    idle: Vec<IdleConnection>,
 }
 
 #[derive(Debug)]
-struct Connection {
+struct IdleConnection {
     tx: SendRequest<Outgoing>,
 }
 
 /// Counts one open connection until its driver ends.
 #[derive(Debug)]
-struct Open {
-    host: Arc<Host>,
+struct OpenConnection {
+    host: Arc<BackendConnections>,
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         lock(&self.host.state).open -= 1;
     }
@@ -71,17 +71,17 @@
 /// A connection in use by one request; dropped, it is closed.
 #[derive(Debug)]
 pub(super) struct Lease {
-    host: Arc<Host>,
+    host: Arc<BackendConnections>,
     /// Where requests are sent.
     pub(super) tx: SendRequest<Outgoing>,
 }
 
 impl Lease {
     /// Lets another request use the connection; only after a whole answer.
-    pub(super) fn give_back(self) {
+    pub(super) fn release(self) {
         let Lease { host, tx } = self;
         if !tx.is_closed() {
-            lock(&host.state).idle.push(Connection { tx });
+            lock(&host.state).idle.push(IdleConnection { tx });
         }
     }
 }
@@ -90,12 +90,12 @@
     /// A connection to `address`, at most `limit` of which are open at one time.
     pub(super) async fn lease(&self, address: SocketAddr, limit: u32) -> Result<Lease, PoolError> {
         let host = Arc::clone(lock(&self.hosts).get_or_insert_with(address, Arc::default));
-        while let Some(Connection { mut tx }) = pop_idle(&host) {
+        while let Some(IdleConnection { mut tx }) = pop_idle(&host) {
             if tx.ready().await.is_ok() {
                 return Ok(Lease { host, tx });
             }
         }
-        let open = Host::try_open(&host, limit).ok_or(PoolError::Full { limit })?;
+        let open = BackendConnections::try_open(&host, limit).ok_or(PoolError::Full { limit })?;
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let (tx, conn) = http1::handshake(TokioIo::new(stream)).await?;
@@ -121,18 +121,18 @@
     }
 }
 
-impl Host {
-    fn try_open(host: &Arc<Host>, limit: u32) -> Option<Open> {
+impl BackendConnections {
+    fn try_open(host: &Arc<BackendConnections>, limit: u32) -> Option<OpenConnection> {
         let mut state = lock(&host.state);
         if state.open >= limit {
             return None;
         }
         state.open += 1;
-        Some(Open { host: Arc::clone(host) })
+        Some(OpenConnection { host: Arc::clone(host) })
     }
 }
 
-fn pop_idle(host: &Host) -> Option<Connection> {
+fn pop_idle(host: &BackendConnections) -> Option<IdleConnection> {
     lock(&host.state).idle.pop()
 }
 
--- a/daisy-entry/src/proxy/request.rs
+++ b/daisy-entry/src/proxy/request.rs
@@ -15,18 +15,18 @@
     proxy::{
         answer::{Failure, Outcome},
         body::AnswerBody,
-        core::{Core, Offered},
-        forward::Sending,
+        core::{AdmissionResult, Core},
+        forward::ForwardedRequest,
         head::{self, Head, Key},
-        keyed::{Claimed, Keyed},
+        keyed::{ClaimResult, Keyed},
         stored,
-        tries::{self, Job, Payload},
+        tries::{self, Payload, ProxiedRequest},
     },
 };
 
 /// Bodies up to this many bytes are read whole before a slot is taken, so that a slow sender
 /// holds no slot and the request can be sent again.
-const BUFFERED_BODY: u64 = 64 << 10;
+const MAX_BUFFERED_BODY: u64 = 64 << 10;
 
 /// Answers requests; clones share what they need.
 #[derive(Debug, Clone)]
@@ -42,15 +42,19 @@
         req: Request<Incoming>,
         address: IpAddr,
     ) -> Response<AnswerBody> {
-        let id = self.core.draw();
+        let id = self.core.random_id();
         let arrived = self.core.clock.now();
         let service = req.headers().get(headers::SERVICE).cloned();
         let (parts, body) = req.into_parts();
         let repeats = head::may_repeat(&parts);
         let mut response = match self.run(parts, body, address, id).await {
             Ok(response) => response,
-            Err(Refused::Early(failure)) if repeats => failure.of_repeat().into_response(),
-            Err(Refused::Early(failure) | Refused::Final(failure)) => failure.into_response(),
+            Err(RequestFailure::Early(failure)) if repeats => {
+                failure.for_repeated_attempt().into_response()
+            }
+            Err(RequestFailure::Early(failure) | RequestFailure::Final(failure)) => {
+                failure.into_response()
+            }
         };
         if let Ok(value) = HeaderValue::from_str(&format!("{id:016x}")) {
             response.headers_mut().insert(headers::REQUEST_ID, value);
@@ -66,13 +70,13 @@
         body: Incoming,
         address: IpAddr,
         id: u64,
-    ) -> Result<Response<AnswerBody>, Refused> {
+    ) -> Result<Response<AnswerBody>, RequestFailure> {
         let core = &self.core;
         let arrived = core.clock.now();
-        let head = Head::read(&parts, address).map_err(|err| Refused::Early(err.into()))?;
-        let deadline = arrived + head.patience;
+        let head = Head::read(&parts, address).map_err(|err| RequestFailure::Early(err.into()))?;
+        let deadline = arrived + head.time_to_deadline;
         let bytes = body.size_hint().lower();
-        let payload = read_body(core, body, deadline).await.map_err(Refused::Early)?;
+        let payload = read_body(core, body, deadline).await.map_err(RequestFailure::Early)?;
         let call = Call {
             service: head.service,
             urgency: head.urgency,
@@ -82,10 +86,13 @@
             bytes,
         };
         let request_digest = request_digest(&parts);
-        let job = Job { call, sending: Sending::new(parts, id, deadline), payload };
+        let proxied =
+            ProxiedRequest { call, forwarded: ForwardedRequest::new(parts, id, deadline), payload };
         match head.key {
-            None => run_job(core, job).await.map_err(Refused::Final),
-            Some(key) => self.run_keyed(job, key, request_digest).await.map_err(Refused::Final),
+            None => run_request(core, proxied).await.map_err(RequestFailure::Final),
+            Some(key) => {
+                self.run_keyed(proxied, key, request_digest).await.map_err(RequestFailure::Final)
+            }
         }
     }
 
@@ -93,18 +100,18 @@
     /// finds its answer.
     async fn run_keyed(
         &self,
-        job: Job,
+        proxied: ProxiedRequest,
         key: Key,
         request_digest: u64,
     ) -> Result<Response<AnswerBody>, Failure> {
-        let id = KeyId { service: job.call.service.clone(), key: key.key.clone() };
-        let deadline = job.call.deadline;
+        let id = KeyId { service: proxied.call.service.clone(), key: key.key.clone() };
+        let deadline = proxied.call.deadline;
         let Requests { core, peers } = self.clone();
         let keyed = Keyed { core, peers, id, request_digest, key, deadline };
-        let running = self.core.keyed.clone().acquire_owned().await;
+        let permit = self.core.keyed.clone().acquire_owned().await;
         let task = tokio::spawn(async move {
-            let answer = run_claimed(keyed, job).await;
-            drop(running);
+            let answer = run_claimed(keyed, proxied).await;
+            drop(permit);
             answer
         });
         task.await.unwrap_or_else(|_| {
@@ -116,21 +123,21 @@
 
 /// A failure, and whether it came before anything was found out about earlier attempts.
 #[derive(Debug)]
-enum Refused {
+enum RequestFailure {
     Early(Failure),
     Final(Failure),
 }
 
 async fn run_claimed<K: PeerKeys<KeyQuery, KeyAnswer>>(
     keyed: Keyed<K>,
-    job: Job,
+    proxied: ProxiedRequest,
 ) -> Result<Response<AnswerBody>, Failure> {
     let claim = match keyed.claim().await? {
-        Claimed::Run(claim) => claim,
-        Claimed::Replay(answer) => return stored::replay(answer),
+        ClaimResult::Run(claim) => claim,
+        ClaimResult::Replay(answer) => return stored::replay(answer),
     };
-    let result = match run_job(&keyed.core, job).await {
-        Ok(response) => stored::keep(response).await.map_err(|err| {
+    let result = match run_request(&keyed.core, proxied).await {
+        Ok(response) => stored::store_answer(response).await.map_err(|err| {
             log::debug!("event=answer_cut_off error={err:?}");
             Failure::new(StatusCode::BAD_GATEWAY, Outcome::Unknown, "answer-cut-off")
         }),
@@ -150,9 +157,12 @@
     }
 }
 
-async fn run_job(core: &Arc<Core>, job: Job) -> Result<Response<AnswerBody>, Failure> {
-    let target = find_target(core, &job.call).await?;
-    tries::run(core, job, target).await
+async fn run_request(
+    core: &Arc<Core>,
+    proxied: ProxiedRequest,
+) -> Result<Response<AnswerBody>, Failure> {
+    let target = find_target(core, &proxied.call).await?;
+    tries::run(core, proxied, target).await
 }
 
 /// A digest of what a key stands for: the same key for another request is an error.
@@ -162,12 +172,12 @@
 
 async fn find_target(core: &Core, call: &Call) -> Result<Target, Failure> {
     match core.offer(call) {
-        Offered::Send(target) => Ok(target),
-        Offered::Reject(rejection) => Err(rejection.into()),
-        Offered::Wait(waiting) => match waiting.decided().await {
+        AdmissionResult::Send(target) => Ok(target),
+        AdmissionResult::Reject(rejection) => Err(rejection.into()),
+        AdmissionResult::Wait(waiting) => match waiting.decision().await {
             Some(QueueDecision::Send(target)) => Ok(target),
             Some(QueueDecision::Reject(_, rejection)) => Err(rejection.into()),
-            None => Err(Failure::later(Outcome::NotRun, "draining", core.retry_after(call))),
+            None => Err(Failure::retryable(Outcome::NotRun, "draining", core.retry_after(call))),
         },
     }
 }
@@ -179,7 +189,7 @@
     if hint.lower() > limit {
         return Err(Failure::new(StatusCode::PAYLOAD_TOO_LARGE, Outcome::NotRun, "body-too-large"));
     }
-    if hint.exact().is_none_or(|length| length > BUFFERED_BODY) {
+    if hint.exact().is_none_or(|length| length > MAX_BUFFERED_BODY) {
         return Ok(Payload::Streamed { inner: body, limit });
     }
     if body.is_end_stream() {
--- a/daisy-entry/src/proxy/serve.rs
+++ b/daisy-entry/src/proxy/serve.rs
@@ -18,15 +18,16 @@
 };
 
 /// Pause after a failed accept, so that a lack of file descriptors does not burn a processor.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// What a connection beyond the limit is told before it is closed.
-const FLOOD_ANSWER: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ndaisy-outcome: not-run\r\n\
+const CONNECTION_LIMIT_ANSWER: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\ndaisy-outcome: not-run\r\n\
     daisy-reason: connections\r\nretry-after: 1\r\ndaisy-retry-after-ms: 1000\r\n\
     connection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// How far a planned stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Stage {
+pub(super) enum DrainStage {
     /// Callers are served.
     Serving,
     /// Callers are served while the balancer turns away; connections close after their answer.
@@ -35,12 +36,12 @@
     Closed,
 }
 
-/// Serves callers until the stop has come to [`Stage::Closed`] and every connection is done.
+/// Serves callers until the stop has come to [`DrainStage::Closed`] and every connection is done.
 pub(super) async fn serve<K: PeerKeys<KeyQuery, KeyAnswer>>(
     requests: Requests<K>,
     listener: TcpListener,
     own: Arc<Tree>,
-    mut stage: watch::Receiver<Stage>,
+    mut stage: watch::Receiver<DrainStage>,
 ) {
     let limit = requests.core.options.limits.connections as usize;
     let permits = Arc::new(Semaphore::new(limit));
@@ -53,12 +54,12 @@
             Ok(accepted) => accepted,
             Err(err) => {
                 log::warn!("event=accept_failed error={err:?}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            let _ = stream.try_write(FLOOD_ANSWER);
+            let _ = stream.try_write(CONNECTION_LIMIT_ANSWER);
             continue;
         };
         let conn = serve_connection(
@@ -78,9 +79,9 @@
     let _ = permits.acquire_many(limit as u32).await;
 }
 
-async fn closed(stage: &mut watch::Receiver<Stage>) {
+async fn closed(stage: &mut watch::Receiver<DrainStage>) {
     // An error means that the proxy is gone, which closes as well.
-    let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
+    let _ = stage.wait_for(|stage| *stage == DrainStage::Closed).await;
 }
 
 async fn serve_connection<K: PeerKeys<KeyQuery, KeyAnswer>>(
@@ -88,7 +89,7 @@
     stream: TcpStream,
     address: IpAddr,
     own: Arc<Tree>,
-    mut stage: watch::Receiver<Stage>,
+    mut stage: watch::Receiver<DrainStage>,
 ) {
     if let Err(err) = stream.set_nodelay(true) {
         log::debug!("event=caller_connection address={address} error={err:?}");
--- a/daisy-entry/src/proxy/stored.rs
+++ b/daisy-entry/src/proxy/stored.rs
@@ -21,17 +21,17 @@
 
 /// Reads an answer whole where it is short enough to be kept; a longer one is passed on as it
 /// comes, and only the fact that it came is kept.
-pub(super) async fn keep(
+pub(super) async fn store_answer(
     response: Response<AnswerBody>,
 ) -> Result<(Response<AnswerBody>, StoredAnswer), BodyError> {
     let (parts, body) = response.into_parts();
     let short = body.size_hint().exact().is_some_and(|length| length <= MAX_BODY);
     if !short {
-        let stored = store(&parts, None);
+        let stored = to_stored(&parts, None);
         return Ok((Response::from_parts(parts, body), stored));
     }
     let bytes = body.collect().await?.to_bytes();
-    let stored = store(&parts, Some(&bytes));
+    let stored = to_stored(&parts, Some(&bytes));
     Ok((Response::from_parts(parts, AnswerBody::fixed(bytes)), stored))
 }
 
@@ -57,14 +57,14 @@
 }
 
 /// What is kept: all but what belongs to the first attempt's own exchange.
-fn store(parts: &Parts, body: Option<&[u8]>) -> StoredAnswer {
-    let own = |name: &HeaderName| {
+fn to_stored(parts: &Parts, body: Option<&[u8]>) -> StoredAnswer {
+    let belongs_to_exchange = |name: &HeaderName| {
         *name == CONTENT_LENGTH || *name == DATE || name.as_str() == headers::REQUEST_ID
     };
-    let kept = parts.headers.iter().filter(|(name, _)| !own(name));
+    let stored_headers = parts.headers.iter().filter(|(name, _)| !belongs_to_exchange(name));
     StoredAnswer {
         status: parts.status.as_u16(),
-        headers: kept
+        headers: stored_headers
             .map(|(name, value)| (name.as_str().into(), value.as_bytes().into()))
             .collect(),
         body: body.map(Into::into),
--- a/daisy-entry/src/proxy/tries.rs
+++ b/daisy-entry/src/proxy/tries.rs
@@ -13,7 +13,7 @@
     answer::Failure,
     body::{AnswerBody, Outgoing},
     core::Core,
-    forward::{Sending, TryError, try_once},
+    forward::{ForwardedRequest, TryError, try_once},
 };
 
 /// A request's body before its tries.
@@ -32,46 +32,46 @@
 
 /// A request with all that its tries need.
 #[derive(Debug)]
-pub(super) struct Job {
+pub(super) struct ProxiedRequest {
     /// What the router is asked.
     pub(super) call: Call,
     /// What is sent.
-    pub(super) sending: Sending,
+    pub(super) forwarded: ForwardedRequest,
     /// Its body.
     pub(super) payload: Payload,
 }
 
-/// Tries `job` at `target`, and elsewhere as long as that is safe and the router allows it.
+/// Tries `proxied` at `target`, and elsewhere as long as that is safe and the router allows it.
 pub(super) async fn run(
     core: &Arc<Core>,
-    job: Job,
+    proxied: ProxiedRequest,
     target: Target,
 ) -> Result<Response<AnswerBody>, Failure> {
-    let Job { call, sending, payload } = job;
+    let ProxiedRequest { call, forwarded, payload } = proxied;
     let bytes = match payload {
         Payload::Buffered(bytes) => bytes,
         Payload::Streamed { inner, limit } => {
             let body = Outgoing::Streamed { inner, left: limit, limit };
-            let tried = try_once(core, target, &sending, body).await;
+            let tried = try_once(core, target, &forwarded, body).await;
             return tried.map_err(|err| failure(core, &call, err));
         }
     };
     let mut tried = Vec::new();
     let mut target = target;
-    let mut known: Option<TryError> = None;
+    let mut combined_error: Option<TryError> = None;
     loop {
         tried.push(target.vm);
-        let err = match try_hedged(core, &call, &sending, &bytes, target, &mut tried).await {
+        let err = match try_hedged(core, &call, &forwarded, &bytes, target, &mut tried).await {
             Ok(response) => return Ok(response),
-            Err(err) => known.map_or(err, |known| known.and(err)),
+            Err(err) => combined_error.map_or(err, |combined_error| combined_error.combine(err)),
         };
-        known = Some(err);
+        combined_error = Some(err);
         // Guards against an order that runs twice: what may have run is tried again only if
         // running it twice does no harm.
         let safe = call.idempotent || err.proves_not_run();
         let next = if safe { core.retry(&call, &tried) } else { None };
         target = next.ok_or_else(|| failure(core, &call, err))?;
-        log::debug!("event=retry id={} reason={} vm={}", sending.id, err.as_str(), target.vm);
+        log::debug!("event=retry id={} reason={} vm={}", forwarded.id, err.as_str(), target.vm);
     }
 }
 
@@ -80,30 +80,30 @@
 async fn try_hedged(
     core: &Arc<Core>,
     call: &Call,
-    sending: &Sending,
+    forwarded: &ForwardedRequest,
     bytes: &Bytes,
     target: Target,
     tried: &mut Vec<VmId>,
 ) -> Result<Response<AnswerBody>, TryError> {
-    let send = |target| try_once(core, target, sending, buffered(bytes));
-    let Some(patience) = core.hedge_after(call) else { return send(target).await };
+    let send = |target| try_once(core, target, forwarded, buffered(bytes));
+    let Some(hedge_delay) = core.hedge_after(call) else { return send(target).await };
     let mut first = pin!(send(target));
     tokio::select! {
         tried = first.as_mut() => return tried,
-        () = tokio::time::sleep(patience) => {}
+        () = tokio::time::sleep(hedge_delay) => {}
     }
     let Some(second) = core.hedge(call, tried) else { return first.await };
     tried.push(second.vm);
-    log::debug!("event=hedge id={} vm={}", sending.id, second.vm);
+    log::debug!("event=hedge id={} vm={}", forwarded.id, second.vm);
     let mut second = pin!(send(second));
     tokio::select! {
         tried = first.as_mut() => match tried {
             Ok(response) => Ok(response),
-            Err(err) => second.await.map_err(|other| err.and(other)),
+            Err(err) => second.await.map_err(|other| err.combine(other)),
         },
         tried = second.as_mut() => match tried {
             Ok(response) => Ok(response),
-            Err(err) => first.await.map_err(|other| err.and(other)),
+            Err(err) => first.await.map_err(|other| err.combine(other)),
         },
     }
 }
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -24,7 +24,7 @@
 
 /// Where to read from, and how long a poll may wait there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Plan {
+pub(crate) struct ReadPlan {
     pub source: Source,
     /// The longest wait for a record; no longer than the holder's lease allows.
     pub wait: Duration,
@@ -36,12 +36,12 @@
     pub platform: Platform,
     pub links: Links,
     pub clock: Clock,
-    pub plan: watch::Receiver<Plan>,
+    pub plan: watch::Receiver<ReadPlan>,
     pub control: mpsc::Sender<Input>,
 }
 
 /// The control task is gone.
-struct Closed;
+struct ControlStopped;
 
 impl Reader {
     /// Reads until the control task is gone.
@@ -62,24 +62,24 @@
                         Ok(()) = self.plan.changed() => pause = MIN_PAUSE,
                     }
                 }
-                Err(Closed) => return,
+                Err(ControlStopped) => return,
             }
         }
     }
 
     /// One read of the platform's log; `false` if it failed.
-    async fn poll(&mut self, next: &mut Offset, wait: Duration) -> Result<bool, Closed> {
+    async fn poll(&mut self, next: &mut Offset, wait: Duration) -> Result<bool, ControlStopped> {
         let asked = self.clock.now();
         match self.platform.read(*next, wait).await {
             Ok(Read::Page(page)) => {
                 let bounds = Some((page.first, page.end));
                 let page = Page { asked, bounds, records: page.records };
-                self.pass(next, |ack| Input::Page(page, ack)).await?;
+                self.deliver(next, |ack| Input::Page(page, ack)).await?;
                 Ok(true)
             }
             Ok(Read::Expired(first)) => {
                 log::warn!("event=log_expired from={next} first={first}");
-                self.pass(next, |ack| Input::Expired { first, ack }).await?;
+                self.deliver(next, |ack| Input::Expired { first, ack }).await?;
                 // A cold start that fails begins anew, and not in a tight loop.
                 Ok(false)
             }
@@ -95,7 +95,7 @@
     }
 
     /// Follows a peer until its stream ends or another source is wanted; `false` if it failed.
-    async fn follow(&mut self, next: &mut Offset, vm: VmId) -> Result<bool, Closed> {
+    async fn follow(&mut self, next: &mut Offset, vm: VmId) -> Result<bool, ControlStopped> {
         let Some(mut stream) = self.links.records(vm, *next).await else {
             self.send(Input::ReadFailed { source: Source::Peer(vm) }).await?;
             return Ok(false);
@@ -111,10 +111,10 @@
                     let offsets = (first.0..).map(Offset);
                     let records = offsets.zip(bodies.into_iter().map(Into::into)).collect();
                     let page = Page { asked, bounds: None, records };
-                    self.pass(next, |ack| Input::Page(page, ack)).await?;
+                    self.deliver(next, |ack| Input::Page(page, ack)).await?;
                 }
                 Some(Pushed::Snapshot { bytes, .. }) => {
-                    self.pass(next, |ack| Input::Snapshot { bytes, ack }).await?;
+                    self.deliver(next, |ack| Input::Snapshot { bytes, ack }).await?;
                 }
                 None => {
                     self.send(Input::ReadFailed { source: Source::Peer(vm) }).await?;
@@ -125,25 +125,25 @@
     }
 
     /// Passes what was read on, and learns where to go on.
-    async fn pass(
+    async fn deliver(
         &self,
         next: &mut Offset,
         input: impl FnOnce(oneshot::Sender<Offset>) -> Input,
-    ) -> Result<(), Closed> {
+    ) -> Result<(), ControlStopped> {
         let (ack, folded) = oneshot::channel();
         self.send(input(ack)).await?;
-        *next = folded.await.map_err(|_| Closed)?;
+        *next = folded.await.map_err(|_| ControlStopped)?;
         Ok(())
     }
 
-    async fn send(&self, input: Input) -> Result<(), Closed> {
-        self.control.send(input).await.map_err(|_| Closed)
+    async fn send(&self, input: Input) -> Result<(), ControlStopped> {
+        self.control.send(input).await.map_err(|_| ControlStopped)
     }
 }
 
 /// The wait of a poll: short while only the log can show that a holder still is one.
-pub(crate) fn poll_wait(holder_timeout: Duration, alone: bool) -> Duration {
-    match alone {
+pub(crate) fn poll_wait(holder_timeout: Duration, has_no_peers: bool) -> Duration {
+    match has_no_peers {
         true => holder_timeout / 4,
         false => holder_timeout / 2,
     }
--- a/daisy-entry/src/vm_list.rs
+++ b/daisy-entry/src/vm_list.rs
@@ -8,7 +8,7 @@
 use crate::{
     control::Input,
     peers::Links,
-    platform::{Listing, Platform},
+    platform::{Platform, VmListing},
 };
 
 /// The longest pause between reads while the platform does not answer.
@@ -54,12 +54,12 @@
 /// Guard: an entry VM that alone is cut off from the platform would send requests to backend
 /// servers that are long gone, and know no new peer. Which peer has news is not known, so
 /// another one is asked each time.
-async fn from_peer(links: &Links, known: Option<u64>) -> Option<Listing> {
+async fn from_peer(links: &Links, known: Option<u64>) -> Option<VmListing> {
     let peer = links.any_peer()?;
     match links.ask(peer, Question::Vms { known }, PEER_TIMEOUT).await? {
         Answer::Vms { version, vms } => {
             log::info!("event=vm_list_from_peer peer={peer} version={version}");
-            Some(Listing { version, vms })
+            Some(VmListing { version, vms })
         }
         _ => None,
     }
--- a/daisy-entry/src/worker_calls.rs
+++ b/daisy-entry/src/worker_calls.rs
@@ -18,13 +18,13 @@
 const ANSWER_LIMIT: usize = 4 << 20;
 
 /// How long a worker holds a request for news: long, for each costs a message.
-const NEWS_WAIT: Duration = Duration::from_secs(55);
+const UPDATE_WAIT: Duration = Duration::from_secs(55);
 /// Bytes of an answer about news.
-const NEWS_LIMIT: usize = 1 << 10;
+const UPDATE_ANSWER_LIMIT: usize = 1 << 10;
 
 /// Where a worker is and how to reach it.
 #[derive(Debug, Clone)]
-pub(crate) struct Line {
+pub(crate) struct CallTarget {
     pub http: Http,
     pub vm: VmId,
     /// `None` if no VM list has it.
@@ -34,25 +34,30 @@
 }
 
 /// Calls a worker, telling it what was `seen` of its reports.
-pub(crate) fn spawn(line: Line, by: By, call: WorkerCall, seen: Option<SeenJson>) {
+pub(crate) fn spawn(
+    target: CallTarget,
+    issuer: CallIssuer,
+    call: WorkerCall,
+    seen: Option<SeenJson>,
+) {
     tokio::spawn(async move {
-        let (epoch, vm) = (call.epoch, line.vm);
-        let outcome = match line.address {
-            Some(address) => exchange(&line.http, address, call, seen).await,
-            None => Err(Silence { sent: false }),
+        let (epoch, vm) = (call.epoch, target.vm);
+        let outcome = match target.address {
+            Some(address) => exchange(&target.http, address, call, seen).await,
+            None => Err(CallFailure { sent: false }),
         };
-        let _ = line.control.send(Input::Worker { by, epoch, vm, outcome }).await;
+        let _ = target.control.send(Input::Worker { issuer, epoch, vm, outcome }).await;
     });
 }
 
 /// Waits until a worker has something to report that was not `seen`.
-pub(crate) fn watch(line: Line, epoch: Epoch, seen: SeenJson) {
+pub(crate) fn wait_for_update(target: CallTarget, epoch: Epoch, seen: SeenJson) {
     tokio::spawn(async move {
-        let news = match line.address {
-            Some(address) => wait_for_news(&line.http, address, seen).await,
+        let update = match target.address {
+            Some(address) => request_update(&target.http, address, seen).await,
             None => WorkerUpdate::Unreachable,
         };
-        let _ = line.control.send(Input::WorkerUpdate { epoch, vm: line.vm, news }).await;
+        let _ = target.control.send(Input::WorkerUpdate { epoch, vm: target.vm, update }).await;
     });
 }
 
@@ -60,23 +65,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WorkerUpdate {
     /// There is something to report.
-    Some,
+    Available,
     /// Nothing happened in all that time.
-    None,
+    Unchanged,
     /// The worker did not answer.
     Unreachable,
 }
 
 /// A worker's answer, and the orders that it answers.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct WorkerAnswer {
     pub orders: Vec<Order>,
     pub report: ReportJson,
 }
 
 /// Who called, so that an answer reaches only who asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum By {
+pub(crate) enum CallIssuer {
     /// The holder.
     Holder,
     /// The caretaker.
@@ -85,7 +90,7 @@
 
 /// A call got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Silence {
+pub(crate) struct CallFailure {
     /// Whether the call may have reached the worker.
     pub sent: bool,
 }
@@ -95,33 +100,35 @@
     address: SocketAddr,
     call: WorkerCall,
     seen: Option<SeenJson>,
-) -> Result<Answered, Silence> {
+) -> Result<WorkerAnswer, CallFailure> {
     let orders = call.orders.clone();
     let call = CallJson { seen, ..CallJson::from(call) };
-    let body = serde_json::to_vec(&call).map_err(|_| Silence { sent: false })?;
+    let body = serde_json::to_vec(&call).map_err(|_| CallFailure { sent: false })?;
     let req = http
         .request(Method::POST, address, "/v1/worker")
         .body(Full::new(Bytes::from(body)))
-        .map_err(|_| Silence { sent: false })?;
-    let reply =
-        http.call(req, CALL_TIMEOUT, ANSWER_LIMIT).await.map_err(|e| Silence { sent: e.sent() })?;
+        .map_err(|_| CallFailure { sent: false })?;
+    let reply = http
+        .call(req, CALL_TIMEOUT, ANSWER_LIMIT)
+        .await
+        .map_err(|e| CallFailure { sent: e.sent() })?;
     if !reply.status.is_success() {
-        return Err(Silence { sent: true });
+        return Err(CallFailure { sent: true });
     }
-    let report = serde_json::from_slice(&reply.body).map_err(|_| Silence { sent: true })?;
-    Ok(Answered { orders, report })
+    let report = serde_json::from_slice(&reply.body).map_err(|_| CallFailure { sent: true })?;
+    Ok(WorkerAnswer { orders, report })
 }
 
-async fn wait_for_news(http: &Http, address: SocketAddr, seen: SeenJson) -> WorkerUpdate {
+async fn request_update(http: &Http, address: SocketAddr, seen: SeenJson) -> WorkerUpdate {
     let SeenJson { boot, version } = seen;
-    let wait = NEWS_WAIT.as_millis();
+    let wait = UPDATE_WAIT.as_millis();
     let target = format!("/v1/worker/news?boot={boot}&version={version}&wait_ms={wait}");
     let req = http.request(Method::GET, address, &target).body(Full::new(Bytes::new()));
     let Ok(req) = req else { return WorkerUpdate::Unreachable };
-    let reply = http.call(req, NEWS_WAIT + CALL_TIMEOUT, NEWS_LIMIT).await;
+    let reply = http.call(req, UPDATE_WAIT + CALL_TIMEOUT, UPDATE_ANSWER_LIMIT).await;
     match reply.map(|reply| reply.status) {
-        Ok(StatusCode::NO_CONTENT) => WorkerUpdate::Some,
-        Ok(StatusCode::NOT_MODIFIED) => WorkerUpdate::None,
+        Ok(StatusCode::NO_CONTENT) => WorkerUpdate::Available,
+        Ok(StatusCode::NOT_MODIFIED) => WorkerUpdate::Unchanged,
         _ => WorkerUpdate::Unreachable,
     }
 }
--- a/daisy-entry/tests/proxy/fixture.rs
+++ b/daisy-entry/tests/proxy/fixture.rs
@@ -51,7 +51,7 @@
         Some(proxy.answer(self.me, query).await)
     }
 
-    async fn intend(&self, key: u128, _: Duration) -> Intent {
+    async fn announce_intent(&self, key: u128, _: Duration) -> Intent {
         if self.log_down.load(Ordering::SeqCst) {
             return Intent::Unavailable;
         }
