--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -1,6 +1,6 @@
-//! The control task: it alone owns the state machines of an entry VM.
+//! The control task, which owns all state machines of an entry VM.
 //!
-//! Inputs come through one channel, decisions go out to the tasks that hold sockets. Nothing
+//! Inputs arrive through one channel; decisions are sent to the tasks that own sockets. Nothing
 //! here waits for the network.
 
 mod append;
@@ -49,14 +49,14 @@
     reader::{self, ReadPlan},
 };
 
-/// Between ticks of the state machines: a fifth of the shortest period that they keep.
+/// Interval between ticks of the state machines: a fifth of the shortest period that they use.
 const TICK: Duration = Duration::from_millis(100);
-/// Inputs that wait for the control task before their senders do.
+/// Capacity of the input channel; senders wait while it is full.
 pub(crate) const INPUT_QUEUE: usize = 1024;
-/// The longest pause between looks at the queue of appends.
+/// The longest interval between checks of the append queue.
 const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Who this process is.
+/// Identity and timing settings of this process.
 #[derive(Debug, Clone)]
 pub(crate) struct Identity {
     pub vm: VmId,
@@ -66,15 +66,15 @@
     pub dcs: Vec<Name>,
     /// The region of each data centre.
     pub regions: Vec<u16>,
-    /// Names this process's appends.
+    /// The sender ID of this process's appends.
     pub sender: u64,
     pub worker_lease: Duration,
     pub holder_timeout: Duration,
-    /// The shortest retention of the log that is counted on.
+    /// The shortest log retention that the process may rely on.
     pub log_retention: Duration,
 }
 
-/// The ways out of the control task.
+/// Handles through which the control task acts on the rest of the process.
 #[derive(Debug)]
 pub(crate) struct Outputs {
     pub http: Http,
@@ -84,12 +84,12 @@
     pub plan: watch::Sender<ReadPlan>,
     pub routes: watch::Sender<Arc<Routes>>,
     pub ready: watch::Sender<bool>,
-    /// The way back in, for tasks that the control task spawns.
+    /// Sends inputs back to the control task from the tasks that it spawns.
     pub control: mpsc::Sender<Input>,
     pub metrics: Metrics,
 }
 
-/// The state machines and what joins them.
+/// The control task: the state machines and the state that connects them.
 pub(crate) struct Control<R> {
     clock: Clock,
     identity: Identity,
@@ -103,23 +103,23 @@
     driver: Driver,
     replicas: SortedMap<DcId, Arc<Replicas>>,
     snapshots: Snapshots,
-    /// A cold start that is not at the log's end yet.
+    /// A cold start that has not reached the end of the log yet.
     restore: Option<Restore>,
-    /// An entry of the log that did not decode, until it is read again.
+    /// A log entry that failed to decode and has not been read a second time yet.
     undecodable: Option<UndecodableEntry>,
-    /// The offset of the configuration in force and when it came into force here.
+    /// The offset of the configuration in force, and when it came into force in this process.
     config: Option<(Offset, WallTime)>,
     routes_dirty: bool,
-    /// When the link to a silent peer was last given up.
+    /// When each peer was last reachable or its connection was last reset.
     last_resets: SortedMap<VmId, Instant>,
-    /// Whether peers are to be told of replicas at the next tick.
+    /// Whether the replicas have changed and must be sent to peers at the next tick.
     replicas_changed: bool,
-    /// Since when the membership is ready for callers.
+    /// Since when the membership has been ready for callers.
     ready_since: Option<Instant>,
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// A control task that knows nothing yet.
+    /// Creates a control task with empty state.
     pub fn new(
         clock: Clock,
         identity: Identity,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Runs until every sender of inputs is gone or the task is aborted.
+    /// Runs until every sender of inputs is dropped or the task is aborted.
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Until the queue of appends wants to be looked at.
+    /// Returns the time until the append queue must be checked again.
     fn time_until_wake(&self) -> Duration {
         let wake = self.appends.wake();
         wake.map_or(MAX_WAKE_INTERVAL, |at| at.since(self.clock.now()).min(MAX_WAKE_INTERVAL))
@@ -195,7 +195,7 @@
                 self.update_vm_list(now, listing);
                 self.confirm_vm_list(now);
             }
-            // A peer's answer may cross a newer one of the platform.
+            // A newer list may have arrived from the platform while the peer answered.
             Input::PeerVms(listing) if listing.version <= self.vms_version => {}
             Input::PeerVms(listing) => self.update_vm_list(now, listing),
             Input::VmsUnchanged => self.confirm_vm_list(now),
@@ -240,12 +240,12 @@
         if self.routes_dirty || self.have_entries_changed(now) {
             self.publish_routes(now);
         }
-        // After the routes, so that the first caller finds them.
+        // Comes after the routes are published, so that the first caller finds them.
         self.publish_readiness(now);
         self.update_metrics(now);
     }
 
-    /// Lets the membership decide, and carries out what it wants.
+    /// Passes an event to the membership and executes the resulting actions.
     fn step_membership(&mut self, now: Instant, event: Event<'_>) {
         let mut actions = Vec::new();
         self.membership.step(now, event, &mut actions);
@@ -305,10 +305,13 @@
         self.routes_dirty = true;
     }
 
-    /// Guard: the holder settles the fate of tasks that its predecessor may have started unseen
-    /// only by a list that is young enough. An unchanged list that nobody confirms never is,
-    /// and such tasks would stay blocked until the list happens to change. A peer's list, which
-    /// it may have read long ago, settles nothing.
+    /// Passes a list that the platform has just confirmed to the holder and the lease renewer.
+    ///
+    /// Guard: the holder resolves the outcome of tasks that its predecessor may have started
+    /// without recording it only by a list that is recent enough. Without this confirmation an
+    /// unchanged list would never be recent enough, and such tasks would stay blocked until the
+    /// list happened to change. A list from a peer, which may have read it long ago, does not
+    /// count.
     fn confirm_vm_list(&mut self, now: Instant) {
         let vms = Arc::clone(&self.vms);
         self.drive_holder(now, daisy_placement::Event::Vms(&vms));
@@ -328,7 +331,7 @@
         }
     }
 
-    /// Whether an entry VM has come to life or fallen silent since routes were published.
+    /// Returns whether an entry VM has become reachable or unreachable since routes were published.
     fn have_entries_changed(&self, now: Instant) -> bool {
         let entries = routes::entries(now, self.identity.dc, &self.membership);
         entries != self.out.routes.borrow().entries
--- a/daisy-entry/src/control/append.rs
+++ b/daisy-entry/src/control/append.rs
@@ -1,4 +1,4 @@
-//! What this process appends to the log, and who waits for it.
+//! Appends of this process to the log, and the tasks that wait for their outcome.
 
 use std::time::Duration;
 
@@ -17,49 +17,49 @@
     control::Control,
 };
 
-/// The least time between two appends of one process.
+/// The minimum interval between two appends of one process.
 ///
-/// Only holders append often: six of them come to 40 appends a second, and the platform takes a
+/// Only holders append often: six of them add up to 40 appends a second, and the platform accepts a
 /// few hundred. At 50 ms the log itself was 2.2 KB a second at the peak of 62 starts a second
-/// (`daisy-measure ledger`), more than a node may spend on all of control. A first append after
-/// a pause does not wait.
+/// (`daisy-measure ledger`), more than a node may spend on all of control. A first append after a
+/// pause is sent at once.
 const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What became of a record that somebody waits for.
+/// The outcome of a submitted record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum SubmitOutcome {
-    /// The fold has decided.
+    /// The fold has processed the record.
     Folded(Outcome),
-    /// It is not in the log and will not be.
+    /// The record is not in the log and will not be appended.
     NotSent(&'static str),
 }
 
-/// One try to append has ended.
+/// The result of one append attempt.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Appended {
-    /// The append.
+    /// The ID of the append.
     pub id: AppendId,
     /// When it was sent.
     pub asked: Instant,
-    /// What came of it.
+    /// The outcome of the attempt.
     pub outcome: AppendOutcome,
 }
 
-/// Records on their way to the log.
+/// Records that are being appended to the log.
 #[derive(Debug)]
 pub(super) struct Appends {
     queue: Queue,
-    /// By ticket.
+    /// Senders of outcomes, by the ticket of the record.
     waiters: SortedMap<u64, oneshot::Sender<SubmitOutcome>>,
-    /// Names claims, which do not go through the queue.
+    /// The ID of the last claim; claims do not go through the queue.
     last_claim: AppendId,
-    /// What was last told about the log's reach.
+    /// The reachability of the log that was last reported to the holder.
     reported_reachable: bool,
     flushing: Vec<oneshot::Sender<()>>,
 }
 
 impl Appends {
-    /// Nothing on its way, for the process that `sender` names.
+    /// Creates an empty queue for the process with the sender ID `sender`.
     pub fn new(sender: u64) -> Appends {
         Appends {
             queue: Queue::new(Options::new(sender, MIN_APPEND_INTERVAL)),
@@ -70,51 +70,53 @@
         }
     }
 
-    /// Records that are not known to be in the log.
+    /// Returns the number of records that are not known to be in the log.
     pub fn backlog(&self) -> usize {
         self.queue.backlog()
     }
 
-    /// Whether the log takes appends, as far as is known.
+    /// Returns whether the log accepts appends, as far as is known.
     pub fn reachable(&self) -> bool {
         self.queue.is_reachable()
     }
 
-    /// When the queue wants to be looked at.
+    /// Returns when the queue must be checked next.
     pub fn wake(&self) -> Option<Instant> {
         self.queue.wake()
     }
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// Appends a record, sent again until it is in the log.
+    /// Appends a record; it is sent again until it is in the log.
     pub(super) fn append(&mut self, record: Record) {
         if let Err(full) = self.appends.queue.push(record) {
-            // The holder appends again what the ledger does not show.
+            // The holder appends again the records that are missing from the ledger.
             log::warn!("event=append_dropped cause=\"{full}\"");
         }
     }
 
-    /// Appends a record that somebody waits for.
+    /// Appends a record whose outcome is sent to `reply`.
     ///
-    /// While the log is out of reach nothing more is taken in: its sender would be told that
-    /// it failed, and see it take effect an hour later.
+    /// While the log is unreachable no more records are accepted: the sender would be told that the
+    /// change failed, and see it take effect an hour later.
     pub(super) fn submit(&mut self, record: Record, reply: oneshot::Sender<SubmitOutcome>) {
         if !self.appends.reachable() {
-            let _ = reply.send(SubmitOutcome::NotSent("the log takes no appends"));
+            let _ = reply.send(SubmitOutcome::NotSent("the log does not accept appends"));
             return;
         }
         match self.appends.queue.push(record) {
             Ok(ticket) => drop(self.appends.waiters.insert(ticket, reply)),
-            Err(_) => drop(reply.send(SubmitOutcome::NotSent("too many records wait for the log"))),
+            Err(_) => drop(
+                reply.send(SubmitOutcome::NotSent("too many records are waiting to be appended")),
+            ),
         }
     }
 
     /// Appends a claim, once.
     ///
-    /// Guard: a claim that took effect long after it was decided would depose a healthy holder
-    /// that came in between. It goes past the queue, which would send it again until the end
-    /// of an outage, and another claim is a new decision.
+    /// Guard: a claim that took effect long after it was decided would depose a healthy holder that
+    /// has taken over in between. It bypasses the queue, which would send it again until the end of
+    /// an outage; another claim requires a new decision.
     pub(super) fn append_claim(&mut self) {
         self.appends.last_claim.seq += 1;
         let record = Record::Claim { dc: self.identity.dc, holder: self.identity.vm };
@@ -122,7 +124,7 @@
         self.send(batch);
     }
 
-    /// Takes the outcome of a try in.
+    /// Handles the result of an append attempt.
     pub(super) fn handle_append_result(&mut self, now: Instant, appended: Appended) {
         let Appended { id, asked, outcome } = appended;
         self.out.metrics.append(matches!(outcome, AppendOutcome::Stored(_)));
@@ -142,12 +144,12 @@
         self.step_queue(now, event, None);
     }
 
-    /// The fold has come to an append, which may be an own one.
+    /// Handles an append that the fold has reached; it may be one of this process.
     pub(super) fn append_folded(&mut self, now: Instant, id: AppendId, outcomes: &[Outcome]) {
         self.step_queue(now, Event::Folded { id }, Some(outcomes));
     }
 
-    /// Lets the queue send what is due, and tells who waits for all of it.
+    /// Lets the queue send what is due, and notifies the flush waiters once it is empty.
     pub(super) fn flush(&mut self, now: Instant) {
         self.step_queue(now, Event::Tick, None);
         if self.appends.queue.backlog() == 0 {
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Tells `waiter` when everything that was to be appended is in the log.
+    /// Notifies `waiter` once all queued records are in the log.
     pub(super) fn notify_when_flushed(&mut self, waiter: oneshot::Sender<()>) {
         self.appends.flushing.push(waiter);
     }
@@ -165,7 +167,8 @@
     fn step_queue(&mut self, now: Instant, event: Event, outcomes: Option<&[Outcome]>) {
         let mut actions = Vec::new();
         self.appends.queue.step(now, event, &mut actions);
-        // Appends are folded in order: the last that is done is the one that was met now.
+        // Appends are folded in order: of those that are done, the last is the one that the fold
+        // has just reached.
         let last = actions.iter().rposition(|it| matches!(it, Action::Done(_)));
         for (at, action) in actions.into_iter().enumerate() {
             match action {
@@ -178,7 +181,7 @@
                     tickets.for_each(|ticket| self.resolve_waiter(ticket, None));
                 }
                 Action::Dropped(tickets) => {
-                    let outcome = SubmitOutcome::NotSent("the log does not take it");
+                    let outcome = SubmitOutcome::NotSent("the log rejected the record");
                     tickets.for_each(|it| self.resolve_waiter(it, Some(outcome.clone())));
                 }
             }
@@ -186,7 +189,7 @@
         self.report_reachability(now);
     }
 
-    /// Tells the holder when the log has come into or out of reach.
+    /// Reports to the holder when the log becomes reachable or unreachable.
     fn report_reachability(&mut self, now: Instant) {
         let reachable = self.appends.queue.is_reachable();
         if self.appends.reported_reachable != reachable {
@@ -196,7 +199,8 @@
         }
     }
 
-    /// Tells a waiter; without a verdict its sender is dropped, and the outcome stays open.
+    /// Sends the outcome to a waiter; without one the sender is dropped, and the outcome stays
+    /// unknown.
     fn resolve_waiter(&mut self, ticket: u64, outcome: Option<SubmitOutcome>) {
         if let Some(waiter) = self.appends.waiters.remove(&ticket)
             && let Some(outcome) = outcome
--- a/daisy-entry/src/control/fold.rs
+++ b/daisy-entry/src/control/fold.rs
@@ -1,4 +1,4 @@
-//! Folding the log's records.
+//! Folds the records of the log into the state.
 
 use std::sync::Arc;
 
@@ -14,21 +14,21 @@
     control::{Control, input::Page},
 };
 
-/// An entry of the log that did not decode when it was first read.
+/// A log entry that failed to decode when it was first read.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct UndecodableEntry {
     offset: Offset,
     bytes: Bytes,
 }
 
-/// Whether the fold can go on after an entry.
+/// Whether the fold can continue after an entry.
 enum FoldProgress {
     Continue,
     Halt,
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// Takes a page in, and tells the offset to read on from.
+    /// Handles a page of records, and returns the offset from which to read on.
     pub(super) fn handle_page(&mut self, now: Instant, page: Page) -> Offset {
         let Page { asked, bounds, records } = page;
         let end = bounds.map(|(_, end)| end);
@@ -48,7 +48,7 @@
     fn fold_page(&mut self, now: Instant, records: &[(Offset, Bytes)]) -> Offset {
         let before = self.state.next;
         for (offset, bytes) in records {
-            // The same records may come from a peer and from the log.
+            // The same records may arrive both from a peer and from the log.
             if *offset < self.state.next {
                 continue;
             }
@@ -83,9 +83,11 @@
         FoldProgress::Continue
     }
 
-    /// Guard: bytes spoilt on their way would be passed over here and folded elsewhere, and
-    /// states would differ for ever. An entry is passed over only when a second read gives the
-    /// same bytes; one of a newer version stops the fold, as newer processes take it in.
+    /// Decides whether to skip an entry that does not decode.
+    ///
+    /// Guard: an entry corrupted in transit would be skipped here and folded elsewhere, and the
+    /// states would differ for good. An entry is skipped only when a second read returns the same
+    /// bytes. An entry of a newer version stops the fold instead, because newer processes fold it.
     fn handle_undecodable(&mut self, offset: Offset, bytes: &Bytes, e: &WireError) -> FoldProgress {
         if matches!(e, WireError::Version { .. }) {
             log::error!("event=log_entry_newer offset={offset} cause=\"{e}\"");
@@ -103,7 +105,8 @@
         FoldProgress::Continue
     }
 
-    /// Tells who waits for the batch, and looks for signs of life of the holder.
+    /// Resolves the waiters of the batch, and reports records of the own data centre's holder to
+    /// the membership as evidence that it is alive.
     fn process_outcomes(&mut self, now: Instant, batch: &Batch, applied: Applied) {
         self.append_folded(now, batch.id, &applied.outcomes);
         for (record, outcome) in batch.records.iter().zip(&applied.outcomes) {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// The fold has moved on.
+    /// Passes the advanced state to the peers' tail, the membership and the holder.
     pub(super) fn after_fold(&mut self, now: Instant) {
         self.out.tail.publish(self.state.next);
         let holding = self.state.holders.get(&self.identity.dc).map(|it| Holding {
--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -1,4 +1,4 @@
-//! Drives the decisions of a holder or a caretaker: events in, actions out.
+//! Drives the holder or the lease renewer: passes events in and executes the actions.
 
 use daisy_membership::Role;
 use daisy_model::{Epoch, Instant, SortedMap, Vm, VmId, WorkerReport};
@@ -14,30 +14,30 @@
     worker_calls::{self, CallFailure, CallIssuer, CallTarget, WorkerAnswer, WorkerUpdate},
 };
 
-/// The holder or caretaker, while this entry VM is one.
+/// The holder or lease renewer, while this entry VM is one.
 #[derive(Debug, Default)]
 pub(super) struct Driver {
     holder: Option<Holder>,
-    /// A holder that cannot show its lease decides nothing until it can again.
+    /// Whether the holder is suspended: without a proven lease it decides nothing.
     suspended: bool,
-    /// Workers whose answers came while the holder was suspended.
+    /// Workers whose answers arrived while the holder was suspended.
     answered_while_suspended: Vec<VmId>,
     lease_renewer: Option<(Epoch, LeaseRenewer)>,
-    /// What each worker has told, so that it tells changes only.
+    /// The last known report of each worker, so that workers send changes only.
     mirrors: SortedMap<VmId, Mirror>,
-    /// Workers whose news are waited for; one wait a worker.
+    /// Workers with a pending wait for an update; at most one wait per worker.
     pending_update_waits: SortedMap<VmId, ()>,
 }
 
 impl Driver {
-    /// The holder, unless there is none or it must not act.
+    /// Returns the holder, unless there is none or it is suspended.
     pub(super) fn active(&mut self) -> Option<&mut Holder> {
         self.holder.as_mut().filter(|_| !self.suspended)
     }
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// Takes up what the membership has decided this entry VM to do.
+    /// Takes the role that the membership has decided for this entry VM.
     pub(super) fn become_role(&mut self, now: Instant, role: Role) {
         let (name, epoch) = match role {
             Role::Idle => ("idle", None),
@@ -66,10 +66,10 @@
         let (state, vms) = (self.state.clone(), self.vms.clone());
         self.drive_holder(now, Event::Ledger(&state));
         if !resumed {
-            // One that goes on waits for the next read: the list at hand may be old by now.
+            // A resumed holder waits for the next read: the list at hand may be out of date.
             self.drive_holder(now, Event::Vms(&vms));
         }
-        // What those workers said is old by now: to the holder their answers are lost.
+        // The answers of those workers are out of date; the holder treats the calls as failed.
         for vm in std::mem::take(&mut self.driver.answered_while_suspended) {
             self.drive_holder(now, Event::CallFailed { vm, sent: true });
         }
@@ -83,7 +83,7 @@
         self.drive_lease_renewer(now, LeaseRenewerEvent::Vms(&vms));
     }
 
-    /// Lets the holder decide, if there is one, and carries out what it wants.
+    /// Passes an event to the holder, if there is one, and executes the resulting actions.
     pub(super) fn drive_holder(&mut self, now: Instant, event: Event<'_>) {
         let Some(holder) = self.driver.active() else { return };
         let mut actions = Vec::new();
@@ -91,7 +91,7 @@
         self.execute_for(CallIssuer::Holder, actions);
     }
 
-    /// Lets the caretaker decide, if there is one, and carries out what it wants.
+    /// Passes an event to the lease renewer, if there is one, and executes the resulting actions.
     pub(super) fn drive_lease_renewer(&mut self, now: Instant, event: LeaseRenewerEvent<'_>) {
         let Some((_, lease_renewer)) = &mut self.driver.lease_renewer else { return };
         let mut actions = Vec::new();
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes a worker's answer in, if it is for who decides now.
+    /// Handles the outcome of a worker call, if its issuer is still in charge.
     pub(super) fn handle_worker_answer(
         &mut self,
         now: Instant,
@@ -147,12 +147,12 @@
                     }
                 }
             }
-            // Of a holding that has ended.
+            // The issuer of the call is no longer in charge.
             CallIssuer::LeaseRenewer | CallIssuer::Holder => {}
         }
     }
 
-    /// Makes a worker's whole report of what it has told before and what it tells now.
+    /// Combines a worker's earlier reports and its newest changes into a complete report.
     fn complete_report(
         &mut self,
         vm: VmId,
@@ -162,7 +162,7 @@
         mirror.take(&answered.orders, answered.report).ok_or(CallFailure { sent: true })
     }
 
-    /// Waits for a worker's news, unless somebody does already.
+    /// Starts a wait for a worker's next update, unless one is pending.
     fn wait_for_update(&mut self, vm: VmId, epoch: Epoch) {
         let Some(seen) = self.driver.mirrors.get(&vm).and_then(Mirror::seen) else { return };
         if !self.driver.pending_update_waits.contains_key(&vm) {
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Has a worker called that has news; one that did not answer is asked again only after
-    /// its next report.
+    /// Handles the end of a wait for a worker's update: the holder calls a worker that has one. A
+    /// worker that did not answer is waited for again only after its next report.
     pub(super) fn handle_worker_update(
         &mut self,
         now: Instant,
@@ -207,7 +207,7 @@
 
 fn options(identity: &Identity, epoch: Epoch) -> Options {
     let mut options = Options::new(identity.dc, epoch, identity.worker_lease, identity.sender);
-    // A worker's news come by themselves; calls on time only renew the lease.
+    // Workers announce their updates; periodic calls only renew the lease.
     options.limits.poll_interval = identity.worker_lease;
     let regions = identity.dcs.iter().zip(&identity.regions);
     options.data_centres =
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -1,4 +1,4 @@
-//! What the control task is told and asked.
+//! Inputs of the control task: events and requests.
 
 use std::sync::Arc;
 
@@ -18,108 +18,108 @@
 /// One event for the control task.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// Consecutive records of the log, and who is told the offset to read on from.
+    /// Consecutive records of the log, and the sender for the offset from which to read on.
     Page(Page, oneshot::Sender<Offset>),
-    /// The state of a peer, in place of records that it no longer has.
+    /// The state of a peer, in place of records that the peer no longer has.
     Snapshot {
         /// The encoded state.
         bytes: Vec<u8>,
-        /// Told the offset to read on from.
+        /// Receives the offset from which to read on.
         ack: oneshot::Sender<Offset>,
     },
-    /// The log no longer keeps the offset asked for.
+    /// The log no longer retains the requested offset.
     Expired {
-        /// The first offset that it keeps.
+        /// The first retained offset.
         first: Offset,
-        /// Told the offset to read on from.
+        /// Receives the offset from which to read on.
         ack: oneshot::Sender<Offset>,
     },
-    /// A read got no answer, or a peer's stream ended.
+    /// A read failed, or a peer's stream ended.
     ReadFailed {
-        /// Where it was read.
+        /// The source that was read.
         source: Source,
     },
-    /// A try to append has ended.
+    /// An append attempt has ended.
     Appended(Appended),
     /// A new version of the platform's VM list.
     Vms(VmListing),
-    /// A newer version of it as a peer has it.
+    /// A newer version of the list, received from a peer.
     PeerVms(VmListing),
-    /// The platform's VM list is still the version passed on last.
+    /// The platform's VM list has not changed since the last read.
     VmsUnchanged,
     /// A peer's heartbeat.
     Heartbeat {
         /// The heartbeat.
         beat: Heartbeat,
-        /// All that the peer has in flight, by backend server.
+        /// The requests that the peer has in flight, by backend server.
         in_flight: Vec<(VmId, u32)>,
     },
-    /// Where services run, as a peer tells it.
+    /// The replicas of services, received from a peer.
     Replicas(Arc<Replicas>),
     /// A call to a worker has ended.
     Worker {
-        /// Who called.
+        /// The issuer of the call.
         issuer: CallIssuer,
         /// The epoch of the call.
         epoch: Epoch,
         /// The worker.
         vm: VmId,
-        /// Its answer.
+        /// The worker's answer, or the failure of the call.
         outcome: Result<WorkerAnswer, CallFailure>,
     },
-    /// A wait for a worker's news has ended.
+    /// A wait for a worker's update has ended.
     WorkerUpdate {
-        /// The epoch that waited.
+        /// The epoch of the wait.
         epoch: Epoch,
         /// The worker.
         vm: VmId,
-        /// How.
+        /// How the wait ended.
         update: WorkerUpdate,
     },
-    /// A peer asks.
+    /// A question from a peer.
     Question {
         /// The question.
         question: Question,
-        /// Told the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<Answer>,
     },
-    /// A peer asks for the whole state.
+    /// A peer's request for the whole state.
     Encode {
-        /// Told the offset of the next record, and the state.
+        /// Receives the offset of the next record and the encoded state.
         reply: oneshot::Sender<(Offset, Vec<u8>)>,
     },
-    /// A record whose outcome somebody waits for: an operator's change, or an intent.
+    /// A record whose outcome is awaited: an operator's change, or an intent.
     Submit {
         /// The record.
         record: Record,
-        /// Told what the fold made of it; dropped when that stays open.
+        /// Receives the outcome; dropped when the outcome stays unknown.
         reply: oneshot::Sender<SubmitOutcome>,
     },
-    /// An operator looks.
+    /// An operator's query.
     QueryData {
-        /// Told what there is to see.
+        /// Receives the data from which the query is answered.
         reply: oneshot::Sender<QueryData>,
     },
-    /// A check asks how this entry VM stands.
+    /// A request for the status of this entry VM.
     Status {
-        /// Told how it stands.
+        /// Receives the status.
         reply: oneshot::Sender<StatusJson>,
     },
     /// A planned stop begins.
     Stop,
-    /// Tells when all that was to be appended is in the log.
+    /// A request to be notified when all queued records are in the log.
     Flushed {
-        /// Told then.
+        /// Notified once the queue is empty.
         reply: oneshot::Sender<()>,
     },
 }
 
-/// What a read gave.
+/// The result of a read.
 #[derive(Debug)]
 pub(crate) struct Page {
     /// When the read was sent.
     pub asked: Instant,
-    /// The first and the end of the whole log, when the log itself answered.
+    /// The first and the end offset of the whole log, if the log itself answered.
     pub bounds: Option<(Offset, Offset)>,
     /// Offsets and bytes.
     pub records: Vec<(Offset, Bytes)>,
--- a/daisy-entry/src/control/publish.rs
+++ b/daisy-entry/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! What goes to peers: heartbeats, requests in flight and where services run.
+//! Publishes state to peers: heartbeats, requests in flight and replicas of services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,11 +12,11 @@
     peers::{Command, PeerUpdate},
 };
 
-/// Before a connection to a silent peer is made anew.
+/// The minimum interval between resets of the connection to an unresponsive peer.
 const RESET_INTERVAL: Duration = Duration::from_secs(3);
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// Sends the present heartbeat to a peer, with all else that it should know.
+    /// Sends the current heartbeat to a peer, with requests in flight and replicas.
     pub(super) fn send_update(&mut self, now: Instant, vm: VmId) {
         self.reset_if_unresponsive(now, vm);
         let near = self.membership.peers().get(vm).is_some_and(|it| it.dc == self.identity.dc);
@@ -33,9 +33,11 @@
         self.out.links.send(vm, Command::Update(update));
     }
 
-    /// Guard: a connection through a link that was cut may hang until TCP gives up, many
-    /// minutes after the link is back, and the peer would stay silent for as long. The
-    /// connection to a peer that is not heard is made anew every few seconds.
+    /// Resets the connection to a peer that sends no heartbeats.
+    ///
+    /// Guard: a connection through a link that was cut may hang until TCP gives up, many minutes
+    /// after the link is back, and the peer would be unreachable for as long. The connection to
+    /// such a peer is reset every few seconds.
     fn reset_if_unresponsive(&mut self, now: Instant, vm: VmId) {
         let options = self.membership.options();
         if self.membership.peers().alive(options, now, vm) {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// The speaker of a data centre tells the own replicas to others, and all to its peers.
+    /// Returns the replicas to send to a peer: the speaker of a data centre sends the own ones to
+    /// other data centres, and all of them to peers in its own.
     fn replicas_for(&self, now: Instant, near: bool) -> Vec<Arc<Replicas>> {
         if !self.membership.speaks(now) {
             return Vec::new();
@@ -58,7 +61,7 @@
         known.filter(|(dc, _)| near || **dc == self.identity.dc).map(|(_, it)| it.clone()).collect()
     }
 
-    /// Tells everybody where services of the own data centre run, if that has changed.
+    /// Updates the replicas of the own data centre, if they have changed, for sending to peers.
     pub(super) fn publish_replicas(&mut self) {
         let Some(holder) = self.driver.active() else { return };
         let (dc, epoch) = (self.identity.dc, holder.epoch());
@@ -73,7 +76,7 @@
         self.replicas_changed = true;
     }
 
-    /// Takes in where services run, as a peer tells it.
+    /// Handles replicas received from a peer.
     pub(super) fn handle_replicas(&mut self, replicas: Arc<Replicas>) {
         let own = replicas.dc == self.identity.dc;
         if own && matches!(self.membership.role(), Role::Holder(epoch) if epoch >= replicas.epoch) {
@@ -87,7 +90,7 @@
         self.replicas_changed = true;
     }
 
-    /// Passes changed replicas on without waiting for the next heartbeat.
+    /// Sends changed replicas without waiting for the next heartbeat.
     pub(super) fn broadcast_replicas(&mut self, now: Instant) {
         if !std::mem::take(&mut self.replicas_changed) || !self.membership.speaks(now) {
             return;
@@ -97,7 +100,7 @@
         }
     }
 
-    /// How this entry VM stands.
+    /// Returns the status of this entry VM.
     pub(super) fn status(&self, now: Instant) -> StatusJson {
         let status = self.membership.status();
         let holding = self.membership.holding();
--- a/daisy-entry/src/control/query_data.rs
+++ b/daisy-entry/src/control/query_data.rs
@@ -1,4 +1,4 @@
-//! What operators are shown: the ledger, and what holders know of what runs.
+//! The data for operators' queries: the ledger, and what holders know of running tasks and workers.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use crate::{boundary::RequestSide, control::Control};
 
-/// What an operator's look is answered from, but for what other holders know.
+/// The data from which an operator's query is answered, except what other holders know.
 #[derive(Debug, Clone)]
 pub(crate) struct QueryData {
     /// The fold of the log.
@@ -21,12 +21,12 @@
     pub dcs: Vec<Name>,
     /// What this entry VM knows, if it is a holder.
     pub own: Live,
-    /// The holders of other data centres, and of the own one if it is another entry VM.
+    /// The holders of other data centres, and of the own one if another entry VM holds it.
     pub holders: Vec<VmId>,
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// What an operator's look is answered from.
+    /// Returns the data from which an operator's query is answered.
     pub(super) fn query_data(&mut self, now: Instant) -> QueryData {
         let own = self.live(now).unwrap_or_default();
         let holders = self.state.holders.iter().filter(|(_, it)| !it.released);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What this entry VM knows as a holder; `None` if it is none.
+    /// Returns what this entry VM knows as a holder, or `None` if it is not a holder.
     pub(super) fn live(&mut self, now: Instant) -> Option<Live> {
         let wall = self.clock.wall();
         let holder = self.driver.active()?;
@@ -48,7 +48,7 @@
     }
 }
 
-/// The same moment by both clocks.
+/// The same point in time on both clocks.
 struct Times {
     now: Instant,
     wall: WallTime,
@@ -74,7 +74,7 @@
         live.reasons.extend(notes.iter().map(|it| times.reason(&subject, it)));
         let runs = matches!(task.status, TaskStatus::Running | TaskStatus::Ending);
         let Some(vm) = task.vm.filter(|_| runs) else { continue };
-        // The last note of a running task is usually that it runs.
+        // The last reason of a running task is usually that it runs.
         let since = notes.last().map(|it| times.now.since(it.at)).unwrap_or_default();
         let known = LiveTask { incarnation: task.incarnation, vm, share: task.share, since };
         live.tasks.insert(task.task, known);
--- a/daisy-entry/src/control/ready.rs
+++ b/daisy-entry/src/control/ready.rs
@@ -1,4 +1,4 @@
-//! When callers may come.
+//! Decides when this entry VM is ready for callers.
 
 use std::time::Duration;
 
@@ -7,24 +7,25 @@
 
 use crate::{boundary::RequestSide, control::Control};
 
-/// How long a process that could take callers waits to learn where services run: several
-/// heartbeats. After that nobody in the data centre seems to know, and it has to go on.
+/// How long a process that is otherwise ready waits to learn where services run: several
+/// heartbeats. After that no entry VM in the data centre seems to know, and the process must become
+/// ready.
 const REPLICAS_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// Takes in whether the membership is ready for callers.
+    /// Handles whether the membership is ready for callers.
     pub(super) fn set_ready(&mut self, now: Instant, ready: bool) {
         self.ready_since = ready.then_some(now);
         self.routes_dirty = true;
         self.publish_readiness(now);
     }
 
-    /// Lets the balancer send callers once there is something to send them to; from then on
-    /// the membership alone decides.
+    /// Publishes readiness once there is a backend server to send callers to; from then on the
+    /// membership alone decides.
     ///
-    /// Guard: a fresh process that shows itself ready when it has the log, and hears a heartbeat
-    /// later where services run, refuses all callers in between; in a rolling restart they
-    /// see refusals at each step.
+    /// Guard: a new process that reported ready as soon as it had read the log would reject all
+    /// callers until a heartbeat tells it where services run; during a rolling restart callers
+    /// would see rejections at each step.
     pub(super) fn publish_readiness(&mut self, now: Instant) {
         let shown = *self.out.ready.borrow();
         let ready = self.ready_since.is_some_and(|since| {
@@ -41,7 +42,7 @@
         });
     }
 
-    /// Whether a backend server of any service is known, or there is no service at all.
+    /// Returns whether a backend server of any service is known, or there are no services.
     fn is_any_backend_known(&self) -> bool {
         let is_service = |open: u32, kind: JobKind| open > 0 && kind == JobKind::Service;
         let mut jobs = self.state.jobs.iter();
--- a/daisy-entry/src/control/replicas.rs
+++ b/daisy-entry/src/control/replicas.rs
@@ -1,4 +1,5 @@
-//! Where services run: learnt by a holder from its workers, told to everybody else.
+//! Replicas of services: holders learn them from their workers and publish them to all other entry
+//! VMs.
 
 use std::sync::Arc;
 
@@ -10,34 +11,36 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Replicas {
     pub dc: DcId,
-    /// The epoch of the holder that says so.
+    /// The epoch of the holder that published them.
     pub epoch: Epoch,
-    /// Counts the changes, across epochs.
+    /// The number of changes, counted across epochs.
     pub version: u64,
     /// The backend servers, sorted.
     pub all: Vec<Replica>,
 }
 
 impl Replicas {
-    /// Whether `other` says the same at the same version.
+    /// Returns whether `other` has the same epoch and version.
     pub fn is_same(&self, other: &Replicas) -> bool {
         (self.epoch, self.version) == (other.epoch, other.version)
     }
 
-    /// Whether `other` is later.
+    /// Returns whether `other` is newer.
     ///
-    /// Guard: two paths may tell of the same data centre, an old holder may still speak after
-    /// a new one, and a late message must not bring a stopped backend server back. The epoch
-    /// decides, then the number of the change.
+    /// Guard: updates about one data centre may arrive on two paths, a former holder may still send
+    /// after a new one has taken over, and a late message must not bring a stopped backend server
+    /// back. The epoch decides first, then the version.
     pub fn is_before(&self, other: &Replicas) -> bool {
         (self.epoch, self.version) < (other.epoch, other.version)
     }
 }
 
-/// What the holder `holder` knows, with `before` for workers that have not answered it yet.
+/// Returns the replicas that `holder` knows, and those in `before` on workers that have not
+/// answered it yet.
 ///
-/// Guard: a new holder has heard no worker. Its routes would go empty, and every request be
-/// refused, until the workers have answered; what the last holder told stands until then.
+/// Guard: a new holder has no answers from workers yet. Without `before` its routes would be empty,
+/// and every request would be rejected, until the workers have answered; until then the replicas
+/// published by the last holder apply.
 pub(crate) fn of_holder(holder: &Holder, before: Option<&Arc<Replicas>>) -> Vec<Replica> {
     let workers = holder.workers();
     let never_answered = workers.iter().filter(|it| it.status == WorkerStatus::NeverAnswered);
@@ -51,7 +54,8 @@
     let old = before.iter().flat_map(|it| it.all.iter());
     all.extend(old.filter(|it| never_answered.binary_search(&it.vm).is_ok()).copied());
     all.sort_unstable();
-    // One that stays sorts before one that leaves: the server goes on for the service.
+    // A staying replica sorts before a leaving one and is kept: the server still serves the
+    // service.
     all.dedup_by_key(|it| (it.job, it.vm));
     all
 }
--- a/daisy-entry/src/control/restore.rs
+++ b/daisy-entry/src/control/restore.rs
@@ -1,4 +1,5 @@
-//! From what the log or a peer still has to the state, and snapshots for those that come later.
+//! Restores the state from what the log or a peer still has, and writes snapshots for later cold
+//! starts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,33 +15,34 @@
 
 use crate::{boundary::RequestSide, control::Control};
 
-/// Bytes of one part of a snapshot: half of the longest append.
+/// Size of one part of a snapshot, in bytes: half of the longest append.
 const PART_BYTES: usize = 512 << 10;
-/// The share of the log's records, in thirds, that may lie before a snapshot that still counts.
+/// The share of the retained records, in thirds, after which any holder writes a snapshot once the
+/// log drops records; the first writer writes after `3 - FALLBACK_THIRDS` thirds.
 const FALLBACK_THIRDS: u64 = 2;
 
-/// What has happened since the last whole snapshot.
+/// Progress since the last complete snapshot.
 #[derive(Debug)]
 pub(super) struct Snapshots {
-    /// The last whole snapshot that was seen.
+    /// The offset that the last complete snapshot in the log covers.
     through: Option<Offset>,
-    /// When this process first saw it.
+    /// When this process first saw that snapshot.
     seen: Instant,
-    /// Bytes folded since.
+    /// Bytes folded since then.
     bytes: u64,
-    /// The first record that the log keeps.
+    /// The first record that the log retains.
     first: Offset,
-    /// The end of the state that was last written.
+    /// The end offset of the state that this process last wrote as a snapshot.
     written: Option<Offset>,
 }
 
 impl Snapshots {
-    /// No snapshot known.
+    /// Creates a tracker that knows no snapshot.
     pub fn new(now: Instant) -> Snapshots {
         Snapshots { through: None, seen: now, bytes: 0, first: Offset(0), written: None }
     }
 
-    /// An entry was folded.
+    /// Records that an entry of `bytes` bytes was folded.
     pub fn record_folded(&mut self, now: Instant, state: &State, bytes: usize) {
         let through = state.snapshot.map(|mark| mark.through);
         if through != self.through {
@@ -49,25 +51,26 @@
         self.bytes += bytes as u64;
     }
 
-    /// The log tells which record is its first.
+    /// Sets the first record that the log retains.
     pub fn set_first_retained(&mut self, first: Offset) {
         self.first = first;
     }
 
-    /// Whether the `rank`-th writer should write one now, if the log keeps records that long.
+    /// Returns whether the writer of rank `rank` should write a snapshot now, if the log retains
+    /// records for `retention`.
     ///
-    /// The platform does not tell its retention. Where the log shows that it drops records
-    /// sooner than the settings say, snapshots come sooner as well.
+    /// The platform does not publish its retention. If the log drops records sooner than the
+    /// settings say, snapshots are written sooner as well.
     fn due(&self, now: Instant, state: &State, rank: u32, retention: Duration) -> bool {
         if self.written.is_some_and(|it| self.through.is_none_or(|through| through < it)) {
-            // The own one is on its way.
+            // The snapshot of this process is being appended.
             return false;
         }
         let from = self.through.unwrap_or_default();
         let entries = state.next.0.saturating_sub(from.0);
         let since = Since { entries, bytes: self.bytes, age: now.since(self.seen) };
         let options = snapshot::Options::for_retention(retention);
-        // The log drops records: a third of what it keeps may pass before the next snapshot.
+        // The log drops records: a third of the retained ones may pass before the next snapshot.
         let retained = state.next.0.saturating_sub(self.first.0);
         let expiring = self.first > Offset(0) && entries * 3 >= retained * (3 - FALLBACK_THIRDS);
         let is_own_turn = rank == 0 || entries * 3 >= retained * FALLBACK_THIRDS;
@@ -76,7 +79,8 @@
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// The log begins after the next record: goes on with its first one, looking for a snapshot.
+    /// Starts a cold start from `first`, as the log begins after the next record to fold; returns
+    /// the offset to read from.
     pub(super) fn handle_log_expired(&mut self, first: Offset) -> Offset {
         log::warn!("event=cold_start first={first} next={}", self.state.next);
         self.snapshots.set_first_retained(first);
@@ -84,7 +88,7 @@
         first
     }
 
-    /// Takes a page into a cold start; the offset to read on from.
+    /// Adds a page to a cold start and returns the offset from which to read on.
     pub(super) fn restore_page(
         &mut self,
         now: Instant,
@@ -110,7 +114,7 @@
         self.state.next
     }
 
-    /// Takes a peer's state in place of records that it no longer has.
+    /// Loads a peer's state in place of records that the peer no longer has.
     pub(super) fn load_peer_state(&mut self, now: Instant, bytes: &[u8]) -> Offset {
         match daisy_wire::snapshot::decode(bytes) {
             Ok(state) => self.adopt(now, state),
@@ -119,8 +123,10 @@
         self.state.next
     }
 
-    /// Guard: a state from elsewhere is taken only when it is further than the own one, or an
-    /// accepted configuration would go back.
+    /// Replaces the state by `state`.
+    ///
+    /// Guard: a restored or received state is adopted only if it is ahead of the own one; otherwise
+    /// an accepted configuration would be rolled back.
     fn adopt(&mut self, now: Instant, state: State) {
         if state.next <= self.state.next {
             return;
@@ -135,15 +141,15 @@
         self.after_fold(now);
     }
 
-    /// The whole state, for a peer.
+    /// Encodes the whole state for a peer.
     pub(super) fn encode(&self) -> (Offset, Vec<u8>) {
         let bytes = daisy_wire::snapshot::encode(&self.state).unwrap_or_default();
         (self.state.next, bytes)
     }
 
-    /// Appends a snapshot if it is time and this entry VM's turn.
+    /// Appends a snapshot if one is due and it is the turn of this entry VM.
     ///
-    /// Holders write, that of the lowest data centre first.
+    /// Holders write snapshots; that of the data centre with the lowest number is the first writer.
     pub(super) fn write_snapshot(&mut self, now: Instant) {
         if !matches!(self.membership.role(), Role::Holder(_)) || !self.appends.reachable() {
             return;
--- a/daisy-entry/src/control/routes.rs
+++ b/daisy-entry/src/control/routes.rs
@@ -10,24 +10,24 @@
 
 use crate::control::Replicas;
 
-/// Requests that a backend server works on at one time, on both users' workers.
+/// Concurrent requests that a backend server processes, on the workers of both users.
 const SLOTS_PER_BACKEND: u32 = 8;
-/// Connections that a backend server takes from all entry VMs, on both users' workers.
+/// Connections that a backend server accepts from all entry VMs, on the workers of both users.
 const CONNECTIONS_PER_BACKEND: u32 = 64;
 
-/// What routes are built from.
+/// The data from which routes are built.
 pub(crate) struct RouteSources<'a> {
     pub now: Instant,
     pub dc: DcId,
     pub regions: &'a [u16],
     pub state: &'a State,
-    /// Sorted by number.
+    /// The VM list, sorted by VM number.
     pub vms: &'a [Vm],
     pub membership: &'a Membership,
     pub replicas: &'a SortedMap<DcId, Arc<Replicas>>,
 }
 
-/// The routes of version `version`.
+/// Builds the routes of version `version`.
 pub(crate) fn build(version: u64, parts: &RouteSources<'_>) -> Routes {
     Routes {
         version,
@@ -40,10 +40,11 @@
     }
 }
 
-/// Entry VMs that are alive as far as this one knows, itself included.
+/// Returns the entry VMs that are alive as far as this one knows, itself included.
 ///
-/// Also those that start or stop: they have connections to backend servers, and keys. Those of
-/// other data centres are not all heard of: the list's word is taken.
+/// Starting and stopping ones are included: they have connections to backend servers, and keys. Not
+/// every entry VM of another data centre sends heartbeats to this one; for those the VM list
+/// decides.
 pub(crate) fn entries(now: Instant, dc: DcId, membership: &Membership) -> Vec<(DcId, VmId)> {
     let options = membership.options();
     let peers = membership.peers();
@@ -57,7 +58,7 @@
     entries
 }
 
-/// Entry VMs that the platform's list names, itself included.
+/// Returns the entry VMs in the platform's list, and this one.
 fn listed(parts: &RouteSources<'_>) -> Vec<(DcId, VmId)> {
     let options = parts.membership.options();
     let entries = parts.vms.iter().filter(|vm| vm.role == VmRole::Entry);
--- a/daisy-entry/src/control/status.rs
+++ b/daisy-entry/src/control/status.rs
@@ -1,8 +1,8 @@
-//! How an entry VM stands, for `GET /v1/status`.
+//! Status of an entry VM, for `GET /v1/status`.
 
 use serde::Serialize;
 
-/// How an entry VM stands.
+/// Status of an entry VM.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct StatusJson {
     /// The VM's number.
@@ -11,15 +11,15 @@
     pub name: String,
     /// The name of its data centre.
     pub dc: String,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub ready: bool,
     /// `starting`, `ready` or `leaving`.
     pub status: &'static str,
     /// `idle`, `holder` or `lease_renewer`.
     pub role: &'static str,
-    /// Where records are read: `log`, or a peer's number.
+    /// The source of records: `log`, or a peer's number.
     pub source: String,
-    /// Whether the log has answered lately.
+    /// Whether the log has answered recently.
     pub log_answers: bool,
     /// The offset of the next record to fold.
     pub next: u64,
@@ -27,13 +27,13 @@
     pub generation: u64,
     /// The offset of the configuration in force; absent before the first.
     pub config_offset: Option<u64>,
-    /// When it came into force here, in milliseconds since 1970 UTC.
+    /// When it came into force on this entry VM, in milliseconds since 1970 UTC.
     pub config_since_ms: Option<u64>,
     /// The holder of the data centre.
     pub holder: Option<u32>,
     /// Its epoch.
     pub epoch: Option<u64>,
-    /// Whether the holder has given the data centre up.
+    /// Whether the holder has released the data centre.
     pub released: bool,
     /// Records that wait to be appended.
     pub unsent: usize,
@@ -50,7 +50,7 @@
     pub dc: u16,
     /// Whether the platform lists it as live.
     pub listed: bool,
-    /// Whether it was heard of lately.
+    /// Whether a recent heartbeat was received from it.
     pub alive: bool,
     /// The offset of the next record that it folds, by its last heartbeat.
     pub next: Option<u64>,
--- a/daisy-entry/src/entry.rs
+++ b/daisy-entry/src/entry.rs
@@ -226,7 +226,9 @@
         let (reply, flushed) = oneshot::channel();
         let _ = self.control.send(Input::Flushed { reply }).await;
         if timeout(FLUSH_TIMEOUT, flushed).await.is_err() {
-            log::warn!("event=stopped_with_unsent cause=\"the log takes no appends\"");
+            log::warn!(
+                "event=stopped_with_unsent cause=\"the log did not accept all records in time\""
+            );
         }
         self.tasks.shutdown().await;
         let _ = (&mut self.serving).await;
--- a/daisy-entry/src/proxy.rs
+++ b/daisy-entry/src/proxy.rs
@@ -1,8 +1,7 @@
-//! The request side of an entry VM: callers' HTTP in, backend servers' HTTP out.
+//! The request side of an entry VM: an HTTP proxy between callers and backend servers.
 //!
-//! `daisy-routing` decides; the modules here hold sockets and timers. Mounted by
-//! [`Proxy::serve`], told of services by a [`RoutesWatch`], and asked by the control side
-//! through [`RequestSide`].
+//! `daisy-routing` decides; the modules here own sockets and timers. [`Proxy::serve`] runs it, a
+//! [`RoutesWatch`] provides the services, and the control side uses it through [`RequestSide`].
 
 use std::{
     future::Future,
@@ -44,33 +43,33 @@
 
 pub use self::body::{AnswerBody, BodyError, Streamed};
 
-/// Between looks at the queue for requests that can no longer finish in time.
+/// Interval between checks of the queue for requests that can no longer finish in time.
 const QUEUE_TICK: Duration = Duration::from_millis(5);
 
-/// The same while nothing waits: at 5 ms an idle entry VM spent a core's percent on waking up.
-/// Far below the gap by which a freeze is told.
+/// The same interval while no request waits: at 5 ms an idle entry VM spent one percent of a core
+/// on waking up. It is far below the gap by which a freeze of the process is detected.
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
-/// Between looks at who is there, for the homes of keys.
+/// Interval between updates of the homes of keys from the routes.
 const HOMES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a [`Proxy`] needs of the settings.
+/// Options of a [`Proxy`].
 #[derive(Debug, Clone)]
 pub struct Options {
     /// This VM.
     pub vm: VmId,
     /// Its data centre.
     pub dc: DcId,
-    /// Bounds against abuse.
+    /// Limits against abuse.
     pub limits: Limits,
-    /// Between not ready and the close of the callers' port in a planned stop.
+    /// In a planned stop, the time between reporting not ready and closing the callers' port.
     pub balancer_delay: Duration,
-    /// Seeds the draws of backend servers and request ids; differs between processes.
+    /// Seeds the random choice of backend servers and request IDs; differs between processes.
     pub seed: u64,
 }
 
 impl Options {
-    /// The options that `settings` give.
+    /// Returns the options that `settings` specify.
     pub fn new(settings: &Settings, seed: u64) -> Options {
         Options {
             vm: settings.vm,
@@ -94,7 +93,8 @@
 }
 
 impl<K: PeerKeys<KeyQuery, KeyAnswer>> Proxy<K> {
-    /// A proxy that serves what `routes` shows and asks other entry VMs through `peers`.
+    /// Creates a proxy that serves the services in `routes` and queries other entry VMs through
+    /// `peers`.
     pub fn new(options: Options, routes: RoutesWatch, peers: K) -> Proxy<K> {
         let (finished, done) = watch::channel(false);
         Proxy {
@@ -107,22 +107,22 @@
         }
     }
 
-    /// What asks other entry VMs.
+    /// Returns the client that queries other entry VMs.
     pub fn peers(&self) -> &K {
         &self.peers
     }
 
-    /// Adds the metrics of requests to `registry`.
+    /// Registers the metrics of requests in `registry`.
     pub fn register_metrics(&self, registry: &mut Registry) {
         self.core.metrics.register(registry);
     }
 
-    /// Whether a planned stop has begun: `/readyz` says no from then on.
+    /// Returns whether a planned stop has begun; `/readyz` reports not ready from then on.
     pub fn is_draining(&self) -> bool {
         self.core.is_draining()
     }
 
-    /// Serves callers on `listener`, and `own` routes to requests that name no service.
+    /// Serves callers on `listener`; `own` handles requests that name no service.
     ///
     /// Returns once [`RequestSide::drain`] has closed the listener and every connection has ended.
     pub async fn serve(&self, listener: TcpListener, own: viz::Router) -> io::Result<()> {
@@ -141,14 +141,14 @@
         Ok(())
     }
 
-    /// Ends keyed requests whose callers have left, and hands the keys over.
+    /// Waits for keyed requests whose callers have disconnected, then hands the keys over.
     async fn leave(&self) {
         let _ = self.core.keyed.acquire_many(MAX_KEYED_IN_PROGRESS).await;
         let messages = lock(&self.core.keys).leave(self.core.clock.now());
         keyed::hand_over(&self.core, &self.peers, messages, keyed::LEAVE_HANDOVER_TIMEOUT).await;
     }
 
-    /// Takes in routes as they change and lets time pass for queue and keys; never returns.
+    /// Applies routes as they change, and ticks the queue and the keys; never returns.
     async fn follow_routes(&self) {
         let mut routes = self.routes.clone();
         let mut last_tick = tokio::time::Instant::now();
@@ -168,7 +168,7 @@
                     self.core.tick();
                     last_tick = tokio::time::Instant::now();
                 }
-                // The pause is a short one from now on.
+                // A request waits now, so the next pause is the short one.
                 () = self.core.queued.notified() => {}
             }
         }
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -1,4 +1,5 @@
-//! What all requests of an entry VM share: the router, its waiters and the connections.
+//! State shared by all requests of an entry VM: the router, its waiting requests and the
+//! connections.
 
 use std::{
     sync::{
@@ -22,13 +23,13 @@
     pool::{Pool, lock},
 };
 
-/// Bytes of answers kept for repeated attempts: a quarter of what control may take of memory.
+/// Memory for stored answers to repeated attempts, in bytes: a quarter of what control may use.
 const MAX_STORED_BYTES: usize = 64 << 20;
 
-/// Keyed requests in progress at one time; each holds at most its short body.
+/// The maximum number of concurrent keyed requests; each holds at most its short body.
 pub(super) const MAX_KEYED_IN_PROGRESS: u32 = 8_192;
 
-/// Shared by all requests; free of the type that asks peers.
+/// State shared by all requests; not generic over the client that queries peers.
 #[derive(Debug)]
 pub(super) struct Core {
     pub(super) options: Options,
@@ -39,12 +40,13 @@
     /// A permit for each keyed request in progress, which may outlive its caller's connection.
     pub(super) keyed: Arc<Semaphore>,
     pub(super) metrics: RequestMetrics,
-    /// Told when a request begins to wait.
+    /// Notified when a request is queued.
     pub(super) queued: Notify,
     router_state: Mutex<RouterState>,
 }
 
-/// The router and those who wait for it, under one lock, so that no grant is lost between them.
+/// The router and the requests that wait for it, under one lock, so that no decision is lost
+/// between them.
 #[derive(Debug)]
 struct RouterState {
     router: Router,
@@ -52,7 +54,7 @@
     waiters: SortedMap<Ticket, oneshot::Sender<QueueDecision>>,
 }
 
-/// A place in the queue; dropped, it is given up.
+/// A request in the queue; dropping it gives up its place.
 #[derive(Debug)]
 pub(super) struct QueuedRequest<'a> {
     core: &'a Core,
@@ -60,7 +62,7 @@
     rx: oneshot::Receiver<QueueDecision>,
 }
 
-/// What came of an offer.
+/// The result of offering a request to the router.
 #[derive(Debug)]
 pub(super) enum AdmissionResult<'a> {
     Send(Target),
@@ -69,7 +71,7 @@
 }
 
 impl Core {
-    /// A core without routes.
+    /// Creates a core without routes.
     pub(super) fn new(options: Options) -> Core {
         let router_state = RouterState {
             router: Router::new(options.vm),
@@ -92,22 +94,22 @@
         }
     }
 
-    /// Whether requests wait for a backend server.
+    /// Returns whether requests wait for a backend server.
     pub(super) fn has_waiting(&self) -> bool {
         !lock(&self.router_state).waiters.is_empty()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// A number that no other request is likely to have.
+    /// Returns a random number that no other request is likely to have.
     pub(super) fn random_id(&self) -> u64 {
         lock(&self.router_state).rng.u64(..)
     }
 
-    /// Asks the router for a backend server.
+    /// Requests a backend server from the router.
     pub(super) fn offer(&self, call: &Call) -> AdmissionResult<'_> {
         let now = self.clock.now();
         let mut router_state = lock(&self.router_state);
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Asks the router for another backend server after a failure.
+    /// Requests another backend server from the router after a failed try.
     pub(super) fn retry(&self, call: &Call, tried: &[VmId]) -> Option<Target> {
         let now = self.clock.now();
         let mut router_state = lock(&self.router_state);
@@ -132,12 +134,12 @@
         router.retry(now, call, tried, rng)
     }
 
-    /// After how long a request deserves a second try beside its first.
+    /// Returns the delay after which a request may get a hedge.
     pub(super) fn hedge_after(&self, call: &Call) -> Option<Duration> {
         lock(&self.router_state).router.hedge_after(call)
     }
 
-    /// Asks the router for a second backend server beside the first.
+    /// Requests a second backend server from the router for a hedge.
     pub(super) fn hedge(&self, call: &Call, tried: &[VmId]) -> Option<Target> {
         let now = self.clock.now();
         let mut router_state = lock(&self.router_state);
@@ -145,7 +147,7 @@
         router.hedge(now, call, tried, rng)
     }
 
-    /// When a caller is to come again.
+    /// Returns how long a caller should wait before a retry.
     pub(super) fn retry_after(&self, call: &Call) -> Duration {
         let now = self.clock.now();
         let mut router_state = lock(&self.router_state);
@@ -153,41 +155,42 @@
         router.retry_after(now, &call.service, rng)
     }
 
-    /// Ends a try.
+    /// Reports the end of a try to the router.
     pub(super) fn finish(&self, try_id: TryId, report: TryReport) {
         let now = self.clock.now();
         lock(&self.router_state).apply(|router, rng| router.finish(now, try_id, report, rng), now);
     }
 
-    /// Takes in who is there; returns the keys that have to be handed over.
+    /// Updates the entry VMs that are homes of keys; returns the keys that must be handed over.
     pub(super) fn update_key_homes(&self, routes: &Routes) -> Vec<(VmId, KeyQuery)> {
         lock(&self.keys).set_routes(self.clock.now(), routes)
     }
 
-    /// The home of `key` in the own data centre.
+    /// Returns the home of `key` in the own data centre.
     pub(super) fn home(&self, key: &KeyId) -> Option<VmId> {
         self.candidate_homes(key).first().copied()
     }
 
-    /// Those in the own data centre that may be the home of `key`, the likeliest first.
+    /// Returns the entry VMs of the own data centre that may be the home of `key`, the likeliest
+    /// first.
     pub(super) fn candidate_homes(&self, key: &KeyId) -> Vec<VmId> {
         let keys = lock(&self.keys);
         keys.candidate_homes(keys.dc(), key)
     }
 
-    /// The homes of `key` in all other data centres; `None` where none shows.
+    /// Returns the home of `key` in each other data centre; `None` where none is known.
     pub(super) fn other_homes(&self, key: &KeyId) -> Vec<Option<VmId>> {
         let keys = lock(&self.keys);
         let other_dcs = keys.other_dcs(self.clock.now());
         other_dcs.into_iter().map(|dc| keys.candidate_homes(dc, key).first().copied()).collect()
     }
 
-    /// Answers a question about a key.
+    /// Answers a query about a key.
     pub(super) fn answer_key(&self, from: VmId, query: KeyQuery) -> KeyAnswer {
         lock(&self.keys).handle(self.clock.now(), from, query)
     }
 
-    /// Takes in new routes and closes connections to backend servers that are gone.
+    /// Applies new routes and closes connections to removed backend servers.
     pub(super) fn set_routes(&self, routes: &Routes) {
         let now = self.clock.now();
         lock(&self.router_state).apply(|router, rng| router.set_routes(now, routes, rng), now);
@@ -195,14 +198,14 @@
         self.pool.retain(|address| backends().any(|backend| backend.address == *address));
     }
 
-    /// Lets time pass for the queue.
+    /// Advances the time of the queue and the keys.
     pub(super) fn tick(&self) {
         let now = self.clock.now();
         lock(&self.keys).observe_time(now);
         lock(&self.router_state).apply(|router, rng| router.tick(now, rng), now);
     }
 
-    /// Takes in what a peer has in flight.
+    /// Updates the requests that a peer has in flight.
     pub(super) fn peer_in_flight(&self, peer: VmId, in_flight: &[(VmId, u32)]) {
         let now = self.clock.now();
         let take =
@@ -210,16 +213,17 @@
         lock(&self.router_state).apply(take, now);
     }
 
-    /// Requests in flight by backend server.
+    /// Returns the requests in flight by backend server.
     pub(super) fn in_flight(&self) -> Vec<(VmId, u32)> {
         lock(&self.router_state).router.in_flight()
     }
 }
 
 impl RouterState {
-    /// Runs `step` and hands its grants to those who wait.
+    /// Runs `step` and sends its decisions to the waiting requests.
     ///
-    /// A grant whose waiter has left is taken back at once, which may grant another.
+    /// A backend server granted to a request that has left the queue is released at once, which may
+    /// produce another decision.
     fn apply(
         &mut self,
         step: impl FnOnce(&mut Router, &mut fastrand::Rng) -> Vec<QueueDecision>,
@@ -245,7 +249,7 @@
 }
 
 impl QueuedRequest<'_> {
-    /// The router's decision, which comes before the request's deadline.
+    /// Waits for the router's decision, which arrives before the request's deadline.
     pub(super) async fn decision(mut self) -> Option<QueueDecision> {
         (&mut self.rx).await.ok()
     }
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -23,7 +23,7 @@
     pool::{Lease, PoolError},
 };
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -33,46 +33,46 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// `keep-alive`, hop by hop too though RFC 9110 only names it in passing.
+/// `keep-alive`, which is hop-by-hop as well although RFC 9110 mentions it only in passing.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// A request as it is sent to backend servers, try after try.
+/// A request as it is sent to backend servers, the same for every try.
 #[derive(Debug)]
 pub(super) struct ForwardedRequest {
-    /// Method, path and headers, without those of one connection.
+    /// Method, path and headers, without hop-by-hop headers.
     pub(super) parts: Parts,
-    /// Its id, the same in every try.
+    /// The request ID, the same in every try.
     pub(super) id: String,
-    /// When its answer must be whole.
+    /// When its answer must be complete.
     pub(super) deadline: Instant,
 }
 
-/// Why a try brought no answer.
+/// Why a try failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TryError {
     /// Nothing was sent.
     NotSent,
-    /// Nothing was sent, as all connections that this entry VM may have are open.
+    /// Nothing was sent: all connections that this entry VM may open are in use.
     NoConnection,
-    /// The backend server refused it and says that it did not run.
+    /// The backend server rejected the request and states that it did not run.
     Refused,
-    /// It was sent, and the connection broke before an answer's head came.
+    /// The request was sent, and the connection broke before the answer's head arrived.
     Broken,
-    /// The answer is another request's.
+    /// The answer carries the ID of another request.
     WrongId,
-    /// The answer's end could not be told from a broken connection.
+    /// The end of the answer cannot be distinguished from a broken connection.
     Unframed,
-    /// No answer's head came by the deadline.
+    /// The answer's head did not arrive by the deadline.
     Deadline,
 }
 
 impl TryError {
-    /// Whether it is proven that the request did not run in this try.
+    /// Returns whether the request provably did not run in this try.
     pub(super) fn proves_not_run(self) -> bool {
         matches!(self, TryError::NotSent | TryError::NoConnection | TryError::Refused)
     }
 
-    /// What is known after two failed tries.
+    /// Combines the errors of two failed tries.
     ///
     /// Guards against `not-run` for a request whose first try may have run and whose second could
     /// not be sent: the proof must hold for every try.
@@ -80,7 +80,7 @@
         if self.proves_not_run() { other } else { self }
     }
 
-    /// The word for it in `docs/PROTOCOL.md`.
+    /// Returns the reason listed in `docs/PROTOCOL.md`.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             TryError::NotSent => "connect",
@@ -95,7 +95,7 @@
 }
 
 impl ForwardedRequest {
-    /// Takes over the caller's head and leaves out what concerns its connection only.
+    /// Takes over the caller's head without hop-by-hop headers.
     pub(super) fn new(mut parts: Parts, id: u64, deadline: Instant) -> ForwardedRequest {
         strip_hop_by_hop(&mut parts.headers);
         parts.headers.remove(header::EXPECT);
@@ -170,9 +170,9 @@
         }
     })?;
     let now = core.clock.now();
-    // Guards against a frozen entry VM that wakes and sends what nobody waits for any more: by
-    // then a repeated attempt may have run elsewhere. Timers fire too late for it, as what is
-    // ready is polled first.
+    // Guards against a frozen entry VM that wakes and sends a request whose caller has given up: by
+    // then a repeated attempt may have run elsewhere. Timers fire too late for this, as futures
+    // that are ready are polled first.
     if now >= forwarded.deadline {
         return Err(TryError::NotSent);
     }
@@ -183,7 +183,7 @@
     }
 }
 
-/// Only a request that hyper gives back was surely not written.
+/// Only a request that hyper returns was certainly not written.
 fn classify_send_error(mut err: TrySendError<Request<Outgoing>>, target: &Target) -> TryError {
     let unwritten = err.take_message().is_some();
     log::debug!("event=try_failed vm={} unwritten={unwritten} error={:?}", target.vm, err.error());
@@ -200,11 +200,11 @@
     }
 }
 
-/// Refuses an answer that is not surely the whole answer to this request.
+/// Rejects an answer that is not certainly the complete answer to this request.
 fn validate_answer(response: &Response<Incoming>, id: &str) -> Result<(), TryError> {
     let map = response.headers();
-    // Guards against a late or doubled answer on a reused connection, which a caller would see
-    // as another's: such an answer has another id, or none.
+    // Guards against a late or duplicate answer on a reused connection, which a caller would get as
+    // the answer to its own request: such an answer has another ID, or none.
     if map.get(headers::REQUEST_ID).is_none_or(|value| value.as_bytes() != id.as_bytes()) {
         return Err(TryError::WrongId);
     }
@@ -213,8 +213,8 @@
     if refused {
         return Err(TryError::Refused);
     }
-    // Guards against a short success: without a length or chunks, a body ends where the
-    // connection does, and a broken connection looks like the end.
+    // Guards against a truncated answer that looks successful: without a length or chunks, a body
+    // ends where the connection does, and a broken connection looks like the end.
     let framed = response.body().is_end_stream()
         || map.contains_key(CONTENT_LENGTH)
         || map.contains_key(TRANSFER_ENCODING);
--- a/daisy-entry/src/proxy/guard.rs
+++ b/daisy-entry/src/proxy/guard.rs
@@ -1,4 +1,4 @@
-//! Ends a try exactly once, however its answer ends.
+//! Reports the end of a try exactly once, however its answer ends.
 
 use std::{
     future::Future,
@@ -13,10 +13,10 @@
 
 use crate::proxy::{core::Core, pool::Lease};
 
-/// A try that has not ended; dropped, it counts as cancelled.
+/// A try in progress; dropping it ends the try as cancelled.
 ///
-/// Guards against a slot that stays taken for ever: a caller that leaves, a hedge that loses and
-/// an answer that breaks off all drop the guard, and each such drop frees the slot.
+/// Guards against a slot that is never released: a caller that disconnects, a hedge that loses and
+/// an answer that is cut off all drop the guard, and each drop releases the slot.
 #[derive(Debug)]
 pub(super) struct TryGuard {
     core: Arc<Core>,
@@ -25,12 +25,12 @@
 }
 
 impl TryGuard {
-    /// Guards `try_id`.
+    /// Creates a guard for the try `try_id`.
     pub(super) fn new(core: Arc<Core>, try_id: TryId) -> TryGuard {
         TryGuard { core, try_id, ended: false }
     }
 
-    /// Tells the router how the try ended.
+    /// Reports to the router how the try ended.
     pub(super) fn end(&mut self, report: TryReport) {
         if !std::mem::replace(&mut self.ended, true) {
             self.core.finish(self.try_id, report);
@@ -44,7 +44,7 @@
     }
 }
 
-/// What is held while an answer's body comes: the try and the connection.
+/// Resources held while an answer's body arrives: the try and the connection.
 #[derive(Debug)]
 pub(super) struct AnswerGuard {
     guard: TryGuard,
@@ -55,7 +55,8 @@
 }
 
 impl AnswerGuard {
-    /// Guards an answer whose head has come; `report` is told once the body is whole.
+    /// Guards an answer whose head has arrived; `report` is sent to the router once the body is
+    /// complete.
     pub(super) fn new(
         guard: TryGuard,
         lease: Lease,
@@ -65,12 +66,12 @@
         AnswerGuard { guard, lease: Some(lease), report, deadline, timer: None }
     }
 
-    /// Bytes of the body have come.
+    /// Counts received bytes of the body.
     pub(super) fn count(&mut self, bytes: usize) {
         self.report.bytes += bytes as u64;
     }
 
-    /// The body is whole: the connection may carry another request.
+    /// Ends the try after a complete body: the connection may carry another request.
     pub(super) fn complete(&mut self) {
         if let Some(lease) = self.lease.take() {
             lease.release();
@@ -78,7 +79,8 @@
         self.guard.end(self.report);
     }
 
-    /// The body broke off: the connection is closed, so that nothing of it reaches a later request.
+    /// Ends the try after a body that was cut off: the connection is closed, so that no remainder
+    /// of it reaches a later request.
     pub(super) fn broken(&mut self) {
         self.lease = None;
         self.guard.end(TryReport { end: TryOutcome::Broken, ..self.report });
--- a/daisy-entry/src/proxy/head.rs
+++ b/daisy-entry/src/proxy/head.rs
@@ -1,4 +1,4 @@
-//! Reads what a request's head says to daisyshift.
+//! Parses the daisyshift headers of a request.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 use daisy_wire::headers;
 use http::{HeaderMap, Method, request::Parts};
 
-/// How long a caller waits that does not say.
+/// The deadline of a request that specifies none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// The longest deadline that counts; longer ones are cut to it.
+/// The longest accepted deadline; longer ones are shortened to it.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
-/// The longest key, in bytes.
+/// The maximum length of a key, in bytes.
 const MAX_KEY: usize = 64;
 
-/// What a request's head says.
+/// The parsed daisyshift headers of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Head {
     /// The service.
     pub(super) service: Name,
-    /// How long the caller waits.
+    /// The time until the request's deadline.
     pub(super) time_to_deadline: Duration,
-    /// How urgent the caller says it is.
+    /// The urgency that the caller states.
     pub(super) urgency: Urgency,
-    /// Who calls.
+    /// The caller's ID.
     pub(super) caller: CallerId,
-    /// Whether running it twice does no harm.
+    /// Whether the request is idempotent: running it twice does no harm.
     pub(super) idempotent: bool,
-    /// Its key, where running it twice does harm.
+    /// The request's key, if it is not idempotent.
     pub(super) key: Option<Key>,
 }
 
@@ -36,31 +36,31 @@
 pub(super) struct Key {
     /// The caller's key.
     pub(super) key: Box<str>,
-    /// Whether the caller says that it sent the request before.
+    /// Whether the caller states that it has sent the request before.
     pub(super) repeated: bool,
-    /// Whether the log is to note it before it runs.
+    /// Whether the request must be recorded in the log before it runs.
     pub(super) logged: bool,
 }
 
-/// Why a head is refused; the request was not run.
+/// Why a head is rejected; the request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum HeadError {
     /// No service is named.
     #[error("missing-service")]
     MissingService,
-    /// A header's value cannot be read.
+    /// A header's value cannot be parsed.
     #[error("malformed-{0}")]
     Malformed(&'static str),
-    /// A header stands twice.
+    /// A header is present more than once.
     #[error("repeated-{0}")]
     Repeated(&'static str),
-    /// The method is none that a proxy passes on.
+    /// The method is one that a proxy does not forward.
     #[error("method")]
     Method,
 }
 
 impl Head {
-    /// Reads the head of a request that came from `address`.
+    /// Parses the head of a request from `address`.
     pub(super) fn read(parts: &Parts, address: std::net::IpAddr) -> Result<Head, HeadError> {
         if matches!(parts.method, Method::CONNECT | Method::TRACE) {
             return Err(HeadError::Method);
@@ -81,7 +81,8 @@
     }
 }
 
-/// Whether a request may be a repeated attempt of a keyed one, also if its head is malformed.
+/// Returns whether a request may be a repeated attempt of a keyed one, even if its head is
+/// malformed.
 pub(super) fn may_repeat(parts: &Parts) -> bool {
     let map = &parts.headers;
     let first = map.get_all(headers::ATTEMPT).iter().all(|value| value == "1");
@@ -144,7 +145,7 @@
     Ok(Some(Key { key: key.into(), repeated, logged }))
 }
 
-/// Digits only: `+1`, which Rust's own parser takes, is malformed here.
+/// Parses digits only: `+1`, which Rust's own parser accepts, is malformed here.
 fn read_number(text: &str) -> Option<u64> {
     let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
     digits.then(|| text.parse().ok()).flatten()
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -1,4 +1,5 @@
-//! Requests with a key: claimed at the key's home before they run, their answers kept there.
+//! Requests with a key: the key is claimed at its home before the request runs, and the answer is
+//! stored there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,44 +15,45 @@
     proxy::{answer::Failure, core::Core, head::Key},
 };
 
-/// How long a home is given to answer.
+/// How long a home may take to answer.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pauses between questions while another attempt runs; doubled from the first to the last.
+/// Pauses between claims while another attempt runs, doubled from the first to the last.
 const MIN_CLAIM_PAUSE: Duration = Duration::from_millis(10);
 const MAX_CLAIM_PAUSE: Duration = Duration::from_millis(200);
-/// How long a home that cannot be had is waited for before the caller is told to come again.
+/// How long an unreachable home is waited for before the caller is told to retry.
 const HOME_UNAVAILABLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How much longer than its deadline a request may count as running, for the way to the home.
+/// The time beyond its deadline for which a request may be treated as running, to allow for the
+/// delay of messages to the home.
 const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
-/// How often the end of a claim is told to a home that does not take it.
+/// How often the end of a claim is sent to a home that does not acknowledge it.
 const FINISH_TRIES: u32 = 5;
-/// Between those.
+/// The pause between those tries.
 const FINISH_PAUSE: Duration = Duration::from_millis(100);
-/// How long a peer that has joined is offered what it has not taken: its link may come later than its
-/// heartbeat, and a new home waits as long for the keys of the others.
+/// How long keys are offered to a peer that has joined and does not acknowledge them: its link may
+/// come up later than its heartbeat, and a new home waits as long for the keys of the others.
 pub(super) const JOIN_HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The same in a planned stop, which must not wait for peers that are gone.
+/// The same in a planned stop, which must not wait for lost peers.
 pub(super) const LEAVE_HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the platform's log is given to take an intent.
+/// How long the platform's log may take to record an intent.
 const INTENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A claim, and the home that was asked first for it.
+/// A claim, and the home that it was first sent to.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Claim {
     id: ClaimId,
     home: Option<VmId>,
 }
 
-/// What a claim came to.
+/// The result of a claim.
 #[derive(Debug)]
 pub(super) enum ClaimResult {
-    /// The request runs.
+    /// The request must run.
     Run(Claim),
-    /// An earlier attempt ran, with this answer.
+    /// An earlier attempt ran and got this answer.
     Replay(StoredAnswer),
 }
 
-/// One keyed attempt.
+/// One attempt of a keyed request.
 #[derive(Debug, Clone)]
 pub(super) struct Keyed<K> {
     pub(super) core: Arc<Core>,
@@ -63,7 +65,7 @@
 }
 
 impl<K: PeerKeys<KeyQuery, KeyAnswer>> Keyed<K> {
-    /// Claims the key: at its home, and for a repeated attempt in every data centre.
+    /// Claims the key at its home and, for a repeated attempt, in every data centre.
     pub(super) async fn claim(&self) -> Result<ClaimResult, Failure> {
         let started_at = self.core.clock.now();
         let mut pause = MIN_CLAIM_PAUSE;
@@ -89,7 +91,8 @@
                 KeyStep::QueryOtherDcs => KeyDenial::Unknown,
                 KeyStep::Stop(denial) | KeyStep::Wait(denial) if is_granted => {
                     self.finish(claim, ClaimEnd::NotRun).await;
-                    // A finish may overtake the next claim of the same name and release it.
+                    // A `Finish` message may overtake the next claim with the same ID and release
+                    // it.
                     claim = Claim { id: ClaimId(self.core.random_id()), home: None };
                     denial
                 }
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Tells the home how a claim ended; a home that is not there is looked for for a while, and
-    /// after that lets the claim expire as unknown.
+    /// Reports to the home how a claim ended. An unreachable home is retried for a while; after
+    /// that the claim expires there with an unknown outcome.
     pub(super) async fn finish(&self, claim: Claim, end: ClaimEnd) {
         let not_run = end == ClaimEnd::NotRun;
         let query = KeyQuery::Finish { key: self.id.clone(), claim: claim.id, end };
@@ -125,7 +128,8 @@
         log::warn!("event=claim_end_untold key_digest={:016x}", digest(self.id.key.as_bytes()));
     }
 
-    /// Tells those beside the home that may have a copy of a claim from a handover.
+    /// Reports the end of a claim to the entry VMs besides the home that may have a copy of it from
+    /// a handover.
     async fn finish_at_other_homes(&self, home: VmId, query: KeyQuery) {
         let others = self.core.candidate_homes(&self.id).into_iter().filter(|it| *it != home);
         join_all(others.map(|it| self.ask(it, query.clone()))).await;
@@ -157,7 +161,7 @@
         next_step_after_other_dcs(answers.await, self.key.repeated)
     }
 
-    /// Notes the request in the platform's log; the first intent for a key wins.
+    /// Records the request in the platform's log; the first intent for a key wins.
     async fn announce_intent(&self) -> KeyStep {
         let left = self.deadline.since(self.core.clock.now());
         let intent =
@@ -173,7 +177,8 @@
         ask(&self.core, &self.peers, to, query).await
     }
 
-    /// Whether asking again may help before the caller's patience or the home's ends.
+    /// Returns whether another claim may succeed before the request's deadline or the timeout for
+    /// its home.
     fn may_wait(&self, denial: KeyDenial, started_at: Instant, pause: Duration) -> bool {
         let next = self.core.clock.now() + pause;
         let end = match denial {
@@ -191,7 +196,7 @@
     }
 }
 
-/// Asks `to`, which may be this entry VM.
+/// Sends a query to `to`, which may be this entry VM.
 pub(super) async fn ask<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
@@ -205,8 +210,8 @@
     }
 }
 
-/// Hands keys over: to each peer one message after another, to all peers at one time. A message that
-/// a peer does not take is sent again for `timeout`.
+/// Hands keys over: to each peer one message after another, to all peers concurrently. A message
+/// that a peer does not acknowledge is sent again until `timeout` has passed.
 pub(super) async fn hand_over<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
@@ -227,8 +232,11 @@
     .await;
 }
 
-/// Guards against a last message that arrives without those before it: the peer would vouch for
-/// keys that it does not have. The next is sent only when the one before was taken.
+/// Hands keys over to one peer; returns whether it has acknowledged all messages.
+///
+/// Guards against a last message that arrives without those before it: the peer would claim a
+/// complete history of keys that it does not have. A message is sent only after the previous one
+/// was acknowledged.
 async fn hand_over_to<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
@@ -248,7 +256,8 @@
     true
 }
 
-/// A digest of service and key for the log, of 128 bits so that two keys do not meet.
+/// Returns a digest of service and key for the log; it has 128 bits to avoid collisions between
+/// keys.
 fn intent_key(id: &KeyId) -> u128 {
     let text = format!("{}\n{}", id.service, id.key);
     let high = digest(text.as_bytes());
--- a/daisy-entry/src/proxy/metrics.rs
+++ b/daisy-entry/src/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of requests, by name and unit as `docs/OPERATING.md` lists them.
+//! Metrics of requests; `docs/OPERATING.md` lists their names and units.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 
 use crate::proxy::body::AnswerBody;
 
-/// Upper bounds of the latency's buckets, in seconds: from a cache's answer to a caller's
-/// patience.
+/// Upper bounds of the latency buckets, in seconds: from an answer out of a cache to the time that
+/// a caller waits.
 const BUCKETS: [f64; 12] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
-/// Stands for a service that is not known: callers cannot make up labels.
+/// The label of an unknown service, so that callers cannot create labels.
 const UNKNOWN: &str = "-";
 
 /// Labels of an answer.
@@ -25,7 +25,7 @@
     outcome: String,
 }
 
-/// Label of a service.
+/// The label of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ServiceLabel {
     service: String,
--- a/daisy-entry/src/proxy/pool.rs
+++ b/daisy-entry/src/proxy/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to backend servers, bounded for each.
+//! Connections to backend servers, with a limit for each server.
 //!
-//! hyper-util's pooled client bounds idle connections only and hides whether a request was
-//! written; a backend server takes a fixed number of connections from all entry VMs together,
-//! and `not-run` needs the proof, so connections are kept here over hyper's own client.
+//! The pooled client of hyper-util limits idle connections only and hides whether a request was
+//! written. A backend server accepts a fixed number of connections from all entry VMs together, and
+//! `not-run` requires proof that nothing was written, so this pool is built on hyper's own client.
 
 use std::{
     io,
@@ -17,16 +17,16 @@
 
 use crate::proxy::body::Outgoing;
 
-/// Why no connection was had; nothing was sent.
+/// Why no connection could be obtained; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PoolError {
-    /// As many are open as this entry VM may have.
+    /// As many connections are open as this entry VM may have.
     #[error("all {limit} connections in use")]
     Full {
         /// The limit.
         limit: u32,
     },
-    /// The backend server does not take connections.
+    /// The backend server does not accept connections.
     #[error("connect: {0}")]
     Connect(#[from] io::Error),
     /// The connection broke before it was used.
@@ -56,7 +56,7 @@
     tx: SendRequest<Outgoing>,
 }
 
-/// Counts one open connection until its driver ends.
+/// Counts one open connection until its driver task ends.
 #[derive(Debug)]
 struct OpenConnection {
     host: Arc<BackendConnections>,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A connection in use by one request; dropped, it is closed.
+/// A connection in use by one request; dropping it closes the connection.
 #[derive(Debug)]
 pub(super) struct Lease {
     host: Arc<BackendConnections>,
@@ -77,7 +77,7 @@
 }
 
 impl Lease {
-    /// Lets another request use the connection; only after a whole answer.
+    /// Returns the connection to the pool; only allowed after a complete answer.
     pub(super) fn release(self) {
         let Lease { host, tx } = self;
         if !tx.is_closed() {
@@ -87,7 +87,7 @@
 }
 
 impl Pool {
-    /// A connection to `address`, at most `limit` of which are open at one time.
+    /// Returns a connection to `address`, of which at most `limit` are open at a time.
     pub(super) async fn lease(&self, address: SocketAddr, limit: u32) -> Result<Lease, PoolError> {
         let host = Arc::clone(lock(&self.hosts).get_or_insert_with(address, Arc::default));
         while let Some(IdleConnection { mut tx }) = pop_idle(&host) {
@@ -108,7 +108,7 @@
         Ok(Lease { host, tx })
     }
 
-    /// Closes idle connections to backend servers that `keep` does not name.
+    /// Closes idle connections to backend servers for which `keep` returns false.
     pub(super) fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         lock(&self.hosts).retain(|address, host| {
             let mut state = lock(&host.state);
@@ -136,7 +136,7 @@
     lock(&host.state).idle.pop()
 }
 
-/// Locks `mutex`; what it guards is consistent between statements, so poison is no matter.
+/// Locks `mutex`; the guarded data is consistent between statements, so poisoning is ignored.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/daisy-entry/src/proxy/request.rs
+++ b/daisy-entry/src/proxy/request.rs
@@ -1,4 +1,4 @@
-//! The life of one caller's request.
+//! Handles a caller's request from its head to its answer.
 
 use std::{net::IpAddr, sync::Arc};
 
@@ -24,11 +24,11 @@
     },
 };
 
-/// Bodies up to this many bytes are read whole before a slot is taken, so that a slow sender
-/// holds no slot and the request can be sent again.
+/// Bodies of up to this many bytes are read completely before a slot is taken, so that a slow
+/// sender occupies no slot and the request can be sent again.
 const MAX_BUFFERED_BODY: u64 = 64 << 10;
 
-/// Answers requests; clones share what they need.
+/// Answers requests; clones share their state.
 #[derive(Debug, Clone)]
 pub(super) struct Requests<K> {
     pub(super) core: Arc<Core>,
@@ -36,7 +36,7 @@
 }
 
 impl<K: PeerKeys<KeyQuery, KeyAnswer>> Requests<K> {
-    /// Answers `req`; every path through here ends in exactly one answer.
+    /// Answers `req`; every path ends in exactly one answer.
     pub(super) async fn answer(
         &self,
         req: Request<Incoming>,
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Runs a keyed request to its end also when its caller has left, so that a repeated attempt
-    /// finds its answer.
+    /// Runs a keyed request to its end even if its caller has disconnected, so that a repeated
+    /// attempt finds its answer.
     async fn run_keyed(
         &self,
         proxied: ProxiedRequest,
@@ -121,7 +121,7 @@
     }
 }
 
-/// A failure, and whether it came before anything was found out about earlier attempts.
+/// A failure, and whether it occurred before earlier attempts were checked.
 #[derive(Debug)]
 enum RequestFailure {
     Early(Failure),
@@ -165,7 +165,8 @@
     tries::run(core, proxied, target).await
 }
 
-/// A digest of what a key stands for: the same key for another request is an error.
+/// Returns a digest of the request that a key belongs to: using the key for another request is an
+/// error.
 fn request_digest(parts: &Parts) -> u64 {
     digest(format!("{} {}", parts.method, parts.uri).as_bytes())
 }
@@ -182,7 +183,7 @@
     }
 }
 
-/// Reads a short body whole, and leaves a long one to be passed on as it comes.
+/// Reads a short body completely, and leaves a long one to be streamed.
 async fn read_body(core: &Core, body: Incoming, deadline: Instant) -> Result<Payload, Failure> {
     let limit = core.options.limits.body_bytes;
     let hint = body.size_hint();
--- a/daisy-entry/src/proxy/serve.rs
+++ b/daisy-entry/src/proxy/serve.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections.
+//! Accepts callers' connections.
 
 use std::{convert::Infallible, net::IpAddr, pin::pin, sync::Arc, time::Duration};
 
@@ -17,26 +17,27 @@
     proxy::{body::AnswerBody, request::Requests},
 };
 
-/// Pause after a failed accept, so that a lack of file descriptors does not burn a processor.
+/// Pause after a failed accept, so that a shortage of file descriptors does not cause a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// What a connection beyond the limit is told before it is closed.
+/// The answer to a connection beyond the limit, before it is closed.
 const CONNECTION_LIMIT_ANSWER: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\ndaisy-outcome: not-run\r\n\
     daisy-reason: connections\r\nretry-after: 1\r\ndaisy-retry-after-ms: 1000\r\n\
     connection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// How far a planned stop has come.
+/// The progress of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum DrainStage {
     /// Callers are served.
     Serving,
-    /// Callers are served while the balancer turns away; connections close after their answer.
+    /// Callers are served while the balancer removes this entry VM; connections close after their
+    /// answer.
     Leaving,
-    /// The listener is closed, and idle connections are too.
+    /// The listener and idle connections are closed.
     Closed,
 }
 
-/// Serves callers until the stop has come to [`DrainStage::Closed`] and every connection is done.
+/// Serves callers until the stage is [`DrainStage::Closed`] and every connection has ended.
 pub(super) async fn serve<K: PeerKeys<KeyQuery, KeyAnswer>>(
     requests: Requests<K>,
     listener: TcpListener,
@@ -75,12 +76,12 @@
         });
     }
     drop(listener);
-    // All permits are back only when every connection has ended.
+    // All permits are available only when every connection has ended.
     let _ = permits.acquire_many(limit as u32).await;
 }
 
 async fn closed(stage: &mut watch::Receiver<DrainStage>) {
-    // An error means that the proxy is gone, which closes as well.
+    // An error means that the proxy was dropped, which closes as well.
     let _ = stage.wait_for(|stage| *stage == DrainStage::Closed).await;
 }
 
--- a/daisy-entry/src/proxy/stored.rs
+++ b/daisy-entry/src/proxy/stored.rs
@@ -1,4 +1,4 @@
-//! Answers as a key's home keeps them.
+//! Answers in the form that a key's home stores.
 
 use bytes::Bytes;
 use daisy_routing::StoredAnswer;
@@ -16,11 +16,11 @@
     body::{AnswerBody, BodyError},
 };
 
-/// The longest body that is kept, in bytes.
+/// The maximum size of a stored body, in bytes.
 const MAX_BODY: u64 = 64 << 10;
 
-/// Reads an answer whole where it is short enough to be kept; a longer one is passed on as it
-/// comes, and only the fact that it came is kept.
+/// Reads an answer completely if it is short enough to be stored; a longer one is streamed, and
+/// only the fact that it was given is stored.
 pub(super) async fn store_answer(
     response: Response<AnswerBody>,
 ) -> Result<(Response<AnswerBody>, StoredAnswer), BodyError> {
@@ -35,7 +35,7 @@
     Ok((Response::from_parts(parts, AnswerBody::fixed(bytes)), stored))
 }
 
-/// The answer of an earlier attempt, marked as such.
+/// Returns the answer of an earlier attempt, marked as replayed.
 pub(super) fn replay(stored: StoredAnswer) -> Result<Response<AnswerBody>, Failure> {
     let Some(body) = stored.body else {
         return Err(Failure::new(StatusCode::CONFLICT, Outcome::Answered, "answer-not-kept"));
@@ -56,7 +56,7 @@
     Ok(response)
 }
 
-/// What is kept: all but what belongs to the first attempt's own exchange.
+/// Returns the answer to store, without the headers of the first attempt's own exchange.
 fn to_stored(parts: &Parts, body: Option<&[u8]>) -> StoredAnswer {
     let belongs_to_exchange = |name: &HeaderName| {
         *name == CONTENT_LENGTH || *name == DATE || name.as_str() == headers::REQUEST_ID
--- a/daisy-entry/src/proxy/tries.rs
+++ b/daisy-entry/src/proxy/tries.rs
@@ -1,4 +1,4 @@
-//! The tries of one request: first, retry, hedge.
+//! The tries of one request: the first, retries and hedges.
 
 use std::{pin::pin, sync::Arc};
 
@@ -19,13 +19,13 @@
 /// A request's body before its tries.
 #[derive(Debug)]
 pub(super) enum Payload {
-    /// Read whole; every try sends it.
+    /// Read completely; every try sends it.
     Buffered(Bytes),
-    /// Passed on as it comes; one try only.
+    /// Streamed as it arrives; for one try only.
     Streamed {
         /// The caller's body.
         inner: Incoming,
-        /// Bytes that it may have.
+        /// The maximum size of the body, in bytes.
         limit: u64,
     },
 }
@@ -33,15 +33,16 @@
 /// A request with all that its tries need.
 #[derive(Debug)]
 pub(super) struct ProxiedRequest {
-    /// What the router is asked.
+    /// The request as the router sees it.
     pub(super) call: Call,
-    /// What is sent.
+    /// The head as it is sent to backend servers.
     pub(super) forwarded: ForwardedRequest,
     /// Its body.
     pub(super) payload: Payload,
 }
 
-/// Tries `proxied` at `target`, and elsewhere as long as that is safe and the router allows it.
+/// Tries `proxied` at `target`, and at other backend servers as long as that is safe and the router
+/// allows it.
 pub(super) async fn run(
     core: &Arc<Core>,
     proxied: ProxiedRequest,
@@ -66,8 +67,8 @@
             Err(err) => combined_error.map_or(err, |combined_error| combined_error.combine(err)),
         };
         combined_error = Some(err);
-        // Guards against an order that runs twice: what may have run is tried again only if
-        // running it twice does no harm.
+        // Guards against an order that runs twice: a request that may have run is tried again only
+        // if it is idempotent.
         let safe = call.idempotent || err.proves_not_run();
         let next = if safe { core.retry(&call, &tried) } else { None };
         target = next.ok_or_else(|| failure(core, &call, err))?;
@@ -75,8 +76,8 @@
     }
 }
 
-/// One try, and a second beside it when the first takes longer than most; the loser is dropped,
-/// which closes its connection.
+/// Makes one try, and a second one concurrently if the first takes longer than most; the slower one
+/// is dropped, which closes its connection.
 async fn try_hedged(
     core: &Arc<Core>,
     call: &Call,
