--- a/daisy-entry/src/append_calls.rs
+++ b/daisy-entry/src/append_calls.rs
@@ -1,4 +1,4 @@
-//! Carries appends to the log, one try each; the control task decides about further tries.
+//! Sends appends to the log, one attempt each; the control task decides about further attempts.
 
 use bytes::Bytes;
 use daisy_ledger::Batch;
@@ -12,20 +12,20 @@
     platform::{Platform, PlatformError},
 };
 
-/// What came of one try.
+/// The outcome of one append attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AppendOutcome {
-    /// It stands in the log.
+    /// The batch is in the log at this offset.
     Stored(Offset),
-    /// Whether it stands there is open, or the log is out of reach.
+    /// It is unknown whether the batch is in the log, or the log is unreachable.
     Unanswered,
-    /// The log takes no more appends for a moment; nothing was appended.
+    /// The log accepts no more appends for the moment; nothing was appended.
     Busy,
-    /// The log will never take it.
+    /// The log will never accept the batch.
     Rejected,
 }
 
-/// Appends `batch` once and tells the control task what came of it.
+/// Appends `batch` once and sends the result to the control task.
 pub(crate) fn spawn(platform: Platform, clock: Clock, batch: Batch, control: mpsc::Sender<Input>) {
     tokio::spawn(async move {
         let asked = clock.now();
--- a/daisy-entry/src/callers.rs
+++ b/daisy-entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! What the callers' port answers itself: health, readiness and metrics.
+//! Routes that the callers' port answers itself: health, readiness and metrics.
 
 use std::sync::Arc;
 
@@ -9,14 +9,14 @@
 
 use crate::metrics;
 
-/// What the answers are made from.
+/// The state from which the answers are generated.
 #[derive(Debug)]
 pub(crate) struct Health {
     pub ready: watch::Receiver<bool>,
     pub registry: Registry,
 }
 
-/// Routes of `/healthz`, `/readyz` and `/metrics`.
+/// Returns the routes `/healthz`, `/readyz` and `/metrics`.
 pub(crate) fn router(health: Arc<Health>) -> Router {
     Router::new()
         .get("/healthz", get_health)
--- a/daisy-entry/src/control/append.rs
+++ b/daisy-entry/src/control/append.rs
@@ -31,7 +31,7 @@
     /// The fold has processed the record.
     Folded(Outcome),
     /// The record is not in the log and will not be appended.
-    NotSent(&'static str),
+    NotAppended(&'static str),
 }
 
 /// The result of one append attempt.
@@ -101,14 +101,16 @@
     /// change failed, and see it take effect an hour later.
     pub(super) fn submit(&mut self, record: Record, reply: oneshot::Sender<SubmitOutcome>) {
         if !self.appends.reachable() {
-            let _ = reply.send(SubmitOutcome::NotSent("the log does not accept appends"));
+            let _ = reply.send(SubmitOutcome::NotAppended("the log does not accept appends"));
             return;
         }
         match self.appends.queue.push(record) {
             Ok(ticket) => drop(self.appends.waiters.insert(ticket, reply)),
-            Err(_) => drop(
-                reply.send(SubmitOutcome::NotSent("too many records are waiting to be appended")),
-            ),
+            Err(_) => {
+                drop(reply.send(SubmitOutcome::NotAppended(
+                    "too many records are waiting to be appended",
+                )))
+            }
         }
     }
 
@@ -181,7 +183,7 @@
                     tickets.for_each(|ticket| self.resolve_waiter(ticket, None));
                 }
                 Action::Dropped(tickets) => {
-                    let outcome = SubmitOutcome::NotSent("the log rejected the record");
+                    let outcome = SubmitOutcome::NotAppended("the log rejected the record");
                     tickets.for_each(|it| self.resolve_waiter(it, Some(outcome.clone())));
                 }
             }
--- a/daisy-entry/src/entry.rs
+++ b/daisy-entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry VM's process as a value: started, asked for its addresses, stopped.
+//! An entry VM's process as a value that can be started, queried for its addresses, and stopped.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -30,10 +30,10 @@
     vm_list,
 };
 
-/// How long a planned stop waits until all that was to be appended is in the log.
+/// How long a planned stop waits until all queued records are in the log.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Where a process listens.
+/// The addresses on which a process listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
     /// For callers, `/healthz`, `/readyz` and `/metrics`.
@@ -44,7 +44,7 @@
     pub operators: SocketAddr,
 }
 
-/// A running entry VM; dropped without [`Entry::stop`], it ends at once like a killed process.
+/// A running entry VM; dropping it without [`Entry::stop`] ends it at once like a killed process.
 #[derive(Debug)]
 pub struct Entry {
     addresses: Addresses,
@@ -110,11 +110,11 @@
     }
 }
 
-/// What the tasks of a process share.
+/// State that the tasks of a process share.
 struct ProcessContext {
     settings: Settings,
     clock: Clock,
-    /// Names this process's appends, and seeds what is drawn at random.
+    /// The sender ID of this process's appends, and the seed of random choices.
     sender: u64,
     platform: Platform,
     links: Links,
@@ -212,13 +212,13 @@
 }
 
 impl Entry {
-    /// Where the process listens.
+    /// Returns the addresses on which the process listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// A planned stop: not ready first, the data centre released, requests in flight finished,
-    /// keys handed over, then the end.
+    /// Performs a planned stop: reports not ready, releases the data centre, finishes requests in
+    /// flight, hands keys over, and ends.
     pub async fn stop(mut self) {
         log::info!("event=stopping callers={}", self.addresses.callers);
         let _ = self.control.send(Input::Stop).await;
--- a/daisy-entry/src/lib.rs
+++ b/daisy-entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! The entry VM's process: sockets, timers, metrics and logs round the core.
+//! The entry VM's process: sockets, timers, metrics and logs around the core.
 //!
-//! The control side (log, membership, holder, peers, operators) tells the request side
-//! what it needs through [`boundary`]; neither calls into the other's internals.
+//! The control side (log, membership, holder, peers, operators) and the request side communicate
+//! through [`boundary`]; neither calls into the other's internals.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-entry/src/metrics.rs
+++ b/daisy-entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the control side, by name and unit as `docs/OPERATING.md` lists them.
+//! Metrics of the control side; `docs/OPERATING.md` lists their names and units.
 
 use prometheus_client::{
     encoding::{EncodeLabelSet, text},
@@ -6,13 +6,13 @@
     registry::{Registry, Unit},
 };
 
-/// How something ended.
+/// The label of a result.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ResultLabel {
     result: &'static str,
 }
 
-/// Which way bytes went.
+/// The label of a direction of traffic.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct DirectionLabel {
     direction: &'static str,
@@ -34,7 +34,7 @@
 }
 
 impl Metrics {
-    /// The metrics, and the registry that renders them.
+    /// Returns the metrics, and the registry that renders them.
     pub fn registered() -> (Metrics, Registry) {
         let it = Metrics::default();
         let mut registry = Registry::with_prefix("daisy");
@@ -61,22 +61,22 @@
         (it, registry)
     }
 
-    /// A try to append has ended.
+    /// Counts an append attempt.
     pub fn append(&self, confirmed: bool) {
         self.appends.get_or_create(&ResultLabel { result: result(confirmed) }).inc();
     }
 
-    /// A call to a worker has ended.
+    /// Counts a call to a worker.
     pub fn worker_call(&self, answered: bool) {
         self.worker_calls.get_or_create(&ResultLabel { result: result(answered) }).inc();
     }
 
-    /// A statement was answered.
+    /// Counts an answered statement.
     pub fn statement(&self, accepted: bool) {
         self.statements.get_or_create(&ResultLabel { result: result(accepted) }).inc();
     }
 
-    /// Bytes of messages so far.
+    /// Sets the total bytes exchanged with peers.
     pub fn peer_traffic(&self, sent: u64, received: u64) {
         let set = |direction: &'static str, bytes: u64| {
             let counter = self.peer_bytes.get_or_create(&DirectionLabel { direction });
@@ -91,10 +91,10 @@
     if ok { "ok" } else { "failed" }
 }
 
-/// The registry's metrics as text.
+/// Renders the registry's metrics as text.
 pub(crate) fn render(registry: &Registry) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = text::encode(&mut text, registry);
     text
 }
--- a/daisy-entry/src/operators.rs
+++ b/daisy-entry/src/operators.rs
@@ -1,6 +1,6 @@
 //! The operators' port: statements and status over HTTP.
 //!
-//! `docs/PROTOCOL.md` has the requests and their answers.
+//! `docs/PROTOCOL.md` describes the requests and their answers.
 
 mod answer;
 mod query;
@@ -27,13 +27,14 @@
 pub(crate) use self::{answer::Reply, token::Tokens};
 use crate::{clock::Clock, control::Input, metrics::Metrics, peers::Links};
 
-/// Bytes of a body of statements.
+/// The maximum size of a body of statements, in bytes.
 const BODY_LIMIT: usize = 64 << 10;
 
-/// How long a request's head may take; who sends it byte by byte holds a connection no longer.
+/// How long a request's head may take to arrive; a client that sends it byte by byte occupies a
+/// connection no longer than this.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the port needs to answer.
+/// State from which the port answers.
 #[derive(Debug)]
 pub(crate) struct OperatorContext {
     pub tokens: Tokens,
@@ -60,7 +61,8 @@
     let port = port(&req)?;
     let Some(who) = port.tokens.try_find(req.headers()).cloned() else {
         log::warn!("event=statement_refused cause=token");
-        return Ok(Reply::failed(StatusCode::UNAUTHORIZED, "no operator's token").into_response());
+        return Ok(Reply::failed(StatusCode::UNAUTHORIZED, "operator token missing or unknown")
+            .into_response());
     };
     let body = Limited::new(req.into_body(), BODY_LIMIT).collect().await;
     let text = body.ok().and_then(|body| String::from_utf8(body.to_bytes().into()).ok());
@@ -89,7 +91,7 @@
     port.ok_or_else(|| StateError::new::<Arc<OperatorContext>>().into())
 }
 
-/// A JSON answer.
+/// Returns a JSON response.
 pub(crate) fn json<T: serde::Serialize>(status: StatusCode, value: &T) -> Response {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(Body::Full(body.into()));
--- a/daisy-entry/src/operators/answer.rs
+++ b/daisy-entry/src/operators/answer.rs
@@ -1,4 +1,4 @@
-//! What operators are answered with.
+//! Answers to operators.
 
 use daisy_language::Finding;
 use daisy_wire::operator::{AnswerJson, FindingJson, ResultJson};
@@ -15,20 +15,20 @@
 }
 
 impl Reply {
-    /// Nothing was run.
+    /// Creates the answer to statements of which none was run.
     pub fn failed(status: StatusCode, error: &str) -> Reply {
         let answer = AnswerJson { error: Some(error.to_owned()), ..AnswerJson::default() };
         Reply { status, answer }
     }
 
-    /// The text is wrong.
+    /// Creates the answer to a text with syntax errors.
     pub fn invalid(findings: &[Finding]) -> Reply {
         let findings = findings.iter().map(finding_to_json).collect();
         let answer = AnswerJson { findings, ..AnswerJson::default() };
         Reply { status: StatusCode::BAD_REQUEST, answer }
     }
 
-    /// The statements were run.
+    /// Creates the answer to statements that were run.
     pub fn done(results: Vec<ResultJson>) -> Reply {
         let status = match results.last() {
             Some(ResultJson::Refused { .. }) => StatusCode::CONFLICT,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The kind of a result as one word, for the log.
+/// Returns the kind of a result as one word, for the log.
 pub(super) fn result_name(result: &ResultJson) -> &'static str {
     match result {
         ResultJson::Accepted { .. } => "accepted",
--- a/daisy-entry/src/operators/query.rs
+++ b/daisy-entry/src/operators/query.rs
@@ -17,13 +17,13 @@
     operators::OperatorContext,
 };
 
-/// How long another holder may take to tell what it knows.
+/// How long another holder may take to answer.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Answers from the ledger and from what all holders know; `None` while stopping.
+/// Answers a query from the ledger and from what all holders know; returns `None` while stopping.
 ///
-/// What a holder that does not answer knows is left out, and the answer says so where it
-/// matters: `-` stands for what is not known.
+/// Data of a holder that does not answer is left out, and the answer shows this where it matters:
+/// `-` stands for an unknown value.
 pub(super) async fn answer_query(
     port: &OperatorContext,
     statement: &Statement,
@@ -49,9 +49,9 @@
     })
 }
 
-/// What an operator should know at once of a job that was just created.
+/// Returns notes for an operator on a job that was just created.
 ///
-/// A task that no listed worker holds would otherwise wait for ever without a word.
+/// Without them a task that fits on no listed worker would wait for ever without an explanation.
 pub(super) async fn capacity_notes(port: &OperatorContext, spec: &JobSpec) -> Option<Vec<String>> {
     let (reply, query_data) = oneshot::channel();
     port.control.send(Input::QueryData { reply }).await.ok()?;
--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -18,10 +18,10 @@
     },
 };
 
-/// How long an operator waits until a change is in force here.
+/// How long an operator waits until a change is in force on this entry VM.
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Runs all statements of `text`, and stops after the first that is not accepted.
+/// Runs the statements of `text`, and stops after the first that is not accepted.
 pub(super) async fn run(port: &OperatorContext, who: Name, text: &str) -> Reply {
     let statements = match daisy_language::parse_located(text) {
         Ok(statements) => statements,
@@ -52,7 +52,7 @@
     Reply::done(results)
 }
 
-/// Appends a change and waits until the fold has decided.
+/// Appends a change and waits until the fold has processed it.
 async fn change(
     port: &OperatorContext,
     who: &Name,
@@ -80,14 +80,17 @@
         Ok(Ok(SubmitOutcome::Folded(Outcome::Refused(refusal)))) => {
             ResultJson::Refused { cause: refusal.to_string() }
         }
-        Ok(Ok(SubmitOutcome::NotSent(cause))) => {
-            ResultJson::Refused { cause: format!("nothing was sent: {cause}") }
+        Ok(Ok(SubmitOutcome::NotAppended(cause))) => {
+            ResultJson::Refused { cause: format!("the change was not appended: {cause}") }
         }
         Ok(Ok(SubmitOutcome::Folded(_)) | Err(_)) => ResultJson::Unknown {
-            cause: "the log has it, its verdict was not seen here".to_owned(),
+            cause: "the change is in the log, but its outcome was not seen by this entry VM"
+                .to_owned(),
         },
         Err(_) => ResultJson::Unknown {
-            cause: format!("no verdict of the log in {OUTCOME_TIMEOUT:?}; it may still come"),
+            cause: format!(
+                "no outcome from the log within {OUTCOME_TIMEOUT:?}; the change may still take effect"
+            ),
         },
     };
     log::info!("event=statement who={who} text={source:?} result={}", result_name(&result));
--- a/daisy-entry/src/operators/token.rs
+++ b/daisy-entry/src/operators/token.rs
@@ -1,4 +1,4 @@
-//! Who an operator is, by the token shown.
+//! Identifies an operator by the token in a request.
 
 use std::hint::black_box;
 
@@ -13,15 +13,15 @@
 }
 
 impl Tokens {
-    /// Knows `operators`.
+    /// Creates the token list of `operators`.
     pub fn new(operators: Vec<Operator>) -> Tokens {
         Tokens { operators }
     }
 
-    /// The operator whose token the request shows as `authorization: Bearer TOKEN`.
+    /// Returns the operator whose token the request carries as `authorization: Bearer TOKEN`.
     pub fn try_find(&self, map: &HeaderMap) -> Option<&Name> {
         let shown = map.get(AUTHORIZATION)?.as_bytes().strip_prefix(b"Bearer ")?;
-        // All are compared, so that the time tells nothing of which one was near.
+        // All tokens are compared, so that the time does not show which one almost matched.
         let mut found = None;
         for operator in &self.operators {
             if is_same(operator.token.as_bytes(), shown) {
@@ -34,8 +34,8 @@
 
 /// Compares without stopping at the first difference.
 ///
-/// Guard: a comparison that stops early answers faster the sooner it differs, and a token
-/// could be guessed byte by byte from the time of the refusals.
+/// Guard: a comparison that stops early answers faster the earlier the difference is, and a token
+/// could be guessed byte by byte from the time of the rejections.
 fn is_same(token: &[u8], shown: &[u8]) -> bool {
     let mut difference = token.len() ^ shown.len();
     for (at, byte) in token.iter().enumerate() {
--- a/daisy-entry/src/peers.rs
+++ b/daisy-entry/src/peers.rs
@@ -1,7 +1,7 @@
-//! What entry VMs say to one another: h2 streams of the frames of `daisy_wire::peer`.
+//! Communication between entry VMs: h2 streams of the frames of `daisy_wire::peer`.
 //!
-//! Three paths, in `docs/PROTOCOL.md`: `/v1/notices`, a long stream of heartbeats;
-//! `/v1/records`, the log passed on; `/v1/question`, one question and its answer.
+//! `docs/PROTOCOL.md` describes three paths: `/v1/notices`, a long stream of heartbeats;
+//! `/v1/records`, the forwarded log; `/v1/question`, one question and its answer.
 
 mod link;
 mod links;
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one peer: notices go out, questions are asked.
+//! The connection to one peer, on which notices and questions are sent.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -28,50 +28,50 @@
     },
 };
 
-/// How long a connection may take to come about.
+/// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a notice may take to be handed over; a peer that is paused takes none.
+/// How long sending a notice may take; a peer that is paused accepts none.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the stream of a question is kept; who asked has usually given up before.
+/// How long the stream of a question is kept open; the asker has usually timed out before.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Before another connection is tried; doubled up to [`MAX_BACKOFF`].
+/// The first pause before another connection attempt; doubled up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
-/// The longest pause between tries.
+/// The longest pause between connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Bytes that a peer may send before they are read.
+/// The flow-control window, in bytes.
 const WINDOW: u32 = 1 << 20;
 
-/// What is told to a peer at one time.
+/// The state that is sent to a peer at a time.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerUpdate {
     pub beat: Heartbeat,
     /// Requests in flight by backend server, sorted.
     pub in_flight: Arc<Vec<(VmId, u32)>>,
-    /// Where services run, by data centre.
+    /// Replicas of services, by data centre.
     pub replicas: Vec<Arc<Replicas>>,
 }
 
-/// What the link is asked to do.
+/// A command to a link.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Tell the peer.
+    /// Send the state to the peer.
     Update(PeerUpdate),
-    /// Ask the peer.
+    /// Send a question to the peer.
     Ask(Question, oneshot::Sender<Option<Answer>>),
     /// Read the log's records from the peer.
     Records(Offset, oneshot::Sender<Option<Records>>),
-    /// Give the connection up: the peer seems to hear nothing through it.
+    /// Drop the connection: the peer does not seem to receive anything through it.
     Reset,
 }
 
-/// The log's records as a peer passes them on.
+/// The stream of the log's records from a peer.
 #[derive(Debug)]
 pub(crate) struct Records {
     receiver: Receiver,
 }
 
 impl Records {
-    /// The next message; `None` when the stream is of no further use.
+    /// Returns the next message, or `None` if the stream has ended or failed.
     pub async fn next(&mut self) -> Option<Pushed> {
         match self.receiver.next::<PushedWire>().await {
             Ok(Some(pushed)) => Some(pushed.into()),
@@ -84,7 +84,7 @@
     }
 }
 
-/// One connection and what the peer was told through it.
+/// One connection, and the state that was last sent through it.
 struct Connection {
     requests: SendRequest<Bytes>,
     notices: Sender,
@@ -102,7 +102,7 @@
 }
 
 impl Link {
-    /// Carries commands out until their senders are gone.
+    /// Executes commands until their senders are dropped.
     pub async fn run(self, mut commands: mpsc::Receiver<Command>) {
         let mut connection = None;
         let mut backoff = MIN_BACKOFF;
@@ -122,8 +122,8 @@
                     }
                 }
             }
-            // Without a connection the command is dropped: heartbeats grow old at once, and
-            // a dropped reply tells its receiver that there is no answer.
+            // Without a connection the command is dropped: heartbeats are soon out of date, and a
+            // dropped reply sender tells the receiver that there is no answer.
             let Some(it) = connection.as_mut() else { continue };
             if let Err(e) = self.execute(it, command).await {
                 log::debug!("event=peer_link_broken peer={} cause=\"{e}\"", self.peer);
@@ -202,10 +202,11 @@
 }
 
 impl Connection {
-    /// A handle that takes a new stream.
+    /// Returns a handle that can open a new stream.
     ///
-    /// Guard: a peer that is paused answers nothing, and its streams run out. Without a bound
-    /// the link would wait for one, and heartbeats behind it with it.
+    /// Guard: a peer that is paused answers nothing, and the limit of streams to it is reached.
+    /// Without a timeout the link would wait for a free stream, and so would the heartbeats queued
+    /// behind.
     async fn ready(&self) -> anyhow::Result<SendRequest<Bytes>> {
         Ok(timeout(NOTICE_TIMEOUT, self.requests.clone().ready()).await??)
     }
@@ -267,7 +268,7 @@
     let _ = reply.send(records.map(|receiver| Records { receiver }));
 }
 
-/// What has changed from `known` to `replicas`.
+/// Returns the changes from `known` to `replicas`.
 fn replica_change(known: Option<&Replicas>, replicas: &Replicas) -> ReplicaChange {
     let before: &[Replica] = known.map_or(&[], |it| &it.all);
     let missing_in = |all: &[Replica], it: &Replica| all.binary_search(it).is_err();
@@ -283,7 +284,7 @@
     }
 }
 
-/// The counts that differ; zero for those that are gone.
+/// Returns the counts that differ; zero for those that are missing from `now`.
 fn changed_counts(known: &[(VmId, u32)], now: &[(VmId, u32)]) -> Vec<(VmId, u32)> {
     let count_in = |counts: &[(VmId, u32)], vm: VmId| {
         counts.binary_search_by_key(&vm, |it| it.0).map_or(0, |at| counts[at].1)
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -24,9 +24,10 @@
     },
 };
 
-/// Commands that wait for a link; more are dropped, as heartbeats grow old.
+/// Capacity of a link's command queue; further commands are dropped, as heartbeats are soon out of
+/// date.
 const COMMAND_QUEUE: usize = 256;
-/// How long a peer may take to begin passing records on.
+/// How long a peer may take to start forwarding records.
 const RECORDS_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
@@ -50,20 +51,20 @@
 }
 
 impl Links {
-    /// No links yet, of the entry VM `own`.
+    /// Creates an empty set of links of the entry VM `own`.
     pub fn new(own: VmId) -> Links {
         let shared = Shared { own, addresses: SortedMap::new(), open: SortedMap::new() };
         Links { shared: Arc::new(Mutex::new(shared)), traffic: Traffic::default() }
     }
 
-    /// Takes in where peers listen; links to all others are closed.
+    /// Sets the addresses of peers; links to all others are closed.
     pub fn set_addresses(&self, addresses: SortedMap<VmId, SocketAddr>) {
         let mut shared = self.lock();
         shared.open.retain(|vm, open| addresses.get(vm) == Some(&open.address));
         shared.addresses = addresses;
     }
 
-    /// Some peer, drawn at random.
+    /// Returns a peer chosen at random.
     pub fn any_peer(&self) -> Option<VmId> {
         let shared = self.lock();
         let count = shared.addresses.len();
@@ -71,12 +72,12 @@
         shared.addresses.iter().nth(at).map(|(vm, _)| *vm)
     }
 
-    /// Hands a command to the link of `peer`; `false` if it is dropped.
+    /// Queues a command for the link to `peer`; returns `false` if it is dropped.
     pub fn send(&self, peer: VmId, command: Command) -> bool {
         self.link(peer).is_some_and(|commands| commands.try_send(command).is_ok())
     }
 
-    /// Asks `peer`; `None` when no answer came within `limit`.
+    /// Sends a question to `peer`; returns `None` if no answer arrives within `limit`.
     pub async fn ask(&self, peer: VmId, question: Question, limit: Duration) -> Option<Answer> {
         let (reply, answer) = oneshot::channel();
         if !self.send(peer, Command::Ask(question, reply)) {
@@ -85,7 +86,7 @@
         timeout(limit, answer).await.ok()?.ok()?
     }
 
-    /// Reads the log's records from `peer`, `from` on.
+    /// Reads the log's records from `peer`, starting at `from`.
     pub async fn records(&self, peer: VmId, from: Offset) -> Option<Records> {
         let (reply, records) = oneshot::channel();
         if !self.send(peer, Command::Records(from, reply)) {
@@ -112,7 +113,7 @@
     }
 }
 
-/// Asks peers about idempotency keys, and the log about intents, for the request side.
+/// Queries peers about idempotency keys, and announces intents in the log, for the request side.
 #[derive(Debug, Clone)]
 pub struct PeerKeyClient {
     pub(crate) own: VmId,
@@ -137,7 +138,7 @@
         match timeout(limit, outcome).await {
             Ok(Ok(SubmitOutcome::Folded(Outcome::Announced))) => Intent::Won,
             Ok(Ok(SubmitOutcome::Folded(Outcome::AnnouncedBefore(_)))) => Intent::Lost,
-            // Without the fold's verdict it may yet come to stand in the log.
+            // Without the fold's outcome the record may still reach the log.
             _ => Intent::Unavailable,
         }
     }
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -38,29 +38,30 @@
     },
 };
 
-/// Bytes of a message that a peer may send unasked; handovers of keys are the longest.
+/// The maximum size of an unsolicited message from a peer, in bytes; handovers of keys are the
+/// longest.
 const MESSAGE_LIMIT: usize = 8 << 20;
-/// Streams of one peer at one time.
+/// The maximum number of concurrent streams of one peer.
 const STREAMS: u32 = 256;
-/// Connections of all peers at one time: 48 entry VMs, each twice while one is replaced.
+/// The maximum number of connections of all peers: 48 entry VMs, each twice while one is replaced.
 const CONNECTIONS: usize = 128;
-/// Bytes of a request's headers.
+/// The maximum size of a request's headers, in bytes.
 const HEADER_LIMIT: u32 = 4 << 10;
-/// Bytes that a peer may send before they are read.
+/// The flow-control window, in bytes.
 const WINDOW: u32 = 1 << 20;
 /// How long the handshake of a new connection may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a question may take to come and be answered.
+/// How long a question may take to arrive, and its answer to be found.
 const QUESTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Who may connect.
+/// The addresses that may connect.
 #[derive(Debug, Clone)]
 pub(crate) struct AllowedPeers {
     addresses: Vec<IpAddr>,
 }
 
 impl AllowedPeers {
-    /// Only `addresses`, or everybody if there are none.
+    /// Allows only `addresses`, or all addresses if there are none.
     pub fn new(addresses: Vec<IpAddr>) -> AllowedPeers {
         AllowedPeers { addresses }
     }
@@ -70,7 +71,7 @@
     }
 }
 
-/// Serves peers.
+/// The server of the peers' port.
 #[derive(Debug, Clone)]
 pub(crate) struct Server<R> {
     pub allowed: AllowedPeers,
@@ -81,7 +82,7 @@
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Server<R> {
-    /// Accepts connections until it is dropped.
+    /// Accepts connections until the task is dropped.
     pub async fn run(self, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(CONNECTIONS));
         loop {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Takes a peer's notices in until it ends the stream.
+    /// Handles a peer's notices until the peer ends the stream.
     async fn notices(
         &self,
         from: VmId,
@@ -167,7 +168,7 @@
         loop {
             let notice = match next_notice(&mut receiver).await {
                 Ok(Some(notice)) => notice,
-                // A link that is given up ends here: its peer is gone or comes back on another.
+                // A link that is dropped ends here: its peer is lost or reconnects.
                 Ok(None) | Err(StreamError::H2(_)) => return Ok(()),
                 Err(e) => {
                     reject(&mut respond, StatusCode::BAD_REQUEST)?;
@@ -185,11 +186,11 @@
                 }
                 Notice::Replicas(change) => Input::Replicas(notice_state.replicas(change)),
             };
-            self.control.send(input).await.context("stopping")?;
+            self.control.send(input).await.context("the control task has stopped")?;
         }
     }
 
-    /// Passes the log's records on until the peer wants no more.
+    /// Forwards the log's records until the peer closes the stream.
     async fn records(
         &self,
         mut receiver: Receiver,
@@ -222,15 +223,15 @@
                     Pushed::Snapshot { next, bytes }
                 }
             };
-            // The peer's end of the stream shows as an error here, and ends the task.
+            // If the peer closes the stream, sending fails here and ends the task.
             sender.send(&PushedWire::from(pushed), false).await?;
         }
     }
 
     async fn snapshot(&self) -> anyhow::Result<(Offset, Vec<u8>)> {
         let (reply, encoded) = oneshot::channel();
-        self.control.send(Input::Encode { reply }).await.context("stopping")?;
-        encoded.await.context("stopping")
+        self.control.send(Input::Encode { reply }).await.context("the control task has stopped")?;
+        encoded.await.context("the control task has stopped")
     }
 
     async fn question(
@@ -243,13 +244,14 @@
             let wire = receiver.only::<QuestionWire>().await?;
             Ok::<_, StreamError>(Question::try_from(wire)?)
         };
-        let question = match timeout(QUESTION_TIMEOUT, question).await.context("too slow")? {
-            Ok(question) => question,
-            Err(e) => {
-                reject(&mut respond, StatusCode::BAD_REQUEST)?;
-                return Err(e.into());
-            }
-        };
+        let question =
+            match timeout(QUESTION_TIMEOUT, question).await.context("question timed out")? {
+                Ok(question) => question,
+                Err(e) => {
+                    reject(&mut respond, StatusCode::BAD_REQUEST)?;
+                    return Err(e.into());
+                }
+            };
         let answer = timeout(QUESTION_TIMEOUT, self.answer(from, question)).await?;
         let stream = respond.send_response(Response::new(()), false)?;
         let mut sender = Sender::new(stream);
@@ -285,7 +287,7 @@
     map.get(headers::FROM)?.to_str().ok()?.parse().ok().map(VmId)
 }
 
-/// What a peer has told on one stream of notices, so that changes can be told alone.
+/// The state received on one stream of notices, to which changes are applied.
 #[derive(Debug, Default)]
 struct NoticeState {
     in_flight: SortedMap<VmId, u32>,
--- a/daisy-entry/src/peers/stream.rs
+++ b/daisy-entry/src/peers/stream.rs
@@ -1,4 +1,4 @@
-//! Frames on h2 streams.
+//! Sends and receives framed messages on h2 streams.
 
 use std::future::poll_fn;
 
@@ -10,13 +10,13 @@
 };
 use h2::{RecvStream, SendStream};
 
-/// Why a stream between peers is of no further use.
+/// Why a stream between peers failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StreamError {
     /// The connection or the stream broke.
     #[error(transparent)]
     H2(#[from] h2::Error),
-    /// What came is not understood.
+    /// The received data does not decode.
     #[error(transparent)]
     Wire(#[from] WireError),
     /// The stream ended in the middle of a message, or before one.
@@ -32,12 +32,12 @@
 }
 
 impl Receiver {
-    /// Refuses messages of more than `limit` bytes.
+    /// Creates a receiver that rejects messages of more than `limit` bytes.
     pub fn new(stream: RecvStream, limit: usize) -> Receiver {
         Receiver { stream, frames: Frames::new(limit) }
     }
 
-    /// The next message; `None` at the stream's regular end.
+    /// Returns the next message, or `None` at the regular end of the stream.
     pub async fn next<T: Decode<()>>(&mut self) -> Result<Option<T>, StreamError> {
         loop {
             if let Some(message) = self.frames.try_next()? {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The only message of a stream.
+    /// Returns the only message of a stream.
     pub async fn only<T: Decode<()>>(&mut self) -> Result<T, StreamError> {
         self.next().await?.ok_or(StreamError::Cut)
     }
@@ -68,12 +68,12 @@
 }
 
 impl Sender {
-    /// A sender on `stream`.
+    /// Creates a sender on `stream`.
     pub fn new(stream: SendStream<Bytes>) -> Sender {
         Sender { stream }
     }
 
-    /// Sends a message as fast as the peer takes it.
+    /// Sends a message as fast as the peer's flow control allows.
     pub async fn send<T: Encode>(&mut self, message: &T, last: bool) -> Result<(), StreamError> {
         let mut rest = Bytes::from(frame(message));
         while !rest.is_empty() {
--- a/daisy-entry/src/peers/tail.rs
+++ b/daisy-entry/src/peers/tail.rs
@@ -1,4 +1,4 @@
-//! The newest records of the log, kept for peers that read from this entry VM.
+//! The newest records of the log, retained for peers that read from this entry VM.
 
 use std::{
     collections::VecDeque,
@@ -9,9 +9,10 @@
 use daisy_model::Offset;
 use tokio::sync::watch;
 
-/// Bytes of records that are kept; a peer that lags further behind gets the state instead.
+/// The maximum total size of retained records, in bytes; a peer that is further behind gets a
+/// snapshot of the state instead.
 const MAX_RETAINED_BYTES: usize = 8 << 20;
-/// Bytes of records that go into one message.
+/// The maximum size of the records in one message, in bytes.
 const CHUNK_BYTES: usize = 256 << 10;
 
 #[derive(Debug, Default)]
@@ -22,14 +23,14 @@
     bytes: usize,
 }
 
-/// What a peer at some offset gets.
+/// The records for a peer at a given offset.
 #[derive(Debug)]
 pub(crate) enum Chunk {
-    /// Nothing yet.
+    /// There are no records from the offset on yet.
     Nothing,
     /// Consecutive records.
     Records(Vec<Bytes>),
-    /// The offset is below what is kept.
+    /// The offset is below the first retained record.
     TooOld,
 }
 
@@ -41,17 +42,18 @@
 }
 
 impl Tail {
-    /// An empty tail.
+    /// Creates an empty tail.
     pub fn new() -> Tail {
         Tail { retained: Arc::default(), next: Arc::new(watch::Sender::new(Offset(0))) }
     }
 
-    /// Keeps the record at `offset`, which was just folded.
+    /// Adds the record at `offset`, which was just folded.
     pub fn push(&self, offset: Offset, bytes: Bytes) {
         let mut retained = self.lock();
         let next = retained.first + retained.records.len() as u64;
         if offset.0 != next {
-            // A jump over a snapshot: what came before no longer joins up.
+            // The fold has jumped to a snapshot: the earlier records are no longer contiguous with
+            // this one.
             *retained = RetainedRecords { first: offset.0, ..RetainedRecords::default() };
         }
         retained.bytes += bytes.len();
@@ -63,17 +65,17 @@
         }
     }
 
-    /// Tells readers that the fold has come to `next`.
+    /// Notifies readers that the fold has reached `next`.
     pub fn publish(&self, next: Offset) {
         self.next.send_if_modified(|it| std::mem::replace(it, next) != next);
     }
 
-    /// Tells when the fold moves on.
+    /// Returns a channel that is notified when the fold advances.
     pub fn subscribe(&self) -> watch::Receiver<Offset> {
         self.next.subscribe()
     }
 
-    /// Records from `from` on.
+    /// Returns records starting at `from`.
     pub fn chunk(&self, from: Offset) -> Chunk {
         if *self.next.borrow() <= from {
             return Chunk::Nothing;
@@ -95,7 +97,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, RetainedRecords> {
-        // A panic in the middle of a push leaves nothing worse than a record too few.
+        // At worst, a panic in the middle of a push leaves one record too few.
         self.retained.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/daisy-entry/src/peers/traffic.rs
+++ b/daisy-entry/src/peers/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts what goes over the connections to peers, HTTP/2 frames included.
+//! Counts the bytes on the connections to peers, HTTP/2 frames included.
 
 use std::{
     io::{self, IoSlice},
@@ -15,7 +15,7 @@
     net::TcpStream,
 };
 
-/// Bytes to and from all peers; clones share the sums.
+/// Bytes sent to and received from all peers; clones share the totals.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Traffic {
     sent: Arc<AtomicU64>,
@@ -23,17 +23,17 @@
 }
 
 impl Traffic {
-    /// Bytes sent so far.
+    /// Returns the bytes sent so far.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Bytes received so far.
+    /// Returns the bytes received so far.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// A socket whose bytes are counted.
+    /// Wraps a socket so that its bytes are counted.
     pub fn count(&self, socket: TcpStream) -> CountedSocket {
         CountedSocket { socket, traffic: self.clone() }
     }
--- a/daisy-entry/src/platform.rs
+++ b/daisy-entry/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's log and VM list, as `daisy_wire::platform` describes them.
+//! A client of the platform's log and VM list, as `daisy_wire::platform` describes them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,23 +14,23 @@
 use http_body_util::Full;
 use serde::de::DeserializeOwned;
 
-/// How long a call may take beyond the time that the platform is asked to wait.
+/// How long a call may take beyond the wait that it requests.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of an answer that are read at most.
+/// The maximum size of an answer, in bytes.
 const ANSWER_LIMIT: usize = 64 << 20;
-/// Records asked for at one time.
+/// The maximum number of records requested at a time.
 const PAGE_RECORDS: u32 = 512;
 
-/// Why the platform did not do what it was asked.
+/// Why a call to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PlatformError {
-    /// No whole answer came.
+    /// No complete answer arrived.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The cap of appends a second is reached; nothing was appended.
+    /// The limit of appends per second is reached; nothing was appended.
     #[error("too many appends")]
     Busy,
-    /// The platform refused for another reason.
+    /// The platform rejected the call for another reason.
     #[error("status {0}")]
     Status(StatusCode),
     /// The answer does not decode.
@@ -41,7 +41,7 @@
 /// Consecutive records.
 #[derive(Debug)]
 pub(crate) struct Page {
-    /// The first record that the log keeps.
+    /// The first record that the log retains.
     pub first: Offset,
     /// The offset after the last record of the whole log.
     pub end: Offset,
@@ -52,13 +52,13 @@
 /// The answer to a read.
 #[derive(Debug)]
 pub(crate) enum Read {
-    /// Records from the offset asked for, or none.
+    /// The records from the requested offset on; may be empty.
     Page(Page),
-    /// The offset is below the first one that the log keeps.
+    /// The requested offset is below the first one that the log retains.
     Expired(Offset),
 }
 
-/// The platform's list at a version.
+/// The platform's VM list at a version.
 #[derive(Debug, Clone)]
 pub(crate) struct VmListing {
     pub version: u64,
--- a/daisy-entry/src/process.rs
+++ b/daisy-entry/src/process.rs
@@ -1,4 +1,4 @@
-//! An entry VM as a process of its own.
+//! Runs an entry VM as a process of its own.
 
 use anyhow::Context;
 use daisy_settings::Settings;
@@ -12,7 +12,7 @@
 ///
 /// If an address cannot be taken or signals cannot be caught.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
-    // Caught from before the start: a stop that comes early is a planned one too.
+    // Signals are caught before the start, so that an early stop is a planned one as well.
     let mut term = signal(SignalKind::terminate()).context("catching SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("catching SIGINT")?;
     let entry = start(settings).await?;
@@ -27,8 +27,10 @@
     Ok(())
 }
 
-/// Guard: the platform may send SIGTERM again while the stop goes on; the signal's default
-/// effect would then cut requests off. Caught and noted, it changes nothing.
+/// Ignores further SIGTERM signals.
+///
+/// Guard: the platform may send SIGTERM again while the stop is in progress; the signal's default
+/// action would then cut requests off. Caught and logged, it has no effect.
 async fn ignore(term: &mut Signal) {
     while term.recv().await.is_some() {
         log::info!("event=signal_ignored signal=SIGTERM cause=stopping");
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -1,4 +1,4 @@
-//! Follows the log: from the platform by long polls, or from a peer that passes it on.
+//! Follows the log, from the platform by long polls or from a peer that forwards it.
 
 use std::time::Duration;
 
@@ -17,20 +17,21 @@
     platform::{Platform, PlatformError, Read},
 };
 
-/// The first pause after a read that failed; doubled up to [`MAX_PAUSE`].
+/// The first pause after a failed read; doubled up to [`MAX_PAUSE`].
 const MIN_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause: a log that is back is seen within this time.
+/// The longest pause: a log that is available again is noticed within this time.
 const MAX_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Where to read from, and how long a poll may wait there.
+/// The source to read from, and how long a poll may wait there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReadPlan {
     pub source: Source,
-    /// The longest wait for a record; no longer than the holder's lease allows.
+    /// The longest wait for a record; not longer than the holder's lease allows.
     pub wait: Duration,
 }
 
-/// Reads records and passes them to the control task, which tells the offset to go on from.
+/// Reads records and passes them to the control task, which returns the offset from which to read
+/// on.
 #[derive(Debug)]
 pub(crate) struct Reader {
     pub platform: Platform,
@@ -40,11 +41,11 @@
     pub control: mpsc::Sender<Input>,
 }
 
-/// The control task is gone.
+/// The control task has ended.
 struct ControlStopped;
 
 impl Reader {
-    /// Reads until the control task is gone.
+    /// Reads until the control task has ended.
     pub async fn run(mut self) {
         let mut next = Offset(0);
         let mut pause = MIN_PAUSE;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// One read of the platform's log; `false` if it failed.
+    /// Reads the platform's log once; returns `false` if the read failed.
     async fn poll(&mut self, next: &mut Offset, wait: Duration) -> Result<bool, ControlStopped> {
         let asked = self.clock.now();
         match self.platform.read(*next, wait).await {
@@ -80,12 +81,12 @@
             Ok(Read::Expired(first)) => {
                 log::warn!("event=log_expired from={next} first={first}");
                 self.deliver(next, |ack| Input::Expired { first, ack }).await?;
-                // A cold start that fails begins anew, and not in a tight loop.
+                // A cold start that fails starts over, but not in a tight loop.
                 Ok(false)
             }
             Err(e) => {
                 log::debug!("event=log_read_failed from={next} cause=\"{e}\"");
-                // A cap on appends says nothing against reads.
+                // A limit on appends does not affect reads.
                 if !matches!(e, PlatformError::Busy) {
                     self.send(Input::ReadFailed { source: Source::Log }).await?;
                 }
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Follows a peer until its stream ends or another source is wanted; `false` if it failed.
+    /// Follows a peer until its stream ends or the source changes; returns `false` if it failed.
     async fn follow(&mut self, next: &mut Offset, vm: VmId) -> Result<bool, ControlStopped> {
         let Some(mut stream) = self.links.records(vm, *next).await else {
             self.send(Input::ReadFailed { source: Source::Peer(vm) }).await?;
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Passes what was read on, and learns where to go on.
+    /// Passes the result of a read to the control task, and sets the offset from which to read on.
     async fn deliver(
         &self,
         next: &mut Offset,
@@ -141,7 +142,8 @@
     }
 }
 
-/// The wait of a poll: short while only the log can show that a holder still is one.
+/// Returns how long a poll waits: it is short while only the log can show that a holder still is
+/// one.
 pub(crate) fn poll_wait(holder_timeout: Duration, has_no_peers: bool) -> Duration {
     match has_no_peers {
         true => holder_timeout / 4,
--- a/daisy-entry/src/vm_list.rs
+++ b/daisy-entry/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's VM list; cut off from the platform, asks peers for it.
+//! Reads the platform's VM list, from peers if the platform is unreachable.
 
 use std::time::Duration;
 
@@ -16,7 +16,8 @@
 /// How long a peer may take to answer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reads the list every `period`, and passes each new version on, or that there is none.
+/// Reads the list every `period`, and reports each new version, or that it is unchanged, to the
+/// control task.
 pub(crate) async fn run(
     platform: Platform,
     links: Links,
@@ -49,11 +50,11 @@
     }
 }
 
-/// A newer list than `known` from some peer.
+/// Returns a list newer than `known` from a random peer.
 ///
 /// Guard: an entry VM that alone is cut off from the platform would send requests to backend
-/// servers that are long gone, and know no new peer. Which peer has news is not known, so
-/// another one is asked each time.
+/// servers that have long been removed, and would not learn of new peers. It is unknown which peer
+/// has a newer list, so each time a peer is chosen at random.
 async fn from_peer(links: &Links, known: Option<u64>) -> Option<VmListing> {
     let peer = links.any_peer()?;
     match links.ask(peer, Question::Vms { known }, PEER_TIMEOUT).await? {
--- a/daisy-entry/src/worker_calls.rs
+++ b/daisy-entry/src/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Carries a holder's calls to workers.
+//! Sends calls of a holder or a lease renewer to workers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,28 +12,29 @@
 
 use crate::control::Input;
 
-/// How long a worker may take to answer: far below its lease, far above a region's delay.
+/// How long a worker may take to answer: far less than its lease, far more than the network delay
+/// within a region.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Bytes of an answer that are read at most.
+/// The maximum size of an answer, in bytes.
 const ANSWER_LIMIT: usize = 4 << 20;
 
-/// How long a worker holds a request for news: long, for each costs a message.
+/// How long a worker holds a request for an update: long, because each request costs a message.
 const UPDATE_WAIT: Duration = Duration::from_secs(55);
-/// Bytes of an answer about news.
+/// The maximum size of an answer about updates, in bytes.
 const UPDATE_ANSWER_LIMIT: usize = 1 << 10;
 
-/// Where a worker is and how to reach it.
+/// The worker to call, and the means to call it.
 #[derive(Debug, Clone)]
 pub(crate) struct CallTarget {
     pub http: Http,
     pub vm: VmId,
-    /// `None` if no VM list has it.
+    /// `None` if the worker is not in the VM list.
     pub address: Option<SocketAddr>,
-    /// Told what came of it.
+    /// Receives the result.
     pub control: mpsc::Sender<Input>,
 }
 
-/// Calls a worker, telling it what was `seen` of its reports.
+/// Calls a worker, stating which of its reports were `seen`.
 pub(crate) fn spawn(
     target: CallTarget,
     issuer: CallIssuer,
@@ -61,34 +62,34 @@
     });
 }
 
-/// How a wait for news ended.
+/// How a wait for a worker's update ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WorkerUpdate {
     /// There is something to report.
     Available,
-    /// Nothing happened in all that time.
+    /// Nothing changed during the wait.
     Unchanged,
     /// The worker did not answer.
     Unreachable,
 }
 
-/// A worker's answer, and the orders that it answers.
+/// A worker's answer, and the orders of the call that it answers.
 #[derive(Debug)]
 pub(crate) struct WorkerAnswer {
     pub orders: Vec<Order>,
     pub report: ReportJson,
 }
 
-/// Who called, so that an answer reaches only who asked.
+/// The issuer of a call, which alone handles the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallIssuer {
     /// The holder.
     Holder,
-    /// The caretaker.
+    /// The lease renewer.
     LeaseRenewer,
 }
 
-/// A call got no answer.
+/// A failed call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CallFailure {
     /// Whether the call may have reached the worker.
