--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -186,7 +186,7 @@
                 }
                 Notice::Replicas(change) => Input::Replicas(notice_state.replicas(change)),
             };
-            self.control.send(input).await.context("the control task has stopped")?;
+            self.control.send(input).await.context("stopping")?;
         }
     }
 
@@ -230,8 +230,8 @@
 
     async fn snapshot(&self) -> anyhow::Result<(Offset, Vec<u8>)> {
         let (reply, encoded) = oneshot::channel();
-        self.control.send(Input::Encode { reply }).await.context("the control task has stopped")?;
-        encoded.await.context("the control task has stopped")
+        self.control.send(Input::Encode { reply }).await.context("stopping")?;
+        encoded.await.context("stopping")
     }
 
     async fn question(
--- a/daisy-entry/tests/control.rs
+++ b/daisy-entry/tests/control.rs
@@ -1,7 +1,11 @@
-//! Tests of the control side over loopback, with the stand-ins of the platform and workers.
+//! Tests of the control side over loopback, with stand-ins for the platform and the workers.
 
 #[path = "control/cluster.rs"]
 mod cluster;
+#[path = "control/corrupt_entries.rs"]
+mod corrupt_entries;
+#[path = "control/end_to_end.rs"]
+mod end_to_end;
 #[path = "control/log.rs"]
 mod log;
 #[path = "control/metrics.rs"]
@@ -10,7 +14,3 @@
 mod operators;
 #[path = "control/peers.rs"]
 mod peers;
-#[path = "control/spoilt.rs"]
-mod spoilt;
-#[path = "control/thin.rs"]
-mod thin;
--- a/daisy-entry/tests/control/cluster.rs
+++ b/daisy-entry/tests/control/cluster.rs
@@ -22,23 +22,23 @@
 
 /// The token of the fixture's only operator.
 pub const TOKEN: &str = "0123456789abcdef";
-/// How long a test waits for what must come about; far above what it takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The time limit of each wait in a test; far above the time that it takes.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The platform and what runs beside it.
+/// The platform, and the workers and client that use it.
 pub struct Cluster {
     pub platform: Platform,
     pub workers: Vec<Worker>,
     pub client: Client,
 }
 
-/// A platform without VMs, whose list does not lag.
+/// Starts a platform without VMs, whose list does not lag.
 pub async fn cluster() -> Cluster {
-    cluster_with(platform::Options::default()).await
+    cluster_with_options(platform::Options::default()).await
 }
 
-/// The same with other options.
-pub async fn cluster_with(options: platform::Options) -> Cluster {
+/// Starts such a platform with other options.
+pub async fn cluster_with_options(options: platform::Options) -> Cluster {
     let options = platform::Options { vm_lag: Duration::ZERO, ..options };
     let platform = Platform::start(options).await.expect("loopback has free ports");
     Cluster { platform, workers: Vec::new(), client: Client::new() }
@@ -48,7 +48,7 @@
     Name::new(text).expect("tests use valid names")
 }
 
-/// Settings of the entry VM `vm` in the data centre `dc` of two, each in its own region.
+/// Returns settings of the entry VM `vm` in the data centre `dc` of two, each in its own region.
 pub fn settings(platform: SocketAddr, vm: u32, dc: u16) -> Settings {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let data_centre = |name: &str, region: &str| DataCentre {
@@ -79,33 +79,33 @@
 }
 
 impl Cluster {
-    /// Starts an entry VM and puts it into the platform's list.
-    pub async fn entry(&self, vm: u32, dc: u16) -> Entry {
+    /// Starts an entry VM and adds it to the platform's list.
+    pub async fn start_entry(&self, vm: u32, dc: u16) -> Entry {
         let entry = start(settings(self.platform.address(), vm, dc)).await.expect("starts");
-        self.list(vm, dc, RoleJson::Entry, entry.addresses().peers, None);
+        self.list_vm(vm, dc, RoleJson::Entry, entry.addresses().peers, None);
         entry
     }
 
-    /// Starts an entry VM and waits until it takes callers.
-    pub async fn ready_entry(&self, vm: u32, dc: u16) -> Entry {
-        let entry = self.entry(vm, dc).await;
-        self.until(&entry, |it| it["ready"] == true).await;
+    /// Starts an entry VM and waits until it is ready for callers.
+    pub async fn start_ready_entry(&self, vm: u32, dc: u16) -> Entry {
+        let entry = self.start_entry(vm, dc).await;
+        self.wait_for_status(&entry, |it| it["ready"] == true).await;
         entry
     }
 
-    /// Starts a worker and puts it into the platform's list.
-    pub async fn worker(&mut self, vm: u32, dc: u16) {
-        // Tasks run until they are stopped, as those of a service do.
+    /// Starts a worker and adds it to the platform's list.
+    pub async fn start_worker(&mut self, vm: u32, dc: u16) {
+        // Tasks run until they are stopped, like those of a service.
         let tasks = WorkerOptions { run_time: None, ..WorkerOptions::default() };
         let name = format!("worker-{vm}");
         let options = worker::Options { name, worker: tasks, ..worker::Options::default() };
         let worker = Worker::start(options).await.expect("loopback has free ports");
-        self.list(vm, dc, RoleJson::Worker, worker.address(), worker.backend_address());
+        self.list_vm(vm, dc, RoleJson::Worker, worker.address(), worker.backend_address());
         self.workers.push(worker);
     }
 
-    /// Puts a VM into the platform's list.
-    pub fn list(
+    /// Adds a VM to the platform's list.
+    pub fn list_vm(
         &self,
         vm: u32,
         dc: u16,
@@ -128,12 +128,12 @@
     }
 
     /// Sends statements to an entry VM as its operator.
-    pub async fn say(&self, entry: &Entry, text: &str) -> Answer {
-        self.say_as(entry, TOKEN, text.as_bytes()).await
+    pub async fn run_statements(&self, entry: &Entry, text: &str) -> Answer {
+        self.post_statements_as(entry, TOKEN, text.as_bytes()).await
     }
 
     /// Sends a body to the operators' port.
-    pub async fn say_as(&self, entry: &Entry, token: &str, body: &[u8]) -> Answer {
+    pub async fn post_statements_as(&self, entry: &Entry, token: &str, body: &[u8]) -> Answer {
         let uri = format!("http://{}/v1/statements", entry.addresses().operators);
         let req = Request::builder()
             .method(Method::POST)
@@ -141,41 +141,41 @@
             .header("authorization", format!("Bearer {token}"))
             .body(Full::new(Bytes::copy_from_slice(body)))
             .expect("valid request");
-        self.client.send(req, PATIENCE).await.expect("an answer")
+        self.client.send(req, TEST_TIMEOUT).await.expect("an answer")
     }
 
     /// Sends a request to a service as a caller.
-    pub async fn ask(&self, entry: &Entry, service: &str) -> Answer {
+    pub async fn call_service(&self, entry: &Entry, service: &str) -> Answer {
         let req = Request::builder()
             .uri(format!("http://{}/", entry.addresses().callers))
             .header(headers::SERVICE, service)
             .body(Full::new(Bytes::new()))
             .expect("valid request");
-        self.client.send(req, PATIENCE).await.expect("an answer")
+        self.client.send(req, TEST_TIMEOUT).await.expect("an answer")
     }
 
-    /// The status of an entry VM.
+    /// Returns the status of an entry VM.
     pub async fn status(&self, entry: &Entry) -> Value {
         let address = entry.addresses().operators;
-        let answer = self.client.get(address, "/v1/status", PATIENCE).await.expect("an answer");
+        let answer = self.client.get(address, "/v1/status", TEST_TIMEOUT).await.expect("an answer");
         serde_json::from_slice(&answer.body).expect("JSON")
     }
 
-    /// Waits until the status of an entry VM fulfils `wanted`.
-    pub async fn until(&self, entry: &Entry, wanted: impl Fn(&Value) -> bool) -> Value {
+    /// Waits until the status of an entry VM satisfies `wanted`.
+    pub async fn wait_for_status(&self, entry: &Entry, wanted: impl Fn(&Value) -> bool) -> Value {
         let mut status = Value::Null;
-        for _ in 0..PATIENCE.as_millis() / 20 {
+        for _ in 0..TEST_TIMEOUT.as_millis() / 20 {
             status = self.status(entry).await;
             if wanted(&status) {
                 return status;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        panic!("never came about: {status:#}");
+        panic!("the status did not satisfy the condition in time: {status:#}");
     }
 }
 
-/// The JSON of an answer.
+/// Parses the body of an answer as JSON.
 pub fn json(answer: &Answer) -> Value {
     serde_json::from_slice(&answer.body).expect("JSON")
 }
--- a/daisy-entry/tests/control/metrics.rs
+++ b/daisy-entry/tests/control/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of `docs/OPERATING.md` against the program.
+//! Compares the metrics in `docs/OPERATING.md` with those that the program exports.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -8,14 +8,14 @@
 const PAUSE: Duration = Duration::from_millis(50);
 const PAGE: &str = include_str!("../../../docs/OPERATING.md");
 
-/// Names in the page's table.
+/// Returns the names in the table of the page.
 fn documented() -> BTreeSet<String> {
     let rows = PAGE.lines().filter_map(|line| line.strip_prefix("| `daisy_"));
     let names = rows.filter_map(|row| row.split_once('`')).map(|(name, _)| name);
     names.map(|name| format!("daisy_{name}")).collect()
 }
 
-/// Names in the text that the collector reads; counters end in `_total` there.
+/// Returns the names in the text that the collector reads, where counters end in `_total`.
 fn rendered(text: &str) -> BTreeSet<String> {
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let typed = types.filter_map(|line| line.split_once(' '));
@@ -27,14 +27,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_page_names_every_metric_and_no_other() {
+async fn the_documentation_lists_exactly_the_exported_metrics() {
     let mut cluster = cluster().await;
-    cluster.worker(11, 0).await;
-    let entry = cluster.ready_entry(1, 0).await;
-    cluster.say(&entry, "pause batch").await;
-    cluster.ask(&entry, "stock").await;
+    cluster.start_worker(11, 0).await;
+    let entry = cluster.start_ready_entry(1, 0).await;
+    cluster.run_statements(&entry, "pause batch").await;
+    cluster.call_service(&entry, "stock").await;
 
-    // A metric by result shows once there is a result: the first call to the worker is awaited.
+    // A metric with a result label appears once there is a result: wait for the first call to the
+    // worker.
     let mut names = BTreeSet::new();
     for _ in 0..TRIES {
         let callers = entry.addresses().callers;
--- a/daisy-entry/tests/control/peers.rs
+++ b/daisy-entry/tests/control/peers.rs
@@ -1,4 +1,4 @@
-//! The peers' port: messages that are broken or not for it, and links that are cut.
+//! The peers' port: malformed or misdirected messages, and links that are cut.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,9 +18,9 @@
 use http_body_util::Full;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::cluster::{PATIENCE, cluster, settings};
+use crate::cluster::{TEST_TIMEOUT, cluster, settings};
 
-fn beat(vm: u32) -> Vec<u8> {
+fn heartbeat_frame(vm: u32) -> Vec<u8> {
     let beat = Heartbeat {
         vm: VmId(vm),
         dc: DcId(0),
@@ -34,7 +34,8 @@
     frame(&NoticeWire::from(&Notice::Beat { beat, full: true, in_flight: Vec::new() }))
 }
 
-/// Sends `body` as entry VM 9 and gives the status of the answer, if one comes before the end.
+/// Sends `body` as the entry VM `from` and returns the status of the answer, if one arrives before
+/// the stream ends.
 async fn send(to: SocketAddr, path: &str, from: Option<&str>, body: &[u8]) -> Option<StatusCode> {
     let socket = TcpStream::connect(to).await.expect("the port is open");
     let (requests, connection) = h2::client::handshake(socket).await.expect("speaks h2");
@@ -46,47 +47,49 @@
     let mut requests = requests.ready().await.expect("takes a stream");
     let req = req.body(()).expect("a valid request");
     let (response, mut stream) = requests.send_request(req, false).expect("sent");
-    // A refusal by the head alone may come first, and closes the stream.
+    // A rejection because of the head alone may arrive first, and closes the stream.
     let _ = stream.send_data(Bytes::copy_from_slice(body), true);
     let response = tokio::time::timeout(Duration::from_secs(5), response).await;
     response.expect("an answer or an end").ok().map(|it| it.status())
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn broken_messages_are_refused_and_the_process_lives_on() {
+async fn malformed_peer_messages_are_rejected_and_the_process_keeps_running() {
     let cluster = cluster().await;
-    let entry = cluster.ready_entry(1, 0).await;
+    let entry = cluster.start_ready_entry(1, 0).await;
     let port = entry.addresses().peers;
-    let whole = beat(9);
-    let truncated = &whole[..whole.len() - 2];
-    let mut newer = whole.clone();
+    let valid = heartbeat_frame(9);
+    let truncated = &valid[..valid.len() - 2];
+    let mut newer = valid.clone();
     newer[4..6].copy_from_slice(&u16::MAX.to_le_bytes());
     let oversized = u32::MAX.to_le_bytes();
-    let mut garbled = whole.clone();
+    let mut garbled = valid.clone();
     garbled[6..].fill(0xff);
 
-    let refused = Some(StatusCode::BAD_REQUEST);
+    let rejected = Some(StatusCode::BAD_REQUEST);
     for (name, body) in [
         ("truncated", truncated),
         ("newer", &newer),
         ("oversized", &oversized[..]),
         ("garbled", &garbled),
-        ("of another VM", &beat(8)),
+        ("of another VM", &heartbeat_frame(8)),
     ] {
-        assert_eq!(send(port, "/v1/notices", Some("9"), body).await, refused, "{name}");
+        assert_eq!(send(port, "/v1/notices", Some("9"), body).await, rejected, "{name}");
     }
-    assert_eq!(send(port, "/v1/notices", None, &whole).await, refused);
-    assert_eq!(send(port, "/v1/notices", Some("me"), &whole).await, refused);
-    assert_eq!(send(port, "/v1/question", Some("9"), &garbled).await, refused);
-    let unknown = send(port, "/v1/else", Some("9"), &whole).await;
+    assert_eq!(send(port, "/v1/notices", None, &valid).await, rejected);
+    assert_eq!(send(port, "/v1/notices", Some("me"), &valid).await, rejected);
+    assert_eq!(send(port, "/v1/question", Some("9"), &garbled).await, rejected);
+    let unknown = send(port, "/v1/else", Some("9"), &valid).await;
     assert_eq!(unknown, Some(StatusCode::NOT_FOUND));
 
-    send(port, "/v1/notices", Some("9"), &whole).await;
-    cluster.until(&entry, |it| it["peers"][0]["vm"] == 9 && it["peers"][0]["alive"] == true).await;
+    send(port, "/v1/notices", Some("9"), &valid).await;
+    cluster
+        .wait_for_status(&entry, |it| it["peers"][0]["vm"] == 9 && it["peers"][0]["alive"] == true)
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_address_that_is_not_allowed_is_cut_off() {
+async fn a_connection_from_an_address_not_allowed_is_closed() {
     let cluster = cluster().await;
     let mut settings = settings(cluster.platform.address(), 1, 0);
     settings.allowed_peers = vec![[127, 0, 0, 2].into()];
@@ -104,11 +107,11 @@
     assert!(served.await.is_err());
 }
 
-/// The link between two entry VMs hangs without a reset, and comes back. Each takes the other
-/// for dead meanwhile, but both reach the log, so there is one holder at all times; afterwards
-/// they hear one another again, though TCP would sit on the old connection for minutes.
+/// The link between two entry VMs hangs without a reset, and comes back. Meanwhile each treats the
+/// other as dead, but both reach the log, so there is at most one holder at any time. Afterwards
+/// they receive heartbeats again, though TCP would keep the old connection for minutes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn peers_find_one_another_after_a_cut() {
+async fn peers_reconnect_after_their_link_was_cut() {
     let cluster = cluster().await;
     let mut links = Vec::new();
     let mut entries = Vec::new();
@@ -123,25 +126,25 @@
             history: None,
         };
         let link = Link::start(options).await.expect("loopback has free ports");
-        cluster.list(vm, 0, RoleJson::Entry, link.address(), None);
+        cluster.list_vm(vm, 0, RoleJson::Entry, link.address(), None);
         links.push(link);
         entries.push(entry);
     }
     for entry in &entries {
-        cluster.until(entry, |it| it["peers"][0]["alive"] == true).await;
+        cluster.wait_for_status(entry, |it| it["peers"][0]["alive"] == true).await;
     }
     for link in &links {
         link.set_faults(LinkFaults { cut: true, ..LinkFaults::default() });
     }
     for entry in &entries {
-        cluster.until(entry, |it| it["peers"][0]["alive"] == false).await;
+        cluster.wait_for_status(entry, |it| it["peers"][0]["alive"] == false).await;
     }
     for link in &links {
         link.set_faults(LinkFaults::default());
     }
 
     for entry in &entries {
-        cluster.until(entry, |it| it["peers"][0]["alive"] == true).await;
+        cluster.wait_for_status(entry, |it| it["peers"][0]["alive"] == true).await;
     }
 
     let roles = [cluster.status(&entries[0]).await, cluster.status(&entries[1]).await];
@@ -149,35 +152,35 @@
     assert!(holders <= 1, "{roles:#?}");
 }
 
-/// A peer's VM is lost in the middle of a connection and comes back, or the link does. TCP alone
-/// would send into the old connection for minutes. The peer here takes a connection and never
-/// says a word; the entry VM must come with another one.
+/// A peer's VM is lost in the middle of a connection and comes back, or its link does. TCP alone
+/// would send into the old connection for minutes. The peer in this test accepts a connection and
+/// sends nothing; the entry VM must open another one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_connection_to_a_silent_peer_is_made_anew() {
+async fn a_connection_to_an_unresponsive_peer_is_reopened() {
     let cluster = cluster().await;
-    let silent = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
-    cluster.list(9, 0, RoleJson::Entry, silent.local_addr().expect("bound"), None);
-    let _entry = cluster.ready_entry(1, 0).await;
+    let unresponsive = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
+    cluster.list_vm(9, 0, RoleJson::Entry, unresponsive.local_addr().expect("bound"), None);
+    let _entry = cluster.start_ready_entry(1, 0).await;
     let accept = async {
-        let (socket, _) = silent.accept().await.expect("a connection");
+        let (socket, _) = unresponsive.accept().await.expect("a connection");
         h2::server::handshake(socket).await.expect("speaks h2")
     };
 
     let mut first = accept.await;
-    // A stream that is dropped would be reset, and tell its sender at once.
+    // A dropped stream would be reset, which would notify its sender at once.
     let reading = tokio::spawn(async move {
         let mut held = Vec::new();
         while let Some(stream) = first.accept().await {
             held.push(stream);
         }
     });
-    let second = tokio::time::timeout(PATIENCE, silent.accept()).await;
+    let second = tokio::time::timeout(TEST_TIMEOUT, unresponsive.accept()).await;
 
     assert!(second.is_ok(), "no second connection");
     reading.abort();
 }
 
-fn replicas(epoch: u64, version: u64, added: &[u32]) -> Vec<u8> {
+fn replicas_frame(epoch: u64, version: u64, added: &[u32]) -> Vec<u8> {
     let replica = |vm: &u32| Replica { job: JobId(0), vm: VmId(*vm), leaving: false };
     let change = ReplicaChange {
         dc: DcId(1),
@@ -190,29 +193,31 @@
     frame(&NoticeWire::from(&Notice::Replicas(change)))
 }
 
-/// A holder is paused, another one has placed the service anew, and the old one's message comes
-/// late, on another path. Taken for news, it would take the service's backend servers away.
+/// A holder is paused, another one has placed the service again, and the former holder's message
+/// arrives late, on another path. If it were applied, it would remove the service's backend
+/// servers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn replicas_of_an_older_epoch_change_nothing() {
+async fn replicas_from_an_older_epoch_are_ignored() {
     let cluster = cluster().await;
-    let entry = cluster.ready_entry(1, 0).await;
+    let entry = cluster.start_ready_entry(1, 0).await;
     let backend = Backend::start(backend::Options::default()).await.expect("free ports");
-    cluster.list(101, 1, RoleJson::Worker, backend.address(), Some(backend.address()));
+    cluster.list_vm(101, 1, RoleJson::Worker, backend.address(), Some(backend.address()));
     let create = "quota team shop cpu 8 memory 8Gi; create service shop team shop cpu 1 memory 1Gi";
-    assert_eq!(cluster.say(&entry, create).await.status, StatusCode::OK);
+    assert_eq!(cluster.run_statements(&entry, create).await.status, StatusCode::OK);
     let port = entry.addresses().peers;
     let answers = async || {
         let uri = format!("http://{}/", entry.addresses().callers);
         let req = Request::get(uri).header("daisy-service", "shop").body(Full::default());
-        let answer = cluster.client.send(req.expect("valid"), PATIENCE).await.expect("an answer");
+        let answer =
+            cluster.client.send(req.expect("valid"), TEST_TIMEOUT).await.expect("an answer");
         answer.status == StatusCode::OK
     };
 
-    send(port, "/v1/notices", Some("9"), &replicas(5, 2, &[101])).await;
+    send(port, "/v1/notices", Some("9"), &replicas_frame(5, 2, &[101])).await;
     while !answers().await {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    send(port, "/v1/notices", Some("8"), &replicas(4, 9, &[])).await;
+    send(port, "/v1/notices", Some("8"), &replicas_frame(4, 9, &[])).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
 
     assert!(answers().await, "the older epoch took the backend server away");
--- a/daisy-entry/tests/proxy.rs
+++ b/daisy-entry/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Tests of the request side over loopback, with small fakes for backend servers and callers.
+//! Tests of the request side over loopback, with small fakes of backend servers and callers.
 
 #[path = "proxy/abuse.rs"]
 mod abuse;
--- a/daisy-entry/tests/proxy/abuse.rs
+++ b/daisy-entry/tests/proxy/abuse.rs
@@ -1,4 +1,5 @@
-//! Callers that misbehave, by mistake or on purpose: a clear word, and the process lives on.
+//! Callers that misbehave, by mistake or on purpose: they get a clear error, and the process keeps
+//! running.
 
 use std::time::Duration;
 
@@ -9,25 +10,27 @@
     net::TcpStream,
 };
 
-use crate::fixture::{Act, Entry, Fake, call, entry_with, fake, head, options, read_answer};
+use crate::fixture::{
+    Entry, FakeBackend, FakeResponse, call, entry_with, fake_backend, head, options, read_answer,
+};
 
-async fn good() -> Fake {
-    fake(|_, seen| Act::Write(seen.answer("200 OK", "", "good"))).await
+async fn answering() -> FakeBackend {
+    fake_backend(|_, received| FakeResponse::Write(received.answer("200 OK", "", "good"))).await
 }
 
-async fn limited(backend: &Fake, limits: Limits) -> Entry {
+async fn entry_with_limits(backend: &FakeBackend, limits: Limits) -> Entry {
     entry_with(Options { limits, ..options() }, &[backend.address]).await
 }
 
-async fn lives_on(entry: &Entry) {
+async fn assert_still_serving(entry: &Entry) {
     let got = call(entry.address, &head("GET", ""), "").await;
     assert_eq!(got.status, 200);
 }
 
 #[tokio::test]
-async fn malformed_heads_get_a_reason() {
-    let backend = good().await;
-    let entry = limited(&backend, Limits::default()).await;
+async fn malformed_heads_are_rejected_with_a_reason() {
+    let backend = answering().await;
+    let entry = entry_with_limits(&backend, Limits::default()).await;
     let long_key = "k".repeat(65);
     let cases = [
         ("GET /p HTTP/1.1".to_owned(), "missing-service"),
@@ -47,13 +50,13 @@
         assert_eq!((got.status, got.outcome(), got.reason()), (400, "not-run", reason), "{head}");
     }
     assert_eq!(backend.requests(), 0);
-    lives_on(&entry).await;
+    assert_still_serving(&entry).await;
 }
 
 #[tokio::test]
 async fn an_unknown_service_is_not_found() {
-    let backend = good().await;
-    let entry = limited(&backend, Limits::default()).await;
+    let backend = answering().await;
+    let entry = entry_with_limits(&backend, Limits::default()).await;
 
     let got = call(entry.address, "GET /p HTTP/1.1\r\ndaisy-service: nobody", "").await;
 
@@ -61,9 +64,10 @@
 }
 
 #[tokio::test]
-async fn a_body_over_the_limit_is_refused_whether_announced_or_not() {
-    let backend = good().await;
-    let entry = limited(&backend, Limits { body_bytes: 100_000, ..Limits::default() }).await;
+async fn a_body_over_the_limit_is_rejected_with_or_without_a_declared_length() {
+    let backend = answering().await;
+    let entry =
+        entry_with_limits(&backend, Limits { body_bytes: 100_000, ..Limits::default() }).await;
 
     let announced = call(entry.address, &head("POST", ""), &"x".repeat(100_001)).await;
     let mut stream = TcpStream::connect(entry.address).await.unwrap();
@@ -79,45 +83,47 @@
 
     assert_eq!((announced.status, announced.reason()), (413, "body-too-large"));
     assert!(unannounced.is_none_or(|got| got.status >= 400));
-    lives_on(&entry).await;
+    assert_still_serving(&entry).await;
 }
 
 #[tokio::test]
-async fn a_head_over_the_limit_is_refused() {
-    let backend = good().await;
-    let entry = limited(&backend, Limits { header_bytes: 8_192, ..Limits::default() }).await;
+async fn a_head_over_the_limit_is_rejected() {
+    let backend = answering().await;
+    let entry =
+        entry_with_limits(&backend, Limits { header_bytes: 8_192, ..Limits::default() }).await;
 
     let long = format!("\r\nx-long: {}", "x".repeat(20_000));
     let got = call(entry.address, &head("GET", &long), "").await;
 
     assert_eq!(got.status, 431);
-    lives_on(&entry).await;
+    assert_still_serving(&entry).await;
 }
 
-/// Buyers cannot connect: a script holds connections open and sends a byte now and then.
+/// Guards against buyers who cannot connect because a script holds connections open and sends a
+/// byte now and then.
 #[tokio::test]
-async fn a_head_that_does_not_end_is_cut_off() {
-    let backend = good().await;
+async fn an_incomplete_head_times_out() {
+    let backend = answering().await;
     let header_timeout = Duration::from_millis(100);
-    let entry = limited(&backend, Limits { header_timeout, ..Limits::default() }).await;
+    let entry = entry_with_limits(&backend, Limits { header_timeout, ..Limits::default() }).await;
     let mut stream = TcpStream::connect(entry.address).await.unwrap();
     stream.write_all(b"GET /price HTTP/1.1\r\nx: ").await.unwrap();
 
     let mut rest = Vec::new();
     let ended = tokio::time::timeout(Duration::from_secs(5), stream.read_to_end(&mut rest)).await;
 
-    assert!(ended.is_ok(), "still open");
-    lives_on(&entry).await;
+    assert!(ended.is_ok(), "the connection is still open");
+    assert_still_serving(&entry).await;
 }
 
-/// A slow sender holds a backend server's slot for as long as it likes.
+/// Guards against a slow sender that occupies a backend server's slot for as long as it likes.
 #[tokio::test]
-async fn a_body_that_does_not_come_takes_no_slot() {
-    let backend = good().await;
-    let entry = limited(&backend, Limits::default()).await;
+async fn a_body_that_never_arrives_occupies_no_slot() {
+    let backend = answering().await;
+    let entry = entry_with_limits(&backend, Limits::default()).await;
     let mut stream = TcpStream::connect(entry.address).await.unwrap();
-    let begun = head("POST", "\r\ndaisy-deadline-ms: 100\r\nhost: e\r\ncontent-length: 10");
-    stream.write_all(format!("{begun}\r\n\r\nabc").as_bytes()).await.unwrap();
+    let partial_head = head("POST", "\r\ndaisy-deadline-ms: 100\r\nhost: e\r\ncontent-length: 10");
+    stream.write_all(format!("{partial_head}\r\n\r\nabc").as_bytes()).await.unwrap();
 
     let mut buf = [0; 1_024];
     let read = stream.read(&mut buf).await.unwrap();
@@ -129,28 +135,29 @@
 }
 
 #[tokio::test]
-async fn connections_over_the_limit_are_told_so() {
-    let backend = good().await;
-    let entry = limited(&backend, Limits { connections: 4, ..Limits::default() }).await;
+async fn connections_over_the_limit_get_a_rejection() {
+    let backend = answering().await;
+    let entry = entry_with_limits(&backend, Limits { connections: 4, ..Limits::default() }).await;
     let mut held = Vec::new();
     for _ in 0..4 {
         held.push(TcpStream::connect(entry.address).await.unwrap());
     }
-    // The fourth may still be on its way to being accepted.
+    // The fourth connection may not be accepted yet.
     let mut beyond = TcpStream::connect(entry.address).await.unwrap();
 
-    let told = read_answer(&mut beyond).await.unwrap();
+    let answer = read_answer(&mut beyond).await.unwrap();
     drop(held);
 
-    assert_eq!((told.status, told.outcome(), told.reason()), (503, "not-run", "connections"));
+    assert_eq!((answer.status, answer.outcome(), answer.reason()), (503, "not-run", "connections"));
     while TcpStream::connect(entry.address).await.is_err() {}
 }
 
-/// One caller's request is smuggled into another's connection by two lengths that differ.
+/// Guards against request smuggling: one caller's request enters another's connection through two
+/// different lengths.
 #[tokio::test]
-async fn a_request_with_two_lengths_is_refused() {
-    let backend = good().await;
-    let entry = limited(&backend, Limits::default()).await;
+async fn a_request_with_two_lengths_is_rejected() {
+    let backend = answering().await;
+    let entry = entry_with_limits(&backend, Limits::default()).await;
 
     let got = call(entry.address, &head("POST", "\r\ncontent-length: 3"), "abcdef").await;
 
@@ -158,15 +165,16 @@
     assert_eq!(backend.requests(), 0);
 }
 
-/// A caller gives itself the word of a backend server, or has daisyshift's headers taken out.
+/// Guards against a caller that forges a header of a backend server, or has daisyshift's headers
+/// removed.
 #[tokio::test]
-async fn a_callers_request_id_is_not_taken_over() {
-    let backend = fake(|_, seen| {
-        let id = seen.header("daisy-request-id").unwrap().to_owned();
-        Act::Write(seen.answer("200 OK", "", &id))
+async fn a_request_id_from_a_caller_is_replaced() {
+    let backend = fake_backend(|_, received| {
+        let id = received.header("daisy-request-id").unwrap().to_owned();
+        FakeResponse::Write(received.answer("200 OK", "", &id))
     })
     .await;
-    let entry = limited(&backend, Limits::default()).await;
+    let entry = entry_with_limits(&backend, Limits::default()).await;
     let forged = "\r\ndaisy-request-id: 00000000000000aa\r\nconnection: daisy-request-id";
 
     let got = call(entry.address, &head("GET", forged), "").await;
--- a/daisy-entry/tests/proxy/drain.rs
+++ b/daisy-entry/tests/proxy/drain.rs
@@ -1,19 +1,20 @@
-//! Planned stop of an entry VM.
+//! The planned stop of an entry VM.
 
 use std::{sync::Arc, time::Duration};
 
 use daisy_entry::boundary::RequestSide;
 
-use crate::fixture::{Act, call, entry, fake, head, routes_to};
+use crate::fixture::{FakeResponse, call, entry, fake_backend, head, routes_to};
 
-/// A caller's connection breaks while the operators replace an entry VM.
-/// SIGTERM comes while its request is at the backend server, and comes again.
-/// The answer must still arrive whole, and only then may the process end.
+/// Guards against a caller's connection that breaks while operators replace an entry VM. SIGTERM
+/// arrives while its request is at the backend server, and arrives again. The answer must still
+/// arrive completely, and only then may the process end.
 #[tokio::test]
-async fn a_planned_stop_cuts_off_nothing_in_flight() {
-    let backend =
-        fake(|_, seen| Act::Later(Duration::from_millis(200), seen.answer("200 OK", "", "whole")))
-            .await;
+async fn a_planned_stop_completes_requests_in_flight() {
+    let backend = fake_backend(|_, received| {
+        FakeResponse::WriteAfter(Duration::from_millis(200), received.answer("200 OK", "", "whole"))
+    })
+    .await;
     let entry = entry(&[backend.address]).await;
     let address = entry.address;
     let calling = tokio::spawn(async move { call(address, &head("POST", ""), "").await });
@@ -31,8 +32,9 @@
 }
 
 #[tokio::test]
-async fn a_route_that_goes_away_takes_no_more_requests() {
-    let backend = fake(|_, seen| Act::Write(seen.answer("200 OK", "", ""))).await;
+async fn a_removed_backend_server_gets_no_more_requests() {
+    let backend =
+        fake_backend(|_, received| FakeResponse::Write(received.answer("200 OK", "", ""))).await;
     let entry = entry(&[backend.address]).await;
     call(entry.address, &head("GET", ""), "").await;
 
--- a/daisy-entry/tests/proxy/fixture.rs
+++ b/daisy-entry/tests/proxy/fixture.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback, fakes of backend servers that misbehave byte by byte, and a plain caller.
+//! A proxy on loopback, fakes of backend servers that misbehave byte by byte, and a simple caller.
 
 use std::{
     net::SocketAddr,
@@ -22,7 +22,7 @@
     sync::watch,
 };
 
-/// No other entry VM can be reached.
+/// A peer client that reaches no other entry VM.
 #[derive(Debug, Clone)]
 pub struct NoPeers;
 
@@ -38,7 +38,7 @@
 /// Entry VMs that reach each other, and a log of intents.
 #[derive(Debug, Clone, Default)]
 pub struct Peers {
-    me: VmId,
+    own: VmId,
     proxies: Arc<Mutex<Proxies>>,
     intents: Arc<Mutex<Vec<u128>>>,
     pub log_down: Arc<AtomicBool>,
@@ -48,7 +48,7 @@
     async fn ask(&self, peer: VmId, query: KeyQuery, _: Duration) -> Option<KeyAnswer> {
         let proxies = self.proxies.lock().unwrap().clone();
         let (_, proxy) = proxies.into_iter().find(|(vm, _)| *vm == peer)?;
-        Some(proxy.answer(self.me, query).await)
+        Some(proxy.answer(self.own, query).await)
     }
 
     async fn announce_intent(&self, key: u128, _: Duration) -> Intent {
@@ -65,35 +65,35 @@
 }
 
 impl Peers {
-    /// The log without the entry VMs.
+    /// Returns the same log of intents without the entry VMs.
     pub fn without_proxies(self) -> Peers {
         Peers { proxies: Arc::default(), ..self }
     }
 
-    fn of(&self, me: VmId) -> Peers {
-        Peers { me, ..self.clone() }
+    fn for_entry(&self, own: VmId) -> Peers {
+        Peers { own, ..self.clone() }
     }
 }
 
-/// Two entry VMs of one data centre that have just started, in front of `backends`.
-pub async fn pair(peers: &Peers, backends: &[SocketAddr]) -> [Entry<Peers>; 2] {
-    let pair = unlinked_pair(peers, backends).await;
-    link(peers, &pair);
-    pair
+/// Starts two entry VMs of one data centre in front of `backends`.
+pub async fn entry_pair(peers: &Peers, backends: &[SocketAddr]) -> [Entry<Peers>; 2] {
+    let entry_pair = unconnected_pair(peers, backends).await;
+    connect_peers(peers, &entry_pair);
+    entry_pair
 }
 
-/// The same, which do not reach each other yet.
-pub async fn unlinked_pair(peers: &Peers, backends: &[SocketAddr]) -> [Entry<Peers>; 2] {
+/// Starts such entry VMs that do not reach each other yet.
+pub async fn unconnected_pair(peers: &Peers, backends: &[SocketAddr]) -> [Entry<Peers>; 2] {
     let entries = vec![(DcId(0), VmId(1)), (DcId(0), VmId(2))];
     let routes = Routes { entries: entries.clone(), listed: entries, ..routes_to(backends) };
-    let first = serve(options(), routes.clone(), peers.of(VmId(1))).await;
+    let first = serve(options(), routes.clone(), peers.for_entry(VmId(1))).await;
     let other = Options { vm: VmId(2), seed: 8, ..options() };
-    let second = serve(other, routes, peers.of(VmId(2))).await;
+    let second = serve(other, routes, peers.for_entry(VmId(2))).await;
     [first, second]
 }
 
 /// Lets two entry VMs reach each other.
-pub fn link(peers: &Peers, [first, second]: &[Entry<Peers>; 2]) {
+pub fn connect_peers(peers: &Peers, [first, second]: &[Entry<Peers>; 2]) {
     let mut proxies = peers.proxies.lock().unwrap();
     proxies.push((VmId(1), first.proxy.clone()));
     proxies.push((VmId(2), second.proxy.clone()));
@@ -168,19 +168,19 @@
     Entry { address, proxy, routes, served }
 }
 
-/// A request as a backend server's fake sees it.
+/// A request as a fake backend server receives it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
 
-    /// An answer's head with the request's id, to be followed by `rest` of the head.
+    /// Returns an answer with the request's ID, `rest` of its head, and `body`.
     pub fn answer(&self, status: &str, rest: &str, body: &str) -> Vec<u8> {
         let id = self.header("daisy-request-id").unwrap();
         let length = body.len();
@@ -191,27 +191,27 @@
     }
 }
 
-/// What a fake does with a request.
-pub enum Act {
-    /// Writes these bytes and goes on with the connection.
+/// How a fake responds to a request.
+pub enum FakeResponse {
+    /// Writes these bytes and keeps the connection.
     Write(Vec<u8>),
     /// Writes these bytes and closes the connection.
     WriteAndClose(Vec<u8>),
-    /// Closes the connection without a word.
+    /// Closes the connection without an answer.
     Close,
     /// Waits, then writes these bytes.
-    Later(Duration, Vec<u8>),
+    WriteAfter(Duration, Vec<u8>),
 }
 
-/// A backend server's fake; counts the requests that reached it.
+/// A fake backend server; counts the requests that reached it.
 #[derive(Clone)]
-pub struct Fake {
+pub struct FakeBackend {
     pub address: SocketAddr,
     pub requests: Arc<AtomicU32>,
     pub connections: Arc<AtomicU32>,
 }
 
-impl Fake {
+impl FakeBackend {
     pub fn connections(&self) -> u32 {
         self.connections.load(Ordering::SeqCst)
     }
@@ -221,32 +221,38 @@
     }
 }
 
-/// Starts a fake that does what `act` says of each request, numbered from 0.
-pub async fn fake(act: impl Fn(u32, &Seen) -> Act + Send + Sync + 'static) -> Fake {
+/// Starts a fake that responds to each request, numbered from 0, with the result of `response`.
+pub async fn fake_backend(
+    response: impl Fn(u32, &ReceivedRequest) -> FakeResponse + Send + Sync + 'static,
+) -> FakeBackend {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let requests = Arc::new(AtomicU32::new(0));
     let connections = Arc::new(AtomicU32::new(0));
     let (count, connected) = (Arc::clone(&requests), Arc::clone(&connections));
-    let act = Arc::new(act);
+    let response = Arc::new(response);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             connected.fetch_add(1, Ordering::SeqCst);
-            tokio::spawn(play(stream, Arc::clone(&act), Arc::clone(&count)));
+            tokio::spawn(serve_connection(stream, Arc::clone(&response), Arc::clone(&count)));
         }
     });
-    Fake { address, requests, connections }
+    FakeBackend { address, requests, connections }
 }
 
-async fn play(mut stream: TcpStream, act: Arc<impl Fn(u32, &Seen) -> Act>, count: Arc<AtomicU32>) {
+async fn serve_connection(
+    mut stream: TcpStream,
+    response: Arc<impl Fn(u32, &ReceivedRequest) -> FakeResponse>,
+    count: Arc<AtomicU32>,
+) {
     let mut buf = Vec::new();
-    while let Some(seen) = read_message(&mut stream, &mut buf).await {
+    while let Some(received) = read_message(&mut stream, &mut buf).await {
         let number = count.fetch_add(1, Ordering::SeqCst);
-        let (bytes, close) = match act(number, &seen) {
-            Act::Write(bytes) => (bytes, false),
-            Act::WriteAndClose(bytes) => (bytes, true),
-            Act::Close => return,
-            Act::Later(wait, bytes) => {
+        let (bytes, close) = match response(number, &received) {
+            FakeResponse::Write(bytes) => (bytes, false),
+            FakeResponse::WriteAndClose(bytes) => (bytes, true),
+            FakeResponse::Close => return,
+            FakeResponse::WriteAfter(wait, bytes) => {
                 tokio::time::sleep(wait).await;
                 (bytes, false)
             }
@@ -257,8 +263,8 @@
     }
 }
 
-/// Reads one message with a length; `None` when the connection ends first.
-async fn read_message(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<Seen> {
+/// Reads one message with a length; returns `None` if the connection ends first.
+async fn read_message(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<ReceivedRequest> {
     loop {
         if let Some(end) = buf.windows(4).position(|window| window == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&buf[..end]).into_owned();
@@ -267,7 +273,7 @@
                 let rest = buf.split_off(end + 4 + length);
                 let body = buf.split_off(end + 4);
                 *buf = rest;
-                return Some(Seen { head, body });
+                return Some(ReceivedRequest { head, body });
             }
         }
         if stream.read_buf(buf).await.ok()? == 0 {
@@ -283,15 +289,15 @@
     })
 }
 
-/// An answer as a caller sees it; `None` of a body that broke off.
+/// An answer as a caller sees it; its body is `None` if it was cut off.
 #[derive(Debug)]
-pub struct Got {
+pub struct CallerAnswer {
     pub status: u16,
     pub head: String,
     pub body: Option<Vec<u8>>,
 }
 
-impl Got {
+impl CallerAnswer {
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
@@ -305,20 +311,20 @@
     }
 }
 
-/// Sends `head` and `body` over a connection of its own and reads all that comes back.
-pub async fn call(address: SocketAddr, head: &str, body: &str) -> Got {
+/// Sends `head` and `body` over a new connection and reads the whole answer.
+pub async fn call(address: SocketAddr, head: &str, body: &str) -> CallerAnswer {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let message = format!(
         "{head}\r\nhost: entry\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
         body.len()
     );
-    // The proxy may answer and close before all is written.
+    // The proxy may answer and close before everything is written.
     let _ = stream.write_all(message.as_bytes()).await;
     read_answer(&mut stream).await.expect("an answer")
 }
 
-/// Reads one answer to its end or to the connection's.
-pub async fn read_answer(stream: &mut TcpStream) -> Option<Got> {
+/// Reads one answer until the connection ends.
+pub async fn read_answer(stream: &mut TcpStream) -> Option<CallerAnswer> {
     let mut buf = Vec::new();
     let _ = stream.read_to_end(&mut buf).await;
     let end = buf.windows(4).position(|window| window == b"\r\n\r\n")?;
@@ -326,10 +332,10 @@
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let body = buf[end + 4..].to_vec();
     let whole = header(&head, "content-length").is_none_or(|text| text.parse() == Ok(body.len()));
-    Some(Got { status, head, body: whole.then_some(body) })
+    Some(CallerAnswer { status, head, body: whole.then_some(body) })
 }
 
-/// The head of a request to the service `quote`.
+/// Returns the head of a request to the service `quote`.
 pub fn head(method: &str, extra: &str) -> String {
     format!("{method} /price HTTP/1.1\r\ndaisy-service: quote{extra}")
 }
--- a/daisy-entry/tests/proxy/forward.rs
+++ b/daisy-entry/tests/proxy/forward.rs
@@ -1,12 +1,13 @@
-//! One request, one try: whole answers pass, everything else is an error to its own caller.
+//! Requests with one try: complete answers are forwarded, everything else is an error to the caller
+//! of that request.
 
-use crate::fixture::{Act, call, entry, fake, head};
+use crate::fixture::{FakeResponse, call, entry, fake_backend, head};
 
 #[tokio::test]
-async fn an_answer_passes_whole_with_the_requests_id() {
-    let backend = fake(|_, seen| {
-        let body = String::from_utf8(seen.body.clone()).unwrap();
-        Act::Write(seen.answer("200 OK", "x-price: 12\r\n", &body))
+async fn an_answer_is_forwarded_completely_with_the_request_id() {
+    let backend = fake_backend(|_, received| {
+        let body = String::from_utf8(received.body.clone()).unwrap();
+        FakeResponse::Write(received.answer("200 OK", "x-price: 12\r\n", &body))
     })
     .await;
     let entry = entry(&[backend.address]).await;
@@ -19,15 +20,15 @@
     assert_eq!(got.header("daisy-request-id").map(str::len), Some(16));
 }
 
-/// A caller gets the first half of a price list with status 200 and takes it for the whole.
-/// The backend server dies in the middle of its answer; its connection just ends.
-/// The caller must see the break.
+/// Guards against a caller that takes the first half of a price list with status 200 for the whole.
+/// The backend server dies in the middle of its answer, and its connection just ends. The caller
+/// must see the failure.
 #[tokio::test]
-async fn a_body_cut_off_is_no_short_success() {
-    let backend = fake(|_, seen| {
-        let mut bytes = seen.answer("200 OK", "", "a price list of many pages");
+async fn a_truncated_body_is_not_a_successful_answer() {
+    let backend = fake_backend(|_, received| {
+        let mut bytes = received.answer("200 OK", "", "a price list of many pages");
         bytes.truncate(bytes.len() - 10);
-        Act::WriteAndClose(bytes)
+        FakeResponse::WriteAndClose(bytes)
     })
     .await;
     let entry = entry(&[backend.address]).await;
@@ -37,14 +38,14 @@
     assert_eq!(got.body, None);
 }
 
-/// A caller gets another caller's price.
-/// A backend server mixes its answers up and echoes another request's id.
+/// Guards against a caller that gets another caller's price. A backend server mixes its answers up
+/// and returns the ID of another request.
 #[tokio::test]
-async fn an_answer_with_another_requests_id_reaches_nobody() {
-    let backend = fake(|_, _| {
+async fn an_answer_with_the_id_of_another_request_is_not_forwarded() {
+    let backend = fake_backend(|_, _| {
         let other = "HTTP/1.1 200 OK\r\ndaisy-request-id: 00000000000000ff\r\n\
             content-length: 6\r\n\r\nsecret";
-        Act::Write(other.as_bytes().to_vec())
+        FakeResponse::Write(other.as_bytes().to_vec())
     })
     .await;
     let entry = entry(&[backend.address]).await;
@@ -56,17 +57,16 @@
     assert!(!String::from_utf8_lossy(&got.body.unwrap()).contains("secret"));
 }
 
-/// A caller gets the answer to the request before its own.
-/// A backend server writes one answer twice; the second copy lies in the connection when the
-/// next request is sent over it.
+/// Guards against a caller that gets the answer to the previous request. A backend server writes
+/// one answer twice; the second copy is in the connection when the next request is sent over it.
 #[tokio::test]
-async fn a_doubled_answer_does_not_reach_the_next_request() {
-    let backend = fake(|number, seen| {
-        let mut bytes = seen.answer("200 OK", "", &format!("answer {number}"));
+async fn a_duplicate_answer_does_not_reach_the_next_request() {
+    let backend = fake_backend(|number, received| {
+        let mut bytes = received.answer("200 OK", "", &format!("answer {number}"));
         if number == 0 {
             bytes.extend(bytes.clone());
         }
-        Act::Write(bytes)
+        FakeResponse::Write(bytes)
     })
     .await;
     let entry = entry(&[backend.address]).await;
@@ -78,11 +78,11 @@
     assert_ne!(second.body.as_deref(), Some(&b"answer 0"[..]));
 }
 
-/// A buyer is told that her order did not run, orders again and gets two boxes.
-/// The backend server took the order and lost its connection before it answered.
+/// Guards against a buyer who is told that her order did not run, orders again and gets two boxes.
+/// The backend server accepted the order and lost its connection before it answered.
 #[tokio::test]
-async fn a_connection_lost_after_sending_is_no_proof() {
-    let backend = fake(|_, _| Act::Close).await;
+async fn a_connection_lost_after_sending_gives_an_unknown_outcome() {
+    let backend = fake_backend(|_, _| FakeResponse::Close).await;
     let entry = entry(&[backend.address]).await;
 
     let got = call(entry.address, &head("POST", ""), "order").await;
@@ -91,11 +91,14 @@
     assert_eq!(backend.requests(), 1);
 }
 
-/// A buyer waits for a backend server that never answers.
-/// At her deadline she must hear that nobody knows whether it ran.
+/// A buyer waits for a backend server that never answers. At her deadline she must be told that the
+/// outcome is unknown.
 #[tokio::test]
-async fn silence_until_the_deadline_is_an_unknown_outcome() {
-    let backend = fake(|_, _| Act::Later(std::time::Duration::from_secs(5), Vec::new())).await;
+async fn no_answer_by_the_deadline_gives_an_unknown_outcome() {
+    let backend = fake_backend(|_, _| {
+        FakeResponse::WriteAfter(std::time::Duration::from_secs(5), Vec::new())
+    })
+    .await;
     let entry = entry(&[backend.address]).await;
 
     let got = call(entry.address, &head("POST", "\r\ndaisy-deadline-ms: 60"), "order").await;
@@ -115,14 +118,14 @@
     assert_eq!((got.outcome(), got.reason()), ("not-run", "connect"));
 }
 
-/// A caller gets the first half of a price list and takes it for the whole.
-/// The answer has neither a length nor chunks, so that its end looks like a broken connection.
+/// Guards against a caller that takes the first half of a price list for the whole. The answer has
+/// neither a length nor chunks, so that its end looks like a broken connection.
 #[tokio::test]
-async fn an_answer_whose_end_cannot_be_told_is_an_error() {
-    let backend = fake(|_, seen| {
-        let id = seen.header("daisy-request-id").unwrap();
+async fn an_answer_without_framing_is_an_error() {
+    let backend = fake_backend(|_, received| {
+        let id = received.header("daisy-request-id").unwrap();
         let answer = format!("HTTP/1.1 200 OK\r\ndaisy-request-id: {id}\r\n\r\nhalf a price");
-        Act::WriteAndClose(answer.into_bytes())
+        FakeResponse::WriteAndClose(answer.into_bytes())
     })
     .await;
     let entry = entry(&[backend.address]).await;
@@ -133,9 +136,11 @@
 }
 
 #[tokio::test]
-async fn an_overloaded_backends_word_alone_is_no_proof() {
-    let backend =
-        fake(|_, seen| Act::Write(seen.answer("503 Service Unavailable", "", "busy"))).await;
+async fn a_503_without_the_outcome_header_does_not_prove_not_run() {
+    let backend = fake_backend(|_, received| {
+        FakeResponse::Write(received.answer("503 Service Unavailable", "", "busy"))
+    })
+    .await;
     let entry = entry(&[backend.address]).await;
 
     let got = call(entry.address, &head("POST", ""), "order").await;
@@ -143,17 +148,20 @@
     assert_eq!((got.status, got.outcome(), backend.requests()), (503, "answered", 1));
 }
 
-/// A backend server refuses connections, those of other entry VMs too.
-/// One entry VM has opened more than its part of them.
+/// Guards against one entry VM that opens more than its share of connections, so that a backend
+/// server refuses connections, also those of other entry VMs.
 #[tokio::test]
-async fn no_more_connections_are_opened_than_are_this_entry_vms() {
+async fn an_entry_vm_opens_no_more_than_its_share_of_connections() {
     let wait = std::time::Duration::from_millis(100);
-    let backend = fake(move |_, seen| Act::Later(wait, seen.answer("200 OK", "", ""))).await;
+    let backend = fake_backend(move |_, received| {
+        FakeResponse::WriteAfter(wait, received.answer("200 OK", "", ""))
+    })
+    .await;
     let entry = entry(&[backend.address]).await;
 
     let calls = (0..40).map(|_| call(entry.address, "GET / HTTP/1.1\r\ndaisy-service: quote", ""));
     futures::future::join_all(calls).await;
 
-    // Eight slots; connections that stay idle are used again.
+    // There are eight slots, and idle connections are reused.
     assert!(backend.connections() <= 8, "{}", backend.connections());
 }
