--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -185,7 +185,7 @@
                 let next = self.load_peer_state(now, &bytes);
                 let _ = ack.send(next);
             }
-            Input::Expired { first, ack } => {
+            Input::LogExpired { first, ack } => {
                 let next = self.handle_log_expired(first);
                 let _ = ack.send(next);
             }
@@ -204,7 +204,7 @@
                 self.step_membership(now, Event::Heartbeat(beat));
             }
             Input::Replicas(replicas) => self.handle_replicas(replicas),
-            Input::Worker { issuer, epoch, vm, outcome } => {
+            Input::WorkerCallEnded { issuer, epoch, vm, outcome } => {
                 self.handle_worker_answer(now, (issuer, epoch), vm, outcome);
             }
             Input::WorkerUpdate { epoch, vm, update } => {
@@ -213,7 +213,7 @@
             Input::Question { question, reply } => {
                 let _ = reply.send(self.answer_peer(now, question));
             }
-            Input::Encode { reply } => {
+            Input::EncodeState { reply } => {
                 let _ = reply.send(self.encode());
             }
             Input::Submit { record, reply } => self.submit(record, reply),
@@ -224,7 +224,7 @@
                 let _ = reply.send(self.status(now));
             }
             Input::Stop => self.step_membership(now, Event::Stop),
-            Input::Flushed { reply } => self.notify_when_flushed(reply),
+            Input::NotifyWhenFlushed { reply } => self.notify_when_flushed(reply),
         }
     }
 
--- a/daisy-entry/src/control/fold.rs
+++ b/daisy-entry/src/control/fold.rs
@@ -77,7 +77,7 @@
         self.out.tail.push(offset, bytes.clone());
         self.snapshots.record_folded(now, &self.state, bytes.len());
         if self.state.generation != generation {
-            self.config = Some((offset, self.clock.wall()));
+            self.config = Some((offset, self.clock.wall_time()));
         }
         self.process_outcomes(now, &batch, applied);
         FoldProgress::Continue
--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -31,7 +31,7 @@
 
 impl Driver {
     /// Returns the holder, unless there is none or it is suspended.
-    pub(super) fn active(&mut self) -> Option<&mut Holder> {
+    pub(super) fn active_holder(&mut self) -> Option<&mut Holder> {
         self.holder.as_mut().filter(|_| !self.suspended)
     }
 }
@@ -85,7 +85,7 @@
 
     /// Passes an event to the holder, if there is one, and executes the resulting actions.
     pub(super) fn drive_holder(&mut self, now: Instant, event: Event<'_>) {
-        let Some(holder) = self.driver.active() else { return };
+        let Some(holder) = self.driver.active_holder() else { return };
         let mut actions = Vec::new();
         holder.step(now, event, &mut actions);
         self.execute_for(CallIssuer::Holder, actions);
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -28,7 +28,7 @@
         ack: oneshot::Sender<Offset>,
     },
     /// The log no longer retains the requested offset.
-    Expired {
+    LogExpired {
         /// The first retained offset.
         first: Offset,
         /// Receives the offset from which to read on.
@@ -57,7 +57,7 @@
     /// The replicas of services, received from a peer.
     Replicas(Arc<Replicas>),
     /// A call to a worker has ended.
-    Worker {
+    WorkerCallEnded {
         /// The issuer of the call.
         issuer: CallIssuer,
         /// The epoch of the call.
@@ -84,7 +84,7 @@
         reply: oneshot::Sender<Answer>,
     },
     /// A peer's request for the whole state.
-    Encode {
+    EncodeState {
         /// Receives the offset of the next record and the encoded state.
         reply: oneshot::Sender<(Offset, Vec<u8>)>,
     },
@@ -108,7 +108,7 @@
     /// A planned stop begins.
     Stop,
     /// A request to be notified when all queued records are in the log.
-    Flushed {
+    NotifyWhenFlushed {
         /// Notified once the queue is empty.
         reply: oneshot::Sender<()>,
     },
--- a/daisy-entry/src/control/publish.rs
+++ b/daisy-entry/src/control/publish.rs
@@ -19,8 +19,9 @@
     /// Sends the current heartbeat to a peer, with requests in flight and replicas.
     pub(super) fn send_update(&mut self, now: Instant, vm: VmId) {
         self.reset_if_unresponsive(now, vm);
-        let near = self.membership.peers().get(vm).is_some_and(|it| it.dc == self.identity.dc);
-        let mut in_flight = match near {
+        let is_same_dc =
+            self.membership.peers().get(vm).is_some_and(|it| it.dc == self.identity.dc);
+        let mut in_flight = match is_same_dc {
             true => self.requests.in_flight(),
             false => Vec::new(),
         };
@@ -28,7 +29,7 @@
         let update = PeerUpdate {
             beat: self.membership.heartbeat(now),
             in_flight: Arc::new(in_flight),
-            replicas: self.replicas_for(now, near),
+            replicas: self.replicas_for(now, is_same_dc),
         };
         self.out.links.send(vm, Command::Update(update));
     }
@@ -53,17 +54,20 @@
 
     /// Returns the replicas to send to a peer: the speaker of a data centre sends the own ones to
     /// other data centres, and all of them to peers in its own.
-    fn replicas_for(&self, now: Instant, near: bool) -> Vec<Arc<Replicas>> {
+    fn replicas_for(&self, now: Instant, is_same_dc: bool) -> Vec<Arc<Replicas>> {
         if !self.membership.speaks(now) {
             return Vec::new();
         }
         let known = self.replicas.iter();
-        known.filter(|(dc, _)| near || **dc == self.identity.dc).map(|(_, it)| it.clone()).collect()
+        known
+            .filter(|(dc, _)| is_same_dc || **dc == self.identity.dc)
+            .map(|(_, it)| it.clone())
+            .collect()
     }
 
     /// Updates the replicas of the own data centre, if they have changed, for sending to peers.
     pub(super) fn publish_replicas(&mut self) {
-        let Some(holder) = self.driver.active() else { return };
+        let Some(holder) = self.driver.active_holder() else { return };
         let (dc, epoch) = (self.identity.dc, holder.epoch());
         let known = self.replicas.get(&dc);
         let all = replicas::of_holder(holder, known);
--- a/daisy-entry/src/control/query_data.rs
+++ b/daisy-entry/src/control/query_data.rs
@@ -42,31 +42,31 @@
 
     /// Returns what this entry VM knows as a holder, or `None` if it is not a holder.
     pub(super) fn live(&mut self, now: Instant) -> Option<Live> {
-        let wall = self.clock.wall();
-        let holder = self.driver.active()?;
-        Some(live_of(holder, &Times { now, wall }))
+        let wall_time = self.clock.wall_time();
+        let holder = self.driver.active_holder()?;
+        Some(build_live(holder, &Times { now, wall_time }))
     }
 }
 
 /// The same point in time on both clocks.
 struct Times {
     now: Instant,
-    wall: WallTime,
+    wall_time: WallTime,
 }
 
 impl Times {
     fn wall_of(&self, at: Instant) -> WallTime {
         let ago = u64::try_from(self.now.since(at).as_millis()).unwrap_or(u64::MAX);
-        WallTime(self.wall.0.saturating_sub(ago))
+        WallTime(self.wall_time.0.saturating_sub(ago))
     }
 
-    fn reason(&self, subject: &Subject, noted: &TimedReason) -> Reason {
-        let text = noted.reason.to_string().into();
-        Reason { at: self.wall_of(noted.at), subject: subject.clone(), text }
+    fn reason(&self, subject: &Subject, timed_reason: &TimedReason) -> Reason {
+        let text = timed_reason.reason.to_string().into();
+        Reason { at: self.wall_of(timed_reason.at), subject: subject.clone(), text }
     }
 }
 
-fn live_of(holder: &Holder, times: &Times) -> Live {
+fn build_live(holder: &Holder, times: &Times) -> Live {
     let mut live = Live::default();
     for task in holder.checked_out_tasks() {
         let notes = holder.reasons(task.task);
@@ -97,8 +97,8 @@
         };
         live.workers.insert(worker.vm, known);
     }
-    for (job, noted) in holder.waiting_jobs() {
-        live.reasons.push(times.reason(&Subject::Job(job), &noted));
+    for (job, timed_reason) in holder.waiting_jobs() {
+        live.reasons.push(times.reason(&Subject::Job(job), &timed_reason));
     }
     live.reasons.sort_by_key(|it| it.at);
     live
--- a/daisy-entry/src/control/ready.rs
+++ b/daisy-entry/src/control/ready.rs
@@ -27,17 +27,17 @@
     /// callers until a heartbeat tells it where services run; during a rolling restart callers
     /// would see rejections at each step.
     pub(super) fn publish_readiness(&mut self, now: Instant) {
-        let shown = *self.out.ready.borrow();
+        let published = *self.out.ready.borrow();
         let ready = self.ready_since.is_some_and(|since| {
-            shown || self.is_any_backend_known() || now.since(since) >= REPLICAS_TIMEOUT
+            published || self.is_any_backend_known() || now.since(since) >= REPLICAS_TIMEOUT
         });
         let next = self.state.next;
-        self.out.ready.send_if_modified(|shown| {
-            let changed = *shown != ready;
+        self.out.ready.send_if_modified(|published| {
+            let changed = *published != ready;
             if changed {
                 log::info!("event=ready value={ready} next={next}");
             }
-            *shown = ready;
+            *published = ready;
             changed
         });
     }
--- a/daisy-entry/src/control/restore.rs
+++ b/daisy-entry/src/control/restore.rs
@@ -27,26 +27,32 @@
     /// The offset that the last complete snapshot in the log covers.
     through: Option<Offset>,
     /// When this process first saw that snapshot.
-    seen: Instant,
+    first_seen_at: Instant,
     /// Bytes folded since then.
     bytes: u64,
     /// The first record that the log retains.
     first: Offset,
     /// The end offset of the state that this process last wrote as a snapshot.
-    written: Option<Offset>,
+    last_written_end: Option<Offset>,
 }
 
 impl Snapshots {
     /// Creates a tracker that knows no snapshot.
     pub fn new(now: Instant) -> Snapshots {
-        Snapshots { through: None, seen: now, bytes: 0, first: Offset(0), written: None }
+        Snapshots {
+            through: None,
+            first_seen_at: now,
+            bytes: 0,
+            first: Offset(0),
+            last_written_end: None,
+        }
     }
 
     /// Records that an entry of `bytes` bytes was folded.
     pub fn record_folded(&mut self, now: Instant, state: &State, bytes: usize) {
         let through = state.snapshot.map(|mark| mark.through);
         if through != self.through {
-            (self.through, self.seen, self.bytes) = (through, now, 0);
+            (self.through, self.first_seen_at, self.bytes) = (through, now, 0);
         }
         self.bytes += bytes as u64;
     }
@@ -62,13 +68,13 @@
     /// The platform does not publish its retention. If the log drops records sooner than the
     /// settings say, snapshots are written sooner as well.
     fn due(&self, now: Instant, state: &State, rank: u32, retention: Duration) -> bool {
-        if self.written.is_some_and(|it| self.through.is_none_or(|through| through < it)) {
+        if self.last_written_end.is_some_and(|it| self.through.is_none_or(|through| through < it)) {
             // The snapshot of this process is being appended.
             return false;
         }
         let from = self.through.unwrap_or_default();
         let entries = state.next.0.saturating_sub(from.0);
-        let since = Since { entries, bytes: self.bytes, age: now.since(self.seen) };
+        let since = Since { entries, bytes: self.bytes, age: now.since(self.first_seen_at) };
         let options = snapshot::Options::for_retention(retention);
         // The log drops records: a third of the retained ones may pass before the next snapshot.
         let retained = state.next.0.saturating_sub(self.first.0);
@@ -134,7 +140,7 @@
         log::info!("event=state_adopted next={} generation={}", state.next, state.generation);
         if state.generation != self.state.generation {
             let offset = Offset(state.generation.0.saturating_sub(1));
-            self.config = Some((offset, self.clock.wall()));
+            self.config = Some((offset, self.clock.wall_time()));
         }
         self.state = Arc::new(state);
         self.restore = None;
@@ -162,7 +168,7 @@
             Ok(records) => {
                 let (next, parts) = (self.state.next, records.len());
                 log::info!("event=snapshot through={next} parts={parts}");
-                self.snapshots.written = Some(next);
+                self.snapshots.last_written_end = Some(next);
                 records.into_iter().for_each(|record| self.append(record));
             }
             Err(e) => log::error!("event=snapshot_failed cause=\"{e}\""),
--- a/daisy-entry/src/entry.rs
+++ b/daisy-entry/src/entry.rs
@@ -224,7 +224,7 @@
         let _ = self.control.send(Input::Stop).await;
         self.proxy.drain().await;
         let (reply, flushed) = oneshot::channel();
-        let _ = self.control.send(Input::Flushed { reply }).await;
+        let _ = self.control.send(Input::NotifyWhenFlushed { reply }).await;
         if timeout(FLUSH_TIMEOUT, flushed).await.is_err() {
             log::warn!(
                 "event=stopped_with_unsent cause=\"the log did not accept all records in time\""
--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -36,7 +36,7 @@
         let source = text.get(span).unwrap_or_default().trim();
         let result = match statement {
             Statement::Change { command, condition } => {
-                change(port, &who, source, command, condition).await
+                submit_change(port, &who, source, command, condition).await
             }
             other => answer_query(port, &other).await,
         };
@@ -53,7 +53,7 @@
 }
 
 /// Appends a change and waits until the fold has processed it.
-async fn change(
+async fn submit_change(
     port: &OperatorContext,
     who: &Name,
     source: &str,
@@ -64,7 +64,7 @@
         Command::Create(spec) => Some(spec.clone()),
         _ => None,
     };
-    let at = port.clock.wall();
+    let at = port.clock.wall_time();
     let change = Change { who: who.clone(), at, text: source.into(), command, condition };
     let (reply, outcome) = oneshot::channel();
     let record = Record::Change(change);
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -66,7 +66,7 @@
         AllowedPeers { addresses }
     }
 
-    fn has(&self, address: SocketAddr) -> bool {
+    fn is_allowed(&self, address: SocketAddr) -> bool {
         self.addresses.is_empty() || self.addresses.contains(&address.ip())
     }
 }
@@ -94,7 +94,7 @@
                     continue;
                 }
             };
-            if !self.allowed.has(address) {
+            if !self.allowed.is_allowed(address) {
                 log::warn!("event=peer_refused address={address} cause=not_allowed");
                 continue;
             }
@@ -104,7 +104,7 @@
             };
             let server = self.clone();
             tokio::spawn(async move {
-                if let Err(e) = server.connection(socket).await {
+                if let Err(e) = server.serve_connection(socket).await {
                     log::debug!("event=peer_connection_broken address={address} cause=\"{e:#}\"");
                 }
                 drop(permit);
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn connection(&self, socket: TcpStream) -> anyhow::Result<()> {
+    async fn serve_connection(&self, socket: TcpStream) -> anyhow::Result<()> {
         socket.set_nodelay(true)?;
         let mut builder = server::Builder::new();
         builder
@@ -127,7 +127,7 @@
             let (req, respond) = accepted?;
             let server = self.clone();
             tokio::spawn(async move {
-                if let Err(e) = server.stream(req, respond).await {
+                if let Err(e) = server.serve_stream(req, respond).await {
                     log::warn!("event=peer_stream_refused cause=\"{e:#}\"");
                 }
             });
@@ -135,21 +135,21 @@
         Ok(())
     }
 
-    async fn stream(
+    async fn serve_stream(
         &self,
         req: Request<RecvStream>,
         mut respond: SendResponse<Bytes>,
     ) -> anyhow::Result<()> {
         let (parts, body) = req.into_parts();
-        let Some(from) = sender(&parts.headers) else {
+        let Some(from) = read_sender(&parts.headers) else {
             reject(&mut respond, StatusCode::BAD_REQUEST)?;
             anyhow::bail!("header {} is missing or malformed", headers::FROM);
         };
         let receiver = Receiver::new(body, MESSAGE_LIMIT);
         match parts.uri.path() {
-            NOTICES => self.notices(from, receiver, respond).await,
-            RECORDS => self.records(receiver, respond).await,
-            QUESTION => self.question(from, receiver, respond).await,
+            NOTICES => self.serve_notices(from, receiver, respond).await,
+            RECORDS => self.serve_records(receiver, respond).await,
+            QUESTION => self.serve_question(from, receiver, respond).await,
             other => {
                 reject(&mut respond, StatusCode::NOT_FOUND)?;
                 anyhow::bail!("unknown path {other:?}")
@@ -158,7 +158,7 @@
     }
 
     /// Handles a peer's notices until the peer ends the stream.
-    async fn notices(
+    async fn serve_notices(
         &self,
         from: VmId,
         mut receiver: Receiver,
@@ -191,7 +191,7 @@
     }
 
     /// Forwards the log's records until the peer closes the stream.
-    async fn records(
+    async fn serve_records(
         &self,
         mut receiver: Receiver,
         mut respond: SendResponse<Bytes>,
@@ -230,11 +230,11 @@
 
     async fn snapshot(&self) -> anyhow::Result<(Offset, Vec<u8>)> {
         let (reply, encoded) = oneshot::channel();
-        self.control.send(Input::Encode { reply }).await.context("stopping")?;
+        self.control.send(Input::EncodeState { reply }).await.context("stopping")?;
         encoded.await.context("stopping")
     }
 
-    async fn question(
+    async fn serve_question(
         &self,
         from: VmId,
         mut receiver: Receiver,
@@ -283,7 +283,7 @@
     respond.send_response(response, true).map(drop)
 }
 
-fn sender(map: &HeaderMap) -> Option<VmId> {
+fn read_sender(map: &HeaderMap) -> Option<VmId> {
     map.get(headers::FROM)?.to_str().ok()?.parse().ok().map(VmId)
 }
 
--- a/daisy-entry/src/platform.rs
+++ b/daisy-entry/src/platform.rs
@@ -83,7 +83,7 @@
             .body(Full::new(bytes))
             .map_err(malformed)?;
         let reply = self.http.call(req, CALL_TIMEOUT, ANSWER_LIMIT).await?;
-        let Appended { offset } = json(&checked(reply)?)?;
+        let Appended { offset } = parse_json(&check_status(reply)?)?;
         Ok(Offset(offset))
     }
 
@@ -95,10 +95,10 @@
         let req = req.body(Full::default()).map_err(malformed)?;
         let reply = self.http.call(req, wait + CALL_TIMEOUT, ANSWER_LIMIT).await?;
         if reply.status == StatusCode::GONE {
-            let Expired { first } = json(&reply)?;
+            let Expired { first } = parse_json(&reply)?;
             return Ok(Read::Expired(Offset(first)));
         }
-        let page: LogPage = json(&checked(reply)?)?;
+        let page: LogPage = parse_json(&check_status(reply)?)?;
         let records = page
             .records
             .iter()
@@ -120,13 +120,13 @@
         if reply.status == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
-        let list: VmList = json(&checked(reply)?)?;
+        let list: VmList = parse_json(&check_status(reply)?)?;
         let vms = list.vms.into_iter().map(Vm::try_from).collect::<Result<_, WireError>>()?;
         Ok(Some(VmListing { version: list.version, vms }))
     }
 }
 
-fn checked(reply: Reply) -> Result<Reply, PlatformError> {
+fn check_status(reply: Reply) -> Result<Reply, PlatformError> {
     match reply.status {
         StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::Busy),
         status if status.is_success() => Ok(reply),
@@ -134,7 +134,7 @@
     }
 }
 
-fn json<T: DeserializeOwned>(reply: &Reply) -> Result<T, PlatformError> {
+fn parse_json<T: DeserializeOwned>(reply: &Reply) -> Result<T, PlatformError> {
     let value = serde_json::from_slice(&reply.body);
     Ok(value.map_err(|e| WireError::Malformed(e.to_string()))?)
 }
--- a/daisy-entry/src/process.rs
+++ b/daisy-entry/src/process.rs
@@ -22,7 +22,7 @@
     }
     tokio::select! {
         () = entry.stop() => {}
-        () = ignore(&mut term) => {}
+        () = ignore_sigterm(&mut term) => {}
     }
     Ok(())
 }
@@ -31,7 +31,7 @@
 ///
 /// Guard: the platform may send SIGTERM again while the stop is in progress; the signal's default
 /// action would then cut requests off. Caught and logged, it has no effect.
-async fn ignore(term: &mut Signal) {
+async fn ignore_sigterm(term: &mut Signal) {
     while term.recv().await.is_some() {
         log::info!("event=signal_ignored signal=SIGTERM cause=stopping");
     }
--- a/daisy-entry/src/proxy.rs
+++ b/daisy-entry/src/proxy.rs
@@ -131,7 +131,7 @@
         let requests = Requests { core: Arc::clone(&self.core), peers: self.peers.clone() };
         let served = async {
             serve::serve(requests, listener, own, self.stage.subscribe()).await;
-            self.leave().await;
+            self.hand_over_all_keys().await;
         };
         tokio::select! {
             () = served => {}
@@ -142,7 +142,7 @@
     }
 
     /// Waits for keyed requests whose callers have disconnected, then hands the keys over.
-    async fn leave(&self) {
+    async fn hand_over_all_keys(&self) {
         let _ = self.core.keyed.acquire_many(MAX_KEYED_IN_PROGRESS).await;
         let messages = lock(&self.core.keys).leave(self.core.clock.now());
         keyed::hand_over(&self.core, &self.peers, messages, keyed::LEAVE_HANDOVER_TIMEOUT).await;
--- a/daisy-entry/src/proxy/body.rs
+++ b/daisy-entry/src/proxy/body.rs
@@ -33,7 +33,7 @@
 
 /// A request's body in transit to a backend server.
 #[derive(Debug)]
-pub(super) enum Outgoing {
+pub(super) enum RequestBody {
     /// Held in memory, so that it can be sent again.
     Buffered(Full<Bytes>),
     /// Streamed as it arrives; it can be sent only once.
@@ -47,7 +47,7 @@
     },
 }
 
-impl Body for Outgoing {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -56,10 +56,10 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
-            Outgoing::Buffered(full) => {
+            RequestBody::Buffered(full) => {
                 Pin::new(full).poll_frame(cx).map_err(|never| match never {})
             }
-            Outgoing::Streamed { inner, left, limit } => {
+            RequestBody::Streamed { inner, left, limit } => {
                 let frame = ready!(Pin::new(inner).poll_frame(cx)).transpose()?;
                 let length = frame.as_ref().and_then(Frame::data_ref).map_or(0, Bytes::len) as u64;
                 match left.checked_sub(length) {
@@ -73,15 +73,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Buffered(full) => full.is_end_stream(),
-            Outgoing::Streamed { inner, .. } => inner.is_end_stream(),
+            RequestBody::Buffered(full) => full.is_end_stream(),
+            RequestBody::Streamed { inner, .. } => inner.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Buffered(full) => full.size_hint(),
-            Outgoing::Streamed { inner, .. } => inner.size_hint(),
+            RequestBody::Buffered(full) => full.size_hint(),
+            RequestBody::Streamed { inner, .. } => inner.size_hint(),
         }
     }
 }
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -17,7 +17,7 @@
 
 use crate::proxy::{
     answer::ANSWERED,
-    body::{AnswerBody, Outgoing, Streamed},
+    body::{AnswerBody, RequestBody, Streamed},
     core::Core,
     guard::{AnswerGuard, TryGuard},
     pool::{Lease, PoolError},
@@ -110,7 +110,7 @@
         ForwardedRequest { parts, id, deadline }
     }
 
-    fn request(&self, body: Outgoing, target: &Target, now: Instant) -> Request<Outgoing> {
+    fn request(&self, body: RequestBody, target: &Target, now: Instant) -> Request<RequestBody> {
         let mut parts = self.parts.clone();
         let left = self.deadline.since(now).as_millis() as u64;
         parts.headers.insert(headers::DEADLINE_MS, HeaderValue::from(left));
@@ -128,7 +128,7 @@
     core: &Arc<Core>,
     target: Target,
     forwarded: &ForwardedRequest,
-    body: Outgoing,
+    body: RequestBody,
 ) -> Result<Response<AnswerBody>, TryError> {
     let mut guard = TryGuard::new(Arc::clone(core), target.try_id);
     let sent = send(core, &target, forwarded, body);
@@ -159,7 +159,7 @@
     core: &Core,
     target: &Target,
     forwarded: &ForwardedRequest,
-    body: Outgoing,
+    body: RequestBody,
 ) -> Result<(Lease, Response<Incoming>), TryError> {
     let leased = core.pool.lease(target.address, target.connections).await;
     let mut lease = leased.map_err(|err| {
@@ -184,7 +184,7 @@
 }
 
 /// Only a request that hyper returns was certainly not written.
-fn classify_send_error(mut err: TrySendError<Request<Outgoing>>, target: &Target) -> TryError {
+fn classify_send_error(mut err: TrySendError<Request<RequestBody>>, target: &Target) -> TryError {
     let unwritten = err.take_message().is_some();
     log::debug!("event=try_failed vm={} unwritten={unwritten} error={:?}", target.vm, err.error());
     if unwritten { TryError::NotSent } else { TryError::Broken }
--- a/daisy-entry/src/proxy/head.rs
+++ b/daisy-entry/src/proxy/head.rs
@@ -66,7 +66,7 @@
             return Err(HeadError::Method);
         }
         let map = &parts.headers;
-        let service = one(map, headers::SERVICE)?.ok_or(HeadError::MissingService)?;
+        let service = single_value(map, headers::SERVICE)?.ok_or(HeadError::MissingService)?;
         let service = Name::new(service).map_err(|_| HeadError::Malformed(headers::SERVICE))?;
         let idempotent = parts.method.is_idempotent();
         let key = read_key(map)?;
@@ -89,7 +89,7 @@
     map.contains_key(headers::IDEMPOTENCY_KEY) && !first
 }
 
-fn one<'a>(map: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, HeadError> {
+fn single_value<'a>(map: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, HeadError> {
     let mut values = map.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
@@ -99,13 +99,13 @@
 }
 
 fn read_deadline(map: &HeaderMap) -> Result<Duration, HeadError> {
-    let Some(text) = one(map, headers::DEADLINE_MS)? else { return Ok(DEFAULT_DEADLINE) };
+    let Some(text) = single_value(map, headers::DEADLINE_MS)? else { return Ok(DEFAULT_DEADLINE) };
     let millis = read_number(text).ok_or(HeadError::Malformed(headers::DEADLINE_MS))?;
     Ok(Duration::from_millis(millis).min(MAX_DEADLINE))
 }
 
 fn read_urgency(map: &HeaderMap) -> Result<Urgency, HeadError> {
-    match one(map, headers::PRIORITY)? {
+    match single_value(map, headers::PRIORITY)? {
         None | Some("normal") => Ok(Urgency::Normal),
         Some("critical") => Ok(Urgency::Critical),
         Some("low") => Ok(Urgency::Low),
@@ -114,7 +114,7 @@
 }
 
 fn read_caller(map: &HeaderMap, address: std::net::IpAddr) -> Result<CallerId, HeadError> {
-    let id = match one(map, headers::CALLER)? {
+    let id = match single_value(map, headers::CALLER)? {
         Some(name) => daisy_routing::digest(name.as_bytes()),
         None => match address {
             std::net::IpAddr::V4(ip) => daisy_routing::digest(&ip.octets()),
@@ -125,19 +125,19 @@
 }
 
 fn read_key(map: &HeaderMap) -> Result<Option<Key>, HeadError> {
-    let repeated = match one(map, headers::ATTEMPT)? {
+    let repeated = match single_value(map, headers::ATTEMPT)? {
         None => false,
         Some(text) => match read_number(text) {
             None | Some(0) => return Err(HeadError::Malformed(headers::ATTEMPT)),
             Some(attempt) => attempt > 1,
         },
     };
-    let logged = match one(map, headers::AT_MOST_ONCE)? {
+    let logged = match single_value(map, headers::AT_MOST_ONCE)? {
         None => false,
         Some("log") => true,
         Some(_) => return Err(HeadError::Malformed(headers::AT_MOST_ONCE)),
     };
-    let Some(key) = one(map, headers::IDEMPOTENCY_KEY)? else { return Ok(None) };
+    let Some(key) = single_value(map, headers::IDEMPOTENCY_KEY)? else { return Ok(None) };
     let visible = key.bytes().all(|b| b.is_ascii_graphic());
     if key.is_empty() || key.len() > MAX_KEY || !visible {
         return Err(HeadError::Malformed(headers::IDEMPOTENCY_KEY));
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -55,7 +55,7 @@
 
 /// One attempt of a keyed request.
 #[derive(Debug, Clone)]
-pub(super) struct Keyed<K> {
+pub(super) struct KeyedRequest<K> {
     pub(super) core: Arc<Core>,
     pub(super) peers: K,
     pub(super) id: KeyId,
@@ -64,7 +64,7 @@
     pub(super) deadline: Instant,
 }
 
-impl<K: PeerKeys<KeyQuery, KeyAnswer>> Keyed<K> {
+impl<K: PeerKeys<KeyQuery, KeyAnswer>> KeyedRequest<K> {
     /// Claims the key at its home and, for a repeated attempt, in every data centre.
     pub(super) async fn claim(&self) -> Result<ClaimResult, Failure> {
         let started_at = self.core.clock.now();
@@ -98,7 +98,7 @@
                 }
                 KeyStep::Stop(denial) | KeyStep::Wait(denial) => denial,
             };
-            if !self.may_wait(denial, started_at, pause) {
+            if !self.may_retry_claim(denial, started_at, pause) {
                 if denial == KeyDenial::Unreachable {
                     self.finish(claim, ClaimEnd::NotRun).await;
                 }
@@ -179,7 +179,7 @@
 
     /// Returns whether another claim may succeed before the request's deadline or the timeout for
     /// its home.
-    fn may_wait(&self, denial: KeyDenial, started_at: Instant, pause: Duration) -> bool {
+    fn may_retry_claim(&self, denial: KeyDenial, started_at: Instant, pause: Duration) -> bool {
         let next = self.core.clock.now() + pause;
         let end = match denial {
             KeyDenial::Running => self.deadline,
--- a/daisy-entry/src/proxy/pool.rs
+++ b/daisy-entry/src/proxy/pool.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use crate::proxy::body::Outgoing;
+use crate::proxy::body::RequestBody;
 
 /// Why no connection could be obtained; nothing was sent.
 #[derive(Debug, thiserror::Error)]
@@ -53,7 +53,7 @@
 
 #[derive(Debug)]
 struct IdleConnection {
-    tx: SendRequest<Outgoing>,
+    tx: SendRequest<RequestBody>,
 }
 
 /// Counts one open connection until its driver task ends.
@@ -73,7 +73,7 @@
 pub(super) struct Lease {
     host: Arc<BackendConnections>,
     /// Where requests are sent.
-    pub(super) tx: SendRequest<Outgoing>,
+    pub(super) tx: SendRequest<RequestBody>,
 }
 
 impl Lease {
--- a/daisy-entry/src/proxy/request.rs
+++ b/daisy-entry/src/proxy/request.rs
@@ -18,7 +18,7 @@
         core::{AdmissionResult, Core},
         forward::ForwardedRequest,
         head::{self, Head, Key},
-        keyed::{ClaimResult, Keyed},
+        keyed::{ClaimResult, KeyedRequest},
         stored,
         tries::{self, Payload, ProxiedRequest},
     },
@@ -107,7 +107,7 @@
         let id = KeyId { service: proxied.call.service.clone(), key: key.key.clone() };
         let deadline = proxied.call.deadline;
         let Requests { core, peers } = self.clone();
-        let keyed = Keyed { core, peers, id, request_digest, key, deadline };
+        let keyed = KeyedRequest { core, peers, id, request_digest, key, deadline };
         let permit = self.core.keyed.clone().acquire_owned().await;
         let task = tokio::spawn(async move {
             let answer = run_claimed(keyed, proxied).await;
@@ -129,7 +129,7 @@
 }
 
 async fn run_claimed<K: PeerKeys<KeyQuery, KeyAnswer>>(
-    keyed: Keyed<K>,
+    keyed: KeyedRequest<K>,
     proxied: ProxiedRequest,
 ) -> Result<Response<AnswerBody>, Failure> {
     let claim = match keyed.claim().await? {
--- a/daisy-entry/src/proxy/tries.rs
+++ b/daisy-entry/src/proxy/tries.rs
@@ -11,7 +11,7 @@
 
 use crate::proxy::{
     answer::Failure,
-    body::{AnswerBody, Outgoing},
+    body::{AnswerBody, RequestBody},
     core::Core,
     forward::{ForwardedRequest, TryError, try_once},
 };
@@ -52,7 +52,7 @@
     let bytes = match payload {
         Payload::Buffered(bytes) => bytes,
         Payload::Streamed { inner, limit } => {
-            let body = Outgoing::Streamed { inner, left: limit, limit };
+            let body = RequestBody::Streamed { inner, left: limit, limit };
             let tried = try_once(core, target, &forwarded, body).await;
             return tried.map_err(|err| failure(core, &call, err));
         }
@@ -109,8 +109,8 @@
     }
 }
 
-fn buffered(bytes: &Bytes) -> Outgoing {
-    Outgoing::Buffered(Full::new(bytes.clone()))
+fn buffered(bytes: &Bytes) -> RequestBody {
+    RequestBody::Buffered(Full::new(bytes.clone()))
 }
 
 fn failure(core: &Core, call: &Call, err: TryError) -> Failure {
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -80,7 +80,7 @@
             }
             Ok(Read::Expired(first)) => {
                 log::warn!("event=log_expired from={next} first={first}");
-                self.deliver(next, |ack| Input::Expired { first, ack }).await?;
+                self.deliver(next, |ack| Input::LogExpired { first, ack }).await?;
                 // A cold start that fails starts over, but not in a tight loop.
                 Ok(false)
             }
--- a/daisy-entry/src/vm_list.rs
+++ b/daisy-entry/src/vm_list.rs
@@ -35,7 +35,7 @@
             Err(e) => {
                 log::debug!("event=vm_list_failed cause=\"{e}\"");
                 pause = (pause * 2).min(MAX_PAUSE.max(period));
-                from_peer(&links, version).await.map(Input::PeerVms)
+                list_from_peer(&links, version).await.map(Input::PeerVms)
             }
         };
         if let Some(Input::Vms(listing) | Input::PeerVms(listing)) = &input {
@@ -55,7 +55,7 @@
 /// Guard: an entry VM that alone is cut off from the platform would send requests to backend
 /// servers that have long been removed, and would not learn of new peers. It is unknown which peer
 /// has a newer list, so each time a peer is chosen at random.
-async fn from_peer(links: &Links, known: Option<u64>) -> Option<VmListing> {
+async fn list_from_peer(links: &Links, known: Option<u64>) -> Option<VmListing> {
     let peer = links.any_peer()?;
     match links.ask(peer, Question::Vms { known }, PEER_TIMEOUT).await? {
         Answer::Vms { version, vms } => {
--- a/daisy-entry/src/worker_calls.rs
+++ b/daisy-entry/src/worker_calls.rs
@@ -47,7 +47,7 @@
             Some(address) => exchange(&target.http, address, call, seen).await,
             None => Err(CallFailure { sent: false }),
         };
-        let _ = target.control.send(Input::Worker { issuer, epoch, vm, outcome }).await;
+        let _ = target.control.send(Input::WorkerCallEnded { issuer, epoch, vm, outcome }).await;
     });
 }
 
