--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -120,7 +120,7 @@
         outcome: Result<WorkerAnswer, CallFailure>,
     ) {
         self.out.metrics.worker_call(outcome.is_ok());
-        let outcome = outcome.and_then(|answered| self.complete_report(vm, answered));
+        let outcome = outcome.and_then(|answer| self.complete_report(vm, answer));
         match issuer {
             CallIssuer::LeaseRenewer
                 if self.driver.lease_renewer.as_ref().is_some_and(|it| it.0 == epoch) =>
@@ -142,8 +142,8 @@
                         self.drive_holder(now, Event::Report { vm, report });
                         self.wait_for_update(vm, epoch);
                     }
-                    Err(silence) => {
-                        self.drive_holder(now, Event::CallFailed { vm, sent: silence.sent })
+                    Err(failure) => {
+                        self.drive_holder(now, Event::CallFailed { vm, sent: failure.sent })
                     }
                 }
             }
@@ -156,10 +156,10 @@
     fn complete_report(
         &mut self,
         vm: VmId,
-        answered: WorkerAnswer,
+        answer: WorkerAnswer,
     ) -> Result<WorkerReport, CallFailure> {
         let mirror = self.driver.mirrors.get_or_insert_with(vm, Mirror::new);
-        mirror.take(&answered.orders, answered.report).ok_or(CallFailure { sent: true })
+        mirror.take(&answer.orders, answer.report).ok_or(CallFailure { sent: true })
     }
 
     /// Starts a wait for a worker's next update, unless one is pending.
--- a/daisy-entry/src/control/routes.rs
+++ b/daisy-entry/src/control/routes.rs
@@ -42,9 +42,9 @@
 
 /// Returns the entry VMs that are alive as far as this one knows, itself included.
 ///
-/// Starting and stopping ones are included: they have connections to backend servers, and keys. Not
-/// every entry VM of another data centre sends heartbeats to this one; for those the VM list
-/// decides.
+/// Starting and stopping ones are included: they have connections to backend servers, and keys.
+/// This entry VM does not receive heartbeats from every entry VM of other data centres; those are
+/// included if the platform lists them.
 pub(crate) fn entries(now: Instant, dc: DcId, membership: &Membership) -> Vec<(DcId, VmId)> {
     let options = membership.options();
     let peers = membership.peers();
--- a/daisy-entry/src/control/status.rs
+++ b/daisy-entry/src/control/status.rs
@@ -15,7 +15,7 @@
     pub ready: bool,
     /// `starting`, `ready` or `leaving`.
     pub status: &'static str,
-    /// `idle`, `holder` or `lease_renewer`.
+    /// `idle`, `holder` or `caretaker`.
     pub role: &'static str,
     /// The source of records: `log`, or a peer's number.
     pub source: String,
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -208,9 +208,9 @@
     /// Updates the requests that a peer has in flight.
     pub(super) fn peer_in_flight(&self, peer: VmId, in_flight: &[(VmId, u32)]) {
         let now = self.clock.now();
-        let take =
+        let step =
             |router: &mut Router, rng: &mut _| router.peer_in_flight(now, peer, in_flight, rng);
-        lock(&self.router_state).apply(take, now);
+        lock(&self.router_state).apply(step, now);
     }
 
     /// Returns the requests in flight by backend server.
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -16,7 +16,7 @@
 };
 
 /// How long a home may take to answer.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pauses between claims while another attempt runs, doubled from the first to the last.
 const MIN_CLAIM_PAUSE: Duration = Duration::from_millis(10);
 const MAX_CLAIM_PAUSE: Duration = Duration::from_millis(200);
@@ -125,7 +125,10 @@
             }
             tokio::time::sleep(FINISH_PAUSE).await;
         }
-        log::warn!("event=claim_end_untold key_digest={:016x}", digest(self.id.key.as_bytes()));
+        log::warn!(
+            "event=claim_end_undelivered key_digest={:016x}",
+            digest(self.id.key.as_bytes())
+        );
     }
 
     /// Reports the end of a claim to the entry VMs besides the home that may have a copy of it from
@@ -206,7 +209,7 @@
     if to == core.options.vm {
         Some(core.answer_key(to, query))
     } else {
-        peers.ask(to, query, ASK_TIMEOUT).await
+        peers.ask(to, query, QUERY_TIMEOUT).await
     }
 }
 
--- a/daisy-entry/src/proxy/pool.rs
+++ b/daisy-entry/src/proxy/pool.rs
@@ -37,7 +37,7 @@
 /// All connections of this entry VM to backend servers.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
-    hosts: Mutex<SortedMap<SocketAddr, Arc<BackendConnections>>>,
+    backends: Mutex<SortedMap<SocketAddr, Arc<BackendConnections>>>,
 }
 
 #[derive(Debug, Default)]
@@ -59,19 +59,19 @@
 /// Counts one open connection until its driver task ends.
 #[derive(Debug)]
 struct OpenConnection {
-    host: Arc<BackendConnections>,
+    backend: Arc<BackendConnections>,
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        lock(&self.host.state).open -= 1;
+        lock(&self.backend.state).open -= 1;
     }
 }
 
 /// A connection in use by one request; dropping it closes the connection.
 #[derive(Debug)]
 pub(super) struct Lease {
-    host: Arc<BackendConnections>,
+    backend: Arc<BackendConnections>,
     /// Where requests are sent.
     pub(super) tx: SendRequest<RequestBody>,
 }
@@ -79,9 +79,9 @@
 impl Lease {
     /// Returns the connection to the pool; only allowed after a complete answer.
     pub(super) fn release(self) {
-        let Lease { host, tx } = self;
+        let Lease { backend, tx } = self;
         if !tx.is_closed() {
-            lock(&host.state).idle.push(IdleConnection { tx });
+            lock(&backend.state).idle.push(IdleConnection { tx });
         }
     }
 }
@@ -89,13 +89,14 @@
 impl Pool {
     /// Returns a connection to `address`, of which at most `limit` are open at a time.
     pub(super) async fn lease(&self, address: SocketAddr, limit: u32) -> Result<Lease, PoolError> {
-        let host = Arc::clone(lock(&self.hosts).get_or_insert_with(address, Arc::default));
-        while let Some(IdleConnection { mut tx }) = pop_idle(&host) {
+        let backend = Arc::clone(lock(&self.backends).get_or_insert_with(address, Arc::default));
+        while let Some(IdleConnection { mut tx }) = pop_idle(&backend) {
             if tx.ready().await.is_ok() {
-                return Ok(Lease { host, tx });
+                return Ok(Lease { backend, tx });
             }
         }
-        let open = BackendConnections::try_open(&host, limit).ok_or(PoolError::Full { limit })?;
+        let open =
+            BackendConnections::try_open(&backend, limit).ok_or(PoolError::Full { limit })?;
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let (tx, conn) = http1::handshake(TokioIo::new(stream)).await?;
@@ -105,13 +106,13 @@
             }
             drop(open);
         });
-        Ok(Lease { host, tx })
+        Ok(Lease { backend, tx })
     }
 
     /// Closes idle connections to backend servers for which `keep` returns false.
     pub(super) fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
-        lock(&self.hosts).retain(|address, host| {
-            let mut state = lock(&host.state);
+        lock(&self.backends).retain(|address, backend| {
+            let mut state = lock(&backend.state);
             state.idle.retain(|conn| !conn.tx.is_closed());
             if !keep(address) {
                 state.idle.clear();
@@ -122,18 +123,18 @@
 }
 
 impl BackendConnections {
-    fn try_open(host: &Arc<BackendConnections>, limit: u32) -> Option<OpenConnection> {
-        let mut state = lock(&host.state);
+    fn try_open(backend: &Arc<BackendConnections>, limit: u32) -> Option<OpenConnection> {
+        let mut state = lock(&backend.state);
         if state.open >= limit {
             return None;
         }
         state.open += 1;
-        Some(OpenConnection { host: Arc::clone(host) })
+        Some(OpenConnection { backend: Arc::clone(backend) })
     }
 }
 
-fn pop_idle(host: &BackendConnections) -> Option<IdleConnection> {
-    lock(&host.state).idle.pop()
+fn pop_idle(backend: &BackendConnections) -> Option<IdleConnection> {
+    lock(&backend.state).idle.pop()
 }
 
 /// Locks `mutex`; the guarded data is consistent between statements, so poisoning is ignored.
