--- a/daisy-entry/src/boundary.rs
+++ b/daisy-entry/src/boundary.rs
@@ -17,7 +17,7 @@
 /// `Query` and `Answer` are the messages of `daisy-routing`'s key protocol, transported unchanged.
 pub trait PeerKeys<Query, Answer>: Clone + Send + Sync + 'static {
     /// Sends `query` to the entry VM `peer`; returns `None` if no answer arrives within `timeout`.
-    fn ask(
+    fn send_query(
         &self,
         peer: VmId,
         query: Query,
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -122,7 +122,12 @@
 }
 
 impl PeerKeys<KeyQuery, KeyAnswer> for PeerKeyClient {
-    async fn ask(&self, peer: VmId, query: KeyQuery, timeout: Duration) -> Option<KeyAnswer> {
+    async fn send_query(
+        &self,
+        peer: VmId,
+        query: KeyQuery,
+        timeout: Duration,
+    ) -> Option<KeyAnswer> {
         match self.links.ask(peer, Question::Key(query), timeout).await? {
             Answer::Key(answer) => Some(answer),
             _ => None,
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -116,7 +116,7 @@
         let query = KeyQuery::Finish { key: self.id.clone(), claim: claim.id, end };
         for _ in 0..FINISH_TRIES {
             if let Some(home) = self.core.home(&self.id)
-                && self.ask(home, query.clone()).await == Some(KeyAnswer::Acknowledged)
+                && self.send_query(home, query.clone()).await == Some(KeyAnswer::Acknowledged)
             {
                 if not_run && claim.home != Some(home) {
                     self.finish_at_other_homes(home, query).await;
@@ -135,7 +135,7 @@
     /// a handover.
     async fn finish_at_other_homes(&self, home: VmId, query: KeyQuery) {
         let others = self.core.candidate_homes(&self.id).into_iter().filter(|it| *it != home);
-        join_all(others.map(|it| self.ask(it, query.clone()))).await;
+        join_all(others.map(|it| self.send_query(it, query.clone()))).await;
     }
 
     async fn claim_at_home(&self, home: Option<VmId>, claim: ClaimId) -> KeyStep {
@@ -151,7 +151,7 @@
         let Some(home) = home else {
             return KeyStep::Wait(KeyDenial::Unreachable);
         };
-        next_step_after_home(self.ask(home, query).await, repeated)
+        next_step_after_home(self.send_query(home, query).await, repeated)
     }
 
     async fn fence_other_dcs(&self) -> KeyStep {
@@ -159,7 +159,7 @@
         let answers = join_all(candidate_homes.into_iter().map(async |home| {
             let query =
                 KeyQuery::Fence { key: self.id.clone(), request_digest: self.request_digest };
-            self.ask(home?, query).await
+            self.send_query(home?, query).await
         }));
         next_step_after_other_dcs(answers.await, self.key.repeated)
     }
@@ -176,8 +176,8 @@
         }
     }
 
-    async fn ask(&self, to: VmId, query: KeyQuery) -> Option<KeyAnswer> {
-        ask(&self.core, &self.peers, to, query).await
+    async fn send_query(&self, to: VmId, query: KeyQuery) -> Option<KeyAnswer> {
+        send_query(&self.core, &self.peers, to, query).await
     }
 
     /// Returns whether another claim may succeed before the request's deadline or the timeout for
@@ -200,7 +200,7 @@
 }
 
 /// Sends a query to `to`, which may be this entry VM.
-pub(super) async fn ask<K: PeerKeys<KeyQuery, KeyAnswer>>(
+pub(super) async fn send_query<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
     to: VmId,
@@ -209,7 +209,7 @@
     if to == core.options.vm {
         Some(core.answer_key(to, query))
     } else {
-        peers.ask(to, query, QUERY_TIMEOUT).await
+        peers.send_query(to, query, QUERY_TIMEOUT).await
     }
 }
 
@@ -249,7 +249,7 @@
 ) -> bool {
     for query in queries {
         let started_at = core.clock.now();
-        while ask(core, peers, peer, query.clone()).await != Some(KeyAnswer::Acknowledged) {
+        while send_query(core, peers, peer, query.clone()).await != Some(KeyAnswer::Acknowledged) {
             if core.clock.now().since(started_at) >= timeout {
                 return false;
             }
--- a/daisy-entry/tests/proxy/fixture.rs
+++ b/daisy-entry/tests/proxy/fixture.rs
@@ -27,7 +27,7 @@
 pub struct NoPeers;
 
 impl PeerKeys<KeyQuery, KeyAnswer> for NoPeers {
-    async fn ask(&self, _: VmId, _: KeyQuery, _: Duration) -> Option<KeyAnswer> {
+    async fn send_query(&self, _: VmId, _: KeyQuery, _: Duration) -> Option<KeyAnswer> {
         None
     }
 }
@@ -45,7 +45,7 @@
 }
 
 impl PeerKeys<KeyQuery, KeyAnswer> for Peers {
-    async fn ask(&self, peer: VmId, query: KeyQuery, _: Duration) -> Option<KeyAnswer> {
+    async fn send_query(&self, peer: VmId, query: KeyQuery, _: Duration) -> Option<KeyAnswer> {
         let proxies = self.proxies.lock().unwrap().clone();
         let (_, proxy) = proxies.into_iter().find(|(vm, _)| *vm == peer)?;
         Some(proxy.answer(self.own, query).await)
--- a/daisy-measure/src/proxy.rs
+++ b/daisy-measure/src/proxy.rs
@@ -119,7 +119,7 @@
 struct NoPeers;
 
 impl PeerKeys<KeyQuery, KeyAnswer> for NoPeers {
-    async fn ask(&self, _: VmId, _: KeyQuery, _: Duration) -> Option<KeyAnswer> {
+    async fn send_query(&self, _: VmId, _: KeyQuery, _: Duration) -> Option<KeyAnswer> {
         None
     }
 }
