--- a/daisy-entry/src/control/restore.rs
+++ b/daisy-entry/src/control/restore.rs
@@ -85,8 +85,8 @@
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// Starts a cold start from `first`, as the log begins after the next record to fold; returns
-    /// the offset to read from.
+    /// Begins a cold start from `first`, because the log no longer has the next record to fold;
+    /// returns the offset to read from.
     pub(super) fn handle_log_expired(&mut self, first: Offset) -> Offset {
         log::warn!("event=cold_start first={first} next={}", self.state.next);
         self.snapshots.set_first_retained(first);
--- a/daisy-entry/src/operators/query.rs
+++ b/daisy-entry/src/operators/query.rs
@@ -34,7 +34,8 @@
     let mut live = own;
     live.dcs = dcs;
     live.vms = vms.iter().map(|vm| (vm.id, vm.clone())).collect();
-    let asked = holders.iter().map(|vm| port.links.ask(*vm, Question::Live, HOLDER_TIMEOUT));
+    let asked =
+        holders.iter().map(|vm| port.links.send_question(*vm, Question::Live, HOLDER_TIMEOUT));
     for answer in join_all(asked).await {
         if let Some(Answer::Live(theirs)) = answer {
             merge(&mut live, *theirs);
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -186,14 +186,14 @@
                 let mut requests = it.ready().await?;
                 let (response, stream) = requests.send_request(self.request(QUESTION)?, false)?;
                 let sender = Sender::new(stream);
-                tokio::spawn(ask(sender, response, question, reply));
+                tokio::spawn(exchange_question(sender, response, question, reply));
                 Ok(())
             }
             Command::Records(from, reply) => {
                 let mut requests = it.ready().await?;
                 let (response, stream) = requests.send_request(self.request(RECORDS)?, false)?;
                 let sender = Sender::new(stream);
-                tokio::spawn(follow(sender, response, from, reply));
+                tokio::spawn(open_records(sender, response, from, reply));
                 Ok(())
             }
             Command::Reset => Ok(()),
@@ -232,7 +232,7 @@
     }
 }
 
-async fn ask(
+async fn exchange_question(
     mut sender: Sender,
     response: client::ResponseFuture,
     question: Question,
@@ -254,7 +254,7 @@
     let _ = reply.send(answer);
 }
 
-async fn follow(
+async fn open_records(
     mut sender: Sender,
     response: client::ResponseFuture,
     from: Offset,
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -78,7 +78,12 @@
     }
 
     /// Sends a question to `peer`; returns `None` if no answer arrives within `limit`.
-    pub async fn ask(&self, peer: VmId, question: Question, limit: Duration) -> Option<Answer> {
+    pub async fn send_question(
+        &self,
+        peer: VmId,
+        question: Question,
+        limit: Duration,
+    ) -> Option<Answer> {
         let (reply, answer) = oneshot::channel();
         if !self.send(peer, Command::Ask(question, reply)) {
             return None;
@@ -128,7 +133,7 @@
         query: KeyQuery,
         timeout: Duration,
     ) -> Option<KeyAnswer> {
-        match self.links.ask(peer, Question::Key(query), timeout).await? {
+        match self.links.send_question(peer, Question::Key(query), timeout).await? {
             Answer::Key(answer) => Some(answer),
             _ => None,
         }
