--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -1,19 +1,19 @@
-//! The control task: it alone owns the state machines of an entry VM.
+//! The control task, which owns all state machines of an entry VM.
 //!
-//! Inputs come through one channel, decisions go out to the tasks that hold sockets. Nothing
+//! Inputs arrive through one channel; decisions are sent to the tasks that own sockets. Nothing
 //! here waits for the network.
 
 mod append;
 mod fold;
 mod holder;
 mod input;
-mod look;
+mod publish;
+mod query_data;
 mod ready;
 mod replicas;
 mod restore;
 mod routes;
 mod status;
-mod tell;
 
 use std::{sync::Arc, time::Duration};
 
@@ -32,11 +32,11 @@
     time::{MissedTickBehavior, interval, sleep},
 };
 
-use self::{append::Appends, fold::Suspect, holder::Driver, restore::Snapshots};
+use self::{append::Appends, fold::UndecodableEntry, holder::Driver, restore::Snapshots};
 pub(crate) use self::{
-    append::{Appended, Verdict},
+    append::{Appended, SubmitOutcome},
     input::{Input, Page},
-    look::Sight,
+    query_data::QueryData,
     replicas::Replicas,
     status::StatusJson,
 };
@@ -45,18 +45,18 @@
     clock::Clock,
     metrics::Metrics,
     peers::{Links, Tail},
-    platform::{Listing, Platform},
-    reader::{self, Plan},
+    platform::{Platform, VmListing},
+    reader::{self, ReadPlan},
 };
 
-/// Between ticks of the state machines: a fifth of the shortest period that they keep.
+/// Interval between ticks of the state machines: a fifth of the shortest period that they use.
 const TICK: Duration = Duration::from_millis(100);
-/// Inputs that wait for the control task before their senders do.
-pub(crate) const QUEUE: usize = 1024;
-/// The longest pause between looks at the queue of appends.
-const MAX_WAKE: Duration = Duration::from_secs(1);
+/// Capacity of the input channel; senders wait while it is full.
+pub(crate) const INPUT_QUEUE: usize = 1024;
+/// The longest interval between checks of the append queue.
+const MAX_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Who this process is.
+/// Identity and timing settings of this process.
 #[derive(Debug, Clone)]
 pub(crate) struct Identity {
     pub vm: VmId,
@@ -66,30 +66,30 @@
     pub dcs: Vec<Name>,
     /// The region of each data centre.
     pub regions: Vec<u16>,
-    /// Names this process's appends.
+    /// The sender ID of this process's appends.
     pub sender: u64,
     pub worker_lease: Duration,
     pub holder_timeout: Duration,
-    /// The shortest retention of the log that is counted on.
+    /// The shortest log retention that the process may rely on.
     pub log_retention: Duration,
 }
 
-/// The ways out of the control task.
+/// Handles through which the control task acts on the rest of the process.
 #[derive(Debug)]
 pub(crate) struct Outputs {
     pub http: Http,
     pub platform: Platform,
     pub links: Links,
     pub tail: Tail,
-    pub plan: watch::Sender<Plan>,
+    pub plan: watch::Sender<ReadPlan>,
     pub routes: watch::Sender<Arc<Routes>>,
     pub ready: watch::Sender<bool>,
-    /// The way back in, for tasks that the control task spawns.
+    /// Sends inputs back to the control task from the tasks that it spawns.
     pub control: mpsc::Sender<Input>,
     pub metrics: Metrics,
 }
 
-/// The state machines and what joins them.
+/// The control task: the state machines and the state that connects them.
 pub(crate) struct Control<R> {
     clock: Clock,
     identity: Identity,
@@ -103,23 +103,23 @@
     driver: Driver,
     replicas: SortedMap<DcId, Arc<Replicas>>,
     snapshots: Snapshots,
-    /// A cold start that is not at the log's end yet.
+    /// A cold start that has not reached the end of the log yet.
     restore: Option<Restore>,
-    /// An entry of the log that did not decode, until it is read again.
-    suspect: Option<Suspect>,
-    /// The offset of the configuration in force and when it came into force here.
+    /// A log entry that failed to decode and has not been read a second time yet.
+    undecodable: Option<UndecodableEntry>,
+    /// The offset of the configuration in force, and when it came into force in this process.
     config: Option<(Offset, WallTime)>,
     routes_dirty: bool,
-    /// When the link to a silent peer was last given up.
-    resets: SortedMap<VmId, Instant>,
-    /// Whether peers are to be told of replicas at the next tick.
-    tell_all: bool,
-    /// Since when the membership is ready for callers.
+    /// When each peer was last reachable or its connection was last reset.
+    last_resets: SortedMap<VmId, Instant>,
+    /// Whether the replicas have changed and must be sent to peers at the next tick.
+    replicas_changed: bool,
+    /// Since when the membership has been ready for callers.
     ready_since: Option<Instant>,
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// A control task that knows nothing yet.
+    /// Creates a control task with empty state.
     pub fn new(
         clock: Clock,
         identity: Identity,
@@ -142,119 +142,121 @@
             replicas: SortedMap::new(),
             snapshots: Snapshots::new(clock.now()),
             restore: None,
-            suspect: None,
+            undecodable: None,
             config: None,
             routes_dirty: true,
-            resets: SortedMap::new(),
-            tell_all: false,
+            last_resets: SortedMap::new(),
+            replicas_changed: false,
             ready_since: None,
         }
     }
 
-    /// Runs until every sender of inputs is gone or the task is aborted.
+    /// Runs until every sender of inputs is dropped or the task is aborted.
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 _ = ticks.tick() => self.tick(),
-                () = sleep(self.until_wake()) => {}
+                () = sleep(self.time_until_wake()) => {}
             }
             self.flush(self.clock.now());
         }
     }
 
-    /// Until the queue of appends wants to be looked at.
-    fn until_wake(&self) -> Duration {
+    /// Returns the time until the append queue must be checked again.
+    fn time_until_wake(&self) -> Duration {
         let wake = self.appends.wake();
-        wake.map_or(MAX_WAKE, |at| at.since(self.clock.now()).min(MAX_WAKE))
+        wake.map_or(MAX_WAKE_INTERVAL, |at| at.since(self.clock.now()).min(MAX_WAKE_INTERVAL))
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.clock.now();
         match input {
             Input::Page(page, ack) => {
-                let next = self.take_page(now, page);
+                let next = self.handle_page(now, page);
                 let _ = ack.send(next);
             }
             Input::Snapshot { bytes, ack } => {
-                let next = self.load(now, &bytes);
+                let next = self.load_peer_state(now, &bytes);
                 let _ = ack.send(next);
             }
-            Input::Expired { first, ack } => {
-                let next = self.expired(first);
+            Input::LogExpired { first, ack } => {
+                let next = self.handle_log_expired(first);
                 let _ = ack.send(next);
             }
-            Input::ReadFailed { source } => self.read_failed(now, source),
-            Input::Appended(appended) => self.appended(now, appended),
+            Input::ReadFailed { source } => self.handle_read_failure(now, source),
+            Input::Appended(appended) => self.handle_append_result(now, appended),
             Input::Vms(listing) => {
-                self.list(now, listing);
-                self.confirm_list(now);
+                self.update_vm_list(now, listing);
+                self.confirm_vm_list(now);
             }
-            // A peer's answer may cross a newer one of the platform.
+            // A newer list may have arrived from the platform while the peer answered.
             Input::PeerVms(listing) if listing.version <= self.vms_version => {}
-            Input::PeerVms(listing) => self.list(now, listing),
-            Input::VmsUnchanged => self.confirm_list(now),
+            Input::PeerVms(listing) => self.update_vm_list(now, listing),
+            Input::VmsUnchanged => self.confirm_vm_list(now),
             Input::Heartbeat { beat, in_flight } => {
                 self.requests.peer_in_flight(beat.vm, in_flight);
-                self.step(now, Event::Heartbeat(beat));
+                self.step_membership(now, Event::Heartbeat(beat));
             }
-            Input::Replicas(replicas) => self.hear_replicas(replicas),
-            Input::Worker { by, epoch, vm, outcome } => {
-                self.worker_answered(now, (by, epoch), vm, outcome);
+            Input::Replicas(replicas) => self.handle_replicas(replicas),
+            Input::WorkerCallEnded { issuer, epoch, vm, outcome } => {
+                self.handle_worker_answer(now, (issuer, epoch), vm, outcome);
+            }
+            Input::WorkerUpdate { epoch, vm, update } => {
+                self.handle_worker_update(now, epoch, vm, update)
             }
-            Input::WorkerUpdate { epoch, vm, news } => self.worker_news(now, epoch, vm, news),
             Input::PeerQuery { question, reply } => {
-                let _ = reply.send(self.answer(now, question));
+                let _ = reply.send(self.answer_peer(now, question));
             }
-            Input::Encode { reply } => {
+            Input::EncodeState { reply } => {
                 let _ = reply.send(self.encode());
             }
             Input::Submit { record, reply } => self.submit(record, reply),
-            Input::Look { reply } => {
-                let _ = reply.send(self.sight(now));
+            Input::QueryData { reply } => {
+                let _ = reply.send(self.query_data(now));
             }
             Input::Status { reply } => {
                 let _ = reply.send(self.status(now));
             }
-            Input::Stop => self.step(now, Event::Stop),
-            Input::Flushed { reply } => self.when_flushed(reply),
+            Input::Stop => self.step_membership(now, Event::Stop),
+            Input::NotifyWhenFlushed { reply } => self.notify_when_flushed(reply),
         }
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.step(now, Event::Tick);
-        self.drive(now, daisy_placement::Event::Tick);
-        self.care(now, LeaseRenewerEvent::Tick);
+        self.step_membership(now, Event::Tick);
+        self.drive_holder(now, daisy_placement::Event::Tick);
+        self.drive_lease_renewer(now, LeaseRenewerEvent::Tick);
         self.update_plan(now);
         self.publish_replicas();
-        self.tell_replicas(now);
+        self.broadcast_replicas(now);
         self.write_snapshot(now);
-        if self.routes_dirty || self.entries_changed(now) {
+        if self.routes_dirty || self.have_entries_changed(now) {
             self.publish_routes(now);
         }
-        // After the routes, so that the first caller finds them.
-        self.show_ready(now);
-        self.observe(now);
+        // Comes after the routes are published, so that the first caller finds them.
+        self.publish_readiness(now);
+        self.update_metrics(now);
     }
 
-    /// Lets the membership decide, and carries out what it wants.
-    fn step(&mut self, now: Instant, event: Event<'_>) {
+    /// Passes an event to the membership and executes the resulting actions.
+    fn step_membership(&mut self, now: Instant, event: Event<'_>) {
         let mut actions = Vec::new();
         self.membership.step(now, event, &mut actions);
         for action in actions {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
     }
 
-    fn carry_out(&mut self, now: Instant, action: Action) {
+    fn execute(&mut self, now: Instant, action: Action) {
         match action {
-            Action::Heartbeat(vm) => self.tell(now, vm),
+            Action::Heartbeat(vm) => self.send_update(now, vm),
             Action::Claim => {
                 log::info!("event=claim dc={} vm={}", self.identity.dc, self.identity.vm);
                 self.out.metrics.claims.inc();
@@ -275,21 +277,23 @@
 
     fn update_plan(&mut self, now: Instant) {
         let options = self.membership.options();
-        let alone = self.membership.peers().live_local_peers(options, now).next().is_none();
-        let wait = reader::poll_wait(self.identity.holder_timeout, alone);
-        let plan = Plan { source: self.membership.source(), wait };
+        let has_no_peers = self.membership.peers().live_local_peers(options, now).next().is_none();
+        let wait = reader::poll_wait(self.identity.holder_timeout, has_no_peers);
+        let plan = ReadPlan { source: self.membership.source(), wait };
         self.out.plan.send_if_modified(|it| std::mem::replace(it, plan) != plan);
     }
 
-    fn read_failed(&mut self, now: Instant, source: daisy_membership::RecordSource) {
+    fn handle_read_failure(&mut self, now: Instant, source: daisy_membership::RecordSource) {
         match source {
-            daisy_membership::RecordSource::Log => self.step(now, Event::LogFailed),
-            daisy_membership::RecordSource::Peer(vm) => self.step(now, Event::SourceFailed(vm)),
+            daisy_membership::RecordSource::Log => self.step_membership(now, Event::LogFailed),
+            daisy_membership::RecordSource::Peer(vm) => {
+                self.step_membership(now, Event::SourceFailed(vm))
+            }
         }
     }
 
-    fn list(&mut self, now: Instant, listing: Listing) {
-        let Listing { version, mut vms } = listing;
+    fn update_vm_list(&mut self, now: Instant, listing: VmListing) {
+        let VmListing { version, mut vms } = listing;
         vms.sort_by_key(|vm| vm.id);
         self.vms_version = version;
         self.vms = Arc::from(vms);
@@ -297,21 +301,24 @@
         let others = vms.iter().filter(|vm| vm.role == daisy_model::VmRole::Entry);
         let others = others.filter(|vm| vm.id != self.identity.vm);
         self.out.links.set_addresses(others.map(|vm| (vm.id, vm.control)).collect());
-        self.step(now, Event::Vms(&vms));
+        self.step_membership(now, Event::Vms(&vms));
         self.routes_dirty = true;
     }
 
-    /// Guard: the holder settles the fate of tasks that its predecessor may have started unseen
-    /// only by a list that is young enough. An unchanged list that nobody confirms never is,
-    /// and such tasks would stay blocked until the list happens to change. A peer's list, which
-    /// it may have read long ago, settles nothing.
-    fn confirm_list(&mut self, now: Instant) {
+    /// Passes a list that the platform has just confirmed to the holder and the lease renewer.
+    ///
+    /// Guard: the holder resolves the outcome of tasks that its predecessor may have started
+    /// without recording it only by a list that is recent enough. Without this confirmation an
+    /// unchanged list would never be recent enough, and such tasks would stay blocked until the
+    /// list happened to change. A list from a peer, which may have read it long ago, does not
+    /// count.
+    fn confirm_vm_list(&mut self, now: Instant) {
         let vms = Arc::clone(&self.vms);
-        self.drive(now, daisy_placement::Event::Vms(&vms));
-        self.care(now, LeaseRenewerEvent::Vms(&vms));
+        self.drive_holder(now, daisy_placement::Event::Vms(&vms));
+        self.drive_lease_renewer(now, LeaseRenewerEvent::Vms(&vms));
     }
 
-    fn answer(&mut self, now: Instant, question: PeerQuery) -> PeerAnswer {
+    fn answer_peer(&mut self, now: Instant, question: PeerQuery) -> PeerAnswer {
         match question {
             PeerQuery::Vms { known } if !self.vms.is_empty() && known < Some(self.vms_version) => {
                 PeerAnswer::Vms { version: self.vms_version, vms: self.vms.to_vec() }
@@ -324,8 +331,8 @@
         }
     }
 
-    /// Whether an entry VM has come to life or fallen silent since routes were published.
-    fn entries_changed(&self, now: Instant) -> bool {
+    /// Returns whether an entry VM has become reachable or unreachable since routes were published.
+    fn have_entries_changed(&self, now: Instant) -> bool {
         let entries = routes::entries(now, self.identity.dc, &self.membership);
         entries != self.out.routes.borrow().entries
     }
@@ -333,7 +340,7 @@
     fn publish_routes(&mut self, now: Instant) {
         self.routes_dirty = false;
         let version = self.out.routes.borrow().version + 1;
-        let parts = routes::Parts {
+        let parts = routes::RouteSources {
             now,
             dc: self.identity.dc,
             regions: &self.identity.regions,
@@ -353,7 +360,7 @@
         });
     }
 
-    fn observe(&self, now: Instant) {
+    fn update_metrics(&self, now: Instant) {
         let options = self.membership.options();
         let alive = self.membership.peers().iter();
         let alive =
--- a/daisy-entry/src/control/tell.rs
+++ b/daisy-entry/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! What goes to peers: heartbeats, requests in flight and where services run.
+//! Publishes state to peers: heartbeats, requests in flight and replicas of services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,58 +9,65 @@
 use crate::{
     boundary::RequestSide,
     control::{Control, Replicas, StatusJson, replicas, status::PeerJson},
-    peers::{Command, Told},
+    peers::{Command, PeerUpdate},
 };
 
-/// Before a connection to a silent peer is made anew.
-const RESET_PERIOD: Duration = Duration::from_secs(3);
+/// The minimum interval between resets of the connection to an unresponsive peer.
+const RESET_INTERVAL: Duration = Duration::from_secs(3);
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// Sends the present heartbeat to a peer, with all else that it should know.
-    pub(super) fn tell(&mut self, now: Instant, vm: VmId) {
-        self.reset_if_silent(now, vm);
-        let near = self.membership.peers().get(vm).is_some_and(|it| it.dc == self.identity.dc);
-        let mut in_flight = match near {
+    /// Sends the current heartbeat to a peer, with requests in flight and replicas.
+    pub(super) fn send_update(&mut self, now: Instant, vm: VmId) {
+        self.reset_if_unresponsive(now, vm);
+        let is_same_dc =
+            self.membership.peers().get(vm).is_some_and(|it| it.dc == self.identity.dc);
+        let mut in_flight = match is_same_dc {
             true => self.requests.in_flight(),
             false => Vec::new(),
         };
         in_flight.sort_unstable();
-        let told = Told {
+        let update = PeerUpdate {
             beat: self.membership.heartbeat(now),
             in_flight: Arc::new(in_flight),
-            replicas: self.replicas_for(now, near),
+            replicas: self.replicas_for(now, is_same_dc),
         };
-        self.out.links.send(vm, Command::Tell(told));
+        self.out.links.send(vm, Command::Update(update));
     }
 
-    /// Guard: a connection through a link that was cut may hang until TCP gives up, many
-    /// minutes after the link is back, and the peer would stay silent for as long. The
-    /// connection to a peer that is not heard is made anew every few seconds.
-    fn reset_if_silent(&mut self, now: Instant, vm: VmId) {
+    /// Resets the connection to a peer that sends no heartbeats.
+    ///
+    /// Guard: a connection through a link that was cut may hang until TCP gives up, many minutes
+    /// after the link is back, and the peer would be unreachable for as long. The connection to
+    /// such a peer is reset every few seconds.
+    fn reset_if_unresponsive(&mut self, now: Instant, vm: VmId) {
         let options = self.membership.options();
         if self.membership.peers().alive(options, now, vm) {
-            self.resets.insert(vm, now);
+            self.last_resets.insert(vm, now);
             return;
         }
-        let last = *self.resets.get_or_insert_with(vm, || now);
-        if now.since(last) >= RESET_PERIOD {
-            self.resets.insert(vm, now);
+        let last = *self.last_resets.get_or_insert_with(vm, || now);
+        if now.since(last) >= RESET_INTERVAL {
+            self.last_resets.insert(vm, now);
             self.out.links.send(vm, Command::Reset);
         }
     }
 
-    /// The speaker of a data centre tells the own replicas to others, and all to its peers.
-    fn replicas_for(&self, now: Instant, near: bool) -> Vec<Arc<Replicas>> {
+    /// Returns the replicas to send to a peer: the speaker of a data centre sends the own ones to
+    /// other data centres, and all of them to peers in its own.
+    fn replicas_for(&self, now: Instant, is_same_dc: bool) -> Vec<Arc<Replicas>> {
         if !self.membership.represents_dc(now) {
             return Vec::new();
         }
         let known = self.replicas.iter();
-        known.filter(|(dc, _)| near || **dc == self.identity.dc).map(|(_, it)| it.clone()).collect()
+        known
+            .filter(|(dc, _)| is_same_dc || **dc == self.identity.dc)
+            .map(|(_, it)| it.clone())
+            .collect()
     }
 
-    /// Tells everybody where services of the own data centre run, if that has changed.
+    /// Updates the replicas of the own data centre, if they have changed, for sending to peers.
     pub(super) fn publish_replicas(&mut self) {
-        let Some(holder) = self.driver.active() else { return };
+        let Some(holder) = self.driver.active_holder() else { return };
         let (dc, epoch) = (self.identity.dc, holder.epoch());
         let known = self.replicas.get(&dc);
         let all = replicas::of_holder(holder, known);
@@ -70,11 +77,11 @@
         let version = known.map_or(1, |it| it.version + 1);
         self.replicas.insert(dc, Arc::new(Replicas { dc, epoch, version, all }));
         self.routes_dirty = true;
-        self.tell_all = true;
+        self.replicas_changed = true;
     }
 
-    /// Takes in where services run, as a peer tells it.
-    pub(super) fn hear_replicas(&mut self, replicas: Arc<Replicas>) {
+    /// Handles replicas received from a peer.
+    pub(super) fn handle_replicas(&mut self, replicas: Arc<Replicas>) {
         let own = replicas.dc == self.identity.dc;
         if own && matches!(self.membership.role(), Role::Holder(epoch) if epoch >= replicas.epoch) {
             return;
@@ -84,20 +91,20 @@
         }
         self.replicas.insert(replicas.dc, replicas);
         self.routes_dirty = true;
-        self.tell_all = true;
+        self.replicas_changed = true;
     }
 
-    /// Passes changed replicas on without waiting for the next heartbeat.
-    pub(super) fn tell_replicas(&mut self, now: Instant) {
-        if !std::mem::take(&mut self.tell_all) || !self.membership.represents_dc(now) {
+    /// Sends changed replicas without waiting for the next heartbeat.
+    pub(super) fn broadcast_replicas(&mut self, now: Instant) {
+        if !std::mem::take(&mut self.replicas_changed) || !self.membership.represents_dc(now) {
             return;
         }
         for vm in self.membership.heartbeat_targets() {
-            self.tell(now, vm);
+            self.send_update(now, vm);
         }
     }
 
-    /// How this entry VM stands.
+    /// Returns the status of this entry VM.
     pub(super) fn status(&self, now: Instant) -> StatusJson {
         let status = self.membership.status();
         let holder_claim = self.membership.holder_claim();
--- a/daisy-entry/src/control/look.rs
+++ b/daisy-entry/src/control/query_data.rs
@@ -1,4 +1,4 @@
-//! What operators are shown: the ledger, and what holders know of what runs.
+//! The data for operators' queries: the ledger, and what holders know of running tasks and workers.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 
 use crate::{boundary::RequestSide, control::Control};
 
-/// What an operator's look is answered from, but for what other holders know.
+/// The data from which an operator's query is answered, except what other holders know.
 #[derive(Debug, Clone)]
-pub(crate) struct Sight {
+pub(crate) struct QueryData {
     /// The fold of the log.
     pub state: Arc<State>,
     /// The platform's VM list.
@@ -21,17 +21,17 @@
     pub dcs: Vec<Name>,
     /// What this entry VM knows, if it is a holder.
     pub own: LiveView,
-    /// The holders of other data centres, and of the own one if it is another entry VM.
+    /// The holders of other data centres, and of the own one if another entry VM holds it.
     pub holders: Vec<VmId>,
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// What an operator's look is answered from.
-    pub(super) fn sight(&mut self, now: Instant) -> Sight {
+    /// Returns the data from which an operator's query is answered.
+    pub(super) fn query_data(&mut self, now: Instant) -> QueryData {
         let own = self.live(now).unwrap_or_default();
         let holders = self.state.holders.iter().filter(|(_, it)| !it.released);
         let holders = holders.map(|(_, it)| it.holder).filter(|vm| *vm != self.identity.vm);
-        Sight {
+        QueryData {
             state: Arc::clone(&self.state),
             vms: Arc::clone(&self.vms),
             dcs: self.identity.dcs.clone(),
@@ -40,33 +40,33 @@
         }
     }
 
-    /// What this entry VM knows as a holder; `None` if it is none.
+    /// Returns what this entry VM knows as a holder, or `None` if it is not a holder.
     pub(super) fn live(&mut self, now: Instant) -> Option<LiveView> {
-        let wall = self.clock.wall();
-        let holder = self.driver.active()?;
-        Some(live_of(holder, &Times { now, wall }))
+        let wall_time = self.clock.wall_time();
+        let holder = self.driver.active_holder()?;
+        Some(build_live(holder, &Times { now, wall_time }))
     }
 }
 
-/// The same moment by both clocks.
+/// The same point in time on both clocks.
 struct Times {
     now: Instant,
-    wall: WallTime,
+    wall_time: WallTime,
 }
 
 impl Times {
     fn wall_of(&self, at: Instant) -> WallTime {
         let ago = u64::try_from(self.now.since(at).as_millis()).unwrap_or(u64::MAX);
-        WallTime(self.wall.0.saturating_sub(ago))
+        WallTime(self.wall_time.0.saturating_sub(ago))
     }
 
-    fn reason(&self, subject: &Subject, noted: &TimedReason) -> Reason {
-        let text = noted.reason.to_string().into();
-        Reason { at: self.wall_of(noted.at), subject: subject.clone(), text }
+    fn reason(&self, subject: &Subject, timed_reason: &TimedReason) -> Reason {
+        let text = timed_reason.reason.to_string().into();
+        Reason { at: self.wall_of(timed_reason.at), subject: subject.clone(), text }
     }
 }
 
-fn live_of(holder: &Holder, times: &Times) -> LiveView {
+fn build_live(holder: &Holder, times: &Times) -> LiveView {
     let mut live = LiveView::default();
     for task in holder.checked_out_tasks() {
         let notes = holder.reasons(task.task);
@@ -74,7 +74,7 @@
         live.reasons.extend(notes.iter().map(|it| times.reason(&subject, it)));
         let runs = matches!(task.status, TaskStatus::Running | TaskStatus::Ending);
         let Some(vm) = task.vm.filter(|_| runs) else { continue };
-        // The last note of a running task is usually that it runs.
+        // The last reason of a running task is usually that it runs.
         let since = notes.last().map(|it| times.now.since(it.at)).unwrap_or_default();
         let known = LiveTask { incarnation: task.incarnation, vm, share: task.share, since };
         live.tasks.insert(task.task, known);
@@ -97,8 +97,8 @@
         };
         live.workers.insert(worker.vm, known);
     }
-    for (job, noted) in holder.waiting_jobs() {
-        live.reasons.push(times.reason(&Subject::Job(job), &noted));
+    for (job, timed_reason) in holder.waiting_jobs() {
+        live.reasons.push(times.reason(&Subject::Job(job), &timed_reason));
     }
     live.reasons.sort_by_key(|it| it.at);
     live
--- a/daisy-entry/src/operators/answer.rs
+++ b/daisy-entry/src/operators/answer.rs
@@ -1,4 +1,4 @@
-//! What operators are answered with.
+//! Answers to operators.
 
 use daisy_language::Finding;
 use daisy_wire::operator::{AnswerJson, FindingJson, StatementResultJson};
@@ -15,20 +15,20 @@
 }
 
 impl Reply {
-    /// Nothing was run.
+    /// Creates the answer to statements of which none was run.
     pub fn failed(status: StatusCode, error: &str) -> Reply {
         let answer = AnswerJson { error: Some(error.to_owned()), ..AnswerJson::default() };
         Reply { status, answer }
     }
 
-    /// The text is wrong.
-    pub fn wrong(findings: &[Finding]) -> Reply {
+    /// Creates the answer to a text with syntax errors.
+    pub fn invalid(findings: &[Finding]) -> Reply {
         let findings = findings.iter().map(finding_to_json).collect();
         let answer = AnswerJson { findings, ..AnswerJson::default() };
         Reply { status: StatusCode::BAD_REQUEST, answer }
     }
 
-    /// The statements were run.
+    /// Creates the answer to statements that were run.
     pub fn done(results: Vec<StatementResultJson>) -> Reply {
         let status = match results.last() {
             Some(StatementResultJson::Refused { .. }) => StatusCode::CONFLICT,
@@ -45,8 +45,8 @@
     }
 }
 
-/// The kind of a result as one word, for the log.
-pub(super) fn word(result: &StatementResultJson) -> &'static str {
+/// Returns the kind of a result as one word, for the log.
+pub(super) fn result_name(result: &StatementResultJson) -> &'static str {
     match result {
         StatementResultJson::Accepted { .. } => "accepted",
         StatementResultJson::Refused { .. } => "refused",
--- a/daisy-entry/src/operators/look.rs
+++ b/daisy-entry/src/operators/query.rs
@@ -13,25 +13,29 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    control::{Input, Sight},
-    operators::Port,
+    control::{Input, QueryData},
+    operators::OperatorContext,
 };
 
-/// How long another holder may take to tell what it knows.
+/// How long another holder may take to answer.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Answers from the ledger and from what all holders know; `None` while stopping.
+/// Answers a query from the ledger and from what all holders know; returns `None` while stopping.
 ///
-/// What a holder that does not answer knows is left out, and the answer says so where it
-/// matters: `-` stands for what is not known.
-pub(super) async fn look(port: &Port, statement: &Statement) -> Option<StatementResultJson> {
-    let (reply, sight) = oneshot::channel();
-    port.control.send(Input::Look { reply }).await.ok()?;
-    let Sight { state, vms, dcs, own, holders } = sight.await.ok()?;
+/// Data of a holder that does not answer is left out, and the answer shows this where it matters:
+/// `-` stands for an unknown value.
+pub(super) async fn answer_query(
+    port: &OperatorContext,
+    statement: &Statement,
+) -> Option<StatementResultJson> {
+    let (reply, query_data) = oneshot::channel();
+    port.control.send(Input::QueryData { reply }).await.ok()?;
+    let QueryData { state, vms, dcs, own, holders } = query_data.await.ok()?;
     let mut live = own;
     live.dcs = dcs;
     live.vms = vms.iter().map(|vm| (vm.id, vm.clone())).collect();
-    let asked = holders.iter().map(|vm| port.links.ask(*vm, PeerQuery::LiveView, HOLDER_TIMEOUT));
+    let asked =
+        holders.iter().map(|vm| port.links.send_question(*vm, PeerQuery::LiveView, HOLDER_TIMEOUT));
     for answer in join_all(asked).await {
         if let Some(PeerAnswer::LiveView(theirs)) = answer {
             merge(&mut live, *theirs);
@@ -46,13 +50,13 @@
     })
 }
 
-/// What an operator should know at once of a job that was just created.
+/// Returns notes for an operator on a job that was just created.
 ///
-/// A task that no listed worker holds would otherwise wait for ever without a word.
-pub(super) async fn notes(port: &Port, spec: &JobSpec) -> Option<Vec<String>> {
-    let (reply, sight) = oneshot::channel();
-    port.control.send(Input::Look { reply }).await.ok()?;
-    let Sight { vms, dcs, .. } = sight.await.ok()?;
+/// Without them a task that fits on no listed worker would wait for ever without an explanation.
+pub(super) async fn capacity_notes(port: &OperatorContext, spec: &JobSpec) -> Option<Vec<String>> {
+    let (reply, query_data) = oneshot::channel();
+    port.control.send(Input::QueryData { reply }).await.ok()?;
+    let QueryData { vms, dcs, .. } = query_data.await.ok()?;
     let is_allowed = |vm: &&Vm| {
         let name = dcs.get(usize::from(vm.dc.0));
         spec.data_centres.is_empty() || name.is_some_and(|it| spec.data_centres.contains(it))
--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -10,25 +10,25 @@
 use tokio::{sync::oneshot, time::timeout};
 
 use crate::{
-    control::{Input, Verdict},
+    control::{Input, SubmitOutcome},
     operators::{
-        Port,
-        answer::{Reply, word},
-        look::{look, notes},
+        OperatorContext,
+        answer::{Reply, result_name},
+        query::{answer_query, capacity_notes},
     },
 };
 
-/// How long an operator waits until a change is in force here.
-const VERDICT_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long an operator waits until a change is in force on this entry VM.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Runs all statements of `text`, and stops after the first that is not accepted.
-pub(super) async fn run(port: &Port, who: Name, text: &str) -> Reply {
+/// Runs the statements of `text`, and stops after the first that is not accepted.
+pub(super) async fn run(port: &OperatorContext, who: Name, text: &str) -> Reply {
     let statements = match daisy_language::parse_located(text) {
         Ok(statements) => statements,
         Err(findings) => {
             let count = findings.0.len();
             log::info!("event=statement_refused who={who} cause=findings count={count}");
-            return Reply::wrong(&findings.0);
+            return Reply::invalid(&findings.0);
         }
     };
     let mut results = Vec::new();
@@ -36,25 +36,25 @@
         let source = text.get(span).unwrap_or_default().trim();
         let result = match statement {
             Statement::Change { command, condition } => {
-                change(port, &who, source, command, condition).await
+                submit_change(port, &who, source, command, condition).await
             }
-            other => look(port, &other).await,
+            other => answer_query(port, &other).await,
         };
         let Some(result) = result else {
             return Reply::failed(StatusCode::SERVICE_UNAVAILABLE, "stopping");
         };
-        let go_on = result.is_good();
+        let should_continue = result.is_good();
         results.push(result);
-        if !go_on {
+        if !should_continue {
             break;
         }
     }
     Reply::done(results)
 }
 
-/// Appends a change and waits until the fold has decided.
-async fn change(
-    port: &Port,
+/// Appends a change and waits until the fold has processed it.
+async fn submit_change(
+    port: &OperatorContext,
     who: &Name,
     source: &str,
     command: Command,
@@ -64,32 +64,35 @@
         Command::Create(spec) => Some(spec.clone()),
         _ => None,
     };
-    let at = port.clock.wall();
+    let at = port.clock.wall_time();
     let change = Change { who: who.clone(), at, text: source.into(), command, condition };
-    let (reply, verdict) = oneshot::channel();
+    let (reply, outcome) = oneshot::channel();
     let record = Record::Change(change);
     port.control.send(Input::Submit { record, reply }).await.ok()?;
-    let result = match timeout(VERDICT_TIMEOUT, verdict).await {
-        Ok(Ok(Verdict::Folded(Outcome::Accepted(generation)))) => {
+    let result = match timeout(OUTCOME_TIMEOUT, outcome).await {
+        Ok(Ok(SubmitOutcome::Folded(Outcome::Accepted(generation)))) => {
             let notes = match created {
-                Some(spec) => notes(port, &spec).await?,
+                Some(spec) => capacity_notes(port, &spec).await?,
                 None => Vec::new(),
             };
             StatementResultJson::Accepted { generation: generation.0, notes }
         }
-        Ok(Ok(Verdict::Folded(Outcome::Refused(refusal)))) => {
+        Ok(Ok(SubmitOutcome::Folded(Outcome::Refused(refusal)))) => {
             StatementResultJson::Refused { cause: refusal.to_string() }
         }
-        Ok(Ok(Verdict::NotSent(cause))) => {
-            StatementResultJson::Refused { cause: format!("nothing was sent: {cause}") }
+        Ok(Ok(SubmitOutcome::NotAppended(cause))) => {
+            StatementResultJson::Refused { cause: format!("the change was not appended: {cause}") }
         }
-        Ok(Ok(Verdict::Folded(_)) | Err(_)) => StatementResultJson::Unknown {
-            cause: "the log has it, its verdict was not seen here".to_owned(),
+        Ok(Ok(SubmitOutcome::Folded(_)) | Err(_)) => StatementResultJson::Unknown {
+            cause: "the change is in the log, but its outcome was not seen by this entry VM"
+                .to_owned(),
         },
         Err(_) => StatementResultJson::Unknown {
-            cause: format!("no verdict of the log in {VERDICT_TIMEOUT:?}; it may still come"),
+            cause: format!(
+                "no outcome from the log within {OUTCOME_TIMEOUT:?}; the change may still take effect"
+            ),
         },
     };
-    log::info!("event=statement who={who} text={source:?} result={}", word(&result));
+    log::info!("event=statement who={who} text={source:?} result={}", result_name(&result));
     Some(result)
 }
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -17,20 +17,21 @@
 
 use crate::{
     boundary::{Intent, PeerKeys},
-    control::{Input, Verdict},
+    control::{Input, SubmitOutcome},
     peers::{
         Command, Traffic,
         link::{Link, Records},
     },
 };
 
-/// Commands that wait for a link; more are dropped, as heartbeats grow old.
-const QUEUE: usize = 256;
-/// How long a peer may take to begin passing records on.
+/// Capacity of a link's command queue; further commands are dropped, as heartbeats are soon out of
+/// date.
+const COMMAND_QUEUE: usize = 256;
+/// How long a peer may take to start forwarding records.
 const RECORDS_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
-struct Open {
+struct OpenLink {
     address: SocketAddr,
     commands: mpsc::Sender<Command>,
 }
@@ -39,7 +40,7 @@
 struct Shared {
     own: VmId,
     addresses: SortedMap<VmId, SocketAddr>,
-    open: SortedMap<VmId, Open>,
+    open: SortedMap<VmId, OpenLink>,
 }
 
 /// The links to all peers; clones share them.
@@ -50,20 +51,20 @@
 }
 
 impl Links {
-    /// No links yet, of the entry VM `own`.
+    /// Creates an empty set of links of the entry VM `own`.
     pub fn new(own: VmId) -> Links {
         let shared = Shared { own, addresses: SortedMap::new(), open: SortedMap::new() };
         Links { shared: Arc::new(Mutex::new(shared)), traffic: Traffic::default() }
     }
 
-    /// Takes in where peers listen; links to all others are closed.
+    /// Sets the addresses of peers; links to all others are closed.
     pub fn set_addresses(&self, addresses: SortedMap<VmId, SocketAddr>) {
         let mut shared = self.lock();
         shared.open.retain(|vm, open| addresses.get(vm) == Some(&open.address));
         shared.addresses = addresses;
     }
 
-    /// Some peer, drawn at random.
+    /// Returns a peer chosen at random.
     pub fn any_peer(&self) -> Option<VmId> {
         let shared = self.lock();
         let count = shared.addresses.len();
@@ -71,13 +72,13 @@
         shared.addresses.iter().nth(at).map(|(vm, _)| *vm)
     }
 
-    /// Hands a command to the link of `peer`; `false` if it is dropped.
+    /// Queues a command for the link to `peer`; returns `false` if it is dropped.
     pub fn send(&self, peer: VmId, command: Command) -> bool {
         self.link(peer).is_some_and(|commands| commands.try_send(command).is_ok())
     }
 
-    /// Asks `peer`; `None` when no answer came within `limit`.
-    pub async fn ask(
+    /// Sends a question to `peer`; returns `None` if no answer arrives within `limit`.
+    pub async fn send_question(
         &self,
         peer: VmId,
         question: PeerQuery,
@@ -90,7 +91,7 @@
         timeout(limit, answer).await.ok()?.ok()?
     }
 
-    /// Reads the log's records from `peer`, `from` on.
+    /// Reads the log's records from `peer`, starting at `from`.
     pub async fn records(&self, peer: VmId, from: Offset) -> Option<Records> {
         let (reply, records) = oneshot::channel();
         if !self.send(peer, Command::Records(from, reply)) {
@@ -105,10 +106,10 @@
             return Some(open.commands.clone());
         }
         let address = *shared.addresses.get(&peer)?;
-        let (commands, queue) = mpsc::channel(QUEUE);
+        let (commands, queue) = mpsc::channel(COMMAND_QUEUE);
         let link = Link { own: shared.own, peer, address, traffic: self.traffic.clone() };
         tokio::spawn(link.run(queue));
-        shared.open.insert(peer, Open { address, commands: commands.clone() });
+        shared.open.insert(peer, OpenLink { address, commands: commands.clone() });
         Some(commands)
     }
 
@@ -117,32 +118,37 @@
     }
 }
 
-/// Asks peers about idempotency keys, and the log about intents, for the request side.
+/// Queries peers about idempotency keys, and announces intents in the log, for the request side.
 #[derive(Debug, Clone)]
-pub struct Keys {
+pub struct PeerKeyClient {
     pub(crate) own: VmId,
     pub(crate) links: Links,
     pub(crate) control: mpsc::Sender<Input>,
 }
 
-impl PeerKeys<KeyQuery, KeyAnswer> for Keys {
-    async fn ask(&self, peer: VmId, query: KeyQuery, timeout: Duration) -> Option<KeyAnswer> {
-        match self.links.ask(peer, PeerQuery::Key(query), timeout).await? {
+impl PeerKeys<KeyQuery, KeyAnswer> for PeerKeyClient {
+    async fn send_query(
+        &self,
+        peer: VmId,
+        query: KeyQuery,
+        timeout: Duration,
+    ) -> Option<KeyAnswer> {
+        match self.links.send_question(peer, PeerQuery::Key(query), timeout).await? {
             PeerAnswer::Key(answer) => Some(answer),
             _ => None,
         }
     }
 
-    async fn intend(&self, key: u128, limit: Duration) -> Intent {
-        let (reply, verdict) = oneshot::channel();
+    async fn announce_intent(&self, key: u128, limit: Duration) -> Intent {
+        let (reply, outcome) = oneshot::channel();
         let record = Record::Intent { key, entry: self.own };
         if self.control.send(Input::Submit { record, reply }).await.is_err() {
             return Intent::Unavailable;
         }
-        match timeout(limit, verdict).await {
-            Ok(Ok(Verdict::Folded(Outcome::Announced))) => Intent::Won,
-            Ok(Ok(Verdict::Folded(Outcome::AlreadyAnnounced(_)))) => Intent::Lost,
-            // Without the fold's verdict it may yet come to stand in the log.
+        match timeout(limit, outcome).await {
+            Ok(Ok(SubmitOutcome::Folded(Outcome::Announced))) => Intent::Won,
+            Ok(Ok(SubmitOutcome::Folded(Outcome::AlreadyAnnounced(_)))) => Intent::Lost,
+            // Without the fold's outcome the record may still reach the log.
             _ => Intent::Unavailable,
         }
     }
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -38,42 +38,43 @@
     },
 };
 
-/// Bytes of a message that a peer may send unasked; handovers of keys are the longest.
+/// The maximum size of an unsolicited message from a peer, in bytes; handovers of keys are the
+/// longest.
 const MESSAGE_LIMIT: usize = 8 << 20;
-/// Streams of one peer at one time.
+/// The maximum number of concurrent streams of one peer.
 const STREAMS: u32 = 256;
-/// Connections of all peers at one time: 48 entry VMs, each twice while one is replaced.
+/// The maximum number of connections of all peers: 48 entry VMs, each twice while one is replaced.
 const CONNECTIONS: usize = 128;
-/// Bytes of a request's headers.
+/// The maximum size of a request's headers, in bytes.
 const HEADER_LIMIT: u32 = 4 << 10;
-/// Bytes that a peer may send before they are read.
+/// The flow-control window, in bytes.
 const WINDOW: u32 = 1 << 20;
 /// How long the handshake of a new connection may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a question may take to come and be answered.
+/// How long a question may take to arrive, and its answer to be found.
 const QUESTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Who may connect.
+/// The addresses that may connect.
 #[derive(Debug, Clone)]
-pub(crate) struct Allowed {
+pub(crate) struct AllowedPeers {
     addresses: Vec<IpAddr>,
 }
 
-impl Allowed {
-    /// Only `addresses`, or everybody if there are none.
-    pub fn new(addresses: Vec<IpAddr>) -> Allowed {
-        Allowed { addresses }
+impl AllowedPeers {
+    /// Allows only `addresses`, or all addresses if there are none.
+    pub fn new(addresses: Vec<IpAddr>) -> AllowedPeers {
+        AllowedPeers { addresses }
     }
 
-    fn has(&self, address: SocketAddr) -> bool {
+    fn is_allowed(&self, address: SocketAddr) -> bool {
         self.addresses.is_empty() || self.addresses.contains(&address.ip())
     }
 }
 
-/// Serves peers.
+/// The server of the peers' port.
 #[derive(Debug, Clone)]
 pub(crate) struct Server<R> {
-    pub allowed: Allowed,
+    pub allowed: AllowedPeers,
     pub requests: R,
     pub control: mpsc::Sender<Input>,
     pub tail: Tail,
@@ -81,9 +82,9 @@
 }
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Server<R> {
-    /// Accepts connections until it is dropped.
+    /// Accepts connections until the task is dropped.
     pub async fn run(self, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(CONNECTIONS));
+        let permits = Arc::new(Semaphore::new(CONNECTIONS));
         loop {
             let (socket, address) = match listener.accept().await {
                 Ok(accepted) => accepted,
@@ -93,25 +94,25 @@
                     continue;
                 }
             };
-            if !self.allowed.has(address) {
+            if !self.allowed.is_allowed(address) {
                 log::warn!("event=peer_refused address={address} cause=not_allowed");
                 continue;
             }
-            let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 log::warn!("event=peer_refused address={address} cause=too_many");
                 continue;
             };
             let server = self.clone();
             tokio::spawn(async move {
-                if let Err(e) = server.connection(socket).await {
+                if let Err(e) = server.serve_connection(socket).await {
                     log::debug!("event=peer_connection_broken address={address} cause=\"{e:#}\"");
                 }
-                drop(place);
+                drop(permit);
             });
         }
     }
 
-    async fn connection(&self, socket: TcpStream) -> anyhow::Result<()> {
+    async fn serve_connection(&self, socket: TcpStream) -> anyhow::Result<()> {
         socket.set_nodelay(true)?;
         let mut builder = server::Builder::new();
         builder
@@ -126,7 +127,7 @@
             let (req, respond) = accepted?;
             let server = self.clone();
             tokio::spawn(async move {
-                if let Err(e) = server.stream(req, respond).await {
+                if let Err(e) = server.serve_stream(req, respond).await {
                     log::warn!("event=peer_stream_refused cause=\"{e:#}\"");
                 }
             });
@@ -134,63 +135,63 @@
         Ok(())
     }
 
-    async fn stream(
+    async fn serve_stream(
         &self,
         req: Request<RecvStream>,
         mut respond: SendResponse<Bytes>,
     ) -> anyhow::Result<()> {
         let (parts, body) = req.into_parts();
-        let Some(from) = sender(&parts.headers) else {
-            refuse(&mut respond, StatusCode::BAD_REQUEST)?;
+        let Some(from) = read_sender(&parts.headers) else {
+            reject(&mut respond, StatusCode::BAD_REQUEST)?;
             anyhow::bail!("header {} is missing or malformed", headers::FROM);
         };
         let receiver = Receiver::new(body, MESSAGE_LIMIT);
         match parts.uri.path() {
-            NOTICES => self.notices(from, receiver, respond).await,
-            RECORDS => self.records(receiver, respond).await,
-            QUESTION => self.question(from, receiver, respond).await,
+            NOTICES => self.serve_notices(from, receiver, respond).await,
+            RECORDS => self.serve_records(receiver, respond).await,
+            QUESTION => self.serve_question(from, receiver, respond).await,
             other => {
-                refuse(&mut respond, StatusCode::NOT_FOUND)?;
+                reject(&mut respond, StatusCode::NOT_FOUND)?;
                 anyhow::bail!("unknown path {other:?}")
             }
         }
     }
 
-    /// Takes a peer's notices in until it ends the stream.
-    async fn notices(
+    /// Handles a peer's notices until the peer ends the stream.
+    async fn serve_notices(
         &self,
         from: VmId,
         mut receiver: Receiver,
         mut respond: SendResponse<Bytes>,
     ) -> anyhow::Result<()> {
-        let mut mirror = Mirror::default();
+        let mut notice_state = NoticeState::default();
         loop {
             let notice = match next_notice(&mut receiver).await {
                 Ok(Some(notice)) => notice,
-                // A link that is given up ends here: its peer is gone or comes back on another.
+                // A link that is dropped ends here: its peer is lost or reconnects.
                 Ok(None) | Err(StreamError::H2(_)) => return Ok(()),
                 Err(e) => {
-                    refuse(&mut respond, StatusCode::BAD_REQUEST)?;
+                    reject(&mut respond, StatusCode::BAD_REQUEST)?;
                     return Err(e.into());
                 }
             };
             let input = match notice {
                 Notice::Heartbeat { beat, .. } if beat.vm != from => {
-                    refuse(&mut respond, StatusCode::BAD_REQUEST)?;
+                    reject(&mut respond, StatusCode::BAD_REQUEST)?;
                     anyhow::bail!("heartbeat of {} on the stream of {from}", beat.vm);
                 }
                 Notice::Heartbeat { beat, full, in_flight } => {
-                    let in_flight = mirror.in_flight(full, in_flight);
+                    let in_flight = notice_state.in_flight(full, in_flight);
                     Input::Heartbeat { beat, in_flight }
                 }
-                Notice::Replicas(change) => Input::Replicas(mirror.replicas(change)),
+                Notice::Replicas(change) => Input::Replicas(notice_state.replicas(change)),
             };
             self.control.send(input).await.context("stopping")?;
         }
     }
 
-    /// Passes the log's records on until the peer wants no more.
-    async fn records(
+    /// Forwards the log's records until the peer closes the stream.
+    async fn serve_records(
         &self,
         mut receiver: Receiver,
         mut respond: SendResponse<Bytes>,
@@ -222,18 +223,18 @@
                     RecordStreamMessage::Snapshot { next, bytes }
                 }
             };
-            // The peer's end of the stream shows as an error here, and ends the task.
+            // If the peer closes the stream, sending fails here and ends the task.
             sender.send(&RecordStreamMessageWire::from(pushed), false).await?;
         }
     }
 
     async fn snapshot(&self) -> anyhow::Result<(Offset, Vec<u8>)> {
         let (reply, encoded) = oneshot::channel();
-        self.control.send(Input::Encode { reply }).await.context("stopping")?;
+        self.control.send(Input::EncodeState { reply }).await.context("stopping")?;
         encoded.await.context("stopping")
     }
 
-    async fn question(
+    async fn serve_question(
         &self,
         from: VmId,
         mut receiver: Receiver,
@@ -243,13 +244,14 @@
             let wire = receiver.only::<PeerQueryWire>().await?;
             Ok::<_, StreamError>(PeerQuery::try_from(wire)?)
         };
-        let question = match timeout(QUESTION_TIMEOUT, question).await.context("too slow")? {
-            Ok(question) => question,
-            Err(e) => {
-                refuse(&mut respond, StatusCode::BAD_REQUEST)?;
-                return Err(e.into());
-            }
-        };
+        let question =
+            match timeout(QUESTION_TIMEOUT, question).await.context("question timed out")? {
+                Ok(question) => question,
+                Err(e) => {
+                    reject(&mut respond, StatusCode::BAD_REQUEST)?;
+                    return Err(e.into());
+                }
+            };
         let answer = timeout(QUESTION_TIMEOUT, self.answer(from, question)).await?;
         let stream = respond.send_response(Response::new(()), false)?;
         let mut sender = Sender::new(stream);
@@ -275,24 +277,24 @@
     }
 }
 
-fn refuse(respond: &mut SendResponse<Bytes>, status: StatusCode) -> Result<(), h2::Error> {
+fn reject(respond: &mut SendResponse<Bytes>, status: StatusCode) -> Result<(), h2::Error> {
     let mut response = Response::new(());
     *response.status_mut() = status;
     respond.send_response(response, true).map(drop)
 }
 
-fn sender(map: &HeaderMap) -> Option<VmId> {
+fn read_sender(map: &HeaderMap) -> Option<VmId> {
     map.get(headers::FROM)?.to_str().ok()?.parse().ok().map(VmId)
 }
 
-/// What a peer has told on one stream of notices, so that changes can be told alone.
+/// The state received on one stream of notices, to which changes are applied.
 #[derive(Debug, Default)]
-struct Mirror {
+struct NoticeState {
     in_flight: SortedMap<VmId, u32>,
     replicas: SortedMap<DcId, Vec<Replica>>,
 }
 
-impl Mirror {
+impl NoticeState {
     fn in_flight(&mut self, full: bool, changes: Vec<(VmId, u32)>) -> Vec<(VmId, u32)> {
         if full {
             self.in_flight = SortedMap::new();
--- a/daisy-entry/src/peers/tail.rs
+++ b/daisy-entry/src/peers/tail.rs
@@ -1,4 +1,4 @@
-//! The newest records of the log, kept for peers that read from this entry VM.
+//! The newest records of the log, retained for peers that read from this entry VM.
 
 use std::{
     collections::VecDeque,
@@ -9,77 +9,79 @@
 use daisy_model::Offset;
 use tokio::sync::watch;
 
-/// Bytes of records that are kept; a peer that lags further behind gets the state instead.
-const KEPT_BYTES: usize = 8 << 20;
-/// Bytes of records that go into one message.
+/// The maximum total size of retained records, in bytes; a peer that is further behind gets a
+/// snapshot of the state instead.
+const MAX_RETAINED_BYTES: usize = 8 << 20;
+/// The maximum size of the records in one message, in bytes.
 const CHUNK_BYTES: usize = 256 << 10;
 
 #[derive(Debug, Default)]
-struct Kept {
+struct RetainedRecords {
     /// The offset of the first record.
     first: u64,
     records: VecDeque<Bytes>,
     bytes: usize,
 }
 
-/// What a peer at some offset gets.
+/// The records for a peer at a given offset.
 #[derive(Debug)]
 pub(crate) enum Chunk {
-    /// Nothing yet.
+    /// There are no records from the offset on yet.
     Nothing,
     /// Consecutive records.
     Records(Vec<Bytes>),
-    /// The offset is below what is kept.
+    /// The offset is below the first retained record.
     TooOld,
 }
 
 /// The newest records; clones share them.
 #[derive(Debug, Clone)]
 pub(crate) struct Tail {
-    kept: Arc<Mutex<Kept>>,
+    retained: Arc<Mutex<RetainedRecords>>,
     next: Arc<watch::Sender<Offset>>,
 }
 
 impl Tail {
-    /// An empty tail.
+    /// Creates an empty tail.
     pub fn new() -> Tail {
-        Tail { kept: Arc::default(), next: Arc::new(watch::Sender::new(Offset(0))) }
+        Tail { retained: Arc::default(), next: Arc::new(watch::Sender::new(Offset(0))) }
     }
 
-    /// Keeps the record at `offset`, which was just folded.
+    /// Adds the record at `offset`, which was just folded.
     pub fn push(&self, offset: Offset, bytes: Bytes) {
-        let mut kept = self.lock();
-        let next = kept.first + kept.records.len() as u64;
+        let mut retained = self.lock();
+        let next = retained.first + retained.records.len() as u64;
         if offset.0 != next {
-            // A jump over a snapshot: what came before no longer joins up.
-            *kept = Kept { first: offset.0, ..Kept::default() };
+            // The fold has jumped to a snapshot: the earlier records are no longer contiguous with
+            // this one.
+            *retained = RetainedRecords { first: offset.0, ..RetainedRecords::default() };
         }
-        kept.bytes += bytes.len();
-        kept.records.push_back(bytes);
-        while kept.bytes > KEPT_BYTES {
-            let Some(oldest) = kept.records.pop_front() else { break };
-            kept.bytes -= oldest.len();
-            kept.first += 1;
+        retained.bytes += bytes.len();
+        retained.records.push_back(bytes);
+        while retained.bytes > MAX_RETAINED_BYTES {
+            let Some(oldest) = retained.records.pop_front() else { break };
+            retained.bytes -= oldest.len();
+            retained.first += 1;
         }
     }
 
-    /// Tells readers that the fold has come to `next`.
+    /// Notifies readers that the fold has reached `next`.
     pub fn publish(&self, next: Offset) {
         self.next.send_if_modified(|it| std::mem::replace(it, next) != next);
     }
 
-    /// Tells when the fold moves on.
+    /// Returns a channel that is notified when the fold advances.
     pub fn subscribe(&self) -> watch::Receiver<Offset> {
         self.next.subscribe()
     }
 
-    /// Records from `from` on.
+    /// Returns records starting at `from`.
     pub fn chunk(&self, from: Offset) -> Chunk {
         if *self.next.borrow() <= from {
             return Chunk::Nothing;
         }
-        let kept = self.lock();
-        let Some(skip) = from.0.checked_sub(kept.first) else { return Chunk::TooOld };
+        let retained = self.lock();
+        let Some(skip) = from.0.checked_sub(retained.first) else { return Chunk::TooOld };
         let mut bytes = 0;
         let fits = |record: &&Bytes| {
             bytes += record.len();
@@ -87,15 +89,15 @@
         };
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
         let records: Vec<Bytes> =
-            kept.records.iter().skip(skip).take_while(fits).cloned().collect();
+            retained.records.iter().skip(skip).take_while(fits).cloned().collect();
         match records.is_empty() {
             true => Chunk::TooOld,
             false => Chunk::Records(records),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        // A panic in the middle of a push leaves nothing worse than a record too few.
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, RetainedRecords> {
+        // At worst, a panic in the middle of a push leaves one record too few.
+        self.retained.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/daisy-entry/src/peers/counted.rs
+++ b/daisy-entry/src/peers/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts what goes over the connections to peers, HTTP/2 frames included.
+//! Counts the bytes on the connections to peers, HTTP/2 frames included.
 
 use std::{
     io::{self, IoSlice},
@@ -15,7 +15,7 @@
     net::TcpStream,
 };
 
-/// Bytes to and from all peers; clones share the sums.
+/// Bytes sent to and received from all peers; clones share the totals.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Traffic {
     sent: Arc<AtomicU64>,
@@ -23,31 +23,31 @@
 }
 
 impl Traffic {
-    /// Bytes sent so far.
+    /// Returns the bytes sent so far.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Bytes received so far.
+    /// Returns the bytes received so far.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// A socket whose bytes are counted.
-    pub fn count(&self, socket: TcpStream) -> Counted {
-        Counted { socket, traffic: self.clone() }
+    /// Wraps a socket so that its bytes are counted.
+    pub fn count(&self, socket: TcpStream) -> CountedSocket {
+        CountedSocket { socket, traffic: self.clone() }
     }
 }
 
 /// A socket whose bytes are counted.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountedSocket {
     socket: TcpStream,
     traffic: Traffic,
 }
 
-impl Counted {
-    fn wrote(&self, outcome: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+impl CountedSocket {
+    fn count_written(&self, outcome: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = outcome {
             self.traffic.sent.fetch_add(bytes as u64, Ordering::Relaxed);
         }
@@ -55,7 +55,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -69,14 +69,14 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let outcome = Pin::new(&mut self.socket).poll_write(cx, buf);
-        self.wrote(outcome)
+        self.count_written(outcome)
     }
 
     fn poll_write_vectored(
@@ -85,7 +85,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let outcome = Pin::new(&mut self.socket).poll_write_vectored(cx, bufs);
-        self.wrote(outcome)
+        self.count_written(outcome)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/daisy-entry/src/proxy.rs
+++ b/daisy-entry/src/proxy.rs
@@ -1,8 +1,7 @@
-//! The request side of an entry VM: callers' HTTP in, backend servers' HTTP out.
+//! The request side of an entry VM: an HTTP proxy between callers and backend servers.
 //!
-//! `daisy-routing` decides; the modules here hold sockets and timers. Mounted by
-//! [`Proxy::serve`], told of services by a [`RoutesWatch`], and asked by the control side
-//! through [`RequestSide`].
+//! `daisy-routing` decides; the modules here own sockets and timers. [`Proxy::serve`] runs it, a
+//! [`RoutesWatch`] provides the services, and the control side uses it through [`RequestSide`].
 
 use std::{
     future::Future,
@@ -20,10 +19,10 @@
 use crate::{
     boundary::{PeerKeys, RequestSide, RoutesWatch},
     proxy::{
-        core::{Core, MAX_KEYED},
+        core::{Core, MAX_KEYED_IN_PROGRESS},
         pool::lock,
         request::Requests,
-        serve::Stage,
+        serve::DrainStage,
     },
 };
 
@@ -44,33 +43,33 @@
 
 pub use self::body::{AnswerBody, BodyError, Streamed};
 
-/// Between looks at the queue for requests that can no longer finish in time.
-const TICK: Duration = Duration::from_millis(5);
+/// Interval between checks of the queue for requests that can no longer finish in time.
+const QUEUE_TICK: Duration = Duration::from_millis(5);
 
-/// The same while nothing waits: at 5 ms an idle entry VM spent a core's percent on waking up.
-/// Far below the gap by which a freeze is told.
+/// The same interval while no request waits: at 5 ms an idle entry VM spent one percent of a core
+/// on waking up. It is far below the gap by which a freeze of the process is detected.
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
-/// Between looks at who is there, for the homes of keys.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval between updates of the homes of keys from the routes.
+const HOMES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a [`Proxy`] needs of the settings.
+/// Options of a [`Proxy`].
 #[derive(Debug, Clone)]
 pub struct Options {
     /// This VM.
     pub vm: VmId,
     /// Its data centre.
     pub dc: DcId,
-    /// Bounds against abuse.
+    /// Limits against abuse.
     pub limits: Limits,
-    /// Between not ready and the close of the callers' port in a planned stop.
+    /// In a planned stop, the time between reporting not ready and closing the callers' port.
     pub balancer_delay: Duration,
-    /// Seeds the draws of backend servers and request ids; differs between processes.
+    /// Seeds the random choice of backend servers and request IDs; differs between processes.
     pub seed: u64,
 }
 
 impl Options {
-    /// The options that `settings` give.
+    /// Returns the options that `settings` specify.
     pub fn new(settings: &Settings, seed: u64) -> Options {
         Options {
             vm: settings.vm,
@@ -88,41 +87,42 @@
     core: Arc<Core>,
     routes: RoutesWatch,
     peers: K,
-    stage: Arc<watch::Sender<Stage>>,
+    stage: Arc<watch::Sender<DrainStage>>,
     done: watch::Receiver<bool>,
     finished: Arc<watch::Sender<bool>>,
 }
 
 impl<K: PeerKeys<KeyQuery, KeyAnswer>> Proxy<K> {
-    /// A proxy that serves what `routes` shows and asks other entry VMs through `peers`.
+    /// Creates a proxy that serves the services in `routes` and queries other entry VMs through
+    /// `peers`.
     pub fn new(options: Options, routes: RoutesWatch, peers: K) -> Proxy<K> {
         let (finished, done) = watch::channel(false);
         Proxy {
             core: Arc::new(Core::new(options)),
             routes,
             peers,
-            stage: Arc::new(watch::Sender::new(Stage::Serving)),
+            stage: Arc::new(watch::Sender::new(DrainStage::Serving)),
             done,
             finished: Arc::new(finished),
         }
     }
 
-    /// What asks other entry VMs.
+    /// Returns the client that queries other entry VMs.
     pub fn peers(&self) -> &K {
         &self.peers
     }
 
-    /// Adds the metrics of requests to `registry`.
+    /// Registers the metrics of requests in `registry`.
     pub fn register_metrics(&self, registry: &mut Registry) {
         self.core.metrics.register(registry);
     }
 
-    /// Whether a planned stop has begun: `/readyz` says no from then on.
+    /// Returns whether a planned stop has begun; `/readyz` reports not ready from then on.
     pub fn is_draining(&self) -> bool {
         self.core.is_draining()
     }
 
-    /// Serves callers on `listener`, and `own` routes to requests that name no service.
+    /// Serves callers on `listener`; `own` handles requests that name no service.
     ///
     /// Returns once [`RequestSide::drain`] has closed the listener and every connection has ended.
     pub async fn serve(&self, listener: TcpListener, own: viz::Router) -> io::Result<()> {
@@ -131,55 +131,55 @@
         let requests = Requests { core: Arc::clone(&self.core), peers: self.peers.clone() };
         let served = async {
             serve::serve(requests, listener, own, self.stage.subscribe()).await;
-            self.leave().await;
+            self.hand_over_all_keys().await;
         };
         tokio::select! {
             () = served => {}
-            () = self.follow() => {}
+            () = self.follow_routes() => {}
         }
         self.finished.send_replace(true);
         Ok(())
     }
 
-    /// Ends keyed requests whose callers have left, and hands the keys over.
-    async fn leave(&self) {
-        let _ = self.core.keyed.acquire_many(MAX_KEYED).await;
+    /// Waits for keyed requests whose callers have disconnected, then hands the keys over.
+    async fn hand_over_all_keys(&self) {
+        let _ = self.core.keyed.acquire_many(MAX_KEYED_IN_PROGRESS).await;
         let messages = lock(&self.core.keys).leave(self.core.clock.now());
-        keyed::hand_over(&self.core, &self.peers, messages, keyed::LEAVE_PATIENCE).await;
+        keyed::hand_over(&self.core, &self.peers, messages, keyed::LEAVE_HANDOVER_TIMEOUT).await;
     }
 
-    /// Takes in routes as they change and lets time pass for queue and keys; never returns.
-    async fn follow(&self) {
+    /// Applies routes as they change, and ticks the queue and the keys; never returns.
+    async fn follow_routes(&self) {
         let mut routes = self.routes.clone();
-        let mut ticked = tokio::time::Instant::now();
-        let mut looks = tokio::time::interval(LOOK);
-        looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut last_tick = tokio::time::Instant::now();
+        let mut home_ticks = tokio::time::interval(HOMES_INTERVAL);
+        home_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         routes.mark_changed();
         loop {
-            let pause = if self.core.has_waiting() { TICK } else { IDLE_TICK };
+            let pause = if self.core.has_waiting() { QUEUE_TICK } else { IDLE_TICK };
             tokio::select! {
                 Ok(()) = routes.changed() => {
                     let routes = Arc::clone(&routes.borrow_and_update());
                     self.core.set_routes(&routes);
-                    self.look_for_homes(&routes);
+                    self.refresh_key_homes(&routes);
                 }
-                _ = looks.tick() => self.look_for_homes(&self.routes.borrow()),
-                () = tokio::time::sleep_until(ticked + pause) => {
+                _ = home_ticks.tick() => self.refresh_key_homes(&self.routes.borrow()),
+                () = tokio::time::sleep_until(last_tick + pause) => {
                     self.core.tick();
-                    ticked = tokio::time::Instant::now();
+                    last_tick = tokio::time::Instant::now();
                 }
-                // The pause is a short one from now on.
+                // A request waits now, so the next pause is the short one.
                 () = self.core.queued.notified() => {}
             }
         }
     }
 
-    fn look_for_homes(&self, routes: &Routes) {
-        let messages = self.core.set_homes(routes);
+    fn refresh_key_homes(&self, routes: &Routes) {
+        let messages = self.core.update_key_homes(routes);
         if !messages.is_empty() {
             let Proxy { core, peers, .. } = self.clone();
             tokio::spawn(async move {
-                keyed::hand_over(&core, &peers, messages, keyed::JOIN_PATIENCE).await;
+                keyed::hand_over(&core, &peers, messages, keyed::JOIN_HANDOVER_TIMEOUT).await;
             });
         }
     }
@@ -204,9 +204,9 @@
             let first = !self.core.draining.swap(true, Ordering::Relaxed);
             if first {
                 log::info!("event=draining vm={}", self.core.options.vm);
-                self.stage.send_replace(Stage::Leaving);
+                self.stage.send_replace(DrainStage::Leaving);
                 tokio::time::sleep(self.core.options.balancer_delay).await;
-                self.stage.send_replace(Stage::Closed);
+                self.stage.send_replace(DrainStage::Closed);
             }
             let _ = done.wait_for(|done| *done).await;
         }
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -17,13 +17,13 @@
 
 use crate::proxy::{
     answer::ANSWERED,
-    body::{AnswerBody, Outgoing, Streamed},
+    body::{AnswerBody, RequestBody, Streamed},
     core::Core,
     guard::{AnswerGuard, TryGuard},
     pool::{Lease, PoolError},
 };
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -33,54 +33,54 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// `keep-alive`, hop by hop too though RFC 9110 only names it in passing.
+/// `keep-alive`, which is hop-by-hop as well although RFC 9110 mentions it only in passing.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// A request as it is sent to backend servers, try after try.
+/// A request as it is sent to backend servers, the same for every try.
 #[derive(Debug)]
-pub(super) struct Sending {
-    /// Method, path and headers, without those of one connection.
+pub(super) struct ForwardedRequest {
+    /// Method, path and headers, without hop-by-hop headers.
     pub(super) parts: Parts,
-    /// Its id, the same in every try.
+    /// The request ID, the same in every try.
     pub(super) id: String,
-    /// When its answer must be whole.
+    /// When its answer must be complete.
     pub(super) deadline: Instant,
 }
 
-/// Why a try brought no answer.
+/// Why a try failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TryError {
     /// Nothing was sent.
     NotSent,
-    /// Nothing was sent, as all connections that this entry VM may have are open.
+    /// Nothing was sent: all connections that this entry VM may open are in use.
     NoConnection,
-    /// The backend server refused it and says that it did not run.
+    /// The backend server rejected the request and states that it did not run.
     Refused,
-    /// It was sent, and the connection broke before an answer's head came.
+    /// The request was sent, and the connection broke before the answer's head arrived.
     Broken,
-    /// The answer is another request's.
+    /// The answer carries the ID of another request.
     WrongId,
-    /// The answer's end could not be told from a broken connection.
+    /// The end of the answer cannot be distinguished from a broken connection.
     Unframed,
-    /// No answer's head came by the deadline.
+    /// The answer's head did not arrive by the deadline.
     Deadline,
 }
 
 impl TryError {
-    /// Whether it is proven that the request did not run in this try.
+    /// Returns whether the request provably did not run in this try.
     pub(super) fn proves_not_run(self) -> bool {
         matches!(self, TryError::NotSent | TryError::NoConnection | TryError::Refused)
     }
 
-    /// What is known after two failed tries.
+    /// Combines the errors of two failed tries.
     ///
     /// Guards against `not-run` for a request whose first try may have run and whose second could
     /// not be sent: the proof must hold for every try.
-    pub(super) fn and(self, other: TryError) -> TryError {
+    pub(super) fn combine(self, other: TryError) -> TryError {
         if self.proves_not_run() { other } else { self }
     }
 
-    /// The word for it in `docs/PROTOCOL.md`.
+    /// Returns the reason listed in `docs/PROTOCOL.md`.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             TryError::NotSent => "connect",
@@ -94,9 +94,9 @@
     }
 }
 
-impl Sending {
-    /// Takes over the caller's head and leaves out what concerns its connection only.
-    pub(super) fn new(mut parts: Parts, id: u64, deadline: Instant) -> Sending {
+impl ForwardedRequest {
+    /// Takes over the caller's head without hop-by-hop headers.
+    pub(super) fn new(mut parts: Parts, id: u64, deadline: Instant) -> ForwardedRequest {
         strip_hop_by_hop(&mut parts.headers);
         parts.headers.remove(header::EXPECT);
         parts.headers.remove(CONTENT_LENGTH);
@@ -107,10 +107,10 @@
         if let Ok(value) = HeaderValue::from_str(&id) {
             parts.headers.insert(headers::REQUEST_ID, value);
         }
-        Sending { parts, id, deadline }
+        ForwardedRequest { parts, id, deadline }
     }
 
-    fn request(&self, body: Outgoing, target: &Target, now: Instant) -> Request<Outgoing> {
+    fn request(&self, body: RequestBody, target: &Target, now: Instant) -> Request<RequestBody> {
         let mut parts = self.parts.clone();
         let left = self.deadline.since(now).as_millis() as u64;
         parts.headers.insert(headers::DEADLINE_MS, HeaderValue::from(left));
@@ -127,12 +127,12 @@
 pub(super) async fn try_once(
     core: &Arc<Core>,
     target: Target,
-    sending: &Sending,
-    body: Outgoing,
+    forwarded: &ForwardedRequest,
+    body: RequestBody,
 ) -> Result<Response<AnswerBody>, TryError> {
     let mut guard = TryGuard::new(Arc::clone(core), target.try_id);
-    let sent = send(core, &target, sending, body);
-    let at = core.clock.timer_at(sending.deadline);
+    let sent = send(core, &target, forwarded, body);
+    let at = core.clock.timer_at(forwarded.deadline);
     let result = tokio::time::timeout_at(at, sent).await.unwrap_or(Err(TryError::Deadline));
     let (lease, response) = match result {
         Ok(answered) => answered,
@@ -147,19 +147,19 @@
         }
     };
     let report = read_report(response.headers());
-    if let Err(err) = check(&response, &sending.id) {
+    if let Err(err) = validate_answer(&response, &forwarded.id) {
         let end = if err == TryError::Refused { TryOutcome::Refused } else { TryOutcome::Broken };
         guard.end(TryReport { end, ..report });
         return Err(err);
     }
-    Ok(pass_on(response, AnswerGuard::new(guard, lease, report, sending.deadline)))
+    Ok(forward_answer(response, AnswerGuard::new(guard, lease, report, forwarded.deadline)))
 }
 
 async fn send(
     core: &Core,
     target: &Target,
-    sending: &Sending,
-    body: Outgoing,
+    forwarded: &ForwardedRequest,
+    body: RequestBody,
 ) -> Result<(Lease, Response<Incoming>), TryError> {
     let leased = core.pool.lease(target.address, target.connections).await;
     let mut lease = leased.map_err(|err| {
@@ -170,21 +170,21 @@
         }
     })?;
     let now = core.clock.now();
-    // Guards against a frozen entry VM that wakes and sends what nobody waits for any more: by
-    // then a repeated attempt may have run elsewhere. Timers fire too late for it, as what is
-    // ready is polled first.
-    if now >= sending.deadline {
+    // Guards against a frozen entry VM that wakes and sends a request whose caller has given up: by
+    // then a repeated attempt may have run elsewhere. Timers fire too late for this, as futures
+    // that are ready are polled first.
+    if now >= forwarded.deadline {
         return Err(TryError::NotSent);
     }
-    let req = sending.request(body, target, now);
+    let req = forwarded.request(body, target, now);
     match lease.tx.try_send_request(req).await {
         Ok(response) => Ok((lease, response)),
-        Err(err) => Err(sent_or_not(err, target)),
+        Err(err) => Err(classify_send_error(err, target)),
     }
 }
 
-/// Only a request that hyper gives back was surely not written.
-fn sent_or_not(mut err: TrySendError<Request<Outgoing>>, target: &Target) -> TryError {
+/// Only a request that hyper returns was certainly not written.
+fn classify_send_error(mut err: TrySendError<Request<RequestBody>>, target: &Target) -> TryError {
     let unwritten = err.take_message().is_some();
     log::debug!("event=try_failed vm={} unwritten={unwritten} error={:?}", target.vm, err.error());
     if unwritten { TryError::NotSent } else { TryError::Broken }
@@ -200,11 +200,11 @@
     }
 }
 
-/// Refuses an answer that is not surely the whole answer to this request.
-fn check(response: &Response<Incoming>, id: &str) -> Result<(), TryError> {
+/// Rejects an answer that is not certainly the complete answer to this request.
+fn validate_answer(response: &Response<Incoming>, id: &str) -> Result<(), TryError> {
     let map = response.headers();
-    // Guards against a late or doubled answer on a reused connection, which a caller would see
-    // as another's: such an answer has another id, or none.
+    // Guards against a late or duplicate answer on a reused connection, which a caller would get as
+    // the answer to its own request: such an answer has another ID, or none.
     if map.get(headers::REQUEST_ID).is_none_or(|value| value.as_bytes() != id.as_bytes()) {
         return Err(TryError::WrongId);
     }
@@ -213,15 +213,15 @@
     if refused {
         return Err(TryError::Refused);
     }
-    // Guards against a short success: without a length or chunks, a body ends where the
-    // connection does, and a broken connection looks like the end.
+    // Guards against a truncated answer that looks successful: without a length or chunks, a body
+    // ends where the connection does, and a broken connection looks like the end.
     let framed = response.body().is_end_stream()
         || map.contains_key(CONTENT_LENGTH)
         || map.contains_key(TRANSFER_ENCODING);
     if framed { Ok(()) } else { Err(TryError::Unframed) }
 }
 
-fn pass_on(response: Response<Incoming>, mut guard: AnswerGuard) -> Response<AnswerBody> {
+fn forward_answer(response: Response<Incoming>, mut guard: AnswerGuard) -> Response<AnswerBody> {
     let (mut parts, body) = response.into_parts();
     strip_hop_by_hop(&mut parts.headers);
     parts.headers.remove(headers::IN_FLIGHT);
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -1,4 +1,5 @@
-//! Requests with a key: claimed at the key's home before they run, their answers kept there.
+//! Requests with a key: the key is claimed at its home before the request runs, and the answer is
+//! stored there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,46 +15,47 @@
     proxy::{answer::Failure, core::Core, head::Key},
 };
 
-/// How long a home is given to answer.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pauses between questions while another attempt runs; doubled from the first to the last.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-const LAST_PAUSE: Duration = Duration::from_millis(200);
-/// How long a home that cannot be had is waited for before the caller is told to come again.
-const HOME_PATIENCE: Duration = Duration::from_secs(1);
-/// How much longer than its deadline a request may count as running, for the way to the home.
-const HOLD_MARGIN: Duration = Duration::from_secs(2);
-/// How often the end of a claim is told to a home that does not take it.
+/// How long a home may take to answer.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pauses between claims while another attempt runs, doubled from the first to the last.
+const MIN_CLAIM_PAUSE: Duration = Duration::from_millis(10);
+const MAX_CLAIM_PAUSE: Duration = Duration::from_millis(200);
+/// How long an unreachable home is waited for before the caller is told to retry.
+const HOME_UNAVAILABLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The time beyond its deadline for which a request may be treated as running, to allow for the
+/// delay of messages to the home.
+const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// How often the end of a claim is sent to a home that does not acknowledge it.
 const FINISH_TRIES: u32 = 5;
-/// Between those.
+/// The pause between those tries.
 const FINISH_PAUSE: Duration = Duration::from_millis(100);
-/// How long a peer that has joined is offered what it has not taken: its link may come later than its
-/// heartbeat, and a new home waits as long for the keys of the others.
-pub(super) const JOIN_PATIENCE: Duration = Duration::from_secs(5);
-/// The same in a planned stop, which must not wait for peers that are gone.
-pub(super) const LEAVE_PATIENCE: Duration = Duration::from_millis(500);
-/// How long the platform's log is given to take an intent.
+/// How long keys are offered to a peer that has joined and does not acknowledge them: its link may
+/// come up later than its heartbeat, and a new home waits as long for the keys of the others.
+pub(super) const JOIN_HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// The same in a planned stop, which must not wait for lost peers.
+pub(super) const LEAVE_HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long the platform's log may take to record an intent.
 const INTENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A claim, and the home that was asked first for it.
+/// A claim, and the home that it was first sent to.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Claim {
     id: ClaimId,
     home: Option<VmId>,
 }
 
-/// What a claim came to.
+/// The result of a claim.
 #[derive(Debug)]
-pub(super) enum Claimed {
-    /// The request runs.
+pub(super) enum ClaimResult {
+    /// The request must run.
     Run(Claim),
-    /// An earlier attempt ran, with this answer.
+    /// An earlier attempt ran and got this answer.
     Replay(StoredAnswer),
 }
 
-/// One keyed attempt.
+/// One attempt of a keyed request.
 #[derive(Debug, Clone)]
-pub(super) struct Keyed<K> {
+pub(super) struct KeyedRequest<K> {
     pub(super) core: Arc<Core>,
     pub(super) peers: K,
     pub(super) id: KeyId,
@@ -62,76 +64,81 @@
     pub(super) deadline: Instant,
 }
 
-impl<K: PeerKeys<KeyQuery, KeyAnswer>> Keyed<K> {
-    /// Claims the key: at its home, and for a repeated attempt in every data centre.
-    pub(super) async fn claim(&self) -> Result<Claimed, Failure> {
-        let begun = self.core.clock.now();
-        let mut pause = FIRST_PAUSE;
-        let mut claim = Claim { id: ClaimId(self.core.draw()), home: None };
+impl<K: PeerKeys<KeyQuery, KeyAnswer>> KeyedRequest<K> {
+    /// Claims the key at its home and, for a repeated attempt, in every data centre.
+    pub(super) async fn claim(&self) -> Result<ClaimResult, Failure> {
+        let started_at = self.core.clock.now();
+        let mut pause = MIN_CLAIM_PAUSE;
+        let mut claim = Claim { id: ClaimId(self.core.random_id()), home: None };
         loop {
             let home = self.core.home(&self.id);
             claim.home = claim.home.or(home);
-            let mut step = self.ask_home(home, claim.id).await;
-            let granted = matches!(step, KeyStep::Run | KeyStep::QueryOtherDcs);
-            if granted && self.key.logged {
-                step = self.intend().await;
+            let mut step = self.claim_at_home(home, claim.id).await;
+            let is_granted = matches!(step, KeyStep::Run | KeyStep::QueryOtherDcs);
+            if is_granted && self.key.logged {
+                step = self.announce_intent().await;
             } else if step == KeyStep::QueryOtherDcs {
-                step = self.ask_others().await;
+                step = self.fence_other_dcs().await;
             }
-            let stop = match step {
-                KeyStep::Run => return Ok(Claimed::Run(claim)),
+            let denial = match step {
+                KeyStep::Run => return Ok(ClaimResult::Run(claim)),
                 KeyStep::Replay(answer) => {
-                    if granted {
+                    if is_granted {
                         self.finish(claim, ClaimEnd::Answered(answer.clone())).await;
                     }
-                    return Ok(Claimed::Replay(answer));
+                    return Ok(ClaimResult::Replay(answer));
                 }
                 KeyStep::QueryOtherDcs => KeyDenial::Unknown,
-                KeyStep::Stop(stop) | KeyStep::Wait(stop) if granted => {
+                KeyStep::Stop(denial) | KeyStep::Wait(denial) if is_granted => {
                     self.finish(claim, ClaimEnd::NotRun).await;
-                    // A finish may overtake the next claim of the same name and release it.
-                    claim = Claim { id: ClaimId(self.core.draw()), home: None };
-                    stop
+                    // A `Finish` message may overtake the next claim with the same ID and release
+                    // it.
+                    claim = Claim { id: ClaimId(self.core.random_id()), home: None };
+                    denial
                 }
-                KeyStep::Stop(stop) | KeyStep::Wait(stop) => stop,
+                KeyStep::Stop(denial) | KeyStep::Wait(denial) => denial,
             };
-            if !self.may_wait(stop, begun, pause) {
-                if stop == KeyDenial::Unreachable {
+            if !self.may_retry_claim(denial, started_at, pause) {
+                if denial == KeyDenial::Unreachable {
                     self.finish(claim, ClaimEnd::NotRun).await;
                 }
-                return Err(self.stopped(stop));
+                return Err(self.failure(denial));
             }
             tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LAST_PAUSE);
+            pause = (pause * 2).min(MAX_CLAIM_PAUSE);
         }
     }
 
-    /// Tells the home how a claim ended; a home that is not there is looked for for a while, and
-    /// after that lets the claim expire as unknown.
+    /// Reports to the home how a claim ended. An unreachable home is retried for a while; after
+    /// that the claim expires there with an unknown outcome.
     pub(super) async fn finish(&self, claim: Claim, end: ClaimEnd) {
         let not_run = end == ClaimEnd::NotRun;
         let query = KeyQuery::Finish { key: self.id.clone(), claim: claim.id, end };
         for _ in 0..FINISH_TRIES {
             if let Some(home) = self.core.home(&self.id)
-                && self.ask(home, query.clone()).await == Some(KeyAnswer::Acknowledged)
+                && self.send_query(home, query.clone()).await == Some(KeyAnswer::Acknowledged)
             {
                 if not_run && claim.home != Some(home) {
-                    self.tell_others(home, query).await;
+                    self.finish_at_other_homes(home, query).await;
                 }
                 return;
             }
             tokio::time::sleep(FINISH_PAUSE).await;
         }
-        log::warn!("event=claim_end_untold key_digest={:016x}", digest(self.id.key.as_bytes()));
+        log::warn!(
+            "event=claim_end_undelivered key_digest={:016x}",
+            digest(self.id.key.as_bytes())
+        );
     }
 
-    /// Tells those beside the home that may have a copy of a claim from a handover.
-    async fn tell_others(&self, home: VmId, query: KeyQuery) {
+    /// Reports the end of a claim to the entry VMs besides the home that may have a copy of it from
+    /// a handover.
+    async fn finish_at_other_homes(&self, home: VmId, query: KeyQuery) {
         let others = self.core.candidate_homes(&self.id).into_iter().filter(|it| *it != home);
-        join_all(others.map(|it| self.ask(it, query.clone()))).await;
+        join_all(others.map(|it| self.send_query(it, query.clone()))).await;
     }
 
-    async fn ask_home(&self, home: Option<VmId>, claim: ClaimId) -> KeyStep {
+    async fn claim_at_home(&self, home: Option<VmId>, claim: ClaimId) -> KeyStep {
         let left = self.deadline.since(self.core.clock.now());
         let repeated = self.key.repeated && !self.key.logged;
         let query = KeyQuery::Claim {
@@ -139,28 +146,29 @@
             request_digest: self.request_digest,
             claim,
             repeated,
-            claim_timeout: left + HOLD_MARGIN,
+            claim_timeout: left + CLAIM_TIMEOUT_MARGIN,
         };
         let Some(home) = home else {
             return KeyStep::Wait(KeyDenial::Unreachable);
         };
-        next_step_after_home(self.ask(home, query).await, repeated)
+        next_step_after_home(self.send_query(home, query).await, repeated)
     }
 
-    async fn ask_others(&self) -> KeyStep {
+    async fn fence_other_dcs(&self) -> KeyStep {
         let candidate_homes = self.core.other_homes(&self.id);
         let answers = join_all(candidate_homes.into_iter().map(async |home| {
             let query =
                 KeyQuery::Fence { key: self.id.clone(), request_digest: self.request_digest };
-            self.ask(home?, query).await
+            self.send_query(home?, query).await
         }));
         next_step_after_other_dcs(answers.await, self.key.repeated)
     }
 
-    /// Notes the request in the platform's log; the first intent for a key wins.
-    async fn intend(&self) -> KeyStep {
+    /// Records the request in the platform's log; the first intent for a key wins.
+    async fn announce_intent(&self) -> KeyStep {
         let left = self.deadline.since(self.core.clock.now());
-        let intent = self.peers.intend(intent_key(&self.id), left.min(INTENT_TIMEOUT)).await;
+        let intent =
+            self.peers.announce_intent(intent_key(&self.id), left.min(INTENT_TIMEOUT)).await;
         match intent {
             Intent::Won => KeyStep::Run,
             Intent::Lost => KeyStep::Stop(KeyDenial::Unknown),
@@ -168,30 +176,31 @@
         }
     }
 
-    async fn ask(&self, to: VmId, query: KeyQuery) -> Option<KeyAnswer> {
-        ask(&self.core, &self.peers, to, query).await
+    async fn send_query(&self, to: VmId, query: KeyQuery) -> Option<KeyAnswer> {
+        send_query(&self.core, &self.peers, to, query).await
     }
 
-    /// Whether asking again may help before the caller's patience or the home's ends.
-    fn may_wait(&self, stop: KeyDenial, begun: Instant, pause: Duration) -> bool {
+    /// Returns whether another claim may succeed before the request's deadline or the timeout for
+    /// its home.
+    fn may_retry_claim(&self, denial: KeyDenial, started_at: Instant, pause: Duration) -> bool {
         let next = self.core.clock.now() + pause;
-        let end = match stop {
+        let end = match denial {
             KeyDenial::Running => self.deadline,
             KeyDenial::Settling | KeyDenial::Unreachable if !self.key.logged => {
-                self.deadline.min(begun + HOME_PATIENCE)
+                self.deadline.min(started_at + HOME_UNAVAILABLE_TIMEOUT)
             }
             _ => return false,
         };
         next < end
     }
 
-    fn stopped(&self, stop: KeyDenial) -> Failure {
-        Failure::from_key(stop, stop.proves_not_run(self.key.repeated))
+    fn failure(&self, denial: KeyDenial) -> Failure {
+        Failure::from_key_denial(denial, denial.proves_not_run(self.key.repeated))
     }
 }
 
-/// Asks `to`, which may be this entry VM.
-pub(super) async fn ask<K: PeerKeys<KeyQuery, KeyAnswer>>(
+/// Sends a query to `to`, which may be this entry VM.
+pub(super) async fn send_query<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
     to: VmId,
@@ -200,17 +209,17 @@
     if to == core.options.vm {
         Some(core.answer_key(to, query))
     } else {
-        peers.ask(to, query, ASK_TIMEOUT).await
+        peers.send_query(to, query, QUERY_TIMEOUT).await
     }
 }
 
-/// Hands keys over: to each peer one message after another, to all peers at one time. A message that
-/// a peer does not take is sent again for `patience`.
+/// Hands keys over: to each peer one message after another, to all peers concurrently. A message
+/// that a peer does not acknowledge is sent again until `timeout` has passed.
 pub(super) async fn hand_over<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
     messages: Vec<(VmId, KeyQuery)>,
-    patience: Duration,
+    timeout: Duration,
 ) {
     let mut by_peer: Vec<(VmId, Vec<KeyQuery>)> = Vec::new();
     for (peer, query) in messages {
@@ -220,25 +229,28 @@
         }
     }
     join_all(by_peer.into_iter().map(async |(peer, queries)| {
-        let taken = hand_over_to(core, peers, peer, queries, patience).await;
+        let taken = hand_over_to(core, peers, peer, queries, timeout).await;
         log::info!("event=keys_handed_over peer={peer} taken={taken}");
     }))
     .await;
 }
 
-/// Guards against a last message that arrives without those before it: the peer would vouch for
-/// keys that it does not have. The next is sent only when the one before was taken.
+/// Hands keys over to one peer; returns whether it has acknowledged all messages.
+///
+/// Guards against a last message that arrives without those before it: the peer would claim a
+/// complete history of keys that it does not have. A message is sent only after the previous one
+/// was acknowledged.
 async fn hand_over_to<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
     peer: VmId,
     queries: Vec<KeyQuery>,
-    patience: Duration,
+    timeout: Duration,
 ) -> bool {
     for query in queries {
-        let begun = core.clock.now();
-        while ask(core, peers, peer, query.clone()).await != Some(KeyAnswer::Acknowledged) {
-            if core.clock.now().since(begun) >= patience {
+        let started_at = core.clock.now();
+        while send_query(core, peers, peer, query.clone()).await != Some(KeyAnswer::Acknowledged) {
+            if core.clock.now().since(started_at) >= timeout {
                 return false;
             }
             tokio::time::sleep(FINISH_PAUSE).await;
@@ -247,7 +259,8 @@
     true
 }
 
-/// A digest of service and key for the log, of 128 bits so that two keys do not meet.
+/// Returns a digest of service and key for the log; it has 128 bits to avoid collisions between
+/// keys.
 fn intent_key(id: &KeyId) -> u128 {
     let text = format!("{}\n{}", id.service, id.key);
     let high = digest(text.as_bytes());
--- a/daisy-entry/src/proxy/metrics.rs
+++ b/daisy-entry/src/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of requests, by name and unit as `docs/OPERATING.md` lists them.
+//! Metrics of requests; `docs/OPERATING.md` lists their names and units.
 
 use std::time::Duration;
 
@@ -12,30 +12,30 @@
 
 use crate::proxy::body::AnswerBody;
 
-/// Upper bounds of the latency's buckets, in seconds: from a cache's answer to a caller's
-/// patience.
+/// Upper bounds of the latency buckets, in seconds: from an answer out of a cache to the time that
+/// a caller waits.
 const BUCKETS: [f64; 12] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
-/// Stands for a service that is not known: callers cannot make up labels.
+/// The label of an unknown service, so that callers cannot create labels.
 const UNKNOWN: &str = "-";
 
 /// Labels of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Answered {
+struct AnswerLabels {
     service: String,
     outcome: String,
 }
 
-/// Label of a service.
+/// The label of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Service {
+struct ServiceLabel {
     service: String,
 }
 
 /// The metrics of requests; clones share them.
 #[derive(Debug, Clone)]
 pub(super) struct RequestMetrics {
-    requests: Family<Answered, Counter>,
-    latency: Family<Service, Histogram>,
+    requests: Family<AnswerLabels, Counter>,
+    latency: Family<ServiceLabel, Histogram>,
 }
 
 impl RequestMetrics {
@@ -65,14 +65,15 @@
     ) {
         let malformed =
             matches!(response.status(), StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND);
-        let made_here = response.headers().contains_key(headers::REASON);
-        let named = service.and_then(|it| it.to_str().ok()).filter(|_| !(malformed && made_here));
+        let is_local_answer = response.headers().contains_key(headers::REASON);
+        let named =
+            service.and_then(|it| it.to_str().ok()).filter(|_| !(malformed && is_local_answer));
         let service = named.unwrap_or(UNKNOWN).to_owned();
         let outcome = outcome(response.headers()).to_owned();
         self.latency
-            .get_or_create(&Service { service: service.clone() })
+            .get_or_create(&ServiceLabel { service: service.clone() })
             .observe(took.as_secs_f64());
-        self.requests.get_or_create(&Answered { service, outcome }).inc();
+        self.requests.get_or_create(&AnswerLabels { service, outcome }).inc();
     }
 }
 
--- a/daisy-entry/src/proxy/pool.rs
+++ b/daisy-entry/src/proxy/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to backend servers, bounded for each.
+//! Connections to backend servers, with a limit for each server.
 //!
-//! hyper-util's pooled client bounds idle connections only and hides whether a request was
-//! written; a backend server takes a fixed number of connections from all entry VMs together,
-//! and `not-run` needs the proof, so connections are kept here over hyper's own client.
+//! The pooled client of hyper-util limits idle connections only and hides whether a request was
+//! written. A backend server accepts a fixed number of connections from all entry VMs together, and
+//! `not-run` requires proof that nothing was written, so this pool is built on hyper's own client.
 
 use std::{
     io,
@@ -15,18 +15,18 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use crate::proxy::body::Outgoing;
+use crate::proxy::body::RequestBody;
 
-/// Why no connection was had; nothing was sent.
+/// Why no connection could be obtained; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PoolError {
-    /// As many are open as this entry VM may have.
+    /// As many connections are open as this entry VM may have.
     #[error("all {limit} connections in use")]
     Full {
         /// The limit.
         limit: u32,
     },
-    /// The backend server does not take connections.
+    /// The backend server does not accept connections.
     #[error("connect: {0}")]
     Connect(#[from] io::Error),
     /// The connection broke before it was used.
@@ -37,65 +37,66 @@
 /// All connections of this entry VM to backend servers.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
-    hosts: Mutex<SortedMap<SocketAddr, Arc<Host>>>,
+    backends: Mutex<SortedMap<SocketAddr, Arc<BackendConnections>>>,
 }
 
 #[derive(Debug, Default)]
-struct Host {
-    state: Mutex<HostState>,
+struct BackendConnections {
+    state: Mutex<BackendConnectionState>,
 }
 
 #[derive(Debug, Default)]
-struct HostState {
+struct BackendConnectionState {
     open: u32,
-    idle: Vec<Connection>,
+    idle: Vec<IdleConnection>,
 }
 
 #[derive(Debug)]
-struct Connection {
-    tx: SendRequest<Outgoing>,
+struct IdleConnection {
+    tx: SendRequest<RequestBody>,
 }
 
-/// Counts one open connection until its driver ends.
+/// Counts one open connection until its driver task ends.
 #[derive(Debug)]
-struct Open {
-    host: Arc<Host>,
+struct OpenConnection {
+    backend: Arc<BackendConnections>,
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        lock(&self.host.state).open -= 1;
+        lock(&self.backend.state).open -= 1;
     }
 }
 
-/// A connection in use by one request; dropped, it is closed.
+/// A connection in use by one request; dropping it closes the connection.
 #[derive(Debug)]
 pub(super) struct Lease {
-    host: Arc<Host>,
+    backend: Arc<BackendConnections>,
     /// Where requests are sent.
-    pub(super) tx: SendRequest<Outgoing>,
+    pub(super) tx: SendRequest<RequestBody>,
 }
 
 impl Lease {
-    /// Lets another request use the connection; only after a whole answer.
-    pub(super) fn give_back(self) {
-        let Lease { host, tx } = self;
+    /// Returns the connection to the pool; only allowed after a complete answer.
+    pub(super) fn release(self) {
+        let Lease { backend, tx } = self;
         if !tx.is_closed() {
-            lock(&host.state).idle.push(Connection { tx });
+            lock(&backend.state).idle.push(IdleConnection { tx });
         }
     }
 }
 
 impl Pool {
-    /// A connection to `address`, at most `limit` of which are open at one time.
+    /// Returns a connection to `address`, of which at most `limit` are open at a time.
     pub(super) async fn lease(&self, address: SocketAddr, limit: u32) -> Result<Lease, PoolError> {
-        let host = Arc::clone(lock(&self.hosts).get_or_insert_with(address, Arc::default));
-        while let Some(Connection { mut tx }) = pop_idle(&host) {
+        let backend = Arc::clone(lock(&self.backends).get_or_insert_with(address, Arc::default));
+        while let Some(IdleConnection { mut tx }) = pop_idle(&backend) {
             if tx.ready().await.is_ok() {
-                return Ok(Lease { host, tx });
+                return Ok(Lease { backend, tx });
             }
         }
-        let open = Host::try_open(&host, limit).ok_or(PoolError::Full { limit })?;
+        let open =
+            BackendConnections::try_open(&backend, limit).ok_or(PoolError::Full { limit })?;
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let (tx, conn) = http1::handshake(TokioIo::new(stream)).await?;
@@ -105,13 +106,13 @@
             }
             drop(open);
         });
-        Ok(Lease { host, tx })
+        Ok(Lease { backend, tx })
     }
 
-    /// Closes idle connections to backend servers that `keep` does not name.
+    /// Closes idle connections to backend servers for which `keep` returns false.
     pub(super) fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
-        lock(&self.hosts).retain(|address, host| {
-            let mut state = lock(&host.state);
+        lock(&self.backends).retain(|address, backend| {
+            let mut state = lock(&backend.state);
             state.idle.retain(|conn| !conn.tx.is_closed());
             if !keep(address) {
                 state.idle.clear();
@@ -121,22 +122,22 @@
     }
 }
 
-impl Host {
-    fn try_open(host: &Arc<Host>, limit: u32) -> Option<Open> {
-        let mut state = lock(&host.state);
+impl BackendConnections {
+    fn try_open(backend: &Arc<BackendConnections>, limit: u32) -> Option<OpenConnection> {
+        let mut state = lock(&backend.state);
         if state.open >= limit {
             return None;
         }
         state.open += 1;
-        Some(Open { host: Arc::clone(host) })
+        Some(OpenConnection { backend: Arc::clone(backend) })
     }
 }
 
-fn pop_idle(host: &Host) -> Option<Connection> {
-    lock(&host.state).idle.pop()
+fn pop_idle(backend: &BackendConnections) -> Option<IdleConnection> {
+    lock(&backend.state).idle.pop()
 }
 
-/// Locks `mutex`; what it guards is consistent between statements, so poison is no matter.
+/// Locks `mutex`; the guarded data is consistent between statements, so poisoning is ignored.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/daisy-entry/src/proxy/stored.rs
+++ b/daisy-entry/src/proxy/stored.rs
@@ -1,4 +1,4 @@
-//! Answers as a key's home keeps them.
+//! Answers in the form that a key's home stores.
 
 use bytes::Bytes;
 use daisy_routing::StoredAnswer;
@@ -16,26 +16,26 @@
     body::{AnswerBody, BodyError},
 };
 
-/// The longest body that is kept, in bytes.
+/// The maximum size of a stored body, in bytes.
 const MAX_BODY: u64 = 64 << 10;
 
-/// Reads an answer whole where it is short enough to be kept; a longer one is passed on as it
-/// comes, and only the fact that it came is kept.
-pub(super) async fn keep(
+/// Reads an answer completely if it is short enough to be stored; a longer one is streamed, and
+/// only the fact that it was given is stored.
+pub(super) async fn store_answer(
     response: Response<AnswerBody>,
 ) -> Result<(Response<AnswerBody>, StoredAnswer), BodyError> {
     let (parts, body) = response.into_parts();
     let short = body.size_hint().exact().is_some_and(|length| length <= MAX_BODY);
     if !short {
-        let stored = store(&parts, None);
+        let stored = to_stored(&parts, None);
         return Ok((Response::from_parts(parts, body), stored));
     }
     let bytes = body.collect().await?.to_bytes();
-    let stored = store(&parts, Some(&bytes));
+    let stored = to_stored(&parts, Some(&bytes));
     Ok((Response::from_parts(parts, AnswerBody::fixed(bytes)), stored))
 }
 
-/// The answer of an earlier attempt, marked as such.
+/// Returns the answer of an earlier attempt, marked as replayed.
 pub(super) fn replay(stored: StoredAnswer) -> Result<Response<AnswerBody>, Failure> {
     let Some(body) = stored.body else {
         return Err(Failure::new(StatusCode::CONFLICT, Outcome::Answered, "answer-not-kept"));
@@ -56,15 +56,15 @@
     Ok(response)
 }
 
-/// What is kept: all but what belongs to the first attempt's own exchange.
-fn store(parts: &Parts, body: Option<&[u8]>) -> StoredAnswer {
-    let own = |name: &HeaderName| {
+/// Returns the answer to store, without the headers of the first attempt's own exchange.
+fn to_stored(parts: &Parts, body: Option<&[u8]>) -> StoredAnswer {
+    let belongs_to_exchange = |name: &HeaderName| {
         *name == CONTENT_LENGTH || *name == DATE || name.as_str() == headers::REQUEST_ID
     };
-    let kept = parts.headers.iter().filter(|(name, _)| !own(name));
+    let stored_headers = parts.headers.iter().filter(|(name, _)| !belongs_to_exchange(name));
     StoredAnswer {
         status: parts.status.as_u16(),
-        headers: kept
+        headers: stored_headers
             .map(|(name, value)| (name.as_str().into(), value.as_bytes().into()))
             .collect(),
         body: body.map(Into::into),
--- a/daisy-entry/src/vm_list.rs
+++ b/daisy-entry/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's VM list; cut off from the platform, asks peers for it.
+//! Reads the platform's VM list, from peers if the platform is unreachable.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::{
     control::Input,
     peers::Links,
-    platform::{Listing, Platform},
+    platform::{Platform, VmListing},
 };
 
 /// The longest pause between reads while the platform does not answer.
@@ -16,7 +16,8 @@
 /// How long a peer may take to answer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reads the list every `period`, and passes each new version on, or that there is none.
+/// Reads the list every `period`, and reports each new version, or that it is unchanged, to the
+/// control task.
 pub(crate) async fn run(
     platform: Platform,
     links: Links,
@@ -34,7 +35,7 @@
             Err(e) => {
                 log::debug!("event=vm_list_failed cause=\"{e}\"");
                 pause = (pause * 2).min(MAX_PAUSE.max(period));
-                from_peer(&links, version).await.map(Input::PeerVms)
+                list_from_peer(&links, version).await.map(Input::PeerVms)
             }
         };
         if let Some(Input::Vms(listing) | Input::PeerVms(listing)) = &input {
@@ -49,17 +50,17 @@
     }
 }
 
-/// A newer list than `known` from some peer.
+/// Returns a list newer than `known` from a random peer.
 ///
 /// Guard: an entry VM that alone is cut off from the platform would send requests to backend
-/// servers that are long gone, and know no new peer. Which peer has news is not known, so
-/// another one is asked each time.
-async fn from_peer(links: &Links, known: Option<u64>) -> Option<Listing> {
+/// servers that have long been removed, and would not learn of new peers. It is unknown which peer
+/// has a newer list, so each time a peer is chosen at random.
+async fn list_from_peer(links: &Links, known: Option<u64>) -> Option<VmListing> {
     let peer = links.any_peer()?;
-    match links.ask(peer, PeerQuery::Vms { known }, PEER_TIMEOUT).await? {
+    match links.send_question(peer, PeerQuery::Vms { known }, PEER_TIMEOUT).await? {
         PeerAnswer::Vms { version, vms } => {
             log::info!("event=vm_list_from_peer peer={peer} version={version}");
-            Some(Listing { version, vms })
+            Some(VmListing { version, vms })
         }
         _ => None,
     }
