--- a/tests/node.rs
+++ b/tests/node.rs
@@ -56,7 +56,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
 
     let owner = fleet.owner().await;
-    fleet.set_worker_of(JOB, WorkerFault::Cut);
+    fleet.set_worker_of(JOB, WorkerFault::Unreachable);
     fleet.kill(owner);
     let killed_at = Instant::now();
     fleet.wait_for_runs(2).await;
@@ -140,8 +140,8 @@
 #[tokio::test]
 async fn dropped_history_is_read_anew() {
     let fleet = Fleet::start(2, 2, WORK).await;
-    fleet.log.forget("keyed.op");
-    fleet.log.forget("keyed.servers");
+    fleet.log.compact("keyed.op");
+    fleet.log.compact("keyed.servers");
     fleet.configure(2, "/other/");
     tokio::time::sleep(Duration::from_millis(600)).await;
 
@@ -301,7 +301,7 @@
     let before = fleet.changes_of_owner();
     fleet.post(0, JOB, job_body(4)).await;
 
-    fleet.log.set_fault(LogFault::Silent);
+    fleet.log.set_fault(LogFault::Unresponsive);
     tokio::time::sleep(Duration::from_secs(3)).await;
     fleet.log.set_fault(LogFault::SlowAppends(Duration::from_millis(300)));
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -320,12 +320,12 @@
     let fleet = Fleet::start(2, 2, WORK).await;
     let before = fleet.changes_of_owner();
 
-    fleet.log.set_fault(LogFault::Silent);
+    fleet.log.set_fault(LogFault::Unresponsive);
     tokio::time::sleep(Duration::from_millis(2_100)).await;
-    fleet.log.silence(&["keyed.states"]);
+    fleet.log.set_unresponsive(&["keyed.states"]);
     fleet.log.set_fault(LogFault::None);
     tokio::time::sleep(Duration::from_millis(900)).await;
-    fleet.log.silence(&[]);
+    fleet.log.set_unresponsive(&[]);
     tokio::time::sleep(Duration::from_secs(2)).await;
 
     assert_eq!(fleet.changes_of_owner(), before);
@@ -365,7 +365,7 @@
     let fleet = Fleet::start(2, 2, Duration::from_millis(800)).await;
     fleet.post(0, JOB, job_body(1)).await;
     fleet.wait_for_runs(1).await;
-    fleet.set_worker_of(JOB, WorkerFault::Cut);
+    fleet.set_worker_of(JOB, WorkerFault::Unreachable);
     fleet.wait_for_state(0, JOB, "completed").await;
 
     let said = fleet.wait_for_trace(JOB, "ended as completed").await;
@@ -475,7 +475,7 @@
     let fleet = Fleet::start(2, 2, WORK).await;
     fleet.post(0, JOB, job_body(1)).await;
     fleet.wait_for_state(0, JOB, "completed").await;
-    fleet.log.silence(&["keyed.states"]);
+    fleet.log.set_unresponsive(&["keyed.states"]);
 
     let ids = ids_of(0, 20);
     let answers = fleet.post_all(0, &ids, Duration::from_millis(150)).await;
@@ -489,7 +489,7 @@
 async fn a_silent_partition_holds_up_no_other_shard() {
     let fleet = Fleet::start(2, 120, WORK).await;
     fleet.owned().await;
-    fleet.log.silence(&["keyed.jobs/1"]);
+    fleet.log.set_unresponsive(&["keyed.jobs/1"]);
 
     let (silent, healthy) = (ids_of(1, 40), ids_of(0, 40));
     let gap = Duration::from_millis(80);
@@ -508,11 +508,11 @@
 async fn a_partition_that_returns_takes_jobs_again() {
     let fleet = Fleet::start(1, 120, WORK).await;
     fleet.owned().await;
-    fleet.log.silence(&["keyed.jobs/1"]);
+    fleet.log.set_unresponsive(&["keyed.jobs/1"]);
     let ids = ids_of(1, 50);
     fleet.post_all(0, &ids[..25], Duration::from_millis(80)).await;
 
-    fleet.log.silence(&[]);
+    fleet.log.set_unresponsive(&[]);
     fleet.post(0, &ids[25], job_body(1)).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let answers = fleet.post_all(0, &ids[26..], Duration::from_millis(80)).await;
@@ -528,9 +528,9 @@
     let before = fleet.changes_of_owner();
 
     for millis in [1_600, 2_000, 2_400, 2_800, 4_000] {
-        fleet.log.silence(&["keyed.states"]);
+        fleet.log.set_unresponsive(&["keyed.states"]);
         tokio::time::sleep(Duration::from_millis(millis)).await;
-        fleet.log.silence(&[]);
+        fleet.log.set_unresponsive(&[]);
         tokio::time::sleep(Duration::from_secs(2)).await;
     }
     fleet.post(0, JOB, job_body(4)).await;
@@ -547,7 +547,7 @@
     let fleet = Fleet::start(1, 2, WORK).await;
     fleet.post(0, JOB, job_body(1)).await;
     fleet.wait_for_state(0, JOB, "completed").await;
-    fleet.log.set_fault(LogFault::Silent);
+    fleet.log.set_fault(LogFault::Unresponsive);
 
     let post = async |at: u64| {
         tokio::time::sleep(Duration::from_millis(60 * at)).await;
--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -7,7 +7,7 @@
 };
 
 use daisy_http::Http;
-use daisy_platform_standin::{Log, Seen, Worker, WorkerFault};
+use daisy_platform_standin::{Log, StartedRun, Worker, WorkerFault};
 use http::Method;
 use http_body_util::Full;
 use nix::sys::signal::Signal;
@@ -272,7 +272,7 @@
 
     /// Sets what is wrong with the worker that runs a task of a job.
     pub fn set_worker_of(&self, id: &str, fault: WorkerFault) {
-        let runs = |it: &&Worker| it.seen().iter().any(|it| it.task.starts_with(id));
+        let runs = |it: &&Worker| it.started_runs().iter().any(|it| it.task.starts_with(id));
         self.workers.iter().find(runs).expect("a worker that runs it").set_fault(fault);
     }
 
@@ -299,14 +299,14 @@
     }
 
     /// All runs of a job that workers have begun.
-    pub fn runs_of(&self, id: &str) -> Vec<Seen> {
-        let seen = self.workers.iter().flat_map(Worker::seen);
-        seen.filter(|it| it.task.starts_with(id)).collect()
+    pub fn runs_of(&self, id: &str) -> Vec<StartedRun> {
+        let started_runs = self.workers.iter().flat_map(Worker::started_runs);
+        started_runs.filter(|it| it.task.starts_with(id)).collect()
     }
 
     /// Runs of all jobs that workers have begun.
     pub fn all_runs(&self) -> usize {
-        self.workers.iter().map(|it| it.seen().len()).sum()
+        self.workers.iter().map(|it| it.started_runs().len()).sum()
     }
 
     pub fn assert_each_task_ran_once(&self, id: &str, count: usize) {
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -7,7 +7,7 @@
 };
 
 use daisy_http::Http;
-use daisy_platform_standin::{Log, LogFault, Seen, Worker, WorkerFault};
+use daisy_platform_standin::{Log, LogFault, StartedRun, Worker, WorkerFault};
 use daisy_standin::{
     Link,
     link::{ForwardRule, LinkFaults, Options},
@@ -67,7 +67,7 @@
         for at in 0..plan.workers {
             let worker = Worker::start(&log, &format!("w{at}"), "shop", CORES, WORK).await;
             let worker = worker.expect("a port of loopback");
-            worker.slow_clock(plan.clocks[at]);
+            worker.set_clock_rate(plan.clocks[at]);
             if at < LINKED {
                 let link = link_to(worker.address).await;
                 worker.announce_at(link.address());
@@ -96,9 +96,9 @@
     }
 
     /// All runs that workers have begun, by worker.
-    pub fn runs(&self) -> Vec<(usize, Seen)> {
+    pub fn runs(&self) -> Vec<(usize, StartedRun)> {
         let of = |(at, worker): (usize, &Worker)| {
-            worker.seen().into_iter().map(move |it| (at, it)).collect::<Vec<_>>()
+            worker.started_runs().into_iter().map(move |it| (at, it)).collect::<Vec<_>>()
         };
         self.workers.iter().enumerate().flat_map(of).collect()
     }
@@ -148,19 +148,19 @@
                 self.ends.push((now + time, End::Worker(worker)));
             }
             Fault::Crash(worker) => self.workers[worker].crash(),
-            Fault::Late(worker, after) => {
+            Fault::DelaysStarts(worker, after) => {
                 /// How long such a worker takes orders late.
                 const LATE_FOR: Duration = Duration::from_secs(2);
-                self.workers[worker].set_fault(WorkerFault::Late(after));
+                self.workers[worker].set_fault(WorkerFault::DelaysStarts(after));
                 self.ends.push((now + LATE_FOR, End::OnTime(worker)));
             }
             Fault::LogBusy(time) => self.set_log(LogFault::Busy, now + time),
-            Fault::LogSilent(time) => self.set_log(LogFault::Silent, now + time),
+            Fault::LogSilent(time) => self.set_log(LogFault::Unresponsive, now + time),
             Fault::LogLosesAnswers(time) => self.set_log(LogFault::LosesAnswers, now + time),
             Fault::LogSlow(each, time) => self.set_log(LogFault::SlowAppends(each), now + time),
             Fault::Forget => {
                 for topic in ["keyed.op", "keyed.servers", "keyed.states", "keyed.jobs"] {
-                    self.log.forget(topic);
+                    self.log.compact(topic);
                 }
             }
             Fault::Configure => self.configure(),
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -24,7 +24,7 @@
     /// A worker crashes and starts again.
     Crash(usize),
     /// A worker says nothing to orders and carries them out this long after.
-    Late(usize, Duration),
+    DelaysStarts(usize, Duration),
     /// The log does nothing and says so, for this long.
     LogBusy(Duration),
     /// The log says nothing for this long.
@@ -105,7 +105,7 @@
         7 | 8 => Fault::Store(vm, way(rng), time(rng, 300..5_000)),
         9 | 10 => Fault::Worker(worker, way(rng), time(rng, 300..7_000)),
         11 => Fault::Crash(worker),
-        12 => Fault::Late(worker, time(rng, 500..4_000)),
+        12 => Fault::DelaysStarts(worker, time(rng, 500..4_000)),
         13 => match rng.bool() {
             true => Fault::LogBusy(time(rng, 300..4_000)),
             false => Fault::LogSilent(time(rng, 300..4_000)),
--- a/tests/soak/promises.rs
+++ b/tests/soak/promises.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use daisy_platform_standin::Seen;
+use daisy_platform_standin::StartedRun;
 
 use crate::{
     callers::{Call, Told},
@@ -16,14 +16,14 @@
 const VISIBLE: Duration = Duration::from_secs(3);
 
 /// All promises that were broken, in words.
-pub fn broken(calls: &[Call], runs: &[(usize, Seen)]) -> Vec<String> {
+pub fn broken(calls: &[Call], runs: &[(usize, StartedRun)]) -> Vec<String> {
     let mut broken = Vec::new();
     for call in calls {
         broken.extend(told_truly(call));
         let of_job: Vec<_> = runs.iter().filter(|(_, it)| it.task.starts_with(&call.id)).collect();
         broken.extend(of_one_job(call, &of_job));
     }
-    let known = |it: &Seen| calls.iter().any(|call| it.task.starts_with(&call.id));
+    let known = |it: &StartedRun| calls.iter().any(|call| it.task.starts_with(&call.id));
     let foreign = runs.iter().filter(|(_, it)| !known(it));
     broken.extend(foreign.map(|(_, it)| format!("{} runs and nobody submitted it", it.task)));
     broken.extend(over_capacity(runs));
@@ -52,7 +52,7 @@
     broken
 }
 
-fn of_one_job(call: &Call, runs: &[&(usize, Seen)]) -> Vec<String> {
+fn of_one_job(call: &Call, runs: &[&(usize, StartedRun)]) -> Vec<String> {
     let mut broken = Vec::new();
     let refused = call.submitted.iter().all(|it| *it == 503) && !call.submitted.is_empty();
     if refused && !runs.is_empty() {
@@ -93,13 +93,13 @@
 }
 
 /// Whether two runs were there at one time.
-fn overlap(a: &Seen, b: &Seen) -> bool {
-    let ends = |it: &Seen| it.ended.unwrap_or_else(|| it.began + Duration::from_secs(3_600));
+fn overlap(a: &StartedRun, b: &StartedRun) -> bool {
+    let ends = |it: &StartedRun| it.ended.unwrap_or_else(|| it.began + Duration::from_secs(3_600));
     a.began < ends(b) && b.began < ends(a)
 }
 
 /// Workers that held more at one time than they have room for.
-fn over_capacity(runs: &[(usize, Seen)]) -> Vec<String> {
+fn over_capacity(runs: &[(usize, StartedRun)]) -> Vec<String> {
     let mut broken = Vec::new();
     let workers = runs.iter().map(|(worker, _)| *worker).max().map_or(0, |it| it + 1);
     for worker in 0..workers {
