--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -81,15 +81,15 @@
         let since = clock::now();
         let waiter = Waiter { shard, key, value, since, again, claimed: claimed.clone(), tx };
         if self.tx.try_send(waiter).is_err() {
-            return Err(StoreError::NotDone("too many appends wait".to_owned()));
+            return Err(StoreError::NoEffect("too many appends wait".to_owned()));
         }
         match timeout_at(deadline, rx).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => Err(StoreError::Unknown("the process stops".to_owned())),
+            Ok(Err(_)) => Err(StoreError::OutcomeUnknown("the process stops".to_owned())),
             Err(_) if !claimed.swap(true, Ordering::AcqRel) => {
-                Err(StoreError::NotDone("its turn did not come before the deadline".to_owned()))
+                Err(StoreError::NoEffect("its turn did not come before the deadline".to_owned()))
             }
-            Err(_) => Err(StoreError::Unknown("the caller's deadline".to_owned())),
+            Err(_) => Err(StoreError::OutcomeUnknown("the caller's deadline".to_owned())),
         }
     }
 }
@@ -141,7 +141,7 @@
             let log = self.clone();
             tokio::spawn(async move {
                 let end = log.store.end(Topic::Jobs(shard.0), timeout).await;
-                if !matches!(end, Err(StoreError::Unknown(_))) {
+                if !matches!(end, Err(StoreError::OutcomeUnknown(_))) {
                     let now = clock::now();
                     log.silence(now, shard, |it| it.read(now));
                     log.freed.notify_one();
@@ -152,7 +152,7 @@
 
     fn end(&self, shard: ShardId, began: Instant, outcome: &Result<(), StoreError>) {
         let now = clock::now();
-        let answered = !matches!(outcome, Err(StoreError::Unknown(_)));
+        let answered = !matches!(outcome, Err(StoreError::OutcomeUnknown(_)));
         self.silence(now, shard, |it| it.end(now, began, answered));
         self.freed.notify_one();
     }
@@ -200,7 +200,7 @@
     for it in waiting.extract_if(.., hopeless) {
         let why = "the log does not answer, and nothing was sent to it";
         // A caller that has left needs no answer.
-        let _ = it.tx.send(Err(StoreError::NotDone(why.to_owned())));
+        let _ = it.tx.send(Err(StoreError::NoEffect(why.to_owned())));
     }
 }
 
@@ -244,7 +244,7 @@
         records.push((key, value));
         waiters.push(tx);
     }
-    let outcome = store.append(Topic::Jobs(shard.0), &records, Guard::Free, timeout).await;
+    let outcome = store.append(Topic::Jobs(shard.0), &records, Guard::Unconditional, timeout).await;
     let outcome = outcome.map(|_| ());
     for tx in waiters {
         // A caller that has left needs no answer.
--- a/daisy-node/src/elect.rs
+++ b/daisy-node/src/elect.rs
@@ -346,7 +346,7 @@
         let topic = Topic::Progress(shard);
         match self.elect.store.append(topic, &[record], guard, CALL_TIMEOUT).await {
             Ok(_) => log::info!("event=claimed shard={shard} epoch={epoch}"),
-            Err(StoreError::Moved | StoreError::Fenced) => {
+            Err(StoreError::EndMismatch | StoreError::Fenced) => {
                 log::info!(
                     "event=claim_lost shard={shard} epoch={epoch} cause=\"another came first\""
                 );
--- a/daisy-node/src/follow.rs
+++ b/daisy-node/src/follow.rs
@@ -142,13 +142,13 @@
         let after = self.pages.as_ref().and_then(|it| it.records.last()).map(|it| it.key.as_str());
         let mut call = pin!(self.store.newest(self.topic, after, LargeReadTimeout::TIMEOUT_MAX));
         let began = clock::now();
-        self.patience.begin(began, silent_after, self.store.answered());
-        while let Some(wait) = self.patience.try_wait(clock::now(), self.store.answered()) {
+        self.patience.begin(began, silent_after, self.store.answered_calls());
+        while let Some(wait) = self.patience.try_wait(clock::now(), self.store.answered_calls()) {
             if let Ok(it) = timeout(wait, &mut call).await {
                 return it;
             }
         }
         let lasted = clock::now().since(began).as_millis();
-        Err(StoreError::Unknown(format!("no answer in {lasted}ms")))
+        Err(StoreError::OutcomeUnknown(format!("no answer in {lasted}ms")))
     }
 }
--- a/daisy-node/src/node.rs
+++ b/daisy-node/src/node.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use daisy_http::Http;
-use daisy_platform::{NodeSettings, Store, Topic, queues, settings};
+use daisy_platform::{NodeSettings, Store, Topic, parse_queue_config, parse_settings};
 use tokio::{
     signal::unix::{Signal, SignalKind, signal},
     sync::watch,
@@ -42,12 +42,12 @@
     let settings = read_settings(path)?;
     let shared = Shared::default();
     let metrics = Metrics::new();
-    let store = Store::new(Http::new(None), settings.store);
+    let store = Store::new(Http::new(None), settings.store_address);
     let (stopping, stop) = watch::channel(false);
     let process = fastrand::u64(1..);
 
-    let callers_port = callers::listen(settings.callers).await?;
-    let readiness_port = callers::listen(settings.readiness).await?;
+    let callers_port = callers::listen(settings.caller_address).await?;
+    let readiness_port = callers::listen(settings.readiness_address).await?;
     let submissions = Submissions {
         shared: shared.clone(),
         appender: Appender::start(store.clone(), shared.clone()),
@@ -89,7 +89,7 @@
 fn read_settings(path: &Path) -> anyhow::Result<NodeSettings> {
     let text =
         std::fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))?;
-    Ok(settings(&text)?)
+    Ok(parse_settings(&text)?)
 }
 
 /// Waits for SIGTERM. At SIGHUP the settings file is read and checked; addresses and the store
@@ -113,7 +113,7 @@
     loop {
         let Some(read) = tail.try_read(WAIT).await else { continue };
         for it in read.records {
-            match queues(&it.key, &it.value) {
+            match parse_queue_config(&it.key, &it.value) {
                 Some(Ok(queues)) => shared.lock().configure(queues),
                 Some(Err(why)) => {
                     log::warn!(
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -151,10 +151,10 @@
         ledger: Ledger,
         events: &mpsc::UnboundedSender<Event>,
     ) -> Owner {
-        let lease = LEASE.min(self.elect.settings.lease_max);
+        let lease = LEASE.min(self.elect.settings.max_lease);
         let mut known = self.elect.shared.lock();
         let layout = known.directory.layout().unwrap_or(Layout { shards: 1 });
-        let lease_max = self.elect.settings.lease_max;
+        let lease_max = self.elect.settings.max_lease;
         let rules = PlacementRules::default();
         let settings = Settings { lease, lease_max, shard: self.shard, layout, rules };
         let claimed = OwnershipStart {
@@ -397,7 +397,8 @@
         let store = elect.store.clone();
         tokio::spawn(async move {
             let records = [record];
-            let append = store.append(Topic::Observed, &records, Guard::Free, APPEND_TIMEOUT);
+            let append =
+                store.append(Topic::Observed, &records, Guard::Unconditional, APPEND_TIMEOUT);
             if let Err(e) = append.await {
                 log::debug!("event=log_lost topic=Observed cause=\"{e}\"");
             }
@@ -483,7 +484,10 @@
         tokio::spawn(async move {
             // Such an append bears no epoch, so nothing fences it.
             let topic = Topic::Jobs(to.0);
-            if append(&store, topic, std::slice::from_ref(&record), Guard::Free).await.is_ok() {
+            if append(&store, topic, std::slice::from_ref(&record), Guard::Unconditional)
+                .await
+                .is_ok()
+            {
                 shared.lock().reached(to, record);
             }
         });
--- a/daisy-node/src/own/append.rs
+++ b/daisy-node/src/own/append.rs
@@ -36,7 +36,7 @@
                 }
                 return Ok(());
             }
-            Err(StoreError::Fenced | StoreError::Moved) => return Err(Fenced),
+            Err(StoreError::Fenced | StoreError::EndMismatch) => return Err(Fenced),
             Err(e) => {
                 failures += 1;
                 if failures == 1 {
--- a/daisy-node/src/own/calls.rs
+++ b/daisy-node/src/own/calls.rs
@@ -53,7 +53,7 @@
         match self.calls.hold(&to.id, to.address, order, ORDER_TIMEOUT).await {
             Ok(answer) => Event::HoldAnswered(to.key, Some(answer)),
             Err(HoldError::Fenced) => Event::Fenced(to.key),
-            Err(HoldError::NoAnswer(why)) => {
+            Err(HoldError::NoUsableAnswer(why)) => {
                 log::debug!("event=hold_failed worker={} cause=\"{why}\"", to.id);
                 Event::HoldAnswered(to.key, None)
             }
--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use daisy_model::SortedMap;
-use daisy_platform::{Store, Topic, worker};
+use daisy_platform::{Store, Topic, parse_worker};
 use daisy_workflow::{Event, Record, ShardId, WorkerListing};
 use tokio::{sync::mpsc, time::sleep};
 
@@ -63,7 +63,7 @@
                 listed.remove(&it.key);
                 continue;
             }
-            match worker(&it.key, &it.value) {
+            match parse_worker(&it.key, &it.value) {
                 Ok(entry) => {
                     listed.insert(it.key, Arc::new(entry));
                 }
--- a/daisy-node/src/states.rs
+++ b/daisy-node/src/states.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_platform::{Guard, Store, StoreError, Topic, worker};
+use daisy_platform::{Guard, Store, StoreError, Topic, parse_worker};
 use daisy_workflow::{Layout, Record, decode, encode};
 use tokio::time::sleep;
 
@@ -108,14 +108,14 @@
 /// Workers in the platform's list.
 async fn count_workers(list: &mut Tail) -> Option<usize> {
     let read = list.try_newest().await?;
-    Some(read.records.iter().filter(|it| worker(&it.key, &it.value).is_ok()).count())
+    Some(read.records.iter().filter(|it| parse_worker(&it.key, &it.value).is_ok()).count())
 }
 
 async fn choose(store: &Store, layout: Layout, workers: usize, end: u64) {
     let record = encode(&Record::Layout(layout));
-    match store.append(Topic::States, &[record], Guard::At(end), CALL_TIMEOUT).await {
+    match store.append(Topic::States, &[record], Guard::AtEnd(end), CALL_TIMEOUT).await {
         Ok(_) => log::info!("event=laid_out shards={} workers={workers}", layout.shards),
-        Err(StoreError::Moved) => {}
+        Err(StoreError::EndMismatch) => {}
         Err(e) => log::warn!("event=layout_failed cause=\"{e}\""),
     }
 }
--- a/daisy-node/src/submit.rs
+++ b/daisy-node/src/submit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_platform::{StoreError, pending_body, state_body, submission};
+use daisy_platform::{StoreError, encode_job_state, encode_pending_jobs, parse_submission};
 use daisy_workflow::{JobId, Queue, Record, encode};
 use http::{Method, StatusCode};
 use tokio::time::{Instant, sleep};
@@ -58,7 +58,7 @@
     ) -> Answer {
         if rest.is_empty() && method == Method::GET {
             let pending = self.shared.lock().directory.pending(&queue.terms.queue);
-            return Answer::new(StatusCode::OK, pending_body(pending));
+            return Answer::new(StatusCode::OK, encode_pending_jobs(pending));
         }
         let Ok(id) = rest.parse::<JobId>() else {
             return Answer::error(StatusCode::NOT_FOUND, "no job has such an id");
@@ -76,7 +76,7 @@
             log::info!("event=submitted id={id} outcome=known");
             return Answer::new(StatusCode::OK, b"{}".to_vec());
         }
-        let spec = match submission(body, queue.terms.clone(), clock::wall_ms()) {
+        let spec = match parse_submission(body, queue.terms.clone(), clock::wall_ms()) {
             Ok(spec) => spec,
             Err(why) => {
                 log::info!("event=submitted id={id} outcome=malformed cause={why:?}");
@@ -105,7 +105,7 @@
                 let Some(state) = state else {
                     return Answer::error(StatusCode::GONE, "no such job");
                 };
-                Answer::new(StatusCode::OK, state_body(state))
+                Answer::new(StatusCode::OK, encode_job_state(state))
             }
             Found::No => Answer::error(StatusCode::GONE, "no such job"),
             Found::Unsure => Answer::later("the state of jobs is not known at present"),
@@ -157,7 +157,7 @@
                     log::info!("event={what} id={id} outcome=stored tries={tries}{size}");
                     return Answer::new(StatusCode::OK, b"{}".to_vec());
                 }
-                Err(e) if !unknown && matches!(e, StoreError::NotDone(_)) => {
+                Err(e) if !unknown && matches!(e, StoreError::NoEffect(_)) => {
                     log::warn!("event={what} id={id} outcome=rejected tries={tries} cause=\"{e}\"");
                     let why = "the platform's store takes nothing at present";
                     return match self.appender.is_cut_off(shard) {
