--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -18,236 +18,263 @@
 
 use crate::{clock, shared::Shared};
 
-/// Records of one append. A submission has at most some 10 KB, and the platform takes 2 MB.
-const BATCH_MAX: usize = 100;
-/// Between looks at records that wait while the log hangs.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// The most records in one append. A submission has at most some 10 KB, and the platform accepts 2
+/// MB.
+const MAX_BATCH_RECORDS: usize = 100;
+/// The interval at which waiting records are checked while the log does not answer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A record that waits for its append.
+/// A record that waits to be appended.
 #[derive(Debug)]
-struct Waiter {
+struct WaitingRecord {
     shard: ShardId,
     key: String,
     value: Vec<u8>,
     since: Instant,
-    /// Whether it was sent before, without an answer.
-    again: bool,
-    /// Set by whoever comes first: the task that sends it, or its caller, who has left.
-    claimed: Arc<AtomicBool>,
+    /// Whether the record was sent before without an answer, and may be stored already.
+    maybe_stored: bool,
+    /// Set by the first of the two: the task that sends the record, or the caller whose deadline
+    /// has passed. The other one then leaves the record alone.
+    is_taken: Arc<AtomicBool>,
     tx: oneshot::Sender<Result<(), StoreError>>,
 }
 
-/// Hands records to the task that appends them in batches.
+/// Passes records to the task that appends them in batches.
 #[derive(Debug, Clone)]
 pub(crate) struct Appender {
-    tx: mpsc::Sender<Waiter>,
-    log: Log,
+    tx: mpsc::Sender<WaitingRecord>,
+    log: LogState,
 }
 
 impl Appender {
-    /// Starts the task.
+    /// Starts the task that appends the records.
     pub fn start(store: Store, shared: Shared) -> Appender {
-        /// Requests that wait for an append; more than a small VM has connections.
-        const WAITING_MAX: usize = 4_096;
-        let (tx, rx) = mpsc::channel(WAITING_MAX);
-        let log = Log { store, shared, silences: Arc::default(), freed: Arc::default() };
+        /// The most requests that wait for an append; more than a small VM has connections.
+        const MAX_WAITING: usize = 4_096;
+        let (tx, rx) = mpsc::channel(MAX_WAITING);
+        let log = LogState {
+            store,
+            shared,
+            partition_health: Arc::default(),
+            health_changed: Arc::default(),
+        };
         tokio::spawn(run(rx, log.clone()));
         Appender { tx, log }
     }
 
-    /// Whether the partition of `shard` has fallen silent, so that the next append is not worth
-    /// waiting for.
-    pub fn is_cut_off(&self, shard: ShardId) -> bool {
+    /// Returns whether the partition of `shard` does not answer, so that an append to it should not
+    /// be awaited. If so, also probes the partition when a probe is due.
+    pub fn is_unresponsive(&self, shard: ShardId) -> bool {
         let now = clock::now();
-        let silent = self.log.silence(now, shard, |it| it.is_unresponsive(now));
-        if silent {
-            self.log.ask_if_due(now, shard);
+        let is_unresponsive = self.log.with_health(now, shard, |it| it.is_unresponsive(now));
+        if is_unresponsive {
+            self.log.probe_if_due(now, shard);
         }
-        silent
+        is_unresponsive
     }
 
-    /// Appends a record by `deadline`; the outcome is that of the append that held it. `again` says
-    /// that it was sent before and may be stored already.
+    /// Appends a record by `deadline`, and returns the outcome of the append that contained it.
+    /// `maybe_stored` says that the record was sent before and may be stored already.
     pub async fn append(
         &self,
         shard: ShardId,
         key: String,
         value: Vec<u8>,
-        again: bool,
+        maybe_stored: bool,
         deadline: Deadline,
     ) -> Result<(), StoreError> {
         let (tx, rx) = oneshot::channel();
-        let claimed = Arc::new(AtomicBool::new(false));
+        let is_taken = Arc::new(AtomicBool::new(false));
         let since = clock::now();
-        let waiter = Waiter { shard, key, value, since, again, claimed: claimed.clone(), tx };
-        if self.tx.try_send(waiter).is_err() {
-            return Err(StoreError::NoEffect("too many appends wait".to_owned()));
+        let record = WaitingRecord {
+            shard,
+            key,
+            value,
+            since,
+            maybe_stored,
+            is_taken: is_taken.clone(),
+            tx,
+        };
+        if self.tx.try_send(record).is_err() {
+            return Err(StoreError::NoEffect("too many records wait to be appended".to_owned()));
         }
         match timeout_at(deadline, rx).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => Err(StoreError::OutcomeUnknown("the process stops".to_owned())),
-            Err(_) if !claimed.swap(true, Ordering::AcqRel) => {
-                Err(StoreError::NoEffect("its turn did not come before the deadline".to_owned()))
+            Ok(Err(_)) => Err(StoreError::OutcomeUnknown("the process is stopping".to_owned())),
+            Err(_) if !is_taken.swap(true, Ordering::AcqRel) => {
+                Err(StoreError::NoEffect("the record was not sent before the deadline".to_owned()))
+            }
+            Err(_) => {
+                Err(StoreError::OutcomeUnknown("no answer before the caller's deadline".to_owned()))
             }
-            Err(_) => Err(StoreError::OutcomeUnknown("the caller's deadline".to_owned())),
         }
     }
 }
 
-/// How the log answers, shared between appends. A part of its partitions may be silent, so each
-/// shard's has its own.
+/// The log and how it answers, shared between appends. Some of its partitions may not answer while
+/// others do, so the health is kept for each shard.
 #[derive(Debug, Clone)]
-struct Log {
+struct LogState {
     store: Store,
     shared: Shared,
-    silences: Arc<Mutex<SortedMap<ShardId, LogHealth>>>,
-    freed: Arc<Notify>,
+    partition_health: Arc<Mutex<SortedMap<ShardId, LogHealth>>>,
+    /// Notified when the health of a partition has changed.
+    health_changed: Arc<Notify>,
 }
 
-impl Log {
-    /// What `f` gives for the partition of `shard`, of which all is known that was read by `now`.
-    fn silence<T>(&self, now: Instant, shard: ShardId, f: impl FnOnce(&mut LogHealth) -> T) -> T {
-        let (read, recovered_at) = {
-            let known = self.shared.lock();
-            (known.states_read.map(|(at, _)| at), known.reach.recovered_at())
+impl LogState {
+    /// Calls `f` with the health of the partition of `shard`, after passing it the reads of the
+    /// topic of states up to `now`.
+    fn with_health<T>(
+        &self,
+        now: Instant,
+        shard: ShardId,
+        f: impl FnOnce(&mut LogHealth) -> T,
+    ) -> T {
+        let (read_at, recovered_at) = {
+            let node = self.shared.lock();
+            (node.states_caught_up.map(|(at, _)| at), node.states_reachability.recovered_at())
         };
-        let mut silences = self.silences.lock().unwrap_or_else(PoisonError::into_inner);
-        let silence = silences.get_or_insert_with(shard, LogHealth::default);
-        silence.other_partition_read(read.unwrap_or_default().min(now), recovered_at.min(now));
-        f(silence)
+        let mut partitions = self.partition_health.lock().unwrap_or_else(PoisonError::into_inner);
+        let health = partitions.get_or_insert_with(shard, LogHealth::default);
+        health.other_partition_read(read_at.unwrap_or_default().min(now), recovered_at.min(now));
+        f(health)
     }
 
-    /// The shards that have had a record.
+    /// Returns the shards whose partitions have been used.
     fn shards(&self) -> Vec<ShardId> {
-        let silences = self.silences.lock().unwrap_or_else(PoisonError::into_inner);
-        silences.iter().map(|(shard, _)| *shard).collect()
+        let partitions = self.partition_health.lock().unwrap_or_else(PoisonError::into_inner);
+        partitions.iter().map(|(shard, _)| *shard).collect()
     }
 
-    /// Whether some partition has left an append unanswered.
+    /// Returns whether an append to some partition is still unanswered.
     fn has_unconfirmed_append(&self) -> bool {
-        let silences = self.silences.lock().unwrap_or_else(PoisonError::into_inner);
-        silences.iter().any(|(_, it)| it.has_unconfirmed_append())
+        let partitions = self.partition_health.lock().unwrap_or_else(PoisonError::into_inner);
+        partitions.iter().any(|(_, it)| it.has_unconfirmed_append())
     }
 
-    /// Asks whether the partition of `shard` answers, if that is not known and was not asked just
-    /// before. Two at one time, as one answer may be lost.
-    fn ask_if_due(&self, now: Instant, shard: ShardId) {
-        let due = self.silence(now, shard, |it| {
-            let due = it.try_probe(now);
-            due.inspect(|_| it.begin_probe(now))
+    /// Checks whether the partition of `shard` answers, if that is not known and no probe was sent
+    /// just before. Sends two calls at the same time, as one answer may be lost.
+    fn probe_if_due(&self, now: Instant, shard: ShardId) {
+        let probe_timeout = self.with_health(now, shard, |it| {
+            let timeout = it.try_probe(now);
+            timeout.inspect(|_| it.begin_probe(now))
         });
-        let Some(timeout) = due else { return };
+        let Some(timeout) = probe_timeout else { return };
         for _ in 0..2 {
             let log = self.clone();
             tokio::spawn(async move {
                 let end = log.store.end(Topic::Jobs(shard.0), timeout).await;
                 if !matches!(end, Err(StoreError::OutcomeUnknown(_))) {
                     let now = clock::now();
-                    log.silence(now, shard, |it| it.read(now));
-                    log.freed.notify_one();
+                    log.with_health(now, shard, |it| it.read(now));
+                    log.health_changed.notify_one();
                 }
             });
         }
     }
 
-    fn end(&self, shard: ShardId, began: Instant, outcome: &Result<(), StoreError>) {
+    fn append_ended(&self, shard: ShardId, began: Instant, outcome: &Result<(), StoreError>) {
         let now = clock::now();
         let answered = !matches!(outcome, Err(StoreError::OutcomeUnknown(_)));
-        self.silence(now, shard, |it| it.end(now, began, answered));
-        self.freed.notify_one();
+        self.with_health(now, shard, |it| it.end(now, began, answered));
+        self.health_changed.notify_one();
     }
 }
 
-async fn run(mut rx: mpsc::Receiver<Waiter>, log: Log) {
-    let mut waiting: Vec<Waiter> = Vec::new();
+async fn run(mut rx: mpsc::Receiver<WaitingRecord>, log: LogState) {
+    let mut waiting: Vec<WaitingRecord> = Vec::new();
     loop {
-        // What comes while earlier appends are under way gathers and goes out together.
+        // Records that arrive while earlier appends are under way are sent together.
         tokio::select! {
             it = rx.recv() => match it {
                 Some(it) => waiting.push(it),
                 None => return,
             },
-            () = log.freed.notified() => {}
-            () = sleep(LOOK_EVERY), if !waiting.is_empty() || log.has_unconfirmed_append() => {}
+            () = log.health_changed.notified() => {}
+            () = sleep(CHECK_INTERVAL), if !waiting.is_empty() || log.has_unconfirmed_append() => {}
         }
         while let Ok(it) = rx.try_recv() {
             waiting.push(it);
         }
         let now = clock::now();
-        reject_hopeless(now, &log, &mut waiting);
+        reject_unsent(now, &log, &mut waiting);
         for shard in log.shards() {
             let Some((batch, timeout)) = try_batch(now, &log, shard, &mut waiting) else {
-                let unsure = log.silence(now, shard, |it| it.has_unconfirmed_append());
-                if unsure || waiting.iter().any(|it| it.shard == shard) {
-                    log.ask_if_due(now, shard);
+                let is_unconfirmed = log.with_health(now, shard, |it| it.has_unconfirmed_append());
+                if is_unconfirmed || waiting.iter().any(|it| it.shard == shard) {
+                    log.probe_if_due(now, shard);
                 }
                 continue;
             };
             let log = log.clone();
             tokio::spawn(async move {
-                let outcome = append(&log.store, shard, batch, timeout).await;
-                log.end(shard, now, &outcome);
+                let outcome = append_batch(&log.store, shard, batch, timeout).await;
+                log.append_ended(shard, now, &outcome);
             });
         }
     }
 }
 
-/// Answers those whose records were never sent and had better not be.
-fn reject_hopeless(now: Instant, log: &Log, waiting: &mut Vec<Waiter>) {
-    let hopeless = |it: &mut Waiter| {
-        !it.again && log.silence(now, it.shard, |silence| silence.should_reject(now, it.since))
+/// Rejects the records that were never sent and should not be sent any more, as their partition
+/// does not answer.
+fn reject_unsent(now: Instant, log: &LogState, waiting: &mut Vec<WaitingRecord>) {
+    let should_reject = |it: &mut WaitingRecord| {
+        !it.maybe_stored
+            && log.with_health(now, it.shard, |health| health.should_reject(now, it.since))
     };
-    for it in waiting.extract_if(.., hopeless) {
-        let why = "the log does not answer, and nothing was sent to it";
-        // A caller that has left needs no answer.
-        let _ = it.tx.send(Err(StoreError::NoEffect(why.to_owned())));
+    for it in waiting.extract_if(.., should_reject) {
+        let cause = "the log does not answer, and the record was not sent";
+        // Sending fails if the caller has stopped waiting, and then needs no answer.
+        let _ = it.tx.send(Err(StoreError::NoEffect(cause.to_owned())));
     }
 }
 
-/// The records to be appended next to the partition of `shard`, and how long that may take.
+/// Takes the records to append next to the partition of `shard` out of `waiting`; returns them with
+/// the append's timeout, or `None` if nothing is to be appended now.
 fn try_batch(
     now: Instant,
-    log: &Log,
+    log: &LogState,
     shard: ShardId,
-    waiting: &mut Vec<Waiter>,
-) -> Option<(Vec<Waiter>, Duration)> {
-    let (timeout, all) = match log.silence(now, shard, |it| it.next_send(now)) {
+    waiting: &mut Vec<WaitingRecord>,
+) -> Option<(Vec<WaitingRecord>, Duration)> {
+    let (timeout, includes_new) = match log.with_health(now, shard, |it| it.next_send(now)) {
         SendDecision::All(timeout) => (timeout, true),
         SendDecision::RetriesOnly(timeout) => (timeout, false),
         SendDecision::Probe(_) | SendDecision::Wait => return None,
     };
-    let mut left = BATCH_MAX;
-    let goes = |it: &mut Waiter| {
-        let goes = left > 0 && it.shard == shard && (all || it.again);
-        left -= usize::from(goes);
-        goes
+    let mut remaining = MAX_BATCH_RECORDS;
+    let is_chosen = |it: &mut WaitingRecord| {
+        let is_chosen = remaining > 0 && it.shard == shard && (includes_new || it.maybe_stored);
+        remaining -= usize::from(is_chosen);
+        is_chosen
     };
-    // What a caller has claimed who has left is not sent.
-    let here = |it: &Waiter| !it.claimed.swap(true, Ordering::AcqRel);
-    let batch: Vec<Waiter> = waiting.extract_if(.., goes).filter(here).collect();
+    // Records whose caller has stopped waiting are not sent.
+    let is_awaited = |it: &WaitingRecord| !it.is_taken.swap(true, Ordering::AcqRel);
+    let batch: Vec<WaitingRecord> = waiting.extract_if(.., is_chosen).filter(is_awaited).collect();
     if batch.is_empty() {
         return None;
     }
-    log.silence(now, shard, |it| it.begin_append(now));
+    log.with_health(now, shard, |it| it.begin_append(now));
     Some((batch, timeout))
 }
 
-async fn append(
+async fn append_batch(
     store: &Store,
     shard: ShardId,
-    batch: Vec<Waiter>,
+    batch: Vec<WaitingRecord>,
     timeout: Duration,
 ) -> Result<(), StoreError> {
     let mut records = Vec::with_capacity(batch.len());
-    let mut waiters = Vec::with_capacity(batch.len());
-    for Waiter { key, value, tx, .. } in batch {
+    let mut senders = Vec::with_capacity(batch.len());
+    for WaitingRecord { key, value, tx, .. } in batch {
         records.push((key, value));
-        waiters.push(tx);
+        senders.push(tx);
     }
     let outcome = store.append(Topic::Jobs(shard.0), &records, Guard::Unconditional, timeout).await;
     let outcome = outcome.map(|_| ());
-    for tx in waiters {
-        // A caller that has left needs no answer.
+    for tx in senders {
+        // Sending fails if the caller has stopped waiting, and then needs no answer.
         let _ = tx.send(outcome.clone());
     }
     outcome
--- a/daisy-node/src/callers.rs
+++ b/daisy-node/src/callers.rs
@@ -1,4 +1,4 @@
-//! The port that callers connect to.
+//! The HTTP server for callers.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,15 +23,15 @@
     submit::{Answer, Submissions},
 };
 
-/// How long a request's head may take to come.
+/// How long the head of a request may take to arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a request may take where neither its caller nor its queue sets a bound.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How many bytes are read of the rest of a request whose answer is known, and for how long.
-const REST_BYTES: usize = 4 << 20;
-const REST_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a request may take if neither its caller nor its queue sets a limit.
+const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// How much of the rest of a request body is read once its answer is known, and for how long.
+const MAX_SKIPPED_BYTES: usize = 4 << 20;
+const SKIP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Serves callers until `stop` says so; then finishes the requests that have come.
+/// Serves callers until `stop` is true, then finishes the requests that have arrived.
 pub(crate) async fn serve(
     listener: TcpListener,
     submissions: Submissions,
@@ -50,11 +50,11 @@
                 let submissions = submissions.clone();
                 let metrics = metrics.clone();
                 tokio::spawn(async move {
-                    connection(stream, submissions, metrics, watcher).await;
+                    serve_connection(stream, submissions, metrics, watcher).await;
                 });
             }
             Err(e) => {
-                // Out of descriptors, mostly: others end soon.
+                // The usual cause is that no file descriptor is free; open connections end soon.
                 log::warn!("event=accept_failed cause=\"{e}\"");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -64,7 +64,7 @@
     graceful.shutdown().await;
 }
 
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     submissions: Submissions,
     metrics: Metrics,
@@ -95,8 +95,8 @@
     let began = Instant::now();
     let (parts, mut body) = req.into_parts();
     let answer = answer(&parts, &mut body, &submissions, began).await;
-    let whole = skip_rest(body).await;
-    metrics.request(&parts.method, answer.status, began.elapsed());
+    let is_read_whole = skip_rest(body).await;
+    metrics.count_request(&parts.method, answer.status, began.elapsed());
     let mut res = Response::new(Full::new(Bytes::from(answer.body)));
     *res.status_mut() = answer.status;
     let headers = res.headers_mut();
@@ -104,7 +104,7 @@
     if let Some(after) = answer.retry_after {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(after.as_secs()));
     }
-    if !whole || submissions.shared.lock().stopping {
+    if !is_read_whole || submissions.shared.lock().stopping {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     res
@@ -117,63 +117,68 @@
     began: Instant,
 ) -> Answer {
     let Some(queues) = submissions.shared.lock().queues.clone() else {
-        return Answer::later("no configuration was read yet");
+        return Answer::retry_later("the configuration has not been read yet");
     };
     let path = parts.uri.path();
     let Some(queue) = queues.route(host(&parts.headers, parts.uri.host()), path) else {
-        return Answer::error(StatusCode::NOT_FOUND, "no such queue");
+        return Answer::error(StatusCode::NOT_FOUND, "no queue has this host and path");
     };
-    let body = match collect(body, &queues).await {
+    let body = match read_body(body, &queues).await {
         Ok(body) => body,
         Err(answer) => return answer,
     };
-    let deadline = began + patience(&parts.headers, queue.timeout_ms);
+    let deadline = began + request_timeout(&parts.headers, queue.timeout_ms);
     let rest = &path[queue.path_prefix.len()..];
     submissions.answer(&parts.method, queue, rest, &body, deadline).await
 }
 
-async fn collect(body: &mut Incoming, queues: &Arc<QueueConfig>) -> Result<Bytes, Answer> {
+async fn read_body(body: &mut Incoming, queues: &Arc<QueueConfig>) -> Result<Bytes, Answer> {
     match Limited::new(body, queues.body_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(e) if e.is::<LengthLimitError>() => {
-            Err(Answer::error(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"))
-        }
+        Err(e) if e.is::<LengthLimitError>() => Err(Answer::error(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is longer than the configured limit",
+        )),
         Err(e) => Err(Answer::error(StatusCode::BAD_REQUEST, &e.to_string())),
     }
 }
 
-/// Reads a request to its end, if that comes soon; whether it came.
+/// Reads and discards the rest of a request body; returns whether its end was reached within the
+/// limits of bytes and time.
 ///
-/// The server closes a connection on which a part of a request is left, and a caller that still
-/// sends it, or sends its next request, would get a broken connection in place of an answer.
+/// The server closes a connection if a part of a request is left unread. A caller that is still
+/// sending that part, or sends its next request, would get a broken connection instead of an
+/// answer.
 async fn skip_rest(mut body: Incoming) -> bool {
     let read = async {
-        let mut left = REST_BYTES;
+        let mut remaining = MAX_SKIPPED_BYTES;
         while let Some(frame) = body.frame().await {
             let bytes = frame.ok()?.data_ref().map_or(0, Bytes::len);
-            left = left.checked_sub(bytes)?;
+            remaining = remaining.checked_sub(bytes)?;
         }
         Some(())
     };
-    matches!(tokio::time::timeout(REST_TIMEOUT, read).await, Ok(Some(())))
+    matches!(tokio::time::timeout(SKIP_TIMEOUT, read).await, Ok(Some(())))
 }
 
-/// The host that a request names, without a port.
+/// Returns the host that a request names, without its port.
 fn host<'a>(headers: &'a HeaderMap, from_uri: Option<&'a str>) -> &'a str {
-    let named = headers.get(header::HOST).and_then(|it| it.to_str().ok());
-    let host = named.or(from_uri).unwrap_or_default();
+    let from_header = headers.get(header::HOST).and_then(|it| it.to_str().ok());
+    let host = from_header.or(from_uri).unwrap_or_default();
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-/// How long the caller waits for its answer.
-fn patience(headers: &HeaderMap, timeout_ms: u64) -> Duration {
-    let said = headers.get(DEADLINE_HEADER).and_then(|it| it.to_str().ok()?.parse::<u64>().ok());
-    let of_queue = (timeout_ms > 0).then_some(timeout_ms);
-    let shortest = said.into_iter().chain(of_queue).min();
-    shortest.map_or(REQUEST_TIMEOUT, Duration::from_millis)
+/// Returns how long the caller waits for its answer: the shorter of the limits of its header and of
+/// its queue.
+fn request_timeout(headers: &HeaderMap, timeout_ms: u64) -> Duration {
+    let from_caller =
+        headers.get(DEADLINE_HEADER).and_then(|it| it.to_str().ok()?.parse::<u64>().ok());
+    let from_queue = (timeout_ms > 0).then_some(timeout_ms);
+    let shortest = from_caller.into_iter().chain(from_queue).min();
+    shortest.map_or(DEFAULT_REQUEST_TIMEOUT, Duration::from_millis)
 }
 
-/// Takes an address.
+/// Opens a listening socket at `address`.
 pub(crate) async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     use anyhow::Context;
     TcpListener::bind(address).await.with_context(|| format!("listening on {address}"))
--- a/daisy-node/src/clock.rs
+++ b/daisy-node/src/clock.rs
@@ -1,14 +1,14 @@
-//! The process's clocks; the core gets the time as an argument.
+//! The process's clocks; `daisy-workflow` gets the time as an argument.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use daisy_model::Instant;
 use nix::time::{ClockId, clock_gettime};
 
-/// The present time on a clock that goes on while the VM is suspended.
+/// Returns the current time on a clock that also runs while the VM is suspended.
 ///
-/// The usual monotonic clock stands still then: a lease counted by it would seem to hold on after
-/// its end.
+/// The usual monotonic clock stops during a suspension: by that clock, a lease would appear valid
+/// after its end.
 pub(crate) fn now() -> Instant {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(it) => Instant::default() + Duration::from(it),
@@ -20,7 +20,8 @@
     }
 }
 
-/// Milliseconds since 1970, for what callers schedule by the time of day and for people.
+/// Returns the milliseconds since 1970, for jobs that callers schedule by the time of day, and for
+/// times that people read.
 pub(crate) fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/daisy-node/src/elect.rs
+++ b/daisy-node/src/elect.rs
@@ -1,4 +1,4 @@
-//! Becoming the owner of a shard, and ending that.
+//! Claims shards without an owner, and runs the ownership of each claim that is won.
 
 use std::time::Duration;
 
@@ -17,93 +17,104 @@
 use crate::{
     clock,
     follow::{CALL_TIMEOUT, Read, Tail},
-    jobs::{self, readable},
+    jobs::{self, decode_all},
     metrics::Metrics,
     own::Ownership,
     shared::Shared,
 };
 
-/// Between looks at a shard's owner.
-const PAUSE: Duration = Duration::from_millis(40);
-/// How much later than others a process claims that gave its shards up as it was too slow: a
-/// slowed VM stays so for some seconds.
-const UNFIT_LATER: Duration = Duration::from_millis(2_500);
-const UNFIT_FOR: Duration = Duration::from_secs(10);
-/// How long what a claim has read is kept for the next one, which is due at once if nobody else owns
-/// the shard meanwhile.
-const READ_KEPT: Duration = Duration::from_secs(10);
+/// The interval at which a shard's owner is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
+/// How much longer than others a process waits before a claim if it recently released a shard
+/// because it was too slow.
+const SLOW_VM_CLAIM_DELAY: Duration = Duration::from_millis(2_500);
+/// How long such a process delays its claims: a VM that is slowed down remains so for some seconds.
+const SLOW_VM_PERIOD: Duration = Duration::from_secs(10);
+/// How long the records that an unfinished claim has read are kept for the next claim, which
+/// follows immediately if no other VM owns the shard by then.
+const UNFINISHED_CLAIM_RETENTION: Duration = Duration::from_secs(10);
 
-/// What a process needs to own shards.
+/// What a process needs to claim and own shards.
 #[derive(Debug, Clone)]
-pub(crate) struct Elect {
+pub(crate) struct ElectionContext {
     pub settings: NodeSettings,
     pub store: Store,
     pub shared: Shared,
     pub metrics: Metrics,
-    /// Drawn at random at the start of the process.
+    /// A number that identifies the process, drawn at random at its start.
     pub process: u64,
+    /// Becomes true when the process must release its shards.
     pub stop: watch::Receiver<bool>,
 }
 
-/// Watches all shards until the process stops.
-pub(crate) async fn run(elect: Elect) {
+/// Runs the election of every shard until the process stops.
+pub(crate) async fn run(context: ElectionContext) {
     let layout = loop {
-        if let Some(layout) = elect.shared.lock().directory.layout() {
+        if let Some(layout) = context.shared.lock().directory.layout() {
             break layout;
         }
-        if *elect.stop.borrow() {
+        if *context.stop.borrow() {
             return;
         }
-        sleep(PAUSE).await;
+        sleep(CHECK_INTERVAL).await;
     };
-    join_all(layout.all().map(|shard| Watch::new(elect.clone(), shard, layout.shards).run())).await;
+    join_all(
+        layout.all().map(|shard| ShardElection::new(context.clone(), shard, layout.shards).run()),
+    )
+    .await;
 }
 
-/// The watch over one shard.
-struct Watch {
-    elect: Elect,
+/// This process's part in the election of one shard's owner.
+struct ShardElection {
+    context: ElectionContext,
     shard: ShardId,
     shards: u16,
     election: Election,
     /// How long a call to the log takes.
     rtt: Duration,
-    /// The last epoch under which this process owned the shard or failed to.
+    /// The last epoch in which this process owned the shard; that ownership has ended.
     ended_epoch: u64,
-    unfit_until: Instant,
-    /// When the log last gave a claim no answer.
-    lost_at: Instant,
-    /// Of a claim that got no further as the log did not answer, and since when.
-    unfinished: Option<(Instant, Reading)>,
+    /// Until when this process delays its claims because it was too slow.
+    slow_until: Instant,
+    /// When a claim last stopped because the log did not answer.
+    claim_interrupted_at: Instant,
+    /// What the last claim had read when it stopped because the log did not answer, and when that
+    /// was.
+    unfinished: Option<(Instant, ShardReader)>,
 }
 
-/// What a claim has read of the shard's log.
-struct Reading {
+/// Reads the shard's log for a claim, and folds it into a ledger.
+struct ShardReader {
     ledger: Ledger,
     jobs: Tail,
     progress: Tail,
-    /// Whether some of the progress is of a newer build's making.
-    is_newer: bool,
+    /// Whether some records of the progress have a newer format than this build can read.
+    has_newer_records: bool,
 }
 
-/// What a read of progress gave.
-struct Progressed {
-    /// Whether there was a claim in it, and whether there was anything else.
-    seen: bool,
-    owner_wrote: bool,
+/// The result of a read of the shard's progress.
+struct ProgressRead {
+    /// Whether it contained a claim.
+    has_claim: bool,
+    /// Whether it contained a record other than a claim.
+    has_progress: bool,
     at_end: bool,
 }
 
-impl Reading {
-    /// Reads on in the shard's submissions; whether that was all.
+impl ShardReader {
+    /// Reads the next submissions of the shard; returns whether their end was reached, or `None` if
+    /// the read failed.
     async fn read_jobs(&mut self) -> Option<bool> {
         let read = self.jobs.try_read(Duration::ZERO).await?;
         Some(self.fold_jobs(&read))
     }
 
-    /// Reads the shard's submissions to their end, under a claim that stands; whether the log let it.
+    /// Reads the shard's submissions to their end after a claim was won; returns whether the log
+    /// answered.
     ///
-    /// From the claim on nobody else records progress, so all jobs that have any are read then. An end
-    /// that a worker lists of a job that is not known would be acknowledged and lost.
+    /// From the claim on no other process records progress, so this reads all jobs that have any.
+    /// If a worker listed the end of a run of an unknown job, that end would be acknowledged and
+    /// lost.
     async fn read_all_jobs(&mut self) -> bool {
         loop {
             match self.read_jobs().await {
@@ -115,195 +126,216 @@
     }
 
     fn fold_jobs(&mut self, read: &Read) -> bool {
-        for record in readable("jobs", &read.records) {
+        for record in decode_all("jobs", &read.records) {
             self.ledger.fold(record);
         }
         read.at_end
     }
 
-    async fn read_progress(&mut self) -> Option<Progressed> {
+    async fn read_progress(&mut self) -> Option<ProgressRead> {
         let read = self.progress.try_read(Duration::ZERO).await?;
         Some(self.fold_progress(&read))
     }
 
-    fn fold_progress(&mut self, read: &Read) -> Progressed {
-        let (mut seen, mut owner_wrote) = (false, false);
+    fn fold_progress(&mut self, read: &Read) -> ProgressRead {
+        let (mut has_claim, mut has_progress) = (false, false);
         for it in read.records.iter().filter(|it| !it.value.is_empty()) {
-            match jobs::read("progress", it).map(|record| self.ledger.fold(record)) {
-                Ok(FoldEffect::Claim) => seen = true,
-                Ok(_) => owner_wrote = true,
-                Err(e) => self.is_newer |= matches!(e, RecordError::Version(_)),
+            match jobs::decode_record("progress", it).map(|record| self.ledger.fold(record)) {
+                Ok(FoldEffect::Claim) => has_claim = true,
+                Ok(_) => has_progress = true,
+                Err(e) => self.has_newer_records |= matches!(e, RecordError::Version(_)),
             }
         }
-        Progressed { seen, owner_wrote, at_end: read.at_end }
+        ProgressRead { has_claim, has_progress, at_end: read.at_end }
     }
 }
 
-/// A claim that stands, with all that the log says of the shard.
-struct Won {
+/// A claim that was won, with the fold of the shard's log.
+struct WonClaim {
     epoch: u64,
-    /// A time before the claim was sent, and the epoch of the claim before it.
+    /// A time before the claim was sent.
     claimed_at: Instant,
-    after: u64,
+    /// The epoch of the claim before this one.
+    previous_epoch: u64,
     ledger: Ledger,
     jobs: Tail,
     predecessors_expired: bool,
 }
 
-impl Watch {
-    fn new(elect: Elect, shard: ShardId, shards: u16) -> Watch {
-        let election = Election::new(clock::now(), &elect.settings.vm, elect.process);
-        Watch {
-            elect,
+impl ShardElection {
+    fn new(context: ElectionContext, shard: ShardId, shards: u16) -> ShardElection {
+        let election = Election::new(clock::now(), &context.settings.vm, context.process);
+        ShardElection {
+            context,
             shard,
             shards,
             election,
             rtt: Duration::from_millis(5),
             ended_epoch: 0,
-            unfit_until: Instant::default(),
-            lost_at: Instant::default(),
+            slow_until: Instant::default(),
+            claim_interrupted_at: Instant::default(),
             unfinished: None,
         }
     }
 
     async fn run(mut self) {
-        while !*self.elect.stop.borrow() {
-            self.unfinished.take_if(|(at, _)| clock::now().since(*at) > READ_KEPT);
-            match self.decision() {
+        while !*self.context.stop.borrow() {
+            self.unfinished.take_if(|(at, _)| clock::now().since(*at) > UNFINISHED_CLAIM_RETENTION);
+            match self.decide() {
                 ElectionDecision::Claim => {
-                    self.elect.shared.lock().begin_claim();
+                    self.context.shared.lock().begin_claim();
                     let won = self.claim().await;
-                    self.elect.shared.lock().end_claim();
+                    self.context.shared.lock().end_claim();
                     match won {
                         Some(won) => self.own(won).await,
-                        None => sleep(PAUSE).await,
+                        None => sleep(CHECK_INTERVAL).await,
                     }
                 }
-                ElectionDecision::Own(_) => sleep(PAUSE).await,
-                ElectionDecision::Wait(left) => sleep(PAUSE.min(left)).await,
+                ElectionDecision::Own(_) => sleep(CHECK_INTERVAL).await,
+                ElectionDecision::Wait(left) => sleep(CHECK_INTERVAL.min(left)).await,
             }
         }
     }
 
-    fn decision(&mut self) -> ElectionDecision {
+    fn decide(&mut self) -> ElectionDecision {
         let now = clock::now();
-        let known = self.elect.shared.lock();
-        // Without a configuration and the newest signs of life, a claim would go by nothing.
-        let sure = known.is_fresh() && known.reach.can_detect_lost_owner(now, self.lost_at);
-        if known.queues.is_none() || !sure {
-            return ElectionDecision::Wait(PAUSE);
+        let node = self.context.shared.lock();
+        // A claim needs a configuration and current heartbeats; without them there is no basis for
+        // it.
+        let can_detect_loss = node.is_up_to_date()
+            && node.states_reachability.can_detect_lost_owner(now, self.claim_interrupted_at);
+        if node.queues.is_none() || !can_detect_loss {
+            return ElectionDecision::Wait(CHECK_INTERVAL);
         }
-        let heartbeat_received = known.directory.owner(self.shard);
-        if let Some(heartbeat_received) = heartbeat_received {
-            self.election.heartbeat_received(heartbeat_received.at);
+        let received = node.directory.owner(self.shard);
+        if let Some(received) = received {
+            self.election.heartbeat_received(received.at);
         }
-        // While the log is away no owner can show that it lives. Taken for dead as it comes back, all
-        // would be replaced, at the same moment and by the same few VMs.
-        self.election.heartbeat_received(known.reach.recovered_at());
-        // An own claim that has ended is nobody's.
-        let newest =
-            heartbeat_received.map(|it| match it.heartbeat.claim.epoch <= self.ended_epoch {
-                true => Claim { vm: String::new(), process: 0, ..it.heartbeat.claim.clone() },
-                false => it.heartbeat.claim.clone(),
-            });
+        // While the log does not answer, no owner can publish a heartbeat. If the owners were taken
+        // for lost when the log recovers, all would be replaced at the same moment, and by the same
+        // few VMs.
+        self.election.heartbeat_received(node.states_reachability.recovered_at());
+        // A claim of this process whose ownership has ended is treated as nobody's.
+        let newest = received.map(|it| match it.heartbeat.claim.epoch <= self.ended_epoch {
+            true => Claim { vm: String::new(), process: 0, ..it.heartbeat.claim.clone() },
+            false => it.heartbeat.claim.clone(),
+        });
         let candidate = Candidate {
-            vm: &self.elect.settings.vm,
+            vm: &self.context.settings.vm,
             shard: self.shard,
             shards: self.shards,
-            owned: known.owned(),
-            cpu_share: self.elect.settings.cpu_share,
+            owned: node.owned_or_claimed(),
+            cpu_share: self.context.settings.cpu_share,
         };
-        let unfit = if now < self.unfit_until { UNFIT_LATER } else { Duration::ZERO };
-        self.election.set_claim_delay(candidate.claim_delay() + unfit);
+        let slow_delay = if now < self.slow_until { SLOW_VM_CLAIM_DELAY } else { Duration::ZERO };
+        self.election.set_claim_delay(candidate.claim_delay() + slow_delay);
         self.election.decision(now, newest.as_ref(), self.rtt)
     }
 
-    /// Claims the shard after all that its log holds was read. What came of the claim shows in the
-    /// log alone: an answer may be lost, or speak of another's claim under the same epoch.
-    async fn claim(&mut self) -> Option<Won> {
-        /// Records that come between a read and the claim make another read necessary.
-        const TRIES: u32 = 4;
-        let mut reading = self.begin_reading();
+    /// Reads the whole log of the shard, then claims the shard. Only the log shows whether the
+    /// claim was won: its answer may be lost, or may refer to another process's claim with the same
+    /// epoch.
+    async fn claim(&mut self) -> Option<WonClaim> {
+        /// Records that are appended between a read and the claim make another read necessary.
+        const MAX_TRIES: u32 = 4;
+        let mut reader = self.resume_or_begin_reading();
         let began = clock::now();
-        let (jobs, progress, heartbeat_received) = join!(
-            reading.jobs.try_read(Duration::ZERO),
-            reading.progress.try_read(Duration::ZERO),
-            self.could_hear()
+        let (jobs, progress, can_read_heartbeats) = join!(
+            reader.jobs.try_read(Duration::ZERO),
+            reader.progress.try_read(Duration::ZERO),
+            self.can_read_heartbeats()
         );
-        let jobs = jobs.map(|it| reading.fold_jobs(&it));
-        let mut progress = progress.map(|it| reading.fold_progress(&it));
-        if !heartbeat_received {
-            // As with a log that is away: the owner has to be silent while it could be heard.
+        let jobs = jobs.map(|it| reader.fold_jobs(&it));
+        let mut progress = progress.map(|it| reader.fold_progress(&it));
+        if !can_read_heartbeats {
+            // As when the whole log does not answer, the timeout restarts: the owner counts as lost
+            // only after a time in which its heartbeats could have been read.
             self.election.heartbeat_received(clock::now());
         }
-        if jobs.is_none() || progress.is_none() || !heartbeat_received {
-            return self.keep(reading);
+        if jobs.is_none() || progress.is_none() || !can_read_heartbeats {
+            return self.keep_unfinished(reader);
         }
         self.rtt = clock::now().since(began);
-        let mut claimed = None;
-        let (mut claimed_at, mut after) = (began, 0);
-        for _ in 0..TRIES {
+        let mut claimed_epoch = None;
+        let (mut claimed_at, mut previous_epoch) = (began, 0);
+        for _ in 0..MAX_TRIES {
             let read = match progress.take() {
                 Some(it) => Some(it),
-                None => reading.read_progress().await,
+                None => reader.read_progress().await,
             };
-            let Some(Progressed { seen, owner_wrote, at_end }) = read else {
-                return self.keep(reading);
+            let Some(ProgressRead { has_claim, has_progress, at_end }) = read else {
+                return self.keep_unfinished(reader);
             };
-            // What is read after a claim was refused has just been written.
-            if claimed.is_some() && !seen && owner_wrote && self.election.owner_wrote(clock::now())
+            // Records read after a rejected claim have just been appended.
+            if claimed_epoch.is_some()
+                && !has_claim
+                && has_progress
+                && self.election.owner_wrote(clock::now())
             {
-                let (shard, cause) =
-                    (self.shard.0, "the owner writes, though no sign of it is heard");
+                let (shard, cause) = (
+                    self.shard.0,
+                    "the owner appends progress, though none of its heartbeats is received",
+                );
                 log::info!("event=claim_dropped shard={shard} cause=\"{cause}\"");
-                return self.keep(reading);
+                return self.keep_unfinished(reader);
             }
             if !at_end {
                 continue;
             }
-            let last = reading.ledger.owner();
-            let mine = last.filter(|it| self.is_mine(it) && Some(it.epoch) == claimed);
-            if let Some(Claim { epoch, predecessors_expired, .. }) = mine.cloned() {
-                if !reading.read_all_jobs().await {
-                    return self.keep(reading);
+            let last_claim = reader.ledger.owner();
+            let own_claim =
+                last_claim.filter(|it| self.is_mine(it) && Some(it.epoch) == claimed_epoch);
+            if let Some(Claim { epoch, predecessors_expired, .. }) = own_claim.cloned() {
+                if !reader.read_all_jobs().await {
+                    return self.keep_unfinished(reader);
                 }
-                let Reading { ledger, jobs, .. } = reading;
-                return Some(Won { epoch, claimed_at, after, ledger, jobs, predecessors_expired });
+                let ShardReader { ledger, jobs, .. } = reader;
+                return Some(WonClaim {
+                    epoch,
+                    claimed_at,
+                    previous_epoch,
+                    ledger,
+                    jobs,
+                    predecessors_expired,
+                });
             }
-            let rival = self.election.is_newly_claimed(last);
-            if rival || claimed.is_some() && seen {
+            let is_rival = self.election.is_newly_claimed(last_claim);
+            if is_rival || claimed_epoch.is_some() && has_claim {
                 break;
             }
-            // Tasks that this build cannot see in the progress would be started again.
-            if reading.is_newer {
-                let (shard, cause) = (self.shard.0, "its progress is of a newer build");
+            // Tasks whose progress this build cannot read would be started a second time.
+            if reader.has_newer_records {
+                let (shard, cause) = (self.shard.0, "its progress has records of a newer build");
                 log::warn!("event=claim_withheld shard={shard} cause=\"{cause}\"");
                 self.election.heartbeat_received(clock::now());
-                return self.keep(reading);
+                return self.keep_unfinished(reader);
             }
-            // A read may have taken long.
-            if *self.elect.stop.borrow() {
+            // The read may have taken long enough for the process to be told to stop.
+            if *self.context.stop.borrow() {
                 return None;
             }
-            let predecessors_expired = self.is_settled(last);
+            let predecessors_expired = self.are_predecessors_expired(last_claim);
             claimed_at = clock::now();
-            after = last.map_or(0, |it| it.epoch);
-            claimed = self.append_claim(reading.progress.next()?, predecessors_expired).await;
+            previous_epoch = last_claim.map_or(0, |it| it.epoch);
+            claimed_epoch = self.append_claim(reader.progress.next()?, predecessors_expired).await;
         }
-        // Somebody else was faster, or the log does not answer.
+        // Another process was faster, or the log does not answer.
         self.election.restart_timeout(clock::now());
         None
     }
 
-    /// Whether a sign of life of the owner could be read now and all the time before. Where the
-    /// partition of states alone is silent, owners run on that nobody hears.
-    async fn could_hear(&self) -> bool {
-        /// Longer than a read waits for a record, and the pause after it.
-        const READS_EXPECTED: Duration = Duration::from_millis(1_300);
-        let Some((read_at, from)) = self.elect.shared.lock().states_read else { return false };
+    /// Returns whether heartbeats of the owner could be read until now without a break. If only the
+    /// partition of states does not answer, owners keep running while nobody receives their
+    /// heartbeats.
+    async fn can_read_heartbeats(&self) -> bool {
+        /// Longer than a read's wait for a record and the pause after the read.
+        const MAX_READ_AGE: Duration = Duration::from_millis(1_300);
+        let Some((read_at, from)) = self.context.shared.lock().states_caught_up else {
+            return false;
+        };
         let began = clock::now();
-        let store = &self.elect.store;
-        let ask = || {
+        let store = &self.context.store;
+        let read = || {
             Box::pin(async {
                 match store.read(Topic::States, from, Duration::ZERO, CALL_TIMEOUT).await {
                     Ok(_) | Err(StoreError::Expired(_)) => Ok(()),
@@ -311,44 +343,46 @@
                 }
             })
         };
-        // One answer may be lost.
-        let answered = select_ok([ask(), ask()]).await.is_ok();
+        // Two calls, as one answer may be lost.
+        let answered = select_ok([read(), read()]).await.is_ok();
         let rtt = clock::now().since(began);
-        answered && began.since(read_at) < READS_EXPECTED + rtt * 2
+        answered && began.since(read_at) < MAX_READ_AGE + rtt * 2
     }
 
-    /// What an earlier claim has read that the log did not let get any further, or nothing.
-    fn begin_reading(&mut self) -> Reading {
-        let (shard, store) = (self.shard.0, &self.elect.store);
-        let kept = self.unfinished.take().map(|(_, it)| it);
-        kept.unwrap_or_else(|| Reading {
+    /// Returns the reader of an earlier claim that stopped because the log did not answer, or a new
+    /// one.
+    fn resume_or_begin_reading(&mut self) -> ShardReader {
+        let (shard, store) = (self.shard.0, &self.context.store);
+        let unfinished = self.unfinished.take().map(|(_, it)| it);
+        unfinished.unwrap_or_else(|| ShardReader {
             ledger: Ledger::default(),
             jobs: Tail::new(store.clone(), Topic::Jobs(shard)),
             progress: Tail::new(store.clone(), Topic::Progress(shard)),
-            is_newer: false,
+            has_newer_records: false,
         })
     }
 
-    /// Ends a claim that the log did not let get any further.
-    fn keep(&mut self, reading: Reading) -> Option<Won> {
-        let whole = !reading.jobs.has_gap() && !reading.progress.has_gap();
-        self.lost_at = clock::now();
-        self.unfinished = whole.then_some((self.lost_at, reading));
+    /// Ends a claim that could not be completed. Keeps what it has read for the next claim, unless
+    /// records are missing from it.
+    fn keep_unfinished(&mut self, reader: ShardReader) -> Option<WonClaim> {
+        let is_gapless = !reader.jobs.has_gap() && !reader.progress.has_gap();
+        self.claim_interrupted_at = clock::now();
+        self.unfinished = is_gapless.then_some((self.claim_interrupted_at, reader));
         None
     }
 
-    /// Appends a claim at the end that was read, and gives its epoch.
+    /// Appends a claim if the log still ends at the offset `at`; returns the claim's epoch.
     async fn append_claim(&self, at: u64, predecessors_expired: bool) -> Option<u64> {
         let epoch = at + 1;
         let shard = self.shard.0;
         let record = encode(&Record::Claim(self.election.claim(epoch, predecessors_expired)));
         let guard = Guard::Claim { shard, at, epoch };
         let topic = Topic::Progress(shard);
-        match self.elect.store.append(topic, &[record], guard, CALL_TIMEOUT).await {
+        match self.context.store.append(topic, &[record], guard, CALL_TIMEOUT).await {
             Ok(_) => log::info!("event=claimed shard={shard} epoch={epoch}"),
             Err(StoreError::EndMismatch | StoreError::Fenced) => {
                 log::info!(
-                    "event=claim_lost shard={shard} epoch={epoch} cause=\"another came first\""
+                    "event=claim_lost shard={shard} epoch={epoch} cause=\"another append came first\""
                 );
             }
             Err(e) => {
@@ -359,53 +393,54 @@
     }
 
     fn is_mine(&self, claim: &Claim) -> bool {
-        claim.vm == self.elect.settings.vm && claim.process == self.elect.process
+        claim.vm == self.context.settings.vm && claim.process == self.context.process
     }
 
-    /// Whether no owner before the next one can renew anything: the last one has surely ended, and
-    /// had none before it that may not have.
+    /// Returns whether no owner before the next one can still renew leases: the last owner has
+    /// certainly ended, and so have all owners before it.
     ///
-    /// Without the second half, an owner that is cut off from the log could go on renewing leases
-    /// while the one after it comes and goes, and its tasks would be started elsewhere.
-    fn is_settled(&self, last: Option<&Claim>) -> bool {
-        let Some(last) = last else { return true };
-        let known = self.elect.shared.lock();
-        let heartbeat = known.directory.owner(self.shard).map(|it| &it.heartbeat.claim);
+    /// Without the second condition, an owner that cannot reach the log could go on renewing leases
+    /// while its successor starts and ends, and its tasks would be started a second time elsewhere.
+    fn are_predecessors_expired(&self, last_claim: Option<&Claim>) -> bool {
+        let Some(last) = last_claim else { return true };
+        let node = self.context.shared.lock();
+        let heartbeat = node.directory.owner(self.shard).map(|it| &it.heartbeat.claim);
         let last = heartbeat.filter(|it| it.epoch == last.epoch).unwrap_or(last);
-        (last.released || last.vm == self.elect.settings.vm) && last.predecessors_expired
+        (last.released || last.vm == self.context.settings.vm) && last.predecessors_expired
     }
 
-    async fn own(&mut self, won: Won) {
-        let Won { epoch, claimed_at, after, ledger, jobs, predecessors_expired } = won;
-        let (shard, elect) = (self.shard, &self.elect);
+    async fn own(&mut self, won: WonClaim) {
+        let WonClaim { epoch, claimed_at, previous_epoch, ledger, jobs, predecessors_expired } =
+            won;
+        let (shard, context) = (self.shard, &self.context);
         log::info!("event=owner shard={} epoch={epoch} settled={predecessors_expired}", shard.0);
-        elect.metrics.owner("won");
-        let told = {
-            let known = elect.shared.lock();
+        context.metrics.count_ownership_change("won");
+        let published_states = {
+            let node = context.shared.lock();
             let ids = ledger.jobs().map(|(id, _)| id);
-            ids.filter_map(|id| known.directory.state(id).map(|state| (id, state))).collect()
+            ids.filter_map(|id| node.directory.state(id).map(|state| (id, state))).collect()
         };
         let ownership = Ownership {
-            elect: elect.clone(),
+            context: context.clone(),
             shard,
             epoch,
             claim: self.election.claim(epoch, predecessors_expired),
             claimed_at,
-            after,
-            told,
+            previous_epoch,
+            published_states,
         };
-        let why = ownership.run(ledger, jobs).await;
+        let cause = ownership.run(ledger, jobs).await;
         log::info!(
             "event=owner_ended shard={} epoch={epoch} cause=\"{}\"",
             shard.0,
-            why.description()
+            cause.description()
         );
-        self.elect.metrics.owner("ended");
+        self.context.metrics.count_ownership_change("ended");
         let now = clock::now();
         self.ended_epoch = epoch;
         self.election.heartbeat_received(now);
-        if why.is_unfit() {
-            self.unfit_until = now + UNFIT_FOR;
+        if cause.is_too_slow() {
+            self.slow_until = now + SLOW_VM_PERIOD;
         }
     }
 }
--- a/daisy-node/src/follow.rs
+++ b/daisy-node/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following a topic of the platform's log.
+//! Reads the records of a topic of the platform's log as they are appended.
 
 use std::{pin::pin, time::Duration};
 
@@ -8,44 +8,49 @@
 
 use crate::clock;
 
-/// How long a call to the platform may take beyond the time that it is asked to wait.
+/// How long a call to the platform may take, in addition to the time that the call asks the
+/// platform to wait.
 ///
-/// Its answers take 4 ms, and up to 60 times as long on a slow day.
+/// The platform usually answers in 4 ms, and takes up to 60 times as long when it is slow.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// The same, for every second call to a platform that does not answer.
+/// The shorter timeout of every second call while the platform does not answer.
 ///
-/// A call that was sent into a silence gets no answer when the silence ends: the next one does. The
-/// others have the whole time, in case the platform is slow.
-const CALL_TIMEOUT_LOST: Duration = Duration::from_millis(350);
-/// Before a call that failed is made again.
-const RETRY: Duration = Duration::from_millis(150);
+/// A call that is sent while the platform is unresponsive gets no answer even after the platform
+/// recovers; only a later call does. The other calls keep the full timeout, in case the platform is
+/// slow.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(350);
+/// The pause before a failed call is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// A position in a topic that keeps the newest record of each key.
+/// A reader of a topic. Its first read returns the newest record of each key, later reads the
+/// records appended since.
 #[derive(Debug)]
 pub(crate) struct Tail {
     store: Store,
     topic: Topic,
-    /// Where to read on; `None` before the first read and after records were dropped unread.
+    /// The offset at which the next read continues; `None` before the first read and after the log
+    /// has dropped records that were not read.
     next: Option<u64>,
     has_gap: bool,
-    /// Calls in a row that have failed.
+    /// The number of failed calls since the last successful one.
     failures: u32,
-    /// Pages of the first read that have come.
-    pages: Option<NewestPage>,
-    patience: LargeReadTimeout,
+    /// The pages of the newest records that have been read so far.
+    newest_pages: Option<NewestPage>,
+    newest_timeout: LargeReadTimeout,
 }
 
-/// What a read gave.
+/// The result of a read.
 #[derive(Debug)]
 pub(crate) struct Read {
-    /// The records, oldest first.
+    /// The records in the order of their offsets; the newest records of each key in the order of
+    /// the keys.
     pub records: Vec<StoredRecord>,
-    /// Whether there was nothing after them.
+    /// Whether the log had no records after them.
     pub at_end: bool,
 }
 
 impl Tail {
-    /// A tail of `topic` that has read nothing.
+    /// Returns a reader of `topic` that has not read anything.
     pub fn new(store: Store, topic: Topic) -> Tail {
         Tail {
             store,
@@ -53,30 +58,32 @@
             next: None,
             has_gap: false,
             failures: 0,
-            pages: None,
-            patience: LargeReadTimeout::default(),
+            newest_pages: None,
+            newest_timeout: LargeReadTimeout::default(),
         }
     }
 
-    /// Where to read on.
+    /// Returns the offset at which the next read continues; `None` if the next read is a first one.
     pub fn next(&self) -> Option<u64> {
         self.next
     }
 
-    /// Whether records were dropped unread, so that what was read before does not go on from there.
+    /// Returns whether the log has dropped records that were not read, so that the next read does
+    /// not continue from the earlier ones.
     pub fn has_gap(&self) -> bool {
         self.has_gap
     }
 
-    /// Reads what is new; waits up to `wait` for it. A failure is logged and takes a short pause.
+    /// Reads the new records; waits up to `wait` for one. Returns `None` after a failure, which is
+    /// logged and followed by a short pause.
     pub async fn try_read(&mut self, wait: Duration) -> Option<Read> {
         let (wait, timeout) = match self.failures {
             0 => (wait, CALL_TIMEOUT),
-            it if it % 2 == 1 => (Duration::ZERO, CALL_TIMEOUT_LOST),
+            it if it % 2 == 1 => (Duration::ZERO, SHORT_CALL_TIMEOUT),
             _ => (Duration::ZERO, CALL_TIMEOUT),
         };
         let outcome = match self.next {
-            None => self.newest(timeout).await,
+            None => self.read_newest(timeout).await,
             Some(from) => {
                 let page = self.store.read(self.topic, from, wait, timeout).await;
                 page.map(|it| {
@@ -103,26 +110,28 @@
                 if self.failures == 1 {
                     log::warn!("event=log_lost topic={:?} cause=\"{e}\"", self.topic);
                 }
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
                 None
             }
         }
     }
 
-    /// Reads the newest record of each key anew, as [`try_read`](Tail::try_read) does at first.
-    pub async fn try_newest(&mut self) -> Option<Read> {
+    /// Reads the newest record of each key again, as the first [`try_read`](Tail::try_read) does.
+    pub async fn try_read_newest(&mut self) -> Option<Read> {
         self.next = None;
         self.try_read(Duration::ZERO).await
     }
 
-    /// Reads the newest record of each key. Pages that came before a failure are kept.
-    async fn newest(&mut self, silent_after: Duration) -> Result<Read, StoreError> {
+    /// Reads the newest record of each key. After a failure, the next call continues after the
+    /// pages already read.
+    async fn read_newest(&mut self, answer_timeout: Duration) -> Result<Read, StoreError> {
         loop {
-            let page = self.newest_page(silent_after).await?;
-            let pages = match &mut self.pages {
-                None => self.pages.insert(page),
+            let page = self.read_newest_page(answer_timeout).await?;
+            let pages = match &mut self.newest_pages {
+                None => self.newest_pages.insert(page),
                 Some(it) => {
-                    // Only from the first page's end on is it sure that nothing is missed.
+                    // `end` stays that of the first page: a record appended after it may belong to
+                    // a page that was already read, and must be read again from there.
                     it.records.extend(page.records);
                     it.has_more = page.has_more;
                     it
@@ -131,24 +140,31 @@
             if !pages.has_more {
                 let records = std::mem::take(&mut pages.records);
                 self.next = Some(pages.end);
-                self.pages = None;
+                self.newest_pages = None;
                 return Ok(Read { records, at_end: true });
             }
         }
     }
 
-    async fn newest_page(&mut self, silent_after: Duration) -> Result<NewestPage, StoreError> {
-        let silent_after = if self.patience.has_timed_out() { CALL_TIMEOUT } else { silent_after };
-        let after = self.pages.as_ref().and_then(|it| it.records.last()).map(|it| it.key.as_str());
+    async fn read_newest_page(
+        &mut self,
+        answer_timeout: Duration,
+    ) -> Result<NewestPage, StoreError> {
+        let answer_timeout =
+            if self.newest_timeout.has_timed_out() { CALL_TIMEOUT } else { answer_timeout };
+        let after =
+            self.newest_pages.as_ref().and_then(|it| it.records.last()).map(|it| it.key.as_str());
         let mut call = pin!(self.store.newest(self.topic, after, LargeReadTimeout::TIMEOUT_MAX));
         let began = clock::now();
-        self.patience.begin(began, silent_after, self.store.answered_calls());
-        while let Some(wait) = self.patience.try_wait(clock::now(), self.store.answered_calls()) {
+        self.newest_timeout.begin(began, answer_timeout, self.store.answered_calls());
+        while let Some(wait) =
+            self.newest_timeout.try_wait(clock::now(), self.store.answered_calls())
+        {
             if let Ok(it) = timeout(wait, &mut call).await {
                 return it;
             }
         }
-        let lasted = clock::now().since(began).as_millis();
-        Err(StoreError::OutcomeUnknown(format!("no answer in {lasted}ms")))
+        let elapsed_ms = clock::now().since(began).as_millis();
+        Err(StoreError::OutcomeUnknown(format!("no answer in {elapsed_ms} ms")))
     }
 }
--- a/daisy-node/src/jobs.rs
+++ b/daisy-node/src/jobs.rs
@@ -1,4 +1,4 @@
-//! An owner's reading of its shard's submissions and cancellations.
+//! Reads a shard's submissions and cancellations for its owner.
 
 use std::time::Duration;
 
@@ -12,48 +12,53 @@
 
 use crate::{clock, follow::Tail};
 
-/// How long a read waits for a record: it bounds how far the owner may be behind when it says that
-/// it has read all.
-const WAIT: Duration = Duration::from_millis(400);
-/// Between reads: each call is paid for, and a job waits this long for its first start.
-const PAUSE: Duration = Duration::from_millis(4);
+/// How long a read waits for a record. This limits how far the owner may be behind the log when it
+/// reports that it has caught up.
+const READ_WAIT: Duration = Duration::from_millis(400);
+/// The pause between reads: each call costs money, but the first start of a job waits for this
+/// pause.
+const READ_PAUSE: Duration = Duration::from_millis(4);
 
-/// The records of jobs and owners among `records`; what cannot be read is logged.
-pub(crate) fn readable<'a>(
+/// Decodes records of a topic. Records that cannot be decoded are logged and left out, and so are
+/// empty ones.
+pub(crate) fn decode_all<'a>(
     topic: &'a str,
     records: &'a [StoredRecord],
 ) -> impl Iterator<Item = Record> + 'a {
-    records.iter().filter(|it| !it.value.is_empty()).filter_map(|it| read(topic, it).ok())
+    records.iter().filter(|it| !it.value.is_empty()).filter_map(|it| decode_record(topic, it).ok())
 }
 
-/// What a record says; that it cannot be read is logged.
-pub(crate) fn read(topic: &str, it: &StoredRecord) -> Result<Record, RecordError> {
+/// Decodes a record. If that fails, logs the error and returns it, except for an owner's record:
+/// that becomes an unreadable claim.
+pub(crate) fn decode_record(topic: &str, it: &StoredRecord) -> Result<Record, RecordError> {
     decode(&it.key, &it.value).or_else(|e| {
         log::warn!("event=record_unreadable topic={topic} offset={} cause=\"{e}\"", it.offset);
         match it.key == OWNER_KEY {
-            // Taken for nothing, an owner that may still renew leases would count as none.
+            // If the record were ignored, an owner that may still renew leases would be treated as
+            // absent.
             true => Ok(Record::Claim(Claim::unreadable(it.offset))),
             false => Err(e),
         }
     })
 }
 
-/// Tells the owner of new records until it has ended; `read_at` says when all had been read.
+/// Sends new records to the owner until the owner has ended. `caught_up_at` gets the time at which
+/// the topic was last read to its end.
 pub(crate) async fn follow_jobs(
     mut tail: Tail,
     events: mpsc::UnboundedSender<Event>,
-    read_at: watch::Sender<Instant>,
+    caught_up_at: watch::Sender<Instant>,
 ) {
     while !events.is_closed() {
-        let Some(read) = tail.try_read(WAIT).await else { continue };
-        for record in readable("jobs", &read.records) {
+        let Some(read) = tail.try_read(READ_WAIT).await else { continue };
+        for record in decode_all("jobs", &read.records) {
             if events.send(Event::Record(record)).is_err() {
                 return;
             }
         }
         if read.at_end {
-            read_at.send_replace(clock::now());
+            caught_up_at.send_replace(clock::now());
         }
-        sleep(PAUSE).await;
+        sleep(READ_PAUSE).await;
     }
 }
--- a/daisy-node/src/lib.rs
+++ b/daisy-node/src/lib.rs
@@ -1,8 +1,9 @@
 //! The process of an entry VM on a platform that keeps all state.
 //!
-//! Every process takes callers' requests, writes what it accepts to the platform's log, and
-//! folds the log into what it tells callers. Each shard of the workers has one process at a time
-//! that owns it: it tells the shard's workers what to run. Sockets, timers and log lines are here; what is decided is in `daisy-workflow`.
+//! Every process accepts callers' requests, appends submissions and cancellations to the platform's
+//! log, and folds the log into the state from which it answers callers. At any time one process
+//! owns each shard of the workers and orders the shard's workers to run tasks. This crate has the
+//! sockets, timers and log lines; the decisions are made in `daisy-workflow`.
 
 #![deny(missing_docs, unsafe_code)]
 
--- a/daisy-node/src/metrics.rs
+++ b/daisy-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies, as text for a collector.
+//! Counters, gauges and latencies in the Prometheus text format.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -13,8 +13,8 @@
     registry::Registry,
 };
 
-/// Upper bounds of the latency histogram, in seconds: from an answer out of memory to the longest
-/// time that callers wait.
+/// The upper bounds of the latency histogram in seconds: from an answer out of memory to the
+/// longest time that callers wait.
 const LATENCY_BUCKETS: [f64; 9] = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.5, 1.0, 3.0];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Outcome {
+struct OutcomeLabels {
     outcome: &'static str,
 }
 
@@ -39,16 +39,16 @@
     registry: Arc<Mutex<Registry>>,
     requests: Family<RequestLabels, Counter>,
     latency: Histogram,
-    starts: Family<Outcome, Counter>,
-    ends: Family<Outcome, Counter>,
+    starts: Family<OutcomeLabels, Counter>,
+    ends: Family<OutcomeLabels, Counter>,
     lost_runs: Counter,
-    ownership: Family<Outcome, Counter>,
+    ownership: Family<OutcomeLabels, Counter>,
     backlog: Family<ShardLabels, Gauge>,
     usable_workers: Family<ShardLabels, Gauge>,
 }
 
 impl Metrics {
-    /// All metrics, registered.
+    /// Creates and registers all metrics.
     pub fn new() -> Metrics {
         let metrics = Metrics {
             registry: Arc::default(),
@@ -77,8 +77,8 @@
         metrics
     }
 
-    /// Counts a caller's request.
-    pub fn request(&self, method: &Method, status: StatusCode, took: Duration) {
+    /// Counts a caller's request and records its latency.
+    pub fn count_request(&self, method: &Method, status: StatusCode, took: Duration) {
         let method = match *method {
             Method::POST => "post",
             Method::GET => "get",
@@ -90,35 +90,35 @@
     }
 
     /// Counts an order to start a task.
-    pub fn start(&self, outcome: &'static str) {
-        self.starts.get_or_create(&Outcome { outcome }).inc();
+    pub fn count_start(&self, outcome: &'static str) {
+        self.starts.get_or_create(&OutcomeLabels { outcome }).inc();
     }
 
     /// Counts a run that ended.
-    pub fn end(&self, outcome: &'static str) {
-        self.ends.get_or_create(&Outcome { outcome }).inc();
+    pub fn count_run_end(&self, outcome: &'static str) {
+        self.ends.get_or_create(&OutcomeLabels { outcome }).inc();
     }
 
-    /// Counts a run that was given up.
-    pub fn lost(&self) {
+    /// Counts a run that was given up as lost.
+    pub fn count_lost_run(&self) {
         self.lost_runs.inc();
     }
 
-    /// Counts a change of the owner that this process had a part in.
-    pub fn owner(&self, outcome: &'static str) {
-        self.ownership.get_or_create(&Outcome { outcome }).inc();
+    /// Counts the start or end of an ownership of this process.
+    pub fn count_ownership_change(&self, outcome: &'static str) {
+        self.ownership.get_or_create(&OutcomeLabels { outcome }).inc();
     }
 
-    /// Sets the jobs not ended and the workers that take new tasks, of a shard that this process
-    /// owns; both are 0 for one that it no longer owns.
-    pub fn shard(&self, shard: ShardId, jobs: usize, usable_workers: usize) {
+    /// Sets the number of unfinished jobs and of workers that accept new tasks, for a shard that
+    /// this process owns; both are 0 for a shard that it no longer owns.
+    pub fn set_shard_gauges(&self, shard: ShardId, jobs: usize, usable_workers: usize) {
         let labels = ShardLabels { shard: shard.0 };
         self.backlog.get_or_create(&labels).set(jobs as i64);
         self.usable_workers.get_or_create(&labels).set(usable_workers as i64);
     }
 
-    /// All metrics as text.
-    pub fn text(&self) -> String {
+    /// Returns all metrics in the Prometheus text format.
+    pub fn to_text(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         if let Err(e) = encode(&mut text, &registry) {
--- a/daisy-node/src/node.rs
+++ b/daisy-node/src/node.rs
@@ -1,4 +1,4 @@
-//! An entry VM's process from its start to its planned stop.
+//! The life of an entry VM's process, from its start to its planned stop.
 
 use std::{path::Path, time::Duration};
 
@@ -14,72 +14,81 @@
 use crate::{
     append::Appender,
     callers,
-    elect::{self, Elect},
+    elect::{self, ElectionContext},
     follow::Tail,
     metrics::Metrics,
     readiness,
     shared::Shared,
-    states::{follow_states, lay_out},
+    states::{choose_layout, follow_states},
     submit::Submissions,
 };
 
-/// In a planned stop, between not ready and the end of new connections: the balancer asks every
-/// second and takes a VM out after two misses.
-const LEAVE_BALANCER: Duration = Duration::from_millis(2_600);
-/// Left of the time that a planned stop may take when open requests are given up.
+/// How long a planned stop still accepts connections after the VM reports that it is not ready. The
+/// load balancer checks every second and removes a VM after two failed checks.
+const BALANCER_REMOVAL_TIME: Duration = Duration::from_millis(2_600);
+/// How long before the end of the grace period of a planned stop the process gives up open
+/// requests.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 /// How long a read of the configuration waits for a record.
-const WAIT: Duration = Duration::from_millis(1_000);
-/// Between reads of a configuration that is not there yet.
-const PAUSE: Duration = Duration::from_millis(60);
+const READ_WAIT: Duration = Duration::from_millis(1_000);
+/// The pause between reads as long as there is no configuration.
+const CONFIGURATION_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Runs an entry VM by the settings file at `path`, until SIGTERM and its planned stop.
+/// Runs an entry VM with the settings file at `path`, until SIGTERM and the planned stop that
+/// follows.
 ///
 /// # Errors
 ///
-/// If the settings cannot be used or an address cannot be taken.
+/// If the settings cannot be used, a port cannot be opened, or the signals cannot be received.
 pub async fn run(path: &Path) -> anyhow::Result<()> {
     let settings = read_settings(path)?;
     let shared = Shared::default();
     let metrics = Metrics::new();
     let store = Store::new(Http::new(None), settings.store_address);
-    let (stopping, stop) = watch::channel(false);
+    let (stop_serving, serving_stop) = watch::channel(false);
     let process = fastrand::u64(1..);
 
-    let callers_port = callers::listen(settings.caller_address).await?;
-    let readiness_port = callers::listen(settings.readiness_address).await?;
+    let caller_listener = callers::listen(settings.caller_address).await?;
+    let readiness_listener = callers::listen(settings.readiness_address).await?;
     let submissions = Submissions {
         shared: shared.clone(),
         appender: Appender::start(store.clone(), shared.clone()),
     };
-    tokio::spawn(readiness::serve(readiness_port, shared.clone(), metrics.clone()));
+    tokio::spawn(readiness::serve(readiness_listener, shared.clone(), metrics.clone()));
     tokio::spawn(follow_configuration(store.clone(), shared.clone()));
     tokio::spawn(follow_states(store.clone(), shared.clone()));
-    tokio::spawn(lay_out(store.clone(), shared.clone(), settings.partitions));
-    let serving =
-        tokio::spawn(callers::serve(callers_port, submissions, metrics.clone(), stop.clone()));
-    let (yielding, yields) = watch::channel(false);
-    let elect = Elect {
+    tokio::spawn(choose_layout(store.clone(), shared.clone(), settings.partitions));
+    let serving = tokio::spawn(callers::serve(
+        caller_listener,
+        submissions,
+        metrics.clone(),
+        serving_stop.clone(),
+    ));
+    let (stop_owning, owning_stop) = watch::channel(false);
+    let context = ElectionContext {
         settings: settings.clone(),
         store,
         shared: shared.clone(),
         metrics,
         process,
-        stop: yields,
+        stop: owning_stop,
     };
-    let electing = tokio::spawn(elect::run(elect));
+    let electing = tokio::spawn(elect::run(context));
     log::info!("event=started vm={} process={process:016x}", settings.vm);
 
     wait_for_stop(path).await?;
     log::info!("event=stopping vm={}", settings.vm);
     shared.lock().stopping = true;
-    // Ownership goes first, while this VM still serves: another takes over meanwhile.
-    yielding.send_replace(true);
-    sleep(LEAVE_BALANCER).await;
-    stopping.send_replace(true);
-    let left = settings.grace.saturating_sub(LEAVE_BALANCER + STOP_MARGIN);
-    if timeout(left, serving).await.is_err() {
-        log::warn!("event=stop_cut_short cause=\"requests were open at the end of the grace\"");
+    // The VM releases its shards first, so that other VMs take them over while it still serves
+    // callers.
+    stop_owning.send_replace(true);
+    sleep(BALANCER_REMOVAL_TIME).await;
+    stop_serving.send_replace(true);
+    let remaining = settings.grace.saturating_sub(BALANCER_REMOVAL_TIME + STOP_MARGIN);
+    if timeout(remaining, serving).await.is_err() {
+        log::warn!(
+            "event=stop_cut_short cause=\"requests were still open at the end of the grace period\""
+        );
     }
     electing.abort();
     log::info!("event=stopped vm={}", settings.vm);
@@ -92,8 +101,8 @@
     Ok(parse_settings(&text)?)
 }
 
-/// Waits for SIGTERM. At SIGHUP the settings file is read and checked; addresses and the store
-/// stay as they were at the start.
+/// Waits for SIGTERM. On SIGHUP the settings file is read and checked, but the settings of the
+/// start remain in force.
 async fn wait_for_stop(path: &Path) -> anyhow::Result<()> {
     let mut term = signal(SignalKind::terminate()).context("waiting for SIGTERM")?;
     let mut hup: Signal = signal(SignalKind::hangup()).context("waiting for SIGHUP")?;
@@ -111,13 +120,13 @@
 async fn follow_configuration(store: Store, shared: Shared) {
     let mut tail = Tail::new(store, Topic::Operators);
     loop {
-        let Some(read) = tail.try_read(WAIT).await else { continue };
+        let Some(read) = tail.try_read(READ_WAIT).await else { continue };
         for it in read.records {
             match parse_queue_config(&it.key, &it.value) {
-                Some(Ok(queues)) => shared.lock().configure(queues),
-                Some(Err(why)) => {
+                Some(Ok(queues)) => shared.lock().apply_configuration(queues),
+                Some(Err(cause)) => {
                     log::warn!(
-                        "event=configuration_unreadable offset={} cause=\"{why}\"",
+                        "event=configuration_unreadable offset={} cause=\"{cause}\"",
                         it.offset
                     );
                 }
@@ -125,7 +134,7 @@
             }
         }
         if shared.lock().queues.is_none() {
-            sleep(PAUSE).await;
+            sleep(CONFIGURATION_RETRY_INTERVAL).await;
         }
     }
 }
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -1,4 +1,5 @@
-//! The owner's process side: carries out what the core decides.
+//! Runs the owner of a shard: passes events to it and carries out its actions. The decisions are
+//! made in `daisy-workflow`.
 
 mod append;
 mod calls;
@@ -23,202 +24,210 @@
 use self::{
     append::{APPEND_TIMEOUT, Fenced, append},
     calls::Calls,
-    follow::{follow_observations, follow_workers},
+    follow::{follow_measurements, follow_workers},
 };
-use crate::{clock, elect::Elect, follow::Tail, jobs::follow_jobs};
+use crate::{clock, elect::ElectionContext, follow::Tail, jobs::follow_jobs};
 
-/// How long a worker's tasks go on without a renewal.
+/// The lease of a worker: how long its tasks go on without a renewal.
 ///
-/// Long enough for a change of the owner (1.4 s of silence, a claim and a pass over the workers)
-/// after a renewal that was 1.5 s ago; short, as tasks of a worker that is lost wait this long.
+/// It must cover a change of the owner (1.4 s without a heartbeat, a claim, and a call to every
+/// worker) after a renewal that was 1.5 s ago. It should be short, as the tasks of a lost worker
+/// wait this long for their next start.
 const LEASE: Duration = Duration::from_millis(5_000);
-/// Between looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
-/// The shortest time between two appends, so that records gather: each call is paid for.
-const APPEND_GAP: Duration = Duration::from_millis(24);
-/// Between records of what was learnt for the owners of other shards, and between their reads: twice
-/// the time that a worker's report covers.
-const SHARE_EVERY: Duration = Duration::from_millis(1_000);
+/// The interval of the owner's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The shortest time between two appends of progress, so that one append carries several records:
+/// each call costs money.
+const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(24);
+/// The interval at which owners append their interference measurements and read those of other
+/// shards: twice the time that a worker's report covers.
+const SHARE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// An owner's time under one epoch.
+/// The ownership of a shard in one epoch.
 pub(crate) struct Ownership {
-    pub elect: Elect,
+    pub context: ElectionContext,
     pub shard: ShardId,
     pub epoch: u64,
     pub claim: Claim,
-    /// A time before the claim was sent, and the epoch of the claim before it.
+    /// A time before the claim was sent.
     pub claimed_at: Instant,
-    pub after: u64,
-    /// States that all VMs know already.
-    pub told: SortedMap<JobId, PublishedState>,
+    /// The epoch of the claim before this one.
+    pub previous_epoch: u64,
+    /// The states of jobs that are already published.
+    pub published_states: SortedMap<JobId, PublishedState>,
 }
 
 /// Why an ownership ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ended {
+pub(crate) enum EndCause {
     /// The log has seen a higher epoch.
     FencedByLog,
     /// A worker has seen a higher epoch.
     FencedByWorker,
-    /// The process stops as planned.
+    /// The process has begun its planned stop.
     Stopping,
-    /// The process runs so late that another does better.
-    Late,
+    /// The process runs with such delays that another VM would do better.
+    TooSlow,
 }
 
-impl Ended {
+impl EndCause {
     pub fn description(self) -> &'static str {
         match self {
-            Ended::FencedByLog => "the log has seen a higher epoch",
-            Ended::FencedByWorker => "a worker has seen a higher epoch",
-            Ended::Stopping => "the process stops",
-            Ended::Late => "this VM is too slow",
+            EndCause::FencedByLog => "the log has seen a higher epoch",
+            EndCause::FencedByWorker => "a worker has seen a higher epoch",
+            EndCause::Stopping => "the process stops",
+            EndCause::TooSlow => "this VM is too slow",
         }
     }
 
-    /// Whether this process had better leave the shard to others for a while.
-    pub fn is_unfit(self) -> bool {
-        self == Ended::Late
+    /// Returns whether this process should leave the shard to other VMs for a while.
+    pub fn is_too_slow(self) -> bool {
+        self == EndCause::TooSlow
     }
 }
 
-/// What an append came to.
+/// The result of an append.
 #[derive(Debug)]
-enum Append {
+enum AppendOutcome {
+    /// Progress was appended.
     Progress,
-    /// States, or a sign of life, first sent at this time.
+    /// States or a heartbeat were appended; they were first sent at this time.
     States(Instant),
+    /// A higher epoch has been seen.
     Fenced,
 }
 
 impl Ownership {
-    /// Runs until another owner takes over or the process stops.
-    pub async fn run(self, ledger: Ledger, jobs: Tail) -> Ended {
+    /// Runs the owner until another owner takes over or this process releases the shard.
+    pub async fn run(self, ledger: Ledger, jobs: Tail) -> EndCause {
         let (events, rx) = mpsc::unbounded_channel();
         let now = clock::now();
         let owner = self.start_owner(now, ledger, &events);
-        let store = self.elect.store.clone();
-        let (read, jobs_read) = watch::channel(now);
-        let following = [
+        let store = self.context.store.clone();
+        let (jobs_read_tx, jobs_read_at) = watch::channel(now);
+        let readers = [
             tokio::spawn(follow_workers(
                 store,
-                self.elect.shared.clone(),
+                self.context.shared.clone(),
                 self.shard,
                 events.clone(),
             )),
-            tokio::spawn(follow_jobs(jobs, events.clone(), read)),
-            tokio::spawn(follow_observations(
-                self.elect.store.clone(),
-                self.elect.shared.clone(),
+            tokio::spawn(follow_jobs(jobs, events.clone(), jobs_read_tx)),
+            tokio::spawn(follow_measurements(
+                self.context.store.clone(),
+                self.context.shared.clone(),
                 self.shard,
                 events.clone(),
             )),
         ];
-        let (appends, appended) = mpsc::channel(2);
-        let mut running = Running {
+        let (append_outcomes, outcomes) = mpsc::channel(2);
+        let mut running = RunningOwner {
             calls: Calls {
                 calls: WorkerCalls::new(Http::new(None), self.epoch),
                 events,
-                metrics: self.elect.metrics.clone(),
+                metrics: self.context.metrics.clone(),
             },
             owner,
-            appends,
+            append_outcomes,
             appending: false,
             appended_at: now,
-            seq: 1,
-            telling: StatePublisher::new(now, self.shard, self.told.clone()),
-            telling_now: false,
-            told_seq: 0,
-            jobs_read,
-            observed_at: now,
-            lateness: TickDelay::new(now, TICK),
+            progress_seq: 1,
+            state_publisher: StatePublisher::new(now, self.shard, self.published_states.clone()),
+            publishing: false,
+            states_seq: 0,
+            jobs_read_at,
+            shared_at: now,
+            tick_delay: TickDelay::new(now, TICK_INTERVAL),
             reported_at: now,
             unconfirmed_runs: Vec::new(),
             ownership: self,
         };
-        let cause = running.serve(rx, appended).await;
-        following.iter().for_each(|it| it.abort());
-        let Ownership { elect, shard, .. } = &running.ownership;
-        elect.shared.lock().end_owner(*shard);
-        elect.metrics.shard(*shard, 0, 0);
+        let cause = running.serve(rx, outcomes).await;
+        readers.iter().for_each(|it| it.abort());
+        let Ownership { context, shard, .. } = &running.ownership;
+        context.shared.lock().unregister_owner(*shard);
+        context.metrics.set_shard_gauges(*shard, 0, 0);
         cause
     }
 
-    /// An owner that knows all that the log of its shard says, and hears of all that comes after.
+    /// Creates the owner from the fold of its shard's log, and registers its event channel for
+    /// later records.
     fn start_owner(
         &self,
         now: Instant,
         ledger: Ledger,
         events: &mpsc::UnboundedSender<Event>,
     ) -> Owner {
-        let lease = LEASE.min(self.elect.settings.max_lease);
-        let mut known = self.elect.shared.lock();
-        let layout = known.directory.layout().unwrap_or(Layout { shards: 1 });
-        let lease_max = self.elect.settings.max_lease;
+        let lease = LEASE.min(self.context.settings.max_lease);
+        let mut node = self.context.shared.lock();
+        let layout = node.directory.layout().unwrap_or(Layout { shards: 1 });
+        let lease_max = self.context.settings.max_lease;
         let rules = PlacementRules::default();
         let settings = Settings { lease, lease_max, shard: self.shard, layout, rules };
-        let claimed = OwnershipStart {
+        let ownership_start = OwnershipStart {
             at: self.claimed_at,
             predecessors_ended: self.claim.predecessors_expired,
             epoch: self.epoch,
-            after: self.after,
+            after: self.previous_epoch,
         };
-        known.begin_owner(self.shard, events.clone());
-        let queues = known.queues.clone().unwrap_or_default();
-        Owner::new(now, clock::wall_ms(), settings, ledger, queues, claimed)
+        node.register_owner(self.shard, events.clone());
+        let queues = node.queues.clone().unwrap_or_default();
+        Owner::new(now, clock::wall_ms(), settings, ledger, queues, ownership_start)
     }
 }
 
-/// The owner at work.
-struct Running {
+/// A running owner with the state of its appends and reports.
+struct RunningOwner {
     ownership: Ownership,
     calls: Calls,
     owner: Owner,
-    appends: mpsc::Sender<Append>,
+    append_outcomes: mpsc::Sender<AppendOutcome>,
+    /// Whether an append of progress is under way.
     appending: bool,
     /// When the last append of progress began.
     appended_at: Instant,
-    /// The number of the next append of progress in this epoch.
-    seq: u64,
-    telling: StatePublisher,
+    /// The sequence number of the next append of progress in this epoch.
+    progress_seq: u64,
+    state_publisher: StatePublisher,
     /// Whether an append of states is under way.
-    telling_now: bool,
-    /// The number of the next append of states in this epoch.
-    told_seq: u64,
-    /// When all submissions had last been read.
-    jobs_read: watch::Receiver<Instant>,
-    /// When what was learnt was last given to other owners.
-    observed_at: Instant,
-    lateness: TickDelay,
+    publishing: bool,
+    /// The sequence number of the next append of states in this epoch.
+    states_seq: u64,
+    /// When the submissions were last read to their end.
+    jobs_read_at: watch::Receiver<Instant>,
+    /// When interference measurements were last shared with other owners.
+    shared_at: Instant,
+    tick_delay: TickDelay,
+    /// When the summary was last logged.
     reported_at: Instant,
-    /// Runs whose fate was not known at the last report.
+    /// The runs whose outcome was unconfirmed at the last report.
     unconfirmed_runs: Vec<UnconfirmedRun>,
 }
 
-impl Running {
+impl RunningOwner {
     async fn serve(
         &mut self,
         mut events: mpsc::UnboundedReceiver<Event>,
-        mut appended: mpsc::Receiver<Append>,
-    ) -> Ended {
-        /// Events taken in before what follows from them is done.
-        const EVENTS_MAX: usize = 64;
-        let mut tick = interval(TICK);
+        mut outcomes: mpsc::Receiver<AppendOutcome>,
+    ) -> EndCause {
+        /// The most events that are handled before the resulting actions are carried out.
+        const MAX_EVENTS: usize = 64;
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut gap = interval(APPEND_GAP);
-        gap.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut stop = self.ownership.elect.stop.clone();
+        let mut append_interval = interval(MIN_APPEND_INTERVAL);
+        append_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut stop = self.ownership.context.stop.clone();
         let mut batch = Vec::new();
         loop {
-            let waits = !self.appending && self.owner.has_batch()
-                || !self.telling_now && self.telling.has_pending_states();
+            let has_pending_records = !self.appending && self.owner.has_batch()
+                || !self.publishing && self.state_publisher.has_pending_states();
             tokio::select! {
-                it = appended.recv() => {
-                    if !self.taken(it) {
-                        return Ended::FencedByLog;
+                it = outcomes.recv() => {
+                    if !self.handle_append(it) {
+                        return EndCause::FencedByLog;
                     }
                 }
-                _ = events.recv_many(&mut batch, EVENTS_MAX) => {
+                _ = events.recv_many(&mut batch, MAX_EVENTS) => {
                     let now = clock::now();
                     for event in batch.drain(..) {
                         self.owner.step(now, event);
@@ -227,55 +236,57 @@
                 _ = tick.tick() => {
                     let now = clock::now();
                     let loads =
-                        self.ownership.elect.shared.lock().directory.loads(self.ownership.shard);
+                        self.ownership.context.shared.lock().directory.loads(self.ownership.shard);
                     self.owner.step(now, Event::Loads(loads));
                     self.owner.step(now, Event::Tick);
-                    if self.lateness.record_tick(now) {
-                        return self.release(appended, Ended::Late).await;
+                    if self.tick_delay.record_tick(now) {
+                        return self.release(outcomes, EndCause::TooSlow).await;
                     }
                 }
-                _ = gap.tick(), if waits => {}
-                () = stopped(&mut stop) => return self.release(appended, Ended::Stopping).await,
+                _ = append_interval.tick(), if has_pending_records => {}
+                () = wait_for_stop(&mut stop) => {
+                    return self.release(outcomes, EndCause::Stopping).await;
+                }
             }
             self.report();
-            if self.act() {
-                return Ended::FencedByWorker;
+            if self.carry_out_actions() {
+                return EndCause::FencedByWorker;
             }
-            self.append();
-            self.tell();
-            self.share();
+            self.append_progress();
+            self.publish_states();
+            self.share_measurements();
         }
     }
 
-    /// Carries out what the core wants done; whether it has to step down.
-    fn act(&mut self) -> bool {
+    /// Carries out the owner's actions; returns whether the owner must step down.
+    fn carry_out_actions(&mut self) -> bool {
         let now = clock::now();
         let mut step_down = false;
         for action in self.owner.act(now) {
             match action {
                 Action::StepDown => step_down = true,
                 Action::Note(note) => {
-                    notes::write(&note, self.ownership.shard, &self.ownership.elect.metrics);
+                    notes::write(&note, self.ownership.shard, &self.ownership.context.metrics);
                 }
                 Action::Forward(shard, record) => self.forward(shard, record),
                 Action::Hold { worker, .. }
                 | Action::Start(worker, _)
                 | Action::Stop(worker, ..)
-                | Action::Pace(worker, ..) => self.call(worker, action),
+                | Action::Pace(worker, ..) => self.call_worker(worker, action),
             }
         }
         step_down
     }
 
-    /// Logs, once a second, what there is to do and to do it with.
+    /// Logs a summary of the shard's jobs and workers once a second.
     fn report(&mut self) {
-        const EVERY: Duration = Duration::from_secs(1);
+        const INTERVAL: Duration = Duration::from_secs(1);
         let now = clock::now();
-        if now.since(self.reported_at) < EVERY {
+        if now.since(self.reported_at) < INTERVAL {
             return;
         }
         self.reported_at = now;
-        let it = self.owner.summary(now);
+        let summary = self.owner.summary(now);
         log::info!(
             "event=owner_state shard={} epoch={} jobs={} waiting={} waiting_lasting={} \
              waiting_best_effort={} runs={} workers={} usable={} silent={} free_cpu={} \
@@ -283,24 +294,24 @@
              uncertain={} uncertain_for_ms={}",
             self.ownership.shard.0,
             self.ownership.epoch,
-            it.jobs,
-            it.waiting,
-            it.waiting_long_running,
-            it.waiting_best_effort,
-            it.runs,
-            it.workers,
-            it.usable,
-            it.silent,
-            it.free_cpu,
-            it.unusable_cpu,
-            it.largest_free_cpu,
-            it.largest_future_free_cpu,
-            it.smallest_waiting_cpu,
-            it.longest_wait.as_millis(),
-            it.unconfirmed_runs,
-            it.unconfirmed_for.as_millis()
+            summary.jobs,
+            summary.waiting,
+            summary.waiting_long_running,
+            summary.waiting_best_effort,
+            summary.runs,
+            summary.workers,
+            summary.usable,
+            summary.silent,
+            summary.free_cpu,
+            summary.unusable_cpu,
+            summary.largest_free_cpu,
+            summary.largest_future_free_cpu,
+            summary.smallest_waiting_cpu,
+            summary.longest_wait.as_millis(),
+            summary.unconfirmed_runs,
+            summary.unconfirmed_for.as_millis()
         );
-        self.report_uncertain(now);
+        self.report_unconfirmed_runs(now);
         if let Some(it) = self.owner.longest_waiting_task(now) {
             log::info!(
                 "event=longest_wait id={} task={} shard={} waited_ms={} cpu={} memory_mib={} \
@@ -319,17 +330,21 @@
                 it.suitable
             );
         }
-        self.ownership.elect.metrics.shard(self.ownership.shard, it.jobs, it.usable);
+        self.ownership.context.metrics.set_shard_gauges(
+            self.ownership.shard,
+            summary.jobs,
+            summary.usable,
+        );
     }
 
-    /// Logs each run of a task that last whose fate is not known, once for each cause.
-    fn report_uncertain(&mut self, now: Instant) {
+    /// Logs each run of a long-running task whose outcome is unconfirmed, once for each cause.
+    fn report_unconfirmed_runs(&mut self, now: Instant) {
         let unconfirmed_runs = self.owner.unconfirmed_runs(now);
         for it in &unconfirmed_runs {
-            let told = |known: &UnconfirmedRun| {
-                (known.task, known.run, known.cause) == (it.task, it.run, it.cause)
+            let is_reported = |earlier: &UnconfirmedRun| {
+                (earlier.task, earlier.run, earlier.cause) == (it.task, it.run, it.cause)
             };
-            if self.unconfirmed_runs.iter().any(told) {
+            if self.unconfirmed_runs.iter().any(is_reported) {
                 continue;
             }
             log::info!(
@@ -346,55 +361,63 @@
         self.unconfirmed_runs = unconfirmed_runs;
     }
 
-    fn call(&self, key: WorkerKey, action: Action) {
+    fn call_worker(&self, key: WorkerKey, action: Action) {
         if let Some(worker) = self.owner.worker(key) {
             self.calls.begin(key, worker, action);
         }
     }
 
-    /// Appends what is to be recorded.
-    fn append(&mut self) {
+    /// Appends the owner's pending progress, unless an append is under way or too recent.
+    fn append_progress(&mut self) {
         let now = clock::now();
-        if self.appending || now.since(self.appended_at) < APPEND_GAP {
+        if self.appending || now.since(self.appended_at) < MIN_APPEND_INTERVAL {
             return;
         }
         let Some(batch) = self.owner.try_batch(now) else { return };
         self.appending = true;
         self.appended_at = now;
-        let guard = self.guard(self.seq);
-        self.seq += 1;
-        self.send(Topic::Progress(self.ownership.shard.0), batch.records, guard, Append::Progress);
+        let guard = self.guard(self.progress_seq);
+        self.progress_seq += 1;
+        self.spawn_append(
+            Topic::Progress(self.ownership.shard.0),
+            batch.records,
+            guard,
+            AppendOutcome::Progress,
+        );
     }
 
-    /// Tells all VMs the states of jobs, and that this owner lives.
-    fn tell(&mut self) {
+    /// Publishes changed states of jobs and, when due, a heartbeat, unless an append of states is
+    /// under way.
+    fn publish_states(&mut self) {
         for (id, state) in self.owner.take_states() {
-            self.telling.add(id, state);
+            self.state_publisher.add(id, state);
         }
-        if self.telling_now {
+        if self.publishing {
             return;
         }
         let now = clock::now();
-        let heartbeat = self.telling.is_heartbeat_due(now).then(|| self.heartbeat(now, false));
-        let Some(records) = self.telling.try_records(now, heartbeat) else { return };
-        self.send_states(records);
+        let heartbeat =
+            self.state_publisher.is_heartbeat_due(now).then(|| self.heartbeat(now, false));
+        let Some(records) = self.state_publisher.try_records(now, heartbeat) else { return };
+        self.append_states(records);
     }
 
-    /// Gives what was learnt to the owners of other shards. What does not arrive is learnt anew.
-    fn share(&mut self) {
+    /// Shares interference measurements with the owners of other shards. A lost record is not sent
+    /// again, as its measurements are repeated later.
+    fn share_measurements(&mut self) {
         let now = clock::now();
-        if now.since(self.observed_at) < SHARE_EVERY {
+        if now.since(self.shared_at) < SHARE_INTERVAL {
             return;
         }
-        self.observed_at = now;
-        let seen = self.owner.take_interference_sums();
-        let Ownership { elect, shard, .. } = &self.ownership;
-        let shards = elect.shared.lock().directory.layout().map_or(1, |it| it.shards);
-        if seen.is_empty() || shards < 2 {
+        self.shared_at = now;
+        let sums = self.owner.take_interference_sums();
+        let Ownership { context, shard, .. } = &self.ownership;
+        let shards = context.shared.lock().directory.layout().map_or(1, |it| it.shards);
+        if sums.is_empty() || shards < 2 {
             return;
         }
-        let record = encode(&Record::Observed(*shard, seen));
-        let store = elect.store.clone();
+        let record = encode(&Record::Observed(*shard, sums));
+        let store = context.store.clone();
         tokio::spawn(async move {
             let records = [record];
             let append =
@@ -405,17 +428,17 @@
         });
     }
 
-    fn send_states(&mut self, records: Vec<Record>) {
-        self.telling_now = true;
-        let guard = self.guard(self.told_seq);
-        self.told_seq += 1;
-        self.send(Topic::States, records, guard, Append::States(clock::now()));
+    fn append_states(&mut self, records: Vec<Record>) {
+        self.publishing = true;
+        let guard = self.guard(self.states_seq);
+        self.states_seq += 1;
+        self.spawn_append(Topic::States, records, guard, AppendOutcome::States(clock::now()));
     }
 
-    /// A sign of life.
+    /// Returns a heartbeat of this owner.
     fn heartbeat(&self, now: Instant, released: bool) -> OwnerHeartbeat {
         /// Twice the longest wait for a new record.
-        const CURRENT: Duration = Duration::from_millis(800);
+        const MAX_READ_AGE: Duration = Duration::from_millis(800);
         let claim = Claim {
             released,
             predecessors_expired: self.ownership.claim.predecessors_expired
@@ -424,97 +447,104 @@
         };
         let shard = self.ownership.shard;
         let is_caught_up =
-            now.since(*self.jobs_read.borrow()) < CURRENT && self.are_all_published();
+            now.since(*self.jobs_read_at.borrow()) < MAX_READ_AGE && self.are_all_published();
         let pending = self.owner.pending();
         let load = self.owner.load(now);
         OwnerHeartbeat { shard, claim, is_caught_up, pending, load }
     }
 
-    /// Whether callers can know of all jobs that are handed on.
+    /// Returns whether the states of all jobs that were delegated to other shards are published, so
+    /// that callers can learn them.
     fn are_all_published(&self) -> bool {
-        let known = self.ownership.elect.shared.lock();
-        self.telling.are_all_published(&known.directory, self.owner.delegated_away())
+        let node = self.ownership.context.shared.lock();
+        self.state_publisher.are_all_published(&node.directory, self.owner.delegated_away())
     }
 
     fn guard(&self, seq: u64) -> Guard {
         Guard::Sequence { shard: self.ownership.shard.0, epoch: self.ownership.epoch, seq }
     }
 
-    fn send(&self, topic: Topic, records: Vec<Record>, guard: Guard, done: Append) {
-        let store = self.ownership.elect.store.clone();
-        let appends = self.appends.clone();
+    fn spawn_append(&self, topic: Topic, records: Vec<Record>, guard: Guard, done: AppendOutcome) {
+        let store = self.ownership.context.store.clone();
+        let append_outcomes = self.append_outcomes.clone();
         tokio::spawn(async move {
             let outcome = match append(&store, topic, &records, guard).await {
                 Ok(()) => done,
-                Err(Fenced) => Append::Fenced,
+                Err(Fenced) => AppendOutcome::Fenced,
             };
-            // Nobody hears it once the owner has stepped down.
-            let _ = appends.send(outcome).await;
+            // Sending fails once the owner has stepped down, and the outcome no longer matters.
+            let _ = append_outcomes.send(outcome).await;
         });
     }
 
-    /// Takes the end of an append in; whether this owner is still the one.
-    fn taken(&mut self, append: Option<Append>) -> bool {
-        let event = match append {
-            Some(Append::Progress) => {
+    /// Handles the outcome of an append; returns false if this owner is fenced.
+    fn handle_append(&mut self, outcome: Option<AppendOutcome>) -> bool {
+        let event = match outcome {
+            Some(AppendOutcome::Progress) => {
                 self.appending = false;
                 Event::Appended
             }
-            Some(Append::States(sent_at)) => {
-                self.telling_now = false;
+            Some(AppendOutcome::States(sent_at)) => {
+                self.publishing = false;
                 Event::HeartbeatStored { sent_at }
             }
-            Some(Append::Fenced) | None => return false,
+            Some(AppendOutcome::Fenced) | None => return false,
         };
         self.owner.step(clock::now(), event);
         true
     }
 
-    /// Hands a job, or its cancellation, to another shard, unless that has told of it already. It
-    /// goes on after this process has stepped down: what was decided stands.
+    /// Delegates a job, or its cancellation, to another shard, unless that shard has already
+    /// published the job's state. The append continues after this owner has stepped down, as the
+    /// decision remains in force.
     fn forward(&self, to: ShardId, record: Record) {
-        let elect = &self.ownership.elect;
+        let context = &self.ownership.context;
         if let Record::Submitted(id, _) = &record
-            && elect.shared.lock().directory.state(*id).is_some_and(|it| it.shard == to)
+            && context.shared.lock().directory.state(*id).is_some_and(|it| it.shard == to)
         {
             return;
         }
-        let store = elect.store.clone();
-        let shared = elect.shared.clone();
+        let store = context.store.clone();
+        let shared = context.shared.clone();
         tokio::spawn(async move {
-            // Such an append bears no epoch, so nothing fences it.
+            // This append carries no epoch, so it cannot be fenced.
             let topic = Topic::Jobs(to.0);
             if append(&store, topic, std::slice::from_ref(&record), Guard::Unconditional)
                 .await
                 .is_ok()
             {
-                shared.lock().reached(to, record);
+                shared.lock().send_to_owner(to, record);
             }
         });
     }
 
-    /// Gives the shard up: what is under way is finished, then anybody may claim at once.
-    async fn release(&mut self, mut appended: mpsc::Receiver<Append>, cause: Ended) -> Ended {
-        while self.appending || self.telling_now {
-            let it = appended.recv().await;
-            if !self.taken(it) {
-                return Ended::FencedByLog;
+    /// Releases the shard: waits for the appends that are under way, then publishes a heartbeat
+    /// that lets any VM claim the shard at once.
+    async fn release(
+        &mut self,
+        mut outcomes: mpsc::Receiver<AppendOutcome>,
+        cause: EndCause,
+    ) -> EndCause {
+        while self.appending || self.publishing {
+            let it = outcomes.recv().await;
+            if !self.handle_append(it) {
+                return EndCause::FencedByLog;
             }
         }
         for (id, state) in self.owner.take_states() {
-            self.telling.add(id, state);
+            self.state_publisher.add(id, state);
         }
         let heartbeat = self.heartbeat(clock::now(), true);
-        let mut records = self.telling.records();
+        let mut records = self.state_publisher.records();
         records.push(Record::OwnerHeartbeat(Box::new(heartbeat)));
-        self.send_states(records);
-        appended.recv().await;
+        self.append_states(records);
+        outcomes.recv().await;
         cause
     }
 }
 
 /// Waits until the process is to stop.
-async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // An error means that nobody is left to say so.
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
+    // An error means that the sender is gone, which is a stop as well.
     let _ = stop.wait_for(|it| *it).await;
 }
--- a/daisy-node/src/own/append.rs
+++ b/daisy-node/src/own/append.rs
@@ -1,4 +1,5 @@
-//! Appends of an owner's records, until the log has them or another owns the shard.
+//! Appends an owner's records, and retries until the log has them or another process owns the
+//! shard.
 
 use std::time::Duration;
 
@@ -8,17 +9,17 @@
 
 /// How long an append may take before it is sent again.
 pub(super) const APPEND_TIMEOUT: Duration = Duration::from_millis(900);
-/// The same, for every second sending to a log that does not answer: one that was sent into a
-/// silence gets no answer when the silence ends.
-const APPEND_TIMEOUT_LOST: Duration = Duration::from_millis(400);
-/// Before an append that the log refused is sent again.
-const APPEND_RETRY: Duration = Duration::from_millis(100);
+/// The shorter timeout of every second try while the log does not answer: an append that is sent
+/// while the log is unresponsive gets no answer even after the log recovers.
+const SHORT_APPEND_TIMEOUT: Duration = Duration::from_millis(400);
+/// The pause before a failed append is sent again.
+const APPEND_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// A higher epoch has been seen.
 pub(super) struct Fenced;
 
-/// Appends until the log has the records or a higher epoch has been seen. The number in `guard`
-/// makes a second sending of the same append have no second effect.
+/// Appends records, and retries until the log has them or a higher epoch has been seen. The
+/// sequence number in `guard` ensures that a repeated append has no second effect.
 pub(super) async fn append(
     store: &Store,
     topic: Topic,
@@ -28,7 +29,7 @@
     let encoded: Vec<_> = records.iter().map(encode).collect();
     let mut failures = 0;
     loop {
-        let timeout = if failures % 2 == 1 { APPEND_TIMEOUT_LOST } else { APPEND_TIMEOUT };
+        let timeout = if failures % 2 == 1 { SHORT_APPEND_TIMEOUT } else { APPEND_TIMEOUT };
         match store.append(topic, &encoded, guard, timeout).await {
             Ok(_) => {
                 if failures > 0 {
@@ -42,7 +43,7 @@
                 if failures == 1 {
                     log::warn!("event=log_lost topic={topic:?} cause=\"{e}\"");
                 }
-                sleep(APPEND_RETRY).await;
+                sleep(APPEND_RETRY_PAUSE).await;
             }
         }
     }
--- a/daisy-node/src/own/calls.rs
+++ b/daisy-node/src/own/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers: each in a task of its own, whose outcome comes back as an event.
+//! Calls to workers. Each runs in a task of its own and returns its outcome as an event.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,7 +10,8 @@
 
 use crate::metrics::Metrics;
 
-/// How long a worker may take to answer: 24 ms on the way between regions, and a slow VM.
+/// How long a worker may take to answer: 24 ms of network delay between regions, plus the time of a
+/// slow VM.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Makes an owner's calls to workers.
@@ -23,16 +24,16 @@
 
 /// The worker that a call goes to.
 #[derive(Debug, Clone)]
-struct Target {
+struct CallTarget {
     key: WorkerKey,
     id: WorkerId,
     address: SocketAddr,
 }
 
 impl Calls {
-    /// Begins the call that `action` asks for; `worker` is the one that it names.
+    /// Begins the call that `action` requires; `worker` is the worker that the action names.
     pub fn begin(&self, key: WorkerKey, worker: &Worker, action: Action) {
-        let to = Target { key, id: worker.id.clone(), address: worker.address };
+        let to = CallTarget { key, id: worker.id.clone(), address: worker.address };
         let this = self.clone();
         tokio::spawn(async move {
             let event = match action {
@@ -44,60 +45,60 @@
                 Action::Pace(_, task, run, percent) => this.pace(&to, task, run, percent).await,
                 Action::StepDown | Action::Note(_) | Action::Forward(..) => return,
             };
-            // An owner that has stepped down hears no more.
+            // Sending fails once the owner has stepped down, and the event no longer matters.
             let _ = this.events.send(event);
         });
     }
 
-    async fn hold(&self, to: &Target, order: HoldOrder) -> Event {
+    async fn hold(&self, to: &CallTarget, order: HoldOrder) -> Event {
         match self.calls.hold(&to.id, to.address, order, ORDER_TIMEOUT).await {
             Ok(answer) => Event::HoldAnswered(to.key, Some(answer)),
             Err(HoldError::Fenced) => Event::Fenced(to.key),
-            Err(HoldError::NoUsableAnswer(why)) => {
-                log::debug!("event=hold_failed worker={} cause=\"{why}\"", to.id);
+            Err(HoldError::NoUsableAnswer(cause)) => {
+                log::debug!("event=hold_failed worker={} cause=\"{cause}\"", to.id);
                 Event::HoldAnswered(to.key, None)
             }
         }
     }
 
-    async fn start(&self, to: &Target, start: &Start) -> Event {
+    async fn start(&self, to: &CallTarget, start: &Start) -> Event {
         let reply = self.calls.start(&to.id, to.address, start, ORDER_TIMEOUT).await;
-        let outcome = reply_words(reply);
+        let outcome = reply_label(reply);
         let (task, run, worker) = (start.task, start.run, &to.id);
         log::info!(
             "event=start id={} task={task} run={run} worker={worker} outcome={outcome}",
             task.job
         );
-        self.metrics.start(outcome);
+        self.metrics.count_start(outcome);
         Event::Started(to.key, task, run, reply)
     }
 
-    async fn stop(&self, to: &Target, task: TaskId, run: u32, cause: StopCause) -> Event {
+    async fn stop(&self, to: &CallTarget, task: TaskId, run: u32, cause: StopCause) -> Event {
         let reply = self.calls.stop(&to.id, to.address, task, run, ORDER_TIMEOUT).await;
         log::info!(
             "event=stop id={} task={task} run={run} worker={} outcome={} cause=\"{}\"",
             task.job,
             to.id,
-            reply_words(reply),
+            reply_label(reply),
             cause.description()
         );
         Event::Stopped(to.key, task, run, reply)
     }
 
-    async fn pace(&self, to: &Target, task: TaskId, run: u32, percent: u8) -> Event {
+    async fn pace(&self, to: &CallTarget, task: TaskId, run: u32, percent: u8) -> Event {
         let order = (task, run, percent);
         let reply = self.calls.pace(&to.id, to.address, order, ORDER_TIMEOUT).await;
         log::info!(
             "event=pace id={} task={task} run={run} worker={} percent={percent} outcome={}",
             task.job,
             to.id,
-            reply_words(reply)
+            reply_label(reply)
         );
         Event::Paced(to.key, task, run, percent, reply)
     }
 }
 
-fn reply_words(reply: OrderReply) -> &'static str {
+fn reply_label(reply: OrderReply) -> &'static str {
     match reply {
         OrderReply::Done { .. } => "done",
         OrderReply::Refused(_) => "refused",
--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -1,4 +1,5 @@
-//! What an owner follows besides its submissions: the list of workers, and what other owners learn.
+//! Reads what an owner needs besides its submissions: the list of workers, and the interference
+//! measurements of other owners.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,14 +8,14 @@
 use daisy_workflow::{Event, Record, ShardId, WorkerListing};
 use tokio::{sync::mpsc, time::sleep};
 
-use super::SHARE_EVERY;
-use crate::{follow::Tail, jobs::readable, shared::Shared};
+use super::SHARE_INTERVAL;
+use crate::{follow::Tail, jobs::decode_all, shared::Shared};
 
-/// Between reads of the list of workers.
-const LIST_EVERY: Duration = Duration::from_millis(300);
+/// The interval at which the list of workers is read.
+const LIST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Tells the owner what the owners of other shards have learnt.
-pub(super) async fn follow_observations(
+/// Sends the interference measurements of other shards' owners to the owner.
+pub(super) async fn follow_measurements(
     store: Store,
     shared: Shared,
     shard: ShardId,
@@ -25,12 +26,12 @@
     }
     let mut tail = Tail::new(store, Topic::Observed);
     while !events.is_closed() {
-        sleep(SHARE_EVERY).await;
+        sleep(SHARE_INTERVAL).await;
         let Some(read) = tail.try_read(Duration::ZERO).await else { continue };
-        for record in readable("observed", &read.records) {
-            if let Record::Observed(from, seen) = record
+        for record in decode_all("observed", &read.records) {
+            if let Record::Observed(from, sums) = record
                 && from != shard
-                && events.send(Event::Observed(seen)).is_err()
+                && events.send(Event::Observed(sums)).is_err()
             {
                 return;
             }
@@ -38,8 +39,8 @@
     }
 }
 
-/// Tells the owner of those workers in the platform's list that belong to its shard, whenever the
-/// list changes.
+/// Sends the workers of the owner's shard in the platform's list to the owner whenever they change;
+/// if a read finds no change, says so.
 pub(super) async fn follow_workers(
     store: Store,
     shared: Shared,
@@ -47,41 +48,43 @@
     events: mpsc::UnboundedSender<Event>,
 ) {
     let layout = shared.lock().directory.layout();
-    let here = |id: &str| layout.is_some_and(|it| it.of_worker(&id.into()) == shard);
+    let is_in_shard = |id: &str| layout.is_some_and(|it| it.of_worker(&id.into()) == shard);
     let mut tail = Tail::new(store, Topic::Workers);
-    let mut listed: SortedMap<String, Arc<WorkerListing>> = SortedMap::new();
+    let mut listings: SortedMap<String, Arc<WorkerListing>> = SortedMap::new();
     let mut unreadable = SortedMap::new();
     while !events.is_closed() {
-        let fresh = tail.next().is_none();
+        let is_first_read = tail.next().is_none();
         let Some(read) = tail.try_read(Duration::ZERO).await else { continue };
-        if fresh {
-            listed = SortedMap::new();
+        if is_first_read {
+            listings = SortedMap::new();
         }
-        let changed = fresh || read.records.iter().any(|it| here(&it.key));
-        for it in read.records.into_iter().filter(|it| here(&it.key)) {
+        let changed = is_first_read || read.records.iter().any(|it| is_in_shard(&it.key));
+        for it in read.records.into_iter().filter(|it| is_in_shard(&it.key)) {
             if it.value.is_empty() {
-                listed.remove(&it.key);
+                listings.remove(&it.key);
                 continue;
             }
             match parse_worker(&it.key, &it.value) {
-                Ok(entry) => {
-                    listed.insert(it.key, Arc::new(entry));
+                Ok(listing) => {
+                    listings.insert(it.key, Arc::new(listing));
                 }
-                Err(why) => {
-                    listed.remove(&it.key);
+                Err(cause) => {
+                    listings.remove(&it.key);
                     if unreadable.insert(it.key.clone(), ()).is_none() {
-                        log::warn!("event=worker_unreadable worker={:?} cause=\"{why}\"", it.key);
+                        log::warn!("event=worker_unreadable worker={:?} cause=\"{cause}\"", it.key);
                     }
                 }
             }
         }
         let event = match changed {
-            true => Event::Workers(listed.iter().map(|(_, it)| WorkerListing::clone(it)).collect()),
+            true => {
+                Event::Workers(listings.iter().map(|(_, it)| WorkerListing::clone(it)).collect())
+            }
             false => Event::ListUnchanged,
         };
         if events.send(event).is_err() {
             return;
         }
-        sleep(LIST_EVERY).await;
+        sleep(LIST_INTERVAL).await;
     }
 }
--- a/daisy-node/src/own/notes.rs
+++ b/daisy-node/src/own/notes.rs
@@ -1,10 +1,10 @@
-//! The owner's decisions as lines of the log.
+//! Writes the owner's decisions to the process's log and counts them.
 
 use daisy_workflow::{Note, Outcome, ShardId};
 
 use crate::metrics::Metrics;
 
-/// Writes the line of a decision of the owner of `shard`, and counts it.
+/// Logs a decision of the owner of `shard`, and counts it in the metrics.
 pub(super) fn write(note: &Note, shard: ShardId, metrics: &Metrics) {
     match note {
         Note::JobEnded { job, outcome, kind, age, objective } => {
@@ -29,7 +29,7 @@
             let (id, from) = (task.job, shard.0);
             log::info!(
                 "event=handed_over id={id} task={task} hop={hop} shard={from} to={} \
-                 cause=\"no worker of the shard has room\"",
+                 cause=\"no worker of the shard has enough free capacity\"",
                 to.0
             );
         }
@@ -40,8 +40,8 @@
             );
         }
         Note::RunEnded { task, run, worker, outcome, saved } => {
-            let outcome = outcome_words(*outcome);
-            metrics.end(outcome);
+            let outcome = outcome_label(*outcome);
+            metrics.count_run_end(outcome);
             let id = task.job;
             log::info!(
                 "event=run_ended id={id} task={task} run={run} worker={worker} outcome={outcome} \
@@ -49,7 +49,7 @@
             );
         }
         Note::RunLost { task, run, worker, cause } => {
-            metrics.lost();
+            metrics.count_lost_run();
             let id = task.job;
             log::warn!(
                 "event=run_lost id={id} task={task} run={run} worker={worker} cause=\"{cause}\""
@@ -61,7 +61,7 @@
     }
 }
 
-fn outcome_words(outcome: Outcome) -> &'static str {
+fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Done => "done",
         Outcome::Failed => "failed",
--- a/daisy-node/src/readiness.rs
+++ b/daisy-node/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The port that the balancer asks, and the port of the metrics.
+//! The port for the load balancer's readiness checks and for the metrics.
 
 use std::convert::Infallible;
 
@@ -15,7 +15,7 @@
 /// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers the balancer and whoever collects metrics.
+/// Answers readiness checks of the load balancer and requests for the metrics.
 pub(crate) async fn serve(listener: TcpListener, shared: Shared, metrics: Metrics) {
     loop {
         let stream = match listener.accept().await {
@@ -47,7 +47,7 @@
     let (status, body) = match req.uri().path() {
         READINESS_PATH if is_ready(shared) => (StatusCode::OK, String::new()),
         READINESS_PATH => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
-        METRICS_PATH => (StatusCode::OK, metrics.text()),
+        METRICS_PATH => (StatusCode::OK, metrics.to_text()),
         _ => (StatusCode::NOT_FOUND, String::new()),
     };
     let mut res = Response::new(Full::new(Bytes::from(body)));
@@ -55,9 +55,10 @@
     res
 }
 
-/// A VM takes callers once it has a configuration and follows the log, until it stops.
+/// Returns whether the VM can serve callers: it has a configuration and a layout, has read the
+/// states recently, and is not stopping.
 fn is_ready(shared: &Shared) -> bool {
-    let known = shared.lock();
-    let laid_out = known.directory.layout().is_some();
-    !known.stopping && known.queues.is_some() && laid_out && known.is_fresh()
+    let node = shared.lock();
+    let has_layout = node.directory.layout().is_some();
+    !node.stopping && node.queues.is_some() && has_layout && node.is_up_to_date()
 }
--- a/daisy-node/src/shared.rs
+++ b/daisy-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a process share.
+//! The state that the tasks of a process share.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -13,122 +13,123 @@
 
 use crate::clock;
 
-/// How long a job that this process stored counts as known though its owner has not told of it: as
-/// long as a change of the owner may take.
-const ACCEPTED_KEPT: Duration = Duration::from_secs(10);
+/// How long a job that this process stored is treated as known while its owner has not published
+/// its state: as long as a change of the owner may take.
+const ACCEPTED_JOB_RETENTION: Duration = Duration::from_secs(10);
 
-/// What this process knows.
+/// The state of this process.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
-    /// The fold of the records that every VM follows.
+pub(crate) struct NodeState {
+    /// The fold of the records of [`Topic::States`](daisy_platform::Topic::States).
     pub directory: Directory,
-    /// The newest configuration, once one was read.
+    /// The newest configuration, once one has been read.
     pub queues: Option<Arc<QueueConfig>>,
-    /// When the topic of states was last read to its end, and where that was.
-    pub states_read: Option<(Instant, u64)>,
-    /// How the log answered reads of that topic.
-    pub reach: LogReachability,
-    /// Shards that this process is about to claim.
-    claiming: u32,
-    /// Jobs that this process stored, and when.
-    accepted: SortedMap<JobId, Instant>,
-    /// Where events of the shards go that this process owns.
-    owners: SortedMap<ShardId, mpsc::UnboundedSender<Event>>,
-    /// Whether the process is about to stop.
+    /// The time at which the topic of states was last read to its end, and the offset of that end.
+    pub states_caught_up: Option<(Instant, u64)>,
+    /// How the log has answered reads of that topic.
+    pub states_reachability: LogReachability,
+    /// The number of claims that this process has begun and not ended.
+    claims_in_progress: u32,
+    /// Jobs whose submissions this process stored, and when.
+    accepted_jobs: SortedMap<JobId, Instant>,
+    /// The event channels of the owners of the shards that this process owns.
+    owner_events: SortedMap<ShardId, mpsc::UnboundedSender<Event>>,
+    /// Whether a planned stop has begun.
     pub stopping: bool,
 }
 
-/// What this process knows, shared between its tasks.
+/// The state of this process, shared between its tasks.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Shared(Arc<Mutex<Known>>);
+pub(crate) struct Shared(Arc<Mutex<NodeState>>);
 
 impl Shared {
-    /// What is known; never held across a wait.
-    pub fn lock(&self) -> MutexGuard<'_, Known> {
-        // Whoever panicked left no half-made change: each is one call on the directory.
+    /// Locks the state. The guard must not be held across an `await`.
+    pub fn lock(&self) -> MutexGuard<'_, NodeState> {
+        // A panic leaves no partial change behind, as each change is one call on the directory.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Known {
-    /// A submission or cancellation of this process is in the log: if it owns the job's shard, it
-    /// need not wait until it reads the record.
-    pub fn stored(&mut self, record: Record) {
+impl NodeState {
+    /// Handles a submission or cancellation that this process has appended to the log. If this
+    /// process also owns the job's shard, the owner gets the record before it reads it from the
+    /// log.
+    pub fn handle_appended(&mut self, record: Record) {
         let now = clock::now();
         let (Record::Submitted(id, _) | Record::Cancelled(id)) = &record else { return };
         let id = *id;
         if matches!(record, Record::Submitted(..)) {
-            self.accepted.retain(|_, at| now.since(*at) < ACCEPTED_KEPT);
-            self.accepted.insert(id, now);
+            self.accepted_jobs.retain(|_, at| now.since(*at) < ACCEPTED_JOB_RETENTION);
+            self.accepted_jobs.insert(id, now);
         }
         let Some(layout) = self.directory.layout() else { return };
-        self.reached(layout.of_job(id), record);
+        self.send_to_owner(layout.of_job(id), record);
     }
 
-    /// A record of a job is in the log of `shard`.
-    pub fn reached(&mut self, shard: ShardId, record: Record) {
-        if let Some(tx) = self.owners.get(&shard)
+    /// Sends a record of a job in the log of `shard` to the shard's owner, if that is this process.
+    pub fn send_to_owner(&mut self, shard: ShardId, record: Record) {
+        if let Some(tx) = self.owner_events.get(&shard)
             && tx.send(Event::Record(record)).is_err()
         {
-            self.owners.remove(&shard);
+            self.owner_events.remove(&shard);
         }
     }
 
-    /// The state of a job, if it is known here.
+    /// Returns the state of a job, if this process knows it.
     pub fn state(&self, id: JobId) -> Option<JobState> {
-        let accepted = self.accepted.get(&id).map(|_| JobState::Queued);
-        self.directory.state(id).map(|it| it.state).or(accepted)
+        let queued = self.accepted_jobs.get(&id).map(|_| JobState::Queued);
+        self.directory.state(id).map(|it| it.state).or(queued)
     }
 
-    /// Takes a configuration in unless a newer one is in force.
-    pub fn configure(&mut self, queues: QueueConfig) {
+    /// Applies a configuration unless the current one is as new or newer.
+    pub fn apply_configuration(&mut self, queues: QueueConfig) {
         if self.queues.as_ref().is_some_and(|it| it.version >= queues.version) {
             return;
         }
         log::info!("event=configured version={} queues={}", queues.version, queues.queues.len());
         let queues = Arc::new(queues);
-        self.owners.retain(|_, tx| tx.send(Event::QueueConfig(queues.clone())).is_ok());
+        self.owner_events.retain(|_, tx| tx.send(Event::QueueConfig(queues.clone())).is_ok());
         self.queues = Some(queues);
     }
 
-    /// This process begins to own a shard.
-    pub fn begin_owner(&mut self, shard: ShardId, events: mpsc::UnboundedSender<Event>) {
-        self.owners.insert(shard, events);
+    /// Registers the event channel of the owner of a shard that this process now owns.
+    pub fn register_owner(&mut self, shard: ShardId, events: mpsc::UnboundedSender<Event>) {
+        self.owner_events.insert(shard, events);
     }
 
-    /// This process no longer owns a shard.
-    pub fn end_owner(&mut self, shard: ShardId) {
-        self.owners.remove(&shard);
+    /// Removes the owner of a shard that this process no longer owns.
+    pub fn unregister_owner(&mut self, shard: ShardId) {
+        self.owner_events.remove(&shard);
     }
 
-    /// This process begins to claim a shard.
+    /// Counts a claim that this process begins.
     pub fn begin_claim(&mut self) {
-        self.claiming += 1;
+        self.claims_in_progress += 1;
     }
 
-    /// A claim of this process has come to something or to nothing.
+    /// Ends a claim of this process, whether it was won or not.
     pub fn end_claim(&mut self) {
-        self.claiming -= 1;
+        self.claims_in_progress -= 1;
     }
 
-    /// How many shards this process owns or is about to.
+    /// Returns the number of shards that this process owns or is claiming.
     ///
-    /// Several shards may be without an owner at the same moment. Counted only once it is won, each of
-    /// them would look like the first to the nearest large VM, which then owns all: more than it
-    /// has connections and processor time for.
-    pub fn owned(&self) -> u32 {
-        self.owners.len() as u32 + self.claiming
+    /// Several shards may lose their owners at the same moment. If shards counted only once their
+    /// claims are won, the nearest large VM would claim each as if it were its first, and would own
+    /// all of them: more than it has connections and processor time for.
+    pub fn owned_or_claimed(&self) -> u32 {
+        self.owner_events.len() as u32 + self.claims_in_progress
     }
 
-    /// Whether the topic of states was read to its end a short while ago.
-    pub fn is_fresh(&self) -> bool {
-        /// Twice the longest wait for a new record, and a slow answer.
-        const FRESH_MS: u128 = 2_600;
-        self.states_read.is_some_and(|(at, _)| clock::now().since(at).as_millis() < FRESH_MS)
+    /// Returns whether the topic of states was read to its end recently.
+    pub fn is_up_to_date(&self) -> bool {
+        /// Twice the longest wait for a new record, plus a slow answer.
+        const MAX_AGE_MS: u128 = 2_600;
+        self.states_caught_up.is_some_and(|(at, _)| clock::now().since(at).as_millis() < MAX_AGE_MS)
     }
 
-    /// Whether a job that is not known does not exist.
-    pub fn is_complete(&self, id: JobId) -> bool {
+    /// Returns whether an unknown job is certain not to exist.
+    pub fn is_absence_certain(&self, id: JobId) -> bool {
         self.directory.is_complete(clock::now(), id)
     }
 }
--- a/daisy-node/src/states.rs
+++ b/daisy-node/src/states.rs
@@ -1,4 +1,5 @@
-//! Following what every entry VM knows, and laying out the shards of a new system.
+//! Follows the topic of states, which every entry VM reads, and chooses the shard layout of a new
+//! system.
 
 use std::time::Duration;
 
@@ -9,45 +10,46 @@
 use crate::{
     clock,
     follow::{CALL_TIMEOUT, Read, Tail},
-    shared::{Known, Shared},
+    shared::{NodeState, Shared},
 };
 
 /// How long a read waits for a record.
-const WAIT: Duration = Duration::from_millis(1_000);
-/// Between reads, so that records come in bunches: each call is paid for. The more shards there
-/// are, the more often something is written, and the more VMs read it.
-const PAUSE: Duration = Duration::from_millis(40);
-const PAUSE_A_SHARD: Duration = Duration::from_millis(32);
-const PAUSE_MAX: Duration = Duration::from_millis(200);
+const READ_WAIT: Duration = Duration::from_millis(1_000);
+/// The pause between reads, so that one read returns several records, as each call costs money. It
+/// grows with the number of shards: with more shards, records are appended more often and more VMs
+/// read them.
+const READ_PAUSE: Duration = Duration::from_millis(40);
+const READ_PAUSE_PER_SHARD: Duration = Duration::from_millis(32);
+const MAX_READ_PAUSE: Duration = Duration::from_millis(200);
 
 /// Follows the topic of states.
 pub(crate) async fn follow_states(store: Store, shared: Shared) {
     let mut tail = Tail::new(store, Topic::States);
     loop {
-        let anew = tail.next().is_none();
-        let Some(read) = tail.try_read(WAIT).await else {
-            shared.lock().reach.read_failed();
+        let is_first_read = tail.next().is_none();
+        let Some(read) = tail.try_read(READ_WAIT).await else {
+            shared.lock().states_reachability.read_failed();
             continue;
         };
         let pause = {
-            let mut known = shared.lock();
-            known.reach.read(clock::now());
-            if anew {
-                known.directory.restart_reading();
+            let mut node = shared.lock();
+            node.states_reachability.read(clock::now());
+            if is_first_read {
+                node.directory.restart_reading();
             }
-            fold(&mut known, &read);
+            fold_states(&mut node, &read);
             if let Some(end) = tail.next().filter(|_| read.at_end) {
-                known.states_read = Some((clock::now(), end));
-                known.directory.mark_caught_up(clock::now());
+                node.states_caught_up = Some((clock::now(), end));
+                node.directory.mark_caught_up(clock::now());
             }
-            let shards = known.directory.layout().map_or(1, |it| it.shards);
-            (PAUSE + PAUSE_A_SHARD * u32::from(shards)).min(PAUSE_MAX)
+            let shards = node.directory.layout().map_or(1, |it| it.shards);
+            (READ_PAUSE + READ_PAUSE_PER_SHARD * u32::from(shards)).min(MAX_READ_PAUSE)
         };
         sleep(pause).await;
     }
 }
 
-fn fold(known: &mut Known, read: &Read) {
+fn fold_states(node: &mut NodeState, read: &Read) {
     let now = clock::now();
     for it in &read.records {
         if it.value.is_empty() {
@@ -55,14 +57,14 @@
         }
         match decode(&it.key, &it.value) {
             Ok(Record::State(id, state)) => {
-                known.directory.set_state(id, state);
+                node.directory.set_state(id, state);
             }
             Ok(Record::OwnerHeartbeat(heartbeat)) => {
-                known.directory.receive_heartbeat(now, *heartbeat)
+                node.directory.receive_heartbeat(now, *heartbeat)
             }
-            Ok(Record::Layout(layout)) => known.directory.set_layout(layout),
+            Ok(Record::Layout(layout)) => node.directory.set_layout(layout),
             Ok(_) => log::warn!(
-                "event=record_unreadable topic=states offset={} cause=\"it belongs elsewhere\"",
+                "event=record_unreadable topic=states offset={} cause=\"it belongs in another topic\"",
                 it.offset
             ),
             Err(e) => log::warn!(
@@ -73,45 +75,47 @@
     }
 }
 
-/// Chooses the layout of a system that has none: by the number of workers, once that has stopped
-/// growing. Of several VMs that choose, the first one's record stands.
-pub(crate) async fn lay_out(store: Store, shared: Shared, partitions: u16) {
-    /// Between counts: workers that start together are listed within a second.
-    const COUNT_EVERY: Duration = Duration::from_millis(600);
-    /// With no worker for this long, the layout is that of the smallest system.
-    const PATIENCE: Duration = Duration::from_secs(8);
+/// Chooses the shard layout of a system that has none, by the number of workers once that has
+/// stopped changing. If several VMs choose a layout, the record that is appended first applies.
+pub(crate) async fn choose_layout(store: Store, shared: Shared, partitions: u16) {
+    /// The interval of the counts. Workers that start together are listed within a second.
+    const COUNT_INTERVAL: Duration = Duration::from_millis(600);
+    /// After this time the layout follows the last count, even if that is 0 or still changes; for
+    /// no workers it is that of the smallest system.
+    const STABLE_COUNT_TIMEOUT: Duration = Duration::from_secs(8);
     let began = clock::now();
     let mut list = Tail::new(store.clone(), Topic::Workers);
-    let mut before = 0;
+    let mut previous_count = 0;
     loop {
         let end = {
-            let known = shared.lock();
-            if known.directory.layout().is_some() {
+            let node = shared.lock();
+            if node.directory.layout().is_some() {
                 return;
             }
-            known.states_read.map(|(_, end)| end)
+            node.states_caught_up.map(|(_, end)| end)
         };
         let count = count_workers(&mut list).await;
-        let settled = count.is_some_and(|it| it > 0 && it == before);
+        let is_stable = count.is_some_and(|it| it > 0 && it == previous_count);
         let (Some(end), Some(workers)) = (end, count) else {
-            sleep(COUNT_EVERY).await;
+            sleep(COUNT_INTERVAL).await;
             continue;
         };
-        before = workers;
-        if settled || clock::now().since(began) > PATIENCE {
-            choose(&store, Layout::for_workers(workers, partitions), workers, end).await;
+        previous_count = workers;
+        if is_stable || clock::now().since(began) > STABLE_COUNT_TIMEOUT {
+            append_layout(&store, Layout::for_workers(workers, partitions), workers, end).await;
         }
-        sleep(COUNT_EVERY).await;
+        sleep(COUNT_INTERVAL).await;
     }
 }
 
-/// Workers in the platform's list.
+/// Returns the number of workers with valid records in the platform's list; `None` if the list
+/// could not be read.
 async fn count_workers(list: &mut Tail) -> Option<usize> {
-    let read = list.try_newest().await?;
+    let read = list.try_read_newest().await?;
     Some(read.records.iter().filter(|it| parse_worker(&it.key, &it.value).is_ok()).count())
 }
 
-async fn choose(store: &Store, layout: Layout, workers: usize, end: u64) {
+async fn append_layout(store: &Store, layout: Layout, workers: usize, end: u64) {
     let record = encode(&Record::Layout(layout));
     match store.append(Topic::States, &[record], Guard::AtEnd(end), CALL_TIMEOUT).await {
         Ok(_) => log::info!("event=laid_out shards={} workers={workers}", layout.shards),
--- a/daisy-node/src/submit.rs
+++ b/daisy-node/src/submit.rs
@@ -1,4 +1,4 @@
-//! What a caller's request comes to.
+//! Handling of callers' requests: submissions, cancellations and queries of jobs.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub(crate) struct Answer {
     pub status: StatusCode,
     pub body: Vec<u8>,
-    /// When to come back, where the request had no effect.
+    /// When the caller should retry; set if the request had no effect.
     pub retry_after: Option<Duration>,
 }
 
@@ -23,23 +23,25 @@
         Answer { status, body, retry_after: None }
     }
 
-    pub fn error(status: StatusCode, why: &str) -> Answer {
-        Answer::new(status, serde_json::json!({ "error": why }).to_string().into_bytes())
+    pub fn error(status: StatusCode, cause: &str) -> Answer {
+        Answer::new(status, serde_json::json!({ "error": cause }).to_string().into_bytes())
     }
 
-    /// The request had no effect; the caller may come back in a second.
-    pub fn later(why: &str) -> Answer {
-        Answer::later_by(Duration::from_secs(1), why)
+    /// Returns the answer to a request that had no effect and that the caller may retry after a
+    /// second.
+    pub fn retry_later(cause: &str) -> Answer {
+        Answer::retry_in(Duration::from_secs(1), cause)
     }
 
-    /// The request had no effect; the caller may come back after this time.
-    pub fn later_by(after: Duration, why: &str) -> Answer {
-        let answer = Answer::error(StatusCode::SERVICE_UNAVAILABLE, why);
+    /// Returns the answer to a request that had no effect and that the caller may retry after this
+    /// time.
+    pub fn retry_in(after: Duration, cause: &str) -> Answer {
+        let answer = Answer::error(StatusCode::SERVICE_UNAVAILABLE, cause);
         Answer { retry_after: Some(after), ..answer }
     }
 }
 
-/// Answers requests about jobs.
+/// Handles callers' requests about jobs.
 #[derive(Debug, Clone)]
 pub(crate) struct Submissions {
     pub shared: Shared,
@@ -47,7 +49,8 @@
 }
 
 impl Submissions {
-    /// Answers a request to `queue` whose path ends with `rest`, until `deadline`.
+    /// Answers a request to `queue` by `deadline`. `rest` is the request's path after the queue's
+    /// prefix: a job's id, or empty.
     pub async fn answer(
         &self,
         method: &Method,
@@ -61,13 +64,19 @@
             return Answer::new(StatusCode::OK, encode_pending_jobs(pending));
         }
         let Ok(id) = rest.parse::<JobId>() else {
-            return Answer::error(StatusCode::NOT_FOUND, "no job has such an id");
+            return Answer::error(
+                StatusCode::NOT_FOUND,
+                "the path does not end with a valid job id",
+            );
         };
         match *method {
             Method::POST => self.submit(id, queue, body, deadline).await,
-            Method::GET => self.state(id).await,
+            Method::GET => self.query_state(id).await,
             Method::DELETE => self.cancel(id, deadline).await,
-            _ => Answer::error(StatusCode::METHOD_NOT_ALLOWED, "POST, GET or DELETE"),
+            _ => Answer::error(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "only POST, GET and DELETE are allowed",
+            ),
         }
     }
 
@@ -78,28 +87,31 @@
         }
         let spec = match parse_submission(body, queue.terms.clone(), clock::wall_ms()) {
             Ok(spec) => spec,
-            Err(why) => {
-                log::info!("event=submitted id={id} outcome=malformed cause={why:?}");
-                return Answer::error(StatusCode::BAD_REQUEST, &why);
+            Err(cause) => {
+                log::info!("event=submitted id={id} outcome=malformed cause={cause:?}");
+                return Answer::error(StatusCode::BAD_REQUEST, &cause);
             }
         };
         let layout = self.shared.lock().directory.layout();
-        if layout.is_some_and(|it| self.appender.is_cut_off(it.of_job(id))) {
-            log::warn!("event=submitted id={id} outcome=rejected cause=\"the log is silent\"");
-            return Answer::later_by(after_silence(id), "the platform's store does not answer");
+        if layout.is_some_and(|it| self.appender.is_unresponsive(it.of_job(id))) {
+            log::warn!(
+                "event=submitted id={id} outcome=rejected cause=\"the log does not answer\""
+            );
+            return Answer::retry_in(retry_delay(id), "the platform's store does not answer");
         }
         let record = Record::Submitted(id, spec);
-        self.write(id, "submitted", record, deadline).await
+        self.append(id, "submitted", record, deadline).await
     }
 
-    /// Stores a cancellation, whether the job is known here or not. It may be stored and not told of yet,
-    /// or come to be by an append that is still under way: it never runs either way.
+    /// Stores a cancellation, whether the job is known here or not. The job may be stored without
+    /// its state being published yet, or its append may still be under way; it never runs in either
+    /// case.
     async fn cancel(&self, id: JobId, deadline: Instant) -> Answer {
-        self.write(id, "cancelled", Record::Cancelled(id), deadline).await
+        self.append(id, "cancelled", Record::Cancelled(id), deadline).await
     }
 
-    async fn state(&self, id: JobId) -> Answer {
-        match self.find(id).await {
+    async fn query_state(&self, id: JobId) -> Answer {
+        match self.find_job(id).await {
             Found::Yes => {
                 let state = self.shared.lock().state(id);
                 let Some(state) = state else {
@@ -108,84 +120,93 @@
                 Answer::new(StatusCode::OK, encode_job_state(state))
             }
             Found::No => Answer::error(StatusCode::GONE, "no such job"),
-            Found::Unsure => Answer::later("the state of jobs is not known at present"),
+            Found::Unknown => Answer::retry_later("the states of jobs are not known at present"),
         }
     }
 
-    /// Whether a job exists. One that another VM has just accepted may not have been told of yet,
-    /// so an unknown one is looked for again.
-    async fn find(&self, id: JobId) -> Found {
-        /// The owner reads a submission within some 20 ms, tells of it within 40 ms more, and this
-        /// VM reads that within 200 ms.
-        const AGAIN: Duration = Duration::from_millis(110);
-        const TRIES: u32 = 4;
-        for _ in 0..TRIES {
+    /// Returns whether a job exists. The state of a job that another VM has just accepted may not
+    /// be published yet, so an unknown job is looked up several times.
+    async fn find_job(&self, id: JobId) -> Found {
+        /// The owner reads a submission within some 20 ms and publishes its state within 40 ms
+        /// more, and this VM reads that within 200 ms.
+        const LOOKUP_INTERVAL: Duration = Duration::from_millis(110);
+        const LOOKUPS: u32 = 4;
+        for _ in 0..LOOKUPS {
             if self.shared.lock().state(id).is_some() {
                 return Found::Yes;
             }
-            sleep(AGAIN).await;
+            sleep(LOOKUP_INTERVAL).await;
         }
-        let known = self.shared.lock();
-        match known.state(id) {
+        let node = self.shared.lock();
+        match node.state(id) {
             Some(_) => Found::Yes,
-            None if known.is_complete(id) => Found::No,
-            None => Found::Unsure,
+            None if node.is_absence_certain(id) => Found::No,
+            None => Found::Unknown,
         }
     }
 
-    /// Writes a record and answers by what came of it. Records repeat without a second effect.
-    async fn write(&self, id: JobId, what: &str, record: Record, deadline: Instant) -> Answer {
-        /// Left for the answer's way to the caller.
+    /// Appends a record to the log of the job's shard, and answers with the outcome. Appending a
+    /// record twice has no second effect.
+    async fn append(&self, id: JobId, event: &str, record: Record, deadline: Instant) -> Answer {
+        /// The time before the deadline that is left for the answer to reach the caller.
         const ANSWER_MARGIN: Duration = Duration::from_millis(60);
-        /// Between tries whose effect is unknown.
-        const PAUSE: Duration = Duration::from_millis(50);
+        /// The pause after a try whose outcome is unknown.
+        const RETRY_PAUSE: Duration = Duration::from_millis(50);
         let deadline = deadline - ANSWER_MARGIN;
         let Some(layout) = self.shared.lock().directory.layout() else {
-            return Answer::later("no layout of the workers was read yet");
+            return Answer::retry_later("the layout of the shards has not been read yet");
         };
         let shard = layout.of_job(id);
         let (key, value) = encode(&record);
-        let size = size(&record);
+        let size_fields = size_fields(&record);
         let mut tries = 0;
-        let mut unknown = false;
+        let mut maybe_stored = false;
         loop {
             tries += 1;
-            let append = self.appender.append(shard, key.clone(), value.clone(), unknown, deadline);
+            let append =
+                self.appender.append(shard, key.clone(), value.clone(), maybe_stored, deadline);
             match append.await {
                 Ok(()) => {
-                    self.shared.lock().stored(record);
-                    log::info!("event={what} id={id} outcome=stored tries={tries}{size}");
+                    self.shared.lock().handle_appended(record);
+                    log::info!("event={event} id={id} outcome=stored tries={tries}{size_fields}");
                     return Answer::new(StatusCode::OK, b"{}".to_vec());
                 }
-                Err(e) if !unknown && matches!(e, StoreError::NoEffect(_)) => {
-                    log::warn!("event={what} id={id} outcome=rejected tries={tries} cause=\"{e}\"");
-                    let why = "the platform's store takes nothing at present";
-                    return match self.appender.is_cut_off(shard) {
-                        true => Answer::later_by(after_silence(id), why),
-                        false => Answer::later(why),
+                Err(e) if !maybe_stored && matches!(e, StoreError::NoEffect(_)) => {
+                    log::warn!(
+                        "event={event} id={id} outcome=rejected tries={tries} cause=\"{e}\""
+                    );
+                    let cause = "the platform's store accepts no records at present";
+                    return match self.appender.is_unresponsive(shard) {
+                        true => Answer::retry_in(retry_delay(id), cause),
+                        false => Answer::retry_later(cause),
                     };
                 }
                 Err(e) => {
-                    unknown = true;
-                    // Where the log stays silent, another VM may reach it: the caller is told at
-                    // once that the outcome is unknown, and asks there with the same id.
-                    let silent = tries > 1 && self.appender.is_cut_off(shard);
-                    if silent || Instant::now() + PAUSE >= deadline {
+                    maybe_stored = true;
+                    // While this VM gets no answer from the log, another VM may reach it. So the
+                    // caller learns at once that the outcome is unknown, and can retry there with
+                    // the same id.
+                    let is_unresponsive = tries > 1 && self.appender.is_unresponsive(shard);
+                    if is_unresponsive || Instant::now() + RETRY_PAUSE >= deadline {
                         log::warn!(
-                            "event={what} id={id} outcome=unknown tries={tries} cause=\"{e}\""
+                            "event={event} id={id} outcome=unknown tries={tries} cause=\"{e}\""
                         );
                         let status = StatusCode::GATEWAY_TIMEOUT;
-                        return Answer::error(status, "it is not known whether it was stored");
+                        return Answer::error(
+                            status,
+                            "it is not known whether the request was stored",
+                        );
                     }
-                    sleep(PAUSE).await;
+                    sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 }
 
-/// Of a submission, the job's kind and its estimated work as fields of a line.
-fn size(record: &Record) -> String {
+/// Returns the kind and the estimated work of a submitted job as fields of a log line; empty for
+/// other records.
+fn size_fields(record: &Record) -> String {
     match record {
         Record::Submitted(_, spec) => {
             format!(" kind={} work_ms={}", spec.kind().label(), spec.work_ms())
@@ -194,17 +215,18 @@
     }
 }
 
-/// When a caller had better come back to a log that has fallen silent: silences last for seconds, and
-/// most callers ask a handful of times. Half of them come a second later than the others.
-fn after_silence(id: JobId) -> Duration {
-    const SHORTEST: Duration = Duration::from_secs(2);
-    SHORTEST + Duration::from_secs(id.0 % 2)
+/// Returns after which time a caller should retry while the log does not answer. The log stays
+/// unresponsive for seconds, and most callers retry only a handful of times. Half of the callers
+/// get a second more than the others.
+fn retry_delay(id: JobId) -> Duration {
+    const MIN_DELAY: Duration = Duration::from_secs(2);
+    MIN_DELAY + Duration::from_secs(id.0 % 2)
 }
 
-/// Whether a job exists.
+/// The result of a search for a job.
 enum Found {
     Yes,
     No,
-    /// The log was not read for a while.
-    Unsure,
+    /// The log has not been read recently enough to tell.
+    Unknown,
 }
