--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -105,7 +105,7 @@
                 Err(StoreError::NoEffect("the record was not sent before the deadline".to_owned()))
             }
             Err(_) => {
-                Err(StoreError::OutcomeUnknown("no answer before the caller's deadline".to_owned()))
+                Err(StoreError::OutcomeUnknown("the caller's deadline has passed".to_owned()))
             }
         }
     }
--- a/daisy-node/src/follow.rs
+++ b/daisy-node/src/follow.rs
@@ -165,6 +165,6 @@
             }
         }
         let elapsed_ms = clock::now().since(began).as_millis();
-        Err(StoreError::OutcomeUnknown(format!("no answer in {elapsed_ms} ms")))
+        Err(StoreError::OutcomeUnknown(format!("timed out after {elapsed_ms} ms")))
     }
 }
