--- a/src/account/job.rs
+++ b/src/account/job.rs
@@ -1,28 +1,29 @@
-//! One job's way, from its lines.
+//! The course of one job, from its log lines.
 
 use daisy_model::SortedMap;
 
-use crate::lines::Line;
+use crate::log_lines::LogLine;
 
-/// What a moment of a job's time went to.
+/// The cause of a part of a job's latency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// No task of it had been started yet.
+    /// None of the job's tasks had been started yet.
     FirstStart,
-    /// Some had ended, and none ran: others waited for room, or their turn was not seen yet.
+    /// Some runs had ended and none was active: the other tasks waited for free capacity, or the
+    /// owner had not noticed yet that they could start.
     Waiting,
-    /// Tasks ran that were held back.
+    /// Tasks ran at a reduced pace.
     HeldBack,
-    /// Tasks ran whose work was lost, as they were stopped, failed or lost with their worker.
+    /// Tasks ran whose work was lost because they were stopped, failed or lost with their worker.
     Lost,
-    /// One last task of a step of several ran.
+    /// Only one task ran, of a step with several tasks.
     LastTask,
-    /// Tasks ran at full pace.
+    /// Tasks made progress.
     Work,
 }
 
 impl Cause {
-    /// All causes.
+    /// All causes, in the order in which they are printed.
     pub const ALL: [Cause; 6] = [
         Cause::FirstStart,
         Cause::Waiting,
@@ -32,8 +33,8 @@
         Cause::Work,
     ];
 
-    /// The cause in one word.
-    pub fn word(self) -> &'static str {
+    /// Returns the name of the cause, as it is printed.
+    pub fn name(self) -> &'static str {
         match self {
             Cause::FirstStart => "first_start",
             Cause::Waiting => "waiting",
@@ -45,53 +46,55 @@
     }
 }
 
-/// A run of a task; times in seconds.
+/// One run of a task; times are in seconds since midnight (UTC).
 #[derive(Debug, Clone)]
 struct Run {
     step: String,
-    from: f64,
-    until: Option<f64>,
-    /// Whether its work counts: it ended as done, or what it did is saved.
-    kept: bool,
-    /// Shares that were ordered, and when.
-    paces: Vec<(f64, f64)>,
+    started: f64,
+    ended: Option<f64>,
+    /// Whether the run ended as done, or its progress was saved.
+    is_work_saved: bool,
+    /// The times of orders that set the run's pace, each with the ordered share of its processor
+    /// time.
+    pace_orders: Vec<(f64, f64)>,
 }
 
-/// A job.
+/// What the log lines say about one job; times are in seconds since midnight (UTC).
 #[derive(Debug, Default)]
 pub struct Job {
     accepted: Option<f64>,
     ended: Option<f64>,
     kind: Option<String>,
-    /// Estimated work of all its tasks, in milliseconds of a core.
+    /// The estimated work of all tasks, in milliseconds of a core.
     work_ms: u64,
     completed: bool,
     objective_s: f64,
-    /// By task and number of the start.
+    /// The runs by task and run number.
     runs: SortedMap<(String, u32), Run>,
 }
 
 impl Job {
-    /// Takes a line in; lines come in the order of time.
-    pub fn take(&mut self, line: &Line) {
+    /// Updates the job from a log line; lines must be passed in the order of time.
+    pub fn apply(&mut self, line: &LogLine) {
         let Some(now) = line.seconds() else { return };
         match line.name() {
-            "submitted" if line.is("submitted", "stored") => {
+            "submitted" if line.has_outcome("submitted", "stored") => {
                 self.accepted = self.accepted.or(Some(now));
                 self.kind = self.kind.take().or(line.value("kind").map(str::to_owned));
                 self.work_ms = line.number("work_ms").unwrap_or_default();
             }
-            "start" if line.is("start", "done") => self.start(now, line),
+            "start" if line.has_outcome("start", "done") => self.start(now, line),
             "run_ended" | "run_lost" => self.end_run(now, line),
-            "pace" if line.is("pace", "done") => {
-                if let (Some(run), Some(percent)) = (self.run(line), line.number::<f64>("percent"))
+            "pace" if line.has_outcome("pace", "done") => {
+                if let (Some(run), Some(percent)) =
+                    (self.find_run(line), line.number::<f64>("percent"))
                 {
-                    run.paces.push((now, percent / 100.0));
+                    run.pace_orders.push((now, percent / 100.0));
                 }
             }
             "job_ended" => {
                 self.ended = self.ended.or(Some(now));
-                self.completed |= line.is("job_ended", "completed");
+                self.completed |= line.has_outcome("job_ended", "completed");
                 self.kind = line.value("kind").map(str::to_owned);
                 self.objective_s = line.number::<f64>("objective_ms").unwrap_or_default() / 1_000.0;
             }
@@ -99,107 +102,115 @@
         }
     }
 
-    fn key(line: &Line) -> Option<(String, u32)> {
+    fn run_key(line: &LogLine) -> Option<(String, u32)> {
         Some((line.value("task")?.to_owned(), line.number("run")?))
     }
 
-    fn run(&mut self, line: &Line) -> Option<&mut Run> {
-        self.runs.get_mut(&Job::key(line)?)
+    fn find_run(&mut self, line: &LogLine) -> Option<&mut Run> {
+        self.runs.get_mut(&Job::run_key(line)?)
     }
 
-    fn start(&mut self, now: f64, line: &Line) {
-        let Some(key) = Job::key(line) else { return };
+    fn start(&mut self, now: f64, line: &LogLine) {
+        let Some(key) = Job::run_key(line) else { return };
         let step = key.0.rsplit_once('.').map_or(String::new(), |(step, _)| step.to_owned());
-        let run = Run { step, from: now, until: None, kept: false, paces: Vec::new() };
+        let run =
+            Run { step, started: now, ended: None, is_work_saved: false, pace_orders: Vec::new() };
         self.runs.get_or_insert_with(key, || run);
     }
 
-    fn end_run(&mut self, now: f64, line: &Line) {
-        if let Some(run) = self.run(line) {
-            run.until = run.until.or(Some(now));
+    fn end_run(&mut self, now: f64, line: &LogLine) {
+        if let Some(run) = self.find_run(line) {
+            run.ended = run.ended.or(Some(now));
             let saved = line.name() == "run_ended" && line.value("saved") == Some("true");
-            run.kept |= saved || line.is("run_ended", "done");
+            run.is_work_saved |= saved || line.has_outcome("run_ended", "done");
         }
     }
 
-    /// `lasting`, `once` or `best_effort`.
+    /// Returns the kind of the job as its lines name it (`lasting`, `once` or `best_effort`), or
+    /// `unknown`.
     pub fn kind(&self) -> &str {
         self.kind.as_deref().unwrap_or("unknown")
     }
 
-    /// Estimated work of all its tasks, in milliseconds of a core; 0 if no line tells.
+    /// Returns the estimated work of all tasks, in milliseconds of a core; 0 if no line states it.
     pub fn work_ms(&self) -> u64 {
         self.work_ms
     }
 
-    /// Whether all its tasks have ended as done.
+    /// Returns whether all tasks have ended as done.
     pub fn is_completed(&self) -> bool {
         self.completed
     }
 
-    /// From its acceptance to its end, in seconds; `None` if one is not in the lines.
+    /// Returns the time from the job's acceptance to its end, in seconds; `None` if the lines lack
+    /// one of them.
     pub fn latency(&self) -> Option<f64> {
         Some((self.ended? - self.accepted?).max(0.0))
     }
 
-    /// Seconds after its objective; negative if it was in time.
+    /// Returns by how many seconds the job exceeded its latency objective; negative if it was in
+    /// time.
     pub fn late_by(&self) -> f64 {
         self.latency().unwrap_or_default() - self.objective_s
     }
 
-    /// Seconds of its latency that went to `cause`.
+    /// Returns the part of the job's latency that is due to `cause`, in seconds.
     pub fn seconds(&self, cause: Cause) -> f64 {
-        self.moments().iter().map(|(from, until)| (until - from) * self.share(*from, cause)).sum()
+        self.intervals()
+            .iter()
+            .map(|(from, until)| (until - from) * self.fraction_at(*from, cause))
+            .sum()
     }
 
-    /// The spans between any two changes.
-    fn moments(&self) -> Vec<(f64, f64)> {
+    /// Returns the intervals of the job's latency within which nothing changes.
+    fn intervals(&self) -> Vec<(f64, f64)> {
         let (Some(from), Some(until)) = (self.accepted, self.ended) else { return Vec::new() };
-        let mut at = vec![from, until];
+        let mut times = vec![from, until];
         for (_, run) in self.runs.iter() {
-            at.push(run.from);
-            at.extend(run.until);
-            at.extend(run.paces.iter().map(|(at, _)| *at));
+            times.push(run.started);
+            times.extend(run.ended);
+            times.extend(run.pace_orders.iter().map(|(at, _)| *at));
         }
-        at.retain(|it| (from..=until).contains(it));
-        at.sort_by(f64::total_cmp);
-        at.windows(2).map(|it| (it[0], it[1])).filter(|(a, b)| b > a).collect()
+        times.retain(|it| (from..=until).contains(it));
+        times.sort_by(f64::total_cmp);
+        times.windows(2).map(|it| (it[0], it[1])).filter(|(a, b)| b > a).collect()
     }
 
-    /// The part of the moment at `at` that went to `cause`; all causes add up to 1.
-    fn share(&self, at: f64, cause: Cause) -> f64 {
-        let here = |it: &&Run| it.from <= at && it.until.is_none_or(|until| at < until);
-        let running: Vec<&Run> = self.runs.iter().map(|(_, it)| it).filter(here).collect();
+    /// Returns the fraction of the time at `at` that is due to `cause`; the fractions of all causes
+    /// add up to 1.
+    fn fraction_at(&self, at: f64, cause: Cause) -> f64 {
+        let is_active = |it: &&Run| it.started <= at && it.ended.is_none_or(|ended| at < ended);
+        let running: Vec<&Run> = self.runs.iter().map(|(_, it)| it).filter(is_active).collect();
         if running.is_empty() {
-            let begun = self.runs.iter().any(|(_, it)| it.from <= at);
-            let now = if begun { Cause::Waiting } else { Cause::FirstStart };
-            return f64::from(u8::from(now == cause));
+            let has_started = self.runs.iter().any(|(_, it)| it.started <= at);
+            let cause_at = if has_started { Cause::Waiting } else { Cause::FirstStart };
+            return f64::from(u8::from(cause_at == cause));
         }
-        let last = self.is_last(&running);
-        let part = |run: &&Run| {
+        let is_last = self.is_last_of_step(&running);
+        let fraction_of_run = |run: &&Run| {
             let pace = run.pace(at);
-            match (cause, run.kept) {
-                (Cause::Lost, kept) => f64::from(u8::from(!kept)),
+            match (cause, run.is_work_saved) {
+                (Cause::Lost, is_saved) => f64::from(u8::from(!is_saved)),
                 (Cause::HeldBack, true) => 1.0 - pace,
-                (Cause::LastTask, true) if last => pace,
-                (Cause::Work, true) if !last => pace,
+                (Cause::LastTask, true) if is_last => pace,
+                (Cause::Work, true) if !is_last => pace,
                 _ => 0.0,
             }
         };
-        running.iter().map(part).sum::<f64>() / running.len() as f64
+        running.iter().map(fraction_of_run).sum::<f64>() / running.len() as f64
     }
 
-    /// Whether all that runs is one task of a step that has others.
-    fn is_last(&self, running: &[&Run]) -> bool {
-        let [one] = running else { return false };
-        self.runs.iter().filter(|(_, it)| it.step == one.step).count() > 1
+    /// Returns whether the only active run is of a step that has other runs.
+    fn is_last_of_step(&self, running: &[&Run]) -> bool {
+        let [only] = running else { return false };
+        self.runs.iter().filter(|(_, it)| it.step == only.step).count() > 1
     }
 }
 
 impl Run {
-    /// The share of its processor time at which it may work at `at`.
+    /// Returns the share of its processor time that the run was allowed at `at`.
     fn pace(&self, at: f64) -> f64 {
-        let ordered = self.paces.iter().rev().find(|(when, _)| *when <= at);
-        ordered.map_or(1.0, |(_, share)| *share)
+        let last_order = self.pace_orders.iter().rev().find(|(ordered_at, _)| *ordered_at <= at);
+        last_order.map_or(1.0, |(_, share)| *share)
     }
 }
--- a/src/args.rs
+++ b/src/args.rs
@@ -1,4 +1,4 @@
-//! What can stand on the command line.
+//! The arguments of the command line.
 
 mod standin;
 
--- a/src/args/standin.rs
+++ b/src/args/standin.rs
@@ -1,4 +1,4 @@
-//! Arguments of the stand-ins and of the load.
+//! The arguments of `daisyshift standin` and `daisyshift load`.
 
 use std::{net::SocketAddr, path::PathBuf};
 
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,4 +1,4 @@
-//! `daisyshift check`: every finding of a file at once.
+//! `daisyshift check`: checks a file and prints all of its mistakes at once.
 
 use std::{fmt::Display, path::Path, process::ExitCode};
 
@@ -10,13 +10,13 @@
 ///
 /// # Errors
 ///
-/// If the file cannot be read; findings are no error but an exit code of 1.
+/// If the file cannot be read. Findings are not an error; they give an exit code of 1.
 pub fn run(options: &args::Check) -> anyhow::Result<ExitCode> {
     let path = &options.file;
     let text =
         std::fs::read_to_string(path).with_context(|| format!("reading {}", path.display()))?;
-    let findings: Vec<String> = if holds_settings(path) {
-        lines(daisy_settings::read(&text).err().unwrap_or_default())
+    let findings: Vec<String> = if is_settings_file(path) {
+        format_findings(daisy_settings::read(&text).err().unwrap_or_default())
     } else {
         statement_findings(&text)
     };
@@ -30,7 +30,7 @@
     Ok(ExitCode::FAILURE)
 }
 
-fn holds_settings(path: &Path) -> bool {
+fn is_settings_file(path: &Path) -> bool {
     path.extension().is_some_and(|it| it == "yaml" || it == "yml")
 }
 
@@ -44,6 +44,6 @@
         .collect()
 }
 
-fn lines<T: Display>(findings: Vec<T>) -> Vec<String> {
+fn format_findings<T: Display>(findings: Vec<T>) -> Vec<String> {
     findings.iter().map(T::to_string).collect()
 }
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `daisyshift ctl`: statements to an entry VM, and what came of them.
+//! `daisyshift ctl`: sends statements to an entry VM and prints their results.
 
 use std::{io::Read, process::ExitCode, time::Duration};
 
@@ -11,20 +11,22 @@
 
 use crate::{args, runtime};
 
-/// A verdict comes within seconds; the entry VM itself gives up after 8 s.
-const TIMEOUT: Duration = Duration::from_secs(15);
-const TOKEN: &str = "DAISYSHIFT_TOKEN";
+/// How long to wait for the answer. The result is known within seconds; the entry VM itself gives
+/// up after 8 s.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+const TOKEN_VARIABLE: &str = "DAISYSHIFT_TOKEN";
 
-/// Sends the statements and prints the answer; an exit code of 1 says that one was not
+/// Sends the statements and prints the answer; the exit code is 1 if a statement was not
 /// accepted.
 ///
 /// # Errors
 ///
-/// If the entry VM cannot be reached, answers no JSON, or no token is given.
+/// If no token is given, the entry VM cannot be reached, or its answer is not JSON.
 pub fn run(options: &args::Ctl) -> anyhow::Result<ExitCode> {
     let token = match &options.token {
         Some(token) => token.clone(),
-        None => std::env::var(TOKEN).with_context(|| format!("no --token and no {TOKEN}"))?,
+        None => std::env::var(TOKEN_VARIABLE)
+            .with_context(|| format!("no --token and no {TOKEN_VARIABLE}"))?,
     };
     let statements = read_statements(&options.statements)?;
     let body = runtime()?.block_on(send(options.entry, &token, &statements))?;
@@ -33,16 +35,16 @@
     }
     let answer = parse(&body)?;
     if !options.json {
-        print(&answer);
+        print_answer(&answer);
     }
     Ok(if answer.is_good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Sends `statements` to the operators' port of an entry VM and gives the answer's body.
+/// Sends `statements` to the operators' port of an entry VM and returns the body of the answer.
 ///
 /// # Errors
 ///
-/// If no whole answer comes in time.
+/// If no complete answer is received in time.
 pub async fn send(
     entry: std::net::SocketAddr,
     token: &str,
@@ -53,17 +55,18 @@
         .uri(format!("http://{entry}/v1/statements"))
         .header(header::AUTHORIZATION, format!("Bearer {token}"))
         .body(Full::new(Bytes::copy_from_slice(statements.as_bytes())))?;
-    let answer = Client::new().send(req, TIMEOUT).await?;
+    let answer = Client::new().send(req, ANSWER_TIMEOUT).await?;
     Ok(answer.body)
 }
 
-/// Reads the answer's body.
+/// Parses the body of an answer.
 ///
 /// # Errors
 ///
-/// If it is not the JSON of an answer.
+/// If the body is not the JSON of an answer.
 pub fn parse(body: &[u8]) -> anyhow::Result<AnswerJson> {
-    let text = || format!("not an entry VM's answer: {}", String::from_utf8_lossy(body));
+    let text =
+        || format!("the answer is not that of an entry VM: {}", String::from_utf8_lossy(body));
     serde_json::from_slice(body).with_context(text)
 }
 
@@ -76,7 +79,7 @@
     Ok(text)
 }
 
-fn print(answer: &AnswerJson) {
+fn print_answer(answer: &AnswerJson) {
     for finding in &answer.findings {
         let FindingJson { line, column, found, expected, .. } = finding;
         println!("line {line}, column {column}: found {found}, expected {expected}");
@@ -98,8 +101,8 @@
 }
 
 fn print_table(columns: &[String], rows: &[Vec<String>]) {
-    let width = |at: usize| {
-        let cells = rows.iter().filter_map(|row| row.get(at)).chain(columns.get(at));
+    let width = |column: usize| {
+        let cells = rows.iter().filter_map(|row| row.get(column)).chain(columns.get(column));
         cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
     };
     let widths: Vec<usize> = (0..columns.len()).map(width).collect();
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,8 +1,8 @@
-//! `daisyshift demo`: the whole path on loopback, checked by what callers, backend servers
-//! and workers recorded.
+//! `daisyshift demo`: runs the whole system on loopback, and checks the results in the histories
+//! that callers, backend servers and workers recorded.
 
 mod fleet;
-mod verdict;
+mod summary;
 
 use std::{process::ExitCode, time::Duration};
 
@@ -10,14 +10,15 @@
 use daisy_standin::load::{self, Load};
 use tokio::time::{Instant, sleep, timeout};
 
-use self::{fleet::Fleet, verdict::Verdict};
+use self::{fleet::Fleet, summary::Summary};
 use crate::{args, ctl, logging, runtime};
 
-const SERVICE: &str = "shop";
-/// Small enough that a laptop with debug builds keeps up, large enough to end in seconds.
-const RATE: f64 = 150.0;
-/// Share of calls that are orders, which must never run twice, in thousandths.
+const SERVICE_NAME: &str = "shop";
+/// Low enough for a debug build on a laptop, and high enough for the demo to end within seconds.
+const REQUESTS_PER_SECOND: f64 = 150.0;
+/// The share of requests with an idempotency key, which must never run twice, in thousandths.
 const KEYED_PER_MILLE: u32 = 300;
+/// The number of tasks of all batch jobs in [`STATEMENTS`].
 const BATCH_TASKS: usize = 30;
 const STATEMENTS: &str = "\
 quota team storefront cpu 64 memory 64Gi;
@@ -26,57 +27,59 @@
 create job renders team catalogue tasks 20 cpu 1 memory 512Mi may delay, evict;
 create job price-lists team catalogue tasks 10 cpu 500m memory 256Mi may delay";
 
-/// The load that is meant to pass within 30 s with everything round it.
+/// Time limit for the statements to be accepted, and then for the service to come up. The whole
+/// demo is meant to end within 30 s.
 const START_TIMEOUT: Duration = Duration::from_secs(15);
 const BATCH_TIMEOUT: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the demo; succeeds when nothing was lost or doubled and every request has its own
-/// whole answer.
+/// Runs the demo; succeeds if nothing was lost or ran twice and every request received its own
+/// complete answer.
 ///
 /// # Errors
 ///
-/// If a part cannot be started, or the service does not come up in time.
+/// If a component cannot be started, the statements are not accepted in time, or the service does
+/// not come up in time.
 pub fn run(options: &args::Demo) -> anyhow::Result<ExitCode> {
     logging::start(options.log_level)?;
-    let verdict = runtime()?.block_on(play(options.requests))?;
-    println!("{verdict}");
-    Ok(if verdict.is_good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let summary = runtime()?.block_on(run_demo(options.requests))?;
+    println!("{summary}");
+    Ok(if summary.is_good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-async fn play(requests: u64) -> anyhow::Result<Verdict> {
+async fn run_demo(requests: u64) -> anyhow::Result<Summary> {
     let began = Instant::now();
-    let say = |text: &str| println!("{:5.1} s  {text}", began.elapsed().as_secs_f64());
-    say("starting the platform, 2 data centres, 4 entry VMs and 6 workers");
+    let print_progress = |text: &str| println!("{:5.1} s  {text}", began.elapsed().as_secs_f64());
+    print_progress("starting the platform, 2 data centres, 4 entry VMs and 6 workers");
     let mut fleet = Fleet::start().await?;
-    declare(&fleet).await?;
-    say("declared the service shop and the batch jobs renders and price-lists");
+    submit_statements(&fleet).await?;
+    print_progress("declared the service shop and the batch jobs renders and price-lists");
     wait_for_service(&fleet).await?;
-    say("the service answers; callers begin");
+    print_progress("the service answers; callers begin");
 
     let load = Load::start(load_options(&fleet, requests)).await?;
-    let callers = load.recorder();
-    let half = Duration::from_secs_f64(requests as f64 / RATE / 2.0);
-    let stopped_early = async {
-        sleep(half).await;
-        say("planned stop of an entry VM under load");
+    let recorder = load.recorder();
+    let half_of_load = Duration::from_secs_f64(requests as f64 / REQUESTS_PER_SECOND / 2.0);
+    let planned_stop = async {
+        sleep(half_of_load).await;
+        print_progress("planned stop of an entry VM under load");
         fleet.stop_one_entry().await
     };
-    let (report, stopped) = tokio::join!(load.finish(), stopped_early);
+    let (report, stopped) = tokio::join!(load.finish(), planned_stop);
     let report = report?;
     stopped?;
-    say("callers are done; waiting for the batch jobs");
+    print_progress("callers are done; waiting for the batch jobs");
     wait_for_batch(&fleet).await;
     let workers = fleet.worker_history();
     fleet.stop().await;
-    say("stopped");
-    Ok(Verdict::new(&report, &callers.history(), &workers))
+    print_progress("stopped");
+    Ok(Summary::new(&report, &recorder.history(), &workers))
 }
 
-async fn declare(fleet: &Fleet) -> anyhow::Result<()> {
+async fn submit_statements(fleet: &Fleet) -> anyhow::Result<()> {
     let deadline = Instant::now() + START_TIMEOUT;
     loop {
-        let body = ctl::send(fleet.operators(), fleet::TOKEN, STATEMENTS).await?;
+        let body = ctl::send(fleet.operator_address(), fleet::TOKEN, STATEMENTS).await?;
         let answer = ctl::parse(&body)?;
         if answer.is_good() {
             return Ok(());
@@ -84,37 +87,39 @@
         if Instant::now() >= deadline {
             bail!("the statements were not accepted: {answer:?}");
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until every entry VM answers for the service, as the balancer would.
+/// Waits until every entry VM is ready and answers requests to the service, as a load balancer
+/// does.
 async fn wait_for_service(fleet: &Fleet) -> anyhow::Result<()> {
-    let all = async {
-        for entry in fleet.callers() {
-            while !fleet::answers(entry, SERVICE).await {
-                sleep(POLL).await;
+    let all_ready = async {
+        for entry in fleet.caller_addresses() {
+            while !fleet::answers_requests(entry, SERVICE_NAME).await {
+                sleep(POLL_INTERVAL).await;
             }
         }
     };
-    timeout(START_TIMEOUT, all).await.context("the service did not come up in time")
+    timeout(START_TIMEOUT, all_ready).await.context("the service did not come up in time")
 }
 
+/// Waits until all batch tasks are done, or [`BATCH_TIMEOUT`] has passed.
 async fn wait_for_batch(fleet: &Fleet) {
     let deadline = Instant::now() + BATCH_TIMEOUT;
     while Instant::now() < deadline {
-        if verdict::tasks_done(&fleet.worker_history()) >= BATCH_TASKS {
+        if summary::tasks_done(&fleet.worker_history()) >= BATCH_TASKS {
             return;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 fn load_options(fleet: &Fleet, requests: u64) -> load::Options {
     load::Options {
-        entries: fleet.callers(),
-        service: SERVICE.to_owned(),
-        rate: RATE,
+        entries: fleet.caller_addresses(),
+        service: SERVICE_NAME.to_owned(),
+        rate: REQUESTS_PER_SECOND,
         count: requests,
         keyed_per_mille: KEYED_PER_MILLE,
         deadline: Duration::from_secs(5),
--- a/src/demo/fleet.rs
+++ b/src/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! Everything that the demo runs, in this process and on loopback.
+//! The components of the demo, which all run in this process and on loopback.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,27 +20,28 @@
 use http::Request;
 use http_body_util::Full;
 
-use super::SERVICE;
+use super::SERVICE_NAME;
 
-/// The demo's operator proves itself with this; it is worth nothing elsewhere.
+/// The token of the demo's operator; it is valid in the demo only.
 pub const TOKEN: &str = "demo-token-0123456789";
 
 const DATA_CENTRES: [&str; 2] = ["porto", "lisbon"];
-const ENTRIES: u32 = 2;
-const WORKERS: u32 = 3;
-const FIRST_WORKER: u32 = 100;
-/// The service is created first, so the ledger numbers it 0.
-const SERVICE_JOB: u32 = 0;
+const ENTRY_VMS_PER_DC: u32 = 2;
+const WORKERS_PER_DC: u32 = 3;
+const FIRST_WORKER_ID: u32 = 100;
+/// The job number of the service: the service is created first, so the ledger gives it number 0.
+const SERVICE_JOB_ID: u32 = 0;
 const ANY_PORT: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The running parts.
+/// The running platform, workers and entry VMs.
 pub struct Fleet {
     platform: Platform,
     workers: Vec<Worker>,
     entries: Vec<(VmId, Entry)>,
-    /// All entry VMs' addresses, the stopped one's included: the balancer finds out.
-    callers: Vec<SocketAddr>,
+    /// The addresses of all entry VMs for callers, the stopped one included: callers must notice
+    /// themselves that it has stopped, as a load balancer does.
+    caller_addresses: Vec<SocketAddr>,
 }
 
 impl Fleet {
@@ -48,43 +49,48 @@
     ///
     /// # Errors
     ///
-    /// If a port cannot be taken.
+    /// If a port cannot be bound or the platform rejects a VM.
     pub async fn start() -> anyhow::Result<Fleet> {
         let platform = Platform::start(platform::Options::default()).await?;
-        let mut fleet =
-            Fleet { platform, workers: Vec::new(), entries: Vec::new(), callers: Vec::new() };
+        let mut fleet = Fleet {
+            platform,
+            workers: Vec::new(),
+            entries: Vec::new(),
+            caller_addresses: Vec::new(),
+        };
         for dc in 0..DATA_CENTRES.len() as u16 {
-            for at in 0..WORKERS {
-                fleet.add_worker(DcId(dc), at).await?;
+            for index in 0..WORKERS_PER_DC {
+                fleet.add_worker(DcId(dc), index).await?;
             }
-            for at in 0..ENTRIES {
-                fleet.add_entry(DcId(dc), at).await?;
+            for index in 0..ENTRY_VMS_PER_DC {
+                fleet.add_entry(DcId(dc), index).await?;
             }
         }
         Ok(fleet)
     }
 
-    /// An entry VM's address for operators.
-    pub fn operators(&self) -> SocketAddr {
+    /// Returns the operators' address of an entry VM that keeps running.
+    pub fn operator_address(&self) -> SocketAddr {
         let (_, last) = self.entries.last().expect("the demo stops one entry VM of several");
         last.addresses().operators
     }
 
-    /// All entry VMs' addresses for callers.
-    pub fn callers(&self) -> Vec<SocketAddr> {
-        self.callers.clone()
+    /// Returns the addresses of all entry VMs for callers.
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
+        self.caller_addresses.clone()
     }
 
-    /// What workers recorded, their backend servers included.
+    /// Returns what the workers and their backend servers recorded.
     pub fn worker_history(&self) -> History {
         History::merge(self.workers.iter().map(Worker::history).collect())
     }
 
-    /// Stops one entry VM as the platform would: it is listed as leaving, stops, and is gone.
+    /// Stops one entry VM as the platform does: the VM is listed as leaving, stops, and is removed
+    /// from the list.
     ///
     /// # Errors
     ///
-    /// If the platform refuses the change of its list.
+    /// If the platform rejects the change of its VM list.
     pub async fn stop_one_entry(&mut self) -> anyhow::Result<()> {
         let (vm, entry) = self.entries.remove(0);
         self.platform.change_vm(VmChange::Leave(vm.0))?;
@@ -97,7 +103,7 @@
     pub async fn stop(self) {
         let stops = self.entries.into_iter().map(|(_, entry)| tokio::spawn(entry.stop()));
         for stop in stops.collect::<Vec<_>>() {
-            // A stop that panicked has been reported by its task.
+            // The panic of a stop has already been reported by its task.
             let _ = stop.await;
         }
         for worker in self.workers {
@@ -106,22 +112,23 @@
         self.platform.stop().await;
     }
 
-    async fn add_worker(&mut self, dc: DcId, at: u32) -> anyhow::Result<()> {
-        let id = FIRST_WORKER + u32::from(dc.0) * WORKERS + at;
+    async fn add_worker(&mut self, dc: DcId, index: u32) -> anyhow::Result<()> {
+        let id = FIRST_WORKER_ID + u32::from(dc.0) * WORKERS_PER_DC + index;
         let name = format!("worker-{id}");
-        let serves = JobBehaviour {
-            job: SERVICE_JOB,
+        let service_behaviour = JobBehaviour {
+            job: SERVICE_JOB_ID,
             run_ms: None,
             fails: false,
-            service: Some(SERVICE.to_owned()),
+            service: Some(SERVICE_NAME.to_owned()),
         };
-        let worker = WorkerOptions { jobs: vec![serves], ..WorkerOptions::default() };
+        let worker = WorkerOptions { jobs: vec![service_behaviour], ..WorkerOptions::default() };
         let capacity = worker.capacity;
-        let beside = backend::Options { name: name.clone(), ..backend::Options::default() };
+        let backend_options =
+            backend::Options { name: name.clone(), ..backend::Options::default() };
         let worker = Worker::start(worker::Options {
             name: name.clone(),
             worker,
-            backend: Some(beside),
+            backend: Some(backend_options),
             ..worker::Options::default()
         })
         .await?;
@@ -129,7 +136,7 @@
             id: VmId(id),
             name: Name::new(&name)?,
             dc,
-            rack: at as u16,
+            rack: index as u16,
             role: VmRole::Worker,
             status: VmStatus::Live,
             control: worker.address(),
@@ -141,8 +148,8 @@
         Ok(())
     }
 
-    async fn add_entry(&mut self, dc: DcId, at: u32) -> anyhow::Result<()> {
-        let id = VmId(u32::from(dc.0) * ENTRIES + at + 1);
+    async fn add_entry(&mut self, dc: DcId, index: u32) -> anyhow::Result<()> {
+        let id = VmId(u32::from(dc.0) * ENTRY_VMS_PER_DC + index + 1);
         let settings = settings(id, dc, self.platform.address())?;
         let name = settings.name.clone();
         let entry = daisy_entry::start(settings).await.context("starting an entry VM")?;
@@ -150,7 +157,7 @@
             id,
             name,
             dc,
-            rack: at as u16,
+            rack: index as u16,
             role: VmRole::Entry,
             status: VmStatus::Live,
             control: entry.addresses().peers,
@@ -158,7 +165,7 @@
             capacity: Resources::ZERO,
         };
         self.platform.change_vm(VmChange::Put(VmJson::from(&vm)))?;
-        self.callers.push(entry.addresses().callers);
+        self.caller_addresses.push(entry.addresses().callers);
         self.entries.push((id, entry));
         Ok(())
     }
@@ -187,8 +194,8 @@
     })
 }
 
-/// Whether an entry VM is ready and answers a request to `service`.
-pub async fn answers(entry: SocketAddr, service: &str) -> bool {
+/// Returns whether an entry VM is ready and answers a request to `service`.
+pub async fn answers_requests(entry: SocketAddr, service: &str) -> bool {
     let ready = Client::new().get(entry, "/readyz", PROBE_TIMEOUT).await;
     if !ready.is_ok_and(|answer| answer.status.is_success()) {
         return false;
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,4 @@
-//! `daisyshift entry`: an entry VM's process.
+//! `daisyshift entry`: runs an entry VM's process.
 
 use std::process::ExitCode;
 
@@ -6,11 +6,11 @@
 
 use crate::{args, logging, runtime};
 
-/// Runs the process until SIGTERM and its planned stop.
+/// Runs the process until SIGTERM has caused its planned stop.
 ///
 /// # Errors
 ///
-/// If the settings cannot be read or hold findings, or an address cannot be taken.
+/// If the settings cannot be read or are invalid, or an address cannot be bound.
 pub fn run(options: &args::Entry) -> anyhow::Result<ExitCode> {
     let path = &options.settings;
     let text =
--- a/src/lines.rs
+++ b/src/log_lines.rs
@@ -1,29 +1,29 @@
-//! Lines that processes log, as other commands read them.
+//! Parses the lines that processes log, for the commands that evaluate logs.
 
-/// A line that tells of an event.
+/// A log line about an event.
 #[derive(Debug, Clone)]
-pub struct Line {
-    /// When it was written, in RFC 3339, UTC.
+pub struct LogLine {
+    /// The time at which the line was written, as in RFC 3339, in UTC.
     pub time: String,
-    /// From `event=` on.
+    /// The part of the line from `event=` on.
     pub event: String,
 }
 
-impl Line {
-    /// `None` for a line without an event or a time.
-    pub fn parse(text: &str) -> Option<Line> {
+impl LogLine {
+    /// Parses a line; returns `None` if it has no event or no time.
+    pub fn parse(text: &str) -> Option<LogLine> {
         let at = text.find("event=")?;
         let is_time = |it: &&str| it.len() > 20 && it.as_bytes()[10] == b'T' && it.ends_with('Z');
         let time = text[..at].split_whitespace().find(is_time)?;
-        Some(Line { time: time.to_owned(), event: text[at..].to_owned() })
+        Some(LogLine { time: time.to_owned(), event: text[at..].to_owned() })
     }
 
-    /// The name of the event.
+    /// Returns the name of the event.
     pub fn name(&self) -> &str {
         self.value("event").unwrap_or_default()
     }
 
-    /// The value of a key, without quotes.
+    /// Returns the value of a key, without its quotes.
     pub fn value(&self, key: &str) -> Option<&str> {
         let at = self.event.split_whitespace().find_map(|it| {
             let value = it.strip_prefix(key)?.strip_prefix('=')?;
@@ -36,17 +36,18 @@
         }
     }
 
-    /// The value of a key as a number.
+    /// Returns the value of a key as a number.
     pub fn number<T: std::str::FromStr>(&self, key: &str) -> Option<T> {
         self.value(key)?.parse().ok()
     }
 
-    /// Whether the event is `name` and came to `outcome`.
-    pub fn is(&self, name: &str, outcome: &str) -> bool {
+    /// Returns whether the event is called `name` and its `outcome` key has this value.
+    pub fn has_outcome(&self, name: &str, outcome: &str) -> bool {
         self.name() == name && self.value("outcome") == Some(outcome)
     }
 
-    /// When it was written, in seconds since the midnight (UTC) before; lines of one day compare.
+    /// Returns the time of the line in seconds since midnight (UTC). Only lines of the same day can
+    /// be compared.
     pub fn seconds(&self) -> Option<f64> {
         let clock = self.time.get(11..)?.strip_suffix('Z')?;
         let mut parts = clock.split(':');
@@ -57,21 +58,21 @@
     }
 }
 
-/// The lines of several files that `wanted` takes, in the order of their times.
+/// Reads the lines of several files for which `is_wanted` returns true, and sorts them by time.
 ///
 /// # Errors
 ///
 /// If a file cannot be read.
 pub fn read(
     files: &[std::path::PathBuf],
-    wanted: impl Fn(&Line) -> bool,
-) -> anyhow::Result<Vec<Line>> {
+    is_wanted: impl Fn(&LogLine) -> bool,
+) -> anyhow::Result<Vec<LogLine>> {
     use anyhow::Context;
     let mut lines = Vec::new();
     for file in files {
         let text = std::fs::read(file).with_context(|| format!("reading {}", file.display()))?;
         let text = String::from_utf8_lossy(&text);
-        lines.extend(text.lines().filter_map(Line::parse).filter(&wanted));
+        lines.extend(text.lines().filter_map(LogLine::parse).filter(&is_wanted));
     }
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     Ok(lines)
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,8 +1,8 @@
-//! One line of key=value pairs for each event.
+//! Logs one line of key=value pairs for each event.
 //!
-//! An entry VM's process writes to standard error as it goes. A node's process writes to standard
-//! output through a queue: writing never waits for whoever reads, and a kind of event that comes
-//! too often is counted instead of written.
+//! An entry VM's process writes to standard error directly. A node's process writes to standard
+//! output through a queue: logging never waits for the reader of the output, and lines of an event
+//! that occurs too often are counted instead of written.
 
 mod queue;
 
@@ -19,21 +19,22 @@
 ///
 /// If logging was started before.
 pub fn start(level: LogLevel) -> anyhow::Result<()> {
-    WriteLogger::init(filter(level), config(), std::io::stderr())
-        .context("logging has been started")
+    WriteLogger::init(level_filter(level), logger_config(), std::io::stderr())
+        .context("logging has already been started")
 }
 
-/// Starts logging at `level`, to standard output, without ever waiting for its reader.
+/// Starts logging at `level`, to standard output, without waiting for the reader of the output.
 ///
 /// # Errors
 ///
-/// If logging was started before, or the thread that writes cannot be started.
+/// If logging was started before, or the writer thread cannot be started.
 pub fn start_queued(level: LogLevel) -> anyhow::Result<()> {
-    let queue = LineQueue::start(std::io::stdout()).context("starting the log's writer")?;
-    WriteLogger::init(filter(level), config(), queue).context("logging has been started")
+    let queue = LineQueue::start(std::io::stdout()).context("starting the log writer thread")?;
+    WriteLogger::init(level_filter(level), logger_config(), queue)
+        .context("logging has already been started")
 }
 
-fn config() -> Config {
+fn logger_config() -> Config {
     ConfigBuilder::new()
         .set_time_format_rfc3339()
         .set_target_level(LevelFilter::Error)
@@ -43,7 +44,7 @@
         .build()
 }
 
-fn filter(level: LogLevel) -> LevelFilter {
+fn level_filter(level: LogLevel) -> LevelFilter {
     match level {
         LogLevel::Error => LevelFilter::Error,
         LogLevel::Warn => LevelFilter::Warn,
--- a/src/logging/queue.rs
+++ b/src/logging/queue.rs
@@ -1,4 +1,4 @@
-//! Lines on their way to a writer that may be slow.
+//! A bounded queue of log lines between the process and an output that may be slow.
 
 use std::{
     io::{self, Write},
@@ -7,27 +7,28 @@
     time::{Duration, Instant},
 };
 
-/// Lines that wait for the writer at most: some two seconds of a busy owner.
-const WAITING_MAX: usize = 2_048;
-/// Lines of one kind of event that are written in a second at most. An owner at today's sizes
-/// starts up to 400 tasks a second.
-const KIND_MAX: u32 = 500;
-/// Over which lines of a kind are counted.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Maximum number of lines in the queue: a busy owner logs these in some two seconds.
+const QUEUED_LINES_MAX: usize = 2_048;
+/// Maximum number of lines about the same event within one [`COUNT_PERIOD`]. An owner of the
+/// present sizes starts up to 400 tasks a second.
+const LINES_PER_EVENT_MAX: u32 = 500;
+/// The period for which the lines of each event are counted.
+const COUNT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Takes whole lines and never blocks: what the writer is too slow for is left out and counted.
+/// Passes whole lines to the writer thread and never blocks: lines that do not fit in the queue are
+/// dropped and counted.
 #[derive(Debug)]
 pub struct LineQueue {
     tx: SyncSender<Vec<u8>>,
-    line: Vec<u8>,
-    kinds: Vec<Kind>,
-    began: Instant,
-    left_out: u64,
+    partial_line: Vec<u8>,
+    event_counts: Vec<EventCount>,
+    period_start: Instant,
+    dropped_lines: u64,
 }
 
-/// How often a kind of event came in this period.
+/// The number of lines about an event in the current period.
 #[derive(Debug)]
-struct Kind {
+struct EventCount {
     name: Vec<u8>,
     count: u32,
 }
@@ -39,42 +40,48 @@
     ///
     /// If no thread can be started.
     pub fn start<W: Write + Send + 'static>(out: W) -> io::Result<LineQueue> {
-        let (tx, rx) = sync_channel(WAITING_MAX);
+        let (tx, rx) = sync_channel(QUEUED_LINES_MAX);
         thread::Builder::new().name("log".to_owned()).spawn(move || write_lines(&rx, out))?;
-        let began = Instant::now();
-        Ok(LineQueue { tx, line: Vec::new(), kinds: Vec::new(), began, left_out: 0 })
+        let period_start = Instant::now();
+        Ok(LineQueue {
+            tx,
+            partial_line: Vec::new(),
+            event_counts: Vec::new(),
+            period_start,
+            dropped_lines: 0,
+        })
     }
 
     fn finish_line(&mut self) {
-        let line = std::mem::take(&mut self.line);
-        if self.began.elapsed() >= PERIOD {
+        let line = std::mem::take(&mut self.partial_line);
+        if self.period_start.elapsed() >= COUNT_PERIOD {
             self.next_period();
         }
-        if self.is_too_many(&line) {
-            self.left_out += 1;
+        if self.exceeds_limit(&line) {
+            self.dropped_lines += 1;
             return;
         }
         self.send(line);
     }
 
     fn next_period(&mut self) {
-        self.began = Instant::now();
-        self.kinds.clear();
-        if self.left_out > 0 {
-            let count = std::mem::take(&mut self.left_out);
+        self.period_start = Instant::now();
+        self.event_counts.clear();
+        if self.dropped_lines > 0 {
+            let count = std::mem::take(&mut self.dropped_lines);
             self.send(format!("[WARN] event=lines_left_out count={count}\n").into_bytes());
         }
     }
 
-    fn is_too_many(&mut self, line: &[u8]) -> bool {
-        let name = kind(line);
-        match self.kinds.iter_mut().find(|it| it.name == name) {
-            Some(kind) => {
-                kind.count += 1;
-                kind.count > KIND_MAX
+    fn exceeds_limit(&mut self, line: &[u8]) -> bool {
+        let name = event_name(line);
+        match self.event_counts.iter_mut().find(|it| it.name == name) {
+            Some(event) => {
+                event.count += 1;
+                event.count > LINES_PER_EVENT_MAX
             }
             None => {
-                self.kinds.push(Kind { name: name.to_vec(), count: 1 });
+                self.event_counts.push(EventCount { name: name.to_vec(), count: 1 });
                 false
             }
         }
@@ -82,7 +89,7 @@
 
     fn send(&mut self, line: Vec<u8>) {
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = self.tx.try_send(line) {
-            self.left_out += 1;
+            self.dropped_lines += 1;
         }
     }
 }
@@ -90,7 +97,7 @@
 impl Write for LineQueue {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         for part in buf.split_inclusive(|it| *it == b'\n') {
-            self.line.extend_from_slice(part);
+            self.partial_line.extend_from_slice(part);
             if part.ends_with(b"\n") {
                 self.finish_line();
             }
@@ -103,23 +110,23 @@
     }
 }
 
-/// The name after `event=`; empty for a line without one.
-fn kind(line: &[u8]) -> &[u8] {
-    const MARK: &[u8] = b"event=";
-    let Some(at) = line.windows(MARK.len()).position(|it| it == MARK) else { return &[] };
-    let name = &line[at + MARK.len()..];
+/// Returns the name after `event=`, or an empty name if the line has none.
+fn event_name(line: &[u8]) -> &[u8] {
+    const EVENT_KEY: &[u8] = b"event=";
+    let Some(at) = line.windows(EVENT_KEY.len()).position(|it| it == EVENT_KEY) else { return &[] };
+    let name = &line[at + EVENT_KEY.len()..];
     let end = name.iter().position(|it| it.is_ascii_whitespace()).unwrap_or(name.len());
     &name[..end]
 }
 
-/// Writes lines, as many as there are at one time, until nobody is left to send any.
+/// Writes lines until all senders are dropped; all lines that are queued are written together.
 fn write_lines<W: Write>(rx: &Receiver<Vec<u8>>, mut out: W) {
     while let Ok(first) = rx.recv() {
         let mut buf = first;
         for line in rx.try_iter() {
             buf.extend_from_slice(&line);
         }
-        // Whoever read the lines has gone: there is nobody to tell.
+        // The reader has closed the output, so the error cannot be reported there either.
         if out.write_all(&buf).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `daisyshift` command: a thin command line over the crates.
+//! The `daisyshift` command: parses the command line and calls the crates.
 
 #![deny(missing_docs, unsafe_code)]
 
@@ -8,7 +8,7 @@
 mod ctl;
 mod demo;
 mod entry;
-mod lines;
+mod log_lines;
 mod logging;
 mod node;
 mod standin;
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,4 @@
-//! `daisyshift node`: an entry VM's process on a platform that keeps all state.
+//! `daisyshift node`: runs an entry VM's process on a platform that stores all state.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -7,11 +7,11 @@
 
 use crate::{args, logging};
 
-/// Runs the process until SIGTERM and its planned stop.
+/// Runs the process until SIGTERM has caused its planned stop.
 ///
 /// # Errors
 ///
-/// If the settings cannot be read or used, or an address cannot be taken.
+/// If the settings cannot be read or are invalid, or an address cannot be bound.
 pub fn run(options: &args::Node) -> anyhow::Result<ExitCode> {
     let path = match &options.settings {
         Some(path) => path.clone(),
@@ -20,7 +20,7 @@
             .with_context(|| format!("{} is not set", daisy_platform::SETTINGS_VARIABLE))?,
     };
     logging::start_queued(options.log_level)?;
-    // A VM of the platform has a quarter of one core: more threads would only take turns.
+    // A VM of the platform has a quarter of one core, on which more threads would only compete.
     let runtime = Builder::new_current_thread().enable_all().build();
     runtime.context("starting the runtime")?.block_on(daisy_node::run(&path))?;
     Ok(ExitCode::SUCCESS)
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,20 +1,20 @@
-//! `daisyshift trace`: the lines of several processes about one request, in order, and what they
-//! come to.
+//! `daisyshift trace`: prints the log lines of several processes about one request, in the order of
+//! time, and a summary of what happened to it.
 
 use std::process::ExitCode;
 
 use crate::{
     args,
-    lines::{self, Line},
+    log_lines::{self, LogLine},
 };
 
-/// Prints the lines and the findings; fails if no line names the id.
+/// Prints the lines and the findings; fails if no line has the request's id.
 ///
 /// # Errors
 ///
 /// If a file cannot be read.
 pub fn run(options: &args::Trace) -> anyhow::Result<ExitCode> {
-    let lines = lines::read(&options.files, |it| it.value("id") == Some(&options.id))?;
+    let lines = log_lines::read(&options.files, |it| it.value("id") == Some(&options.id))?;
     for line in &lines {
         println!("{} {}", line.time, line.event);
     }
@@ -28,24 +28,25 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// What the lines say of the request's way, in words.
-fn findings(lines: &[Line]) -> Vec<String> {
-    let count = |name: &str, outcome: &str| lines.iter().filter(|it| it.is(name, outcome)).count();
-    let mut found = Vec::new();
-    if let Some(it) = lines.iter().find(|it| it.is("submitted", "rejected")) {
-        let why = it.value("cause").unwrap_or("not said");
-        found.push(format!("rejected without an effect: {why}"));
+/// Describes what happened to the request, as far as the lines show it.
+fn findings(lines: &[LogLine]) -> Vec<String> {
+    let count =
+        |name: &str, outcome: &str| lines.iter().filter(|it| it.has_outcome(name, outcome)).count();
+    let mut findings = Vec::new();
+    if let Some(it) = lines.iter().find(|it| it.has_outcome("submitted", "rejected")) {
+        let cause = it.value("cause").unwrap_or("not said");
+        findings.push(format!("rejected without an effect: {cause}"));
     }
-    if let Some(it) = lines.iter().find(|it| it.is("submitted", "unknown")) {
-        let why = it.value("cause").unwrap_or("not said");
-        found.push(format!("its caller was told that the outcome is unknown: {why}"));
+    if let Some(it) = lines.iter().find(|it| it.has_outcome("submitted", "unknown")) {
+        let cause = it.value("cause").unwrap_or("not said");
+        findings.push(format!("its caller was told that the outcome is unknown: {cause}"));
     }
-    if let Some(it) = lines.iter().find(|it| it.is("submitted", "stored")) {
-        found.push(format!("stored at {}", it.time));
+    if let Some(it) = lines.iter().find(|it| it.has_outcome("submitted", "stored")) {
+        findings.push(format!("stored at {}", it.time));
     }
     for it in lines.iter().filter(|it| it.name() == "run_lost") {
         let (task, worker) = (it.value("task"), it.value("worker"));
-        found.push(format!(
+        findings.push(format!(
             "task {} was lost with {}: {}",
             task.unwrap_or("?"),
             worker.unwrap_or("?"),
@@ -53,7 +54,7 @@
         ));
     }
     for it in lines.iter().filter(|it| it.name() == "handed_over") {
-        found.push(format!(
+        findings.push(format!(
             "task {} was handed from shard {} to {}: {}",
             it.value("task").unwrap_or("?"),
             it.value("shard").unwrap_or("?"),
@@ -61,39 +62,39 @@
             it.value("cause").unwrap_or("not said")
         ));
     }
-    for (outcome, words) in [
+    for (outcome, description) in [
         ("failed", "runs failed"),
         ("stopped", "runs were stopped and started anew"),
         ("lapsed", "runs ended with their lease"),
     ] {
         let count = count("run_ended", outcome);
         if count > 0 {
-            found.push(format!("{count} {words}"));
+            findings.push(format!("{count} {description}"));
         }
     }
     let unanswered = count("start", "unknown");
     if unanswered > 0 {
-        found.push(format!("{unanswered} orders to start got no answer"));
+        findings.push(format!("{unanswered} orders to start got no answer"));
     }
     for cause in causes(lines, "stop") {
-        found.push(format!("stopped: {cause}"));
+        findings.push(format!("stopped: {cause}"));
     }
     for cause in causes(lines, "waits") {
-        found.push(format!("waited: {cause}"));
+        findings.push(format!("waited: {cause}"));
     }
     match lines.iter().find(|it| it.name() == "job_ended") {
-        Some(it) => found.push(format!(
+        Some(it) => findings.push(format!(
             "ended as {} {} ms after it was stored",
             it.value("outcome").unwrap_or("?"),
             it.value("age_ms").unwrap_or("?")
         )),
-        None => found.push("its end is not in these lines".to_owned()),
+        None => findings.push("its end is not in these lines".to_owned()),
     }
-    found
+    findings
 }
 
-/// The causes that events of a name give, each once with how often.
-fn causes(lines: &[Line], name: &str) -> Vec<String> {
+/// Returns the distinct causes of the events called `name`, each with the number of its events.
+fn causes(lines: &[LogLine], name: &str) -> Vec<String> {
     let of_name = lines.iter().filter(|it| it.name() == name);
     let mut causes: Vec<&str> = of_name.filter_map(|it| it.value("cause")).collect();
     causes.sort_unstable();
