--- a/tests/node/fleet.rs
+++ b/tests/node/fleet.rs
@@ -1,4 +1,5 @@
-//! A log, workers, and processes of `daisyshift node`.
+//! A log, workers, and processes of `daisyshift node`. Processes are named by the index of their
+//! VM.
 
 use std::{
     net::SocketAddr,
@@ -20,46 +21,48 @@
 
 use crate::process::Process;
 
-/// Ids of jobs.
-pub const JOB: &str = "00000000000000aa";
-pub const OTHER: &str = "00000000000000bb";
-/// How long anything may take to come about, with room for a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The id of the job that most tests submit.
+pub const JOB_ID: &str = "00000000000000aa";
+/// The id of a second job.
+pub const OTHER_JOB_ID: &str = "00000000000000bb";
+/// Time limit for every condition that a test waits for; long enough for a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A job of one step of `count` tasks.
+/// Returns the body of a submission: a job of one step of `count` tasks.
 pub fn job_body(count: u32) -> String {
     json!({ "spec": "text", "steps": [{ "count": count, "cpu": 500, "mem-mb": 16,
         "est-runtime-ms": 400 }] })
     .to_string()
 }
 
+/// The stand-ins and processes of one test.
 pub struct Fleet {
     pub log: Log,
     workers: Vec<Worker>,
-    nodes: Vec<Process>,
+    processes: Vec<Process>,
     http: Http,
 }
 
 impl Fleet {
-    /// A fleet that is ready for callers.
-    pub async fn start(nodes: usize, workers: usize, work: Duration) -> Fleet {
+    /// Starts a fleet and waits until every VM is ready for callers and every worker has an owner.
+    pub async fn start(processes: usize, workers: usize, work: Duration) -> Fleet {
         let log = Log::start().await.expect("a port of loopback");
         let mut fleet =
-            Fleet { log, workers: Vec::new(), nodes: Vec::new(), http: Http::new(None) };
+            Fleet { log, workers: Vec::new(), processes: Vec::new(), http: Http::new(None) };
         fleet.configure(1, "/jobs/");
-        for at in 0..workers {
-            let id = format!("w{at}");
+        for index in 0..workers {
+            let id = format!("w{index}");
             let worker = Worker::start(&fleet.log, &id, "shop", 4, work).await;
             fleet.workers.push(worker.expect("a port of loopback"));
         }
-        for at in 0..nodes {
-            fleet.nodes.push(Process::start(at, fleet.log.address));
+        for index in 0..processes {
+            fleet.processes.push(Process::start(index, fleet.log.address));
         }
-        for at in 0..nodes {
-            fleet.wait_ready(at).await;
+        for index in 0..processes {
+            fleet.wait_ready(index).await;
         }
-        fleet.owned().await;
+        fleet.wait_for_owners().await;
         fleet
     }
 
@@ -74,44 +77,51 @@
         }));
     }
 
-    pub fn kill(&mut self, at: usize) {
-        self.nodes[at].kill();
+    pub fn kill(&mut self, index: usize) {
+        self.processes[index].kill();
     }
 
-    /// Starts a process of the same VM again, with a log that goes into a pipe that nobody reads.
-    pub async fn restart_unread(&mut self, at: usize) {
-        self.nodes[at].restart_unread();
-        self.wait_ready(at).await;
+    /// Restarts the process of a VM, with its log going into a pipe that nobody reads.
+    pub async fn restart_with_unread_output(&mut self, index: usize) {
+        self.processes[index].restart_with_unread_output();
+        self.wait_ready(index).await;
     }
 
-    /// Starts a process of the same VM again.
-    pub async fn restart(&mut self, at: usize) {
-        self.nodes[at].restart();
-        self.wait_ready(at).await;
+    /// Restarts the process of a VM.
+    pub async fn restart(&mut self, index: usize) {
+        self.processes[index].restart();
+        self.wait_ready(index).await;
     }
 
-    pub fn signal(&self, at: usize, signal: Signal) {
-        self.nodes[at].signal(signal);
+    pub fn signal(&self, index: usize, signal: Signal) {
+        self.processes[index].signal(signal);
     }
 
-    pub async fn wait_for_exit(&mut self, at: usize) -> Option<i32> {
+    /// Waits until a process has ended, and returns its exit code; `None` if a signal ended it.
+    pub async fn wait_for_exit(&mut self, index: usize) -> Option<i32> {
         let began = Instant::now();
         loop {
-            if let Some(code) = self.nodes[at].try_exit() {
+            if let Some(code) = self.processes[index].try_exit_code() {
                 return code;
             }
-            assert!(began.elapsed() < PATIENCE, "the process does not end");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "the process has not ended in time");
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    pub async fn call(&self, at: usize, method: &str, path: &str, body: String) -> (u16, String) {
-        let address = self.nodes[at].callers;
-        let (status, body) = self.ask(address, method, path, body).await;
+    pub async fn call(
+        &self,
+        index: usize,
+        method: &str,
+        path: &str,
+        body: String,
+    ) -> (u16, String) {
+        let address = self.processes[index].caller_address;
+        let (status, body) = self.send_request(address, method, path, body).await;
         (status, body)
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         address: SocketAddr,
         method: &str,
@@ -130,185 +140,201 @@
         }
     }
 
-    /// Sends a POST with a body of `parts`, a while after one another, on a connection of its own, and
-    /// then a GET of `JOB` on the same; their statuses, 0 where the connection broke.
-    pub async fn post_in_parts(&self, at: usize, path: &str, parts: &[String]) -> [u16; 2] {
-        let mut stream = TcpStream::connect(self.nodes[at].callers).await.expect("a port");
+    /// Sends a POST whose body is sent in `parts`, with a pause after each, on a connection of its
+    /// own, and then a GET of `JOB_ID` on the same connection. Returns both statuses, with 0 for a
+    /// broken connection.
+    pub async fn post_in_parts(&self, index: usize, path: &str, parts: &[String]) -> [u16; 2] {
+        let mut stream =
+            TcpStream::connect(self.processes[index].caller_address).await.expect("a port");
         let length: usize = parts.iter().map(String::len).sum();
         let head = "HTTP/1.1\r\nhost: shop.example\r\n";
-        let mut sent = format!("POST {path} {head}content-length: {length}\r\n\r\n");
+        let mut unsent = format!("POST {path} {head}content-length: {length}\r\n\r\n");
         for part in parts {
-            sent.push_str(part);
-            // A connection that the other side has closed shows as one without an answer.
-            let _ = stream.write_all(sent.as_bytes()).await;
-            sent.clear();
+            unsent.push_str(part);
+            // If the other side has closed the connection, reading the answer fails below.
+            let _ = stream.write_all(unsent.as_bytes()).await;
+            unsent.clear();
             sleep(Duration::from_millis(200)).await;
         }
         let posted = read_status(&mut stream).await;
-        let next = format!("GET /jobs/{JOB} {head}\r\n");
-        let _ = stream.write_all(next.as_bytes()).await;
+        let get = format!("GET /jobs/{JOB_ID} {head}\r\n");
+        let _ = stream.write_all(get.as_bytes()).await;
         [posted, read_status(&mut stream).await]
     }
 
-    pub async fn post(&self, at: usize, id: &str, body: String) -> u16 {
-        self.call(at, "POST", &format!("/jobs/{id}"), body).await.0
+    pub async fn submit(&self, index: usize, id: &str, body: String) -> u16 {
+        self.call(index, "POST", &format!("/jobs/{id}"), body).await.0
     }
 
-    /// Submits a job of each of these ids, one every `gap`.
-    pub async fn post_all(&self, at: usize, ids: &[String], gap: Duration) -> Vec<u16> {
-        let post = async |(number, id): (usize, &String)| {
+    /// Submits a job with each of these ids, one every `gap`, and returns the statuses.
+    pub async fn submit_all(&self, index: usize, ids: &[String], gap: Duration) -> Vec<u16> {
+        let submit = async |(number, id): (usize, &String)| {
             sleep(gap * number as u32).await;
-            self.post(at, id, job_body(1)).await
+            self.submit(index, id, job_body(1)).await
         };
-        futures::future::join_all(ids.iter().enumerate().map(post)).await
+        futures::future::join_all(ids.iter().enumerate().map(submit)).await
     }
 
-    /// Submits job number `number` after a while.
-    pub async fn post_after(&self, at: usize, number: usize, after: Duration) -> u16 {
-        sleep(after).await;
-        self.post(at, &format!("{number:016x}"), job_body(1)).await
+    /// Submits the job with this number as its id, after a delay.
+    pub async fn submit_after(&self, index: usize, number: usize, delay: Duration) -> u16 {
+        sleep(delay).await;
+        self.submit(index, &format!("{number:016x}"), job_body(1)).await
     }
 
-    pub async fn get(&self, at: usize, id: &str) -> (u16, String) {
-        self.call(at, "GET", &format!("/jobs/{id}"), String::new()).await
+    pub async fn get_job(&self, index: usize, id: &str) -> (u16, String) {
+        self.call(index, "GET", &format!("/jobs/{id}"), String::new()).await
     }
 
-    pub async fn ready(&self, at: usize) -> bool {
-        let address = self.nodes[at].readiness;
-        self.ask(address, "GET", "/daisyshift/readiness", String::new()).await.0 == 200
+    pub async fn is_ready(&self, index: usize) -> bool {
+        let address = self.processes[index].readiness_address;
+        self.send_request(address, "GET", "/daisyshift/readiness", String::new()).await.0 == 200
     }
 
-    async fn wait_ready(&mut self, at: usize) {
+    async fn wait_ready(&mut self, index: usize) {
         let began = Instant::now();
-        while !self.ready(at).await {
-            let ended = self.nodes[at].try_exit();
-            let late = began.elapsed() > PATIENCE;
-            if ended.is_some() || late {
-                let log = self.nodes[at].log_text();
-                panic!("process {at} is not ready, ended: {ended:?}, its log:\n{log}");
+        while !self.is_ready(index).await {
+            let exit_code = self.processes[index].try_exit_code();
+            let is_late = began.elapsed() > WAIT_TIMEOUT;
+            if exit_code.is_some() || is_late {
+                let log = self.processes[index].log_text();
+                panic!("process {index} is not ready; exit code: {exit_code:?}; its log:\n{log}");
             }
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Which process owns the workers, by its metrics.
-    pub async fn owner(&self) -> usize {
+    /// Waits until one process owns all workers, according to its metrics, and returns its index.
+    pub async fn wait_for_owner(&self) -> usize {
         let began = Instant::now();
         loop {
-            for (at, node) in self.nodes.iter().enumerate() {
-                let (_, text) = self.ask(node.readiness, "GET", "/metrics", String::new()).await;
+            for (index, node) in self.processes.iter().enumerate() {
+                let (_, text) = self
+                    .send_request(node.readiness_address, "GET", "/metrics", String::new())
+                    .await;
                 if usable_workers(&text) == self.workers.len() {
-                    return at;
+                    return index;
                 }
             }
-            assert!(began.elapsed() < PATIENCE, "nobody owns the workers");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "no process owns all workers");
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// How often any process became the owner of workers, by their logs.
-    pub fn changes_of_owner(&self) -> usize {
-        let owner = |it: &Process| it.log_text().matches("event=owner ").count();
-        self.nodes.iter().map(owner).sum()
+    /// Returns how often processes became the owner of a shard, according to their logs.
+    pub fn owner_change_count(&self) -> usize {
+        let changes = |it: &Process| it.log_text().matches("event=owner ").count();
+        self.processes.iter().map(changes).sum()
     }
 
-    /// All that a process has logged.
-    pub fn log_of(&self, at: usize) -> String {
-        self.nodes[at].log_text()
+    /// Returns all that a process has logged.
+    pub fn log_text_of(&self, index: usize) -> String {
+        self.processes[index].log_text()
     }
 
-    /// What the process at `at` says of the claims before its own, by its log; the newest of them.
-    pub fn is_settled(&self, at: usize) -> Option<bool> {
-        let log = self.nodes[at].log_text();
-        let owner = log.lines().rfind(|it| it.contains("event=owner "))?;
-        Some(owner.contains("settled=true"))
+    /// Returns whether the process logged, when it last became an owner, that the leases of all
+    /// earlier owners had expired; `None` if it never became an owner.
+    pub fn had_predecessors_expired(&self, index: usize) -> Option<bool> {
+        let log = self.processes[index].log_text();
+        let line = log.lines().rfind(|it| it.contains("event=owner "))?;
+        Some(line.contains("settled=true"))
     }
 
-    /// How many workers each process can give work to, once each worker has an owner.
-    pub async fn owned(&self) -> Vec<usize> {
+    /// Waits until each worker has an owner, and returns how many workers each process can give
+    /// work to.
+    pub async fn wait_for_owners(&self) -> Vec<usize> {
         let began = Instant::now();
         loop {
             let mut owned = Vec::new();
-            for node in &self.nodes {
-                let (_, text) = self.ask(node.readiness, "GET", "/metrics", String::new()).await;
+            for node in &self.processes {
+                let (_, text) = self
+                    .send_request(node.readiness_address, "GET", "/metrics", String::new())
+                    .await;
                 owned.push(usable_workers(&text));
             }
             if owned.iter().sum::<usize>() == self.workers.len() {
                 return owned;
             }
-            assert!(began.elapsed() < PATIENCE, "not all workers have an owner: {owned:?}");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "not all workers have an owner: {owned:?}");
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    pub async fn wait_for_state(&self, at: usize, id: &str, state: &str) {
+    /// Waits until a VM reports this state of a job.
+    pub async fn wait_for_state(&self, index: usize, id: &str, state: &str) {
         let wanted = format!(r#"{{"state":"{state}"}}"#);
         let began = Instant::now();
         loop {
-            let (_, body) = self.get(at, id).await;
+            let (_, body) = self.get_job(index, id).await;
             if body == wanted {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "{id} is {body}, not {state}");
+            assert!(
+                began.elapsed() < WAIT_TIMEOUT,
+                "job {id} is reported as {body}, expected {state}"
+            );
             sleep(Duration::from_millis(30)).await;
         }
     }
 
-    pub async fn wait_until(&self, done: impl Fn(&Fleet) -> bool) {
+    /// Waits until `is_met` returns true.
+    pub async fn wait_until(&self, is_met: impl Fn(&Fleet) -> bool) {
         let began = Instant::now();
-        while !done(self) {
-            assert!(began.elapsed() < PATIENCE, "it does not come about");
+        while !is_met(self) {
+            assert!(began.elapsed() < WAIT_TIMEOUT, "the condition was not met in time");
             sleep(Duration::from_millis(20)).await;
         }
     }
 
+    /// Waits until workers have begun `count` runs of `JOB_ID`.
     pub async fn wait_for_runs(&self, count: usize) {
-        self.wait_until(|it| it.runs_of(JOB).len() >= count).await;
+        self.wait_until(|it| it.runs_of(JOB_ID).len() >= count).await;
     }
 
-    pub fn set_workers(&self, fault: WorkerFault) {
+    pub fn set_fault_of_all_workers(&self, fault: WorkerFault) {
         self.workers.iter().for_each(|it| it.set_fault(fault));
     }
 
-    /// Sets what is wrong with the worker that runs a task of a job.
-    pub fn set_worker_of(&self, id: &str, fault: WorkerFault) {
+    /// Sets the fault of a worker that has begun a task of a job.
+    pub fn set_fault_of_worker_running(&self, id: &str, fault: WorkerFault) {
         let runs = |it: &&Worker| it.seen().iter().any(|it| it.task.starts_with(id));
         self.workers.iter().find(runs).expect("a worker that runs it").set_fault(fault);
     }
 
-    /// What `daisyshift trace` says of a request from the logs of all processes.
+    /// Returns the output of `daisyshift trace` for a request, from the logs of all processes.
     pub fn trace(&self, id: &str) -> String {
         let mut command = Command::new(env!("CARGO_BIN_EXE_daisyshift"));
         command.args(["trace", "--id", id]);
-        command.args(self.nodes.iter().map(Process::log));
+        command.args(self.processes.iter().map(Process::log_path));
         let output = command.output().expect("the program that was built");
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// The same, once it says `words`: lines take a moment to be written.
-    pub async fn wait_for_trace(&self, id: &str, words: &str) -> String {
+    /// Waits until the output of `daisyshift trace` contains `expected`, as lines are written with
+    /// a delay.
+    pub async fn wait_for_trace(&self, id: &str, expected: &str) -> String {
         let began = Instant::now();
         loop {
-            let said = self.trace(id);
-            if said.contains(words) {
-                return said;
+            let output = self.trace(id);
+            if output.contains(expected) {
+                return output;
             }
-            assert!(began.elapsed() < PATIENCE, "no {words:?} in {said}");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "no {expected:?} in {output}");
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// All runs of a job that workers have begun.
+    /// Returns all runs of a job that workers have begun.
     pub fn runs_of(&self, id: &str) -> Vec<Seen> {
         let seen = self.workers.iter().flat_map(Worker::seen);
         seen.filter(|it| it.task.starts_with(id)).collect()
     }
 
-    /// Runs of all jobs that workers have begun.
-    pub fn all_runs(&self) -> usize {
+    /// Returns the number of runs of all jobs that workers have begun.
+    pub fn total_run_count(&self) -> usize {
         self.workers.iter().map(|it| it.seen().len()).sum()
     }
 
+    /// Checks that each of the `count` tasks of a job has run exactly once, to its end.
     pub fn assert_each_task_ran_once(&self, id: &str, count: usize) {
         let runs = self.runs_of(id);
         let mut tasks: Vec<_> = runs.iter().map(|it| it.task.clone()).collect();
@@ -319,7 +345,7 @@
     }
 }
 
-/// The status of the next answer on a connection, all of which is read; 0 if it broke.
+/// Reads the next answer from a connection and returns its status; 0 if the connection broke.
 async fn read_status(stream: &mut TcpStream) -> u16 {
     let mut buf = vec![0; 1 << 14];
     match tokio::time::timeout(CALL_TIMEOUT, stream.read(&mut buf)).await {
@@ -331,8 +357,9 @@
     }
 }
 
-/// Workers, over all shards, that a process can give work to, by its metrics.
+/// Returns the number of workers, over all shards, that a process can give work to, from its
+/// metrics.
 fn usable_workers(metrics: &str) -> usize {
-    let lines = metrics.lines().filter(|it| it.starts_with("daisyshift_usable_workers{"));
-    lines.filter_map(|it| it.rsplit(' ').next()?.parse::<usize>().ok()).sum()
+    let samples = metrics.lines().filter(|it| it.starts_with("daisyshift_usable_workers{"));
+    samples.filter_map(|it| it.rsplit(' ').next()?.parse::<usize>().ok()).sum()
 }
--- a/tests/node/process.rs
+++ b/tests/node/process.rs
@@ -1,6 +1,6 @@
-//! One process of `daisyshift node`.
+//! A process of `daisyshift node`.
 
-#![allow(dead_code, reason = "each test binary uses a part")]
+#![allow(dead_code, reason = "each test binary uses only some of the functions")]
 
 use std::{
     fs::File,
@@ -19,80 +19,81 @@
 const CALLERS_PORT: u16 = 7_001;
 const READINESS_PORT: u16 = 7_002;
 
-/// A VM's process, which can end and be started again.
+/// The process of a VM, which can be ended and restarted.
 pub struct Process {
     child: Child,
-    /// Where it takes callers.
-    pub callers: SocketAddr,
-    /// Where it says whether it is ready.
-    pub readiness: SocketAddr,
-    /// Its settings file.
+    /// The address for callers.
+    pub caller_address: SocketAddr,
+    /// The address for readiness checks and metrics.
+    pub readiness_address: SocketAddr,
+    /// The settings file.
     pub settings: PathBuf,
 }
 
 impl Process {
-    /// The process of VM number `at`, which finds the platform's log at `store`.
-    pub fn start(at: usize, store: SocketAddr) -> Process {
-        let own = own_address();
-        let callers = SocketAddr::new(own, CALLERS_PORT);
-        let readiness = SocketAddr::new(own, READINESS_PORT);
-        let settings = std::env::temp_dir().join(format!("daisyshift-{own}.yaml"));
+    /// Starts the process of VM number `index`, which uses the platform's log at `log_address`.
+    pub fn start(index: usize, log_address: SocketAddr) -> Process {
+        let address = unique_loopback_address();
+        let caller_address = SocketAddr::new(address, CALLERS_PORT);
+        let readiness_address = SocketAddr::new(address, READINESS_PORT);
+        let settings = std::env::temp_dir().join(format!("daisyshift-{address}.yaml"));
         let text = format!(
-            "node-name: vm-{at}\nzone: z1\nregion: r1\nlisten:\n  front: \"{callers}\"\n  ready: \
-             \"{readiness}\"\ncontrol-mode: push\nplatform:\n  address: \"{store}\"\n  form: log\n  \
-             parts: 12\nbounds:\n  max-hold-ms: 10000\n  grace-s: 6\n",
+            "node-name: vm-{index}\nzone: z1\nregion: r1\nlisten:\n  front: \"{caller_address}\"\n  \
+             ready: \"{readiness_address}\"\ncontrol-mode: push\nplatform:\n  address: \
+             \"{log_address}\"\n  form: log\n  parts: 12\nbounds:\n  max-hold-ms: 10000\n  grace-s: 6\n",
         );
-        let mut file = File::create(&settings).expect("a file for settings");
-        file.write_all(text.as_bytes()).expect("room for settings");
-        let child = spawn(&settings, log_file(&settings), log_file(&settings));
-        Process { child, callers, readiness, settings }
+        let mut file = File::create(&settings).expect("a new settings file");
+        file.write_all(text.as_bytes()).expect("space for the settings");
+        let child = spawn(&settings, open_log_file(&settings), open_log_file(&settings));
+        Process { child, caller_address, readiness_address, settings }
     }
 
-    /// Starts it again after its end.
+    /// Starts the process again after its end.
     pub fn restart(&mut self) {
-        self.child = spawn(&self.settings, log_file(&self.settings), log_file(&self.settings));
+        self.child =
+            spawn(&self.settings, open_log_file(&self.settings), open_log_file(&self.settings));
     }
 
-    /// Starts it again, with a log that goes into a pipe that nobody reads.
-    pub fn restart_unread(&mut self) {
-        self.child = spawn(&self.settings, Stdio::piped(), log_file(&self.settings));
+    /// Starts the process again, with its log going into a pipe that nobody reads.
+    pub fn restart_with_unread_output(&mut self) {
+        self.child = spawn(&self.settings, Stdio::piped(), open_log_file(&self.settings));
     }
 
-    /// Kills it at once.
+    /// Kills the process at once and waits for its end.
     pub fn kill(&mut self) {
         self.child.kill().expect("a process that this test started");
         self.child.wait().expect("the end of a killed process");
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
         kill(pid, signal).expect("a process that this test started");
     }
 
-    /// Its exit code, once it has ended: `Some(None)` if a signal ended it.
-    pub fn try_exit(&mut self) -> Option<Option<i32>> {
-        let ended = self.child.try_wait().expect("a process that this test started");
-        ended.map(|it| it.code())
+    /// Returns the exit code once the process has ended; `Some(None)` if a signal ended it.
+    pub fn try_exit_code(&mut self) -> Option<Option<i32>> {
+        let status = self.child.try_wait().expect("a process that this test started");
+        status.map(|it| it.code())
     }
 
-    /// All that it has logged; empty if that went elsewhere.
+    /// Returns all that the process has logged to its file; empty if the log goes elsewhere.
     pub fn log_text(&self) -> String {
-        std::fs::read_to_string(self.log()).unwrap_or_default()
+        std::fs::read_to_string(self.log_path()).unwrap_or_default()
     }
 
-    /// Where its log goes.
-    pub fn log(&self) -> PathBuf {
+    /// Returns the path of the log file.
+    pub fn log_path(&self) -> PathBuf {
         log_path(&self.settings)
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that has ended needs no killing.
+        // Killing fails if the process has already ended, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(self.log());
+        let _ = std::fs::remove_file(self.log_path());
         let _ = std::fs::remove_file(&self.settings);
     }
 }
@@ -101,7 +102,7 @@
     settings.with_extension("log")
 }
 
-fn log_file(settings: &Path) -> Stdio {
+fn open_log_file(settings: &Path) -> Stdio {
     let log = File::options().create(true).append(true).open(log_path(settings));
     Stdio::from(log.expect("a file for the log"))
 }
@@ -116,17 +117,17 @@
         .expect("the program that was built")
 }
 
-/// An address of loopback that no other process of these tests has.
+/// Returns a loopback address that no other process of these tests uses.
 ///
-/// A free port of 127.0.0.1 is only free for a moment: while a process has not begun to listen, or is
-/// down, any connection of another test may be given the same port, and the process ends at its
-/// start. Connections come from 127.0.0.1, so none takes a port of another address.
-fn own_address() -> IpAddr {
-    static STARTED: AtomicU32 = AtomicU32::new(0);
-    const OF_PROCESS: u32 = 10;
-    const OF_TEST: u32 = 12;
-    let process = STARTED.fetch_add(1, Ordering::Relaxed) % (1 << OF_PROCESS);
-    let test = std::process::id() % (1 << OF_TEST);
+/// A free port of 127.0.0.1 can be taken at any time: until the process listens, or while it is
+/// down, an outgoing connection of another test may be given the same port, and the process then
+/// fails to start. Outgoing connections use 127.0.0.1, so they take no port of other addresses.
+fn unique_loopback_address() -> IpAddr {
+    static PROCESSES_STARTED: AtomicU32 = AtomicU32::new(0);
+    const PROCESS_BITS: u32 = 10;
+    const TEST_BITS: u32 = 12;
+    let process = PROCESSES_STARTED.fetch_add(1, Ordering::Relaxed) % (1 << PROCESS_BITS);
+    let test = std::process::id() % (1 << TEST_BITS);
     let first = u32::from(Ipv4Addr::new(127, 64, 0, 0));
-    IpAddr::V4(Ipv4Addr::from(first | test << OF_PROCESS | process))
+    IpAddr::V4(Ipv4Addr::from(first | test << PROCESS_BITS | process))
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,8 +1,8 @@
-//! A randomized soak: real processes, faults from outside, and the promises checked from what
-//! callers and workers see.
+//! Randomized soak tests: real processes run under injected faults, and the promises of the system
+//! are checked against what callers and workers observe.
 //!
-//! Without more, two fixed seeds and all that ever failed are played, one after the other.
-//! `DAISYSHIFT_SOAK=100..150` plays those seeds instead; a failure names its seed and keeps the logs
+//! By default, two fixed seeds and all seeds that ever failed are run, one after the other.
+//! `DAISYSHIFT_SOAK=100..150` runs those seeds instead; a failure names its seed and keeps the logs
 //! of all processes.
 
 #[path = "soak/callers.rs"]
@@ -23,78 +23,80 @@
 use plan::Plan;
 use tokio::sync::Mutex;
 
-/// Played each time.
-const SEEDS: [u64; 2] = [1, 2];
+/// The seeds that are run by default.
+const DEFAULT_SEEDS: [u64; 2] = [1, 2];
 
-/// How long accepted jobs may take to end once all faults are over: a change of the owner, the
-/// longest lease and its work, several times over, on a busy machine.
-const SETTLE: Duration = Duration::from_secs(60);
+/// How long accepted jobs may take to end after all faults: several times the sum of an owner
+/// change, the longest lease and a job's work, for a busy machine.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Plays have as many processes as a test may have, so they come one after the other.
-static ALONE: Mutex<()> = Mutex::const_new(());
+/// Serializes the runs: each starts as many processes as all tests together may have at a time.
+static EXCLUSIVE: Mutex<()> = Mutex::const_new(());
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn promises_hold_under_faults() {
-    let _alone = ALONE.lock().await;
-    for seed in try_seeds().unwrap_or(SEEDS.to_vec()) {
-        play(seed).await;
+    let _exclusive = EXCLUSIVE.lock().await;
+    for seed in requested_seeds().unwrap_or(DEFAULT_SEEDS.to_vec()) {
+        run_seed(seed).await;
     }
 }
 
-/// An order that a worker's next incarnation had answered was taken for one of the old.
+/// Guards against a failure in which an order that a worker's next incarnation had answered was
+/// attributed to the previous incarnation.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn promises_hold_with_seed_46() {
-    play_unless_others(46).await;
+    run_seed_unless_others_requested(46).await;
 }
 
-/// The same, and an order that went unanswered is carried out by an incarnation not yet known.
+/// Guards against the same failure; also, an order that got no answer is carried out by an
+/// incarnation that the owner does not know yet.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn promises_hold_with_seed_6() {
-    play_unless_others(6).await;
+    run_seed_unless_others_requested(6).await;
 }
 
-/// Plays a seed that failed once, unless other seeds are asked for.
-async fn play_unless_others(seed: u64) {
-    let _alone = ALONE.lock().await;
-    if try_seeds().is_none() {
-        play(seed).await;
+/// Runs a seed that failed once, unless other seeds are requested.
+async fn run_seed_unless_others_requested(seed: u64) {
+    let _exclusive = EXCLUSIVE.lock().await;
+    if requested_seeds().is_none() {
+        run_seed(seed).await;
     }
 }
 
-/// The seeds that are asked for.
-fn try_seeds() -> Option<Vec<u64>> {
+/// Returns the seeds that the environment requests.
+fn requested_seeds() -> Option<Vec<u64>> {
     let range = std::env::var("DAISYSHIFT_SOAK").ok()?;
     let (from, to) = range.split_once("..").expect("DAISYSHIFT_SOAK as FROM..TO");
     let number = |it: &str| it.parse::<u64>().expect("a seed");
     Some((number(from)..number(to)).collect())
 }
 
-/// Plays one seed and panics with all that was broken.
-async fn play(seed: u64) {
+/// Runs the scenario of one seed, and panics with all violations.
+async fn run_seed(seed: u64) {
     let plan = Plan::new(seed);
     let mut fleet = Fleet::start(&plan).await;
-    let callers = Callers::start(seed, fleet.addresses(), plan.length);
-    fleet.carry_out(&plan).await;
-    let calls = callers.finish().await;
-    fleet.recover().await;
-    let settled = fleet.settle(&calls, SETTLE).await;
-    let mut broken = promises::broken(&calls, &fleet.runs());
-    broken.extend(settled);
-    if broken.is_empty() {
+    let callers = Callers::start(seed, fleet.caller_addresses(), plan.duration);
+    fleet.run_schedule(&plan).await;
+    let jobs = callers.finish().await;
+    fleet.end_all_faults().await;
+    let unfinished_jobs = fleet.wait_for_ended_jobs(&jobs, SETTLE_TIMEOUT).await;
+    let mut violations = promises::violations(&jobs, &fleet.runs());
+    violations.extend(unfinished_jobs);
+    if violations.is_empty() {
         println!(
             "seed={seed} jobs={} runs={} faults={}",
-            calls.len(),
+            jobs.len(),
             fleet.runs().len(),
             plan.faults.len()
         );
         return;
     }
-    let logs = fleet.keep_logs(seed);
+    let logs = fleet.copy_logs(seed);
     panic!(
-        "seed {seed}: {} broken; logs in {}\n{}\nplan: {:#?}",
-        broken.len(),
+        "seed {seed}: {} violations; logs in {}\n{}\nplan: {:#?}",
+        violations.len(),
         logs.display(),
-        broken.join("\n"),
+        violations.join("\n"),
         plan.faults
     );
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers who submit jobs, ask for them, cancel some, and note what they were told.
+//! Callers that submit jobs, poll their states, cancel some of them, and record the answers.
 
 use std::{
     net::SocketAddr,
@@ -12,140 +12,141 @@
 use http_body_util::Full;
 use tokio::{task::JoinSet, time::sleep};
 
-/// Callers at one time; each keeps its connections open.
-const CALLERS: usize = 6;
+/// The number of concurrent callers; each keeps its connections open.
+const CALLER_COUNT: usize = 6;
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Tries of a submission whose outcome is unknown.
-const TRIES: usize = 4;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The maximum number of tries of a submission whose outcome is unknown.
+const SUBMIT_TRIES_MAX: usize = 4;
 
-/// What one caller was told of its job.
+/// A job and all answers that its caller received.
 #[derive(Debug, Clone)]
-pub struct Call {
-    /// The job.
+pub struct SubmittedJob {
+    /// The id of the job.
     pub id: String,
-    /// Its tasks.
-    pub tasks: usize,
-    /// Statuses of its submissions; 0 for none.
-    pub submitted: Vec<u16>,
-    /// When it was accepted.
-    pub accepted: Option<Instant>,
-    /// When its cancellation was sent, and when it was accepted.
-    pub cancel_sent: Option<Instant>,
-    /// See [`cancel_sent`](Call::cancel_sent).
-    pub cancelled: Option<Instant>,
-    /// Answers to questions about it, in the order of time.
-    pub told: Vec<Told>,
+    /// The number of its tasks.
+    pub task_count: usize,
+    /// The statuses of all tries to submit it; 0 for no answer.
+    pub submit_statuses: Vec<u16>,
+    /// When the caller was told that it was accepted.
+    pub accepted_at: Option<Instant>,
+    /// When its cancellation was sent.
+    pub cancel_sent_at: Option<Instant>,
+    /// When the caller was told that the cancellation was accepted.
+    pub cancelled_at: Option<Instant>,
+    /// The answers to polls of its state, in the order of time.
+    pub answers: Vec<StateAnswer>,
 }
 
-/// What a VM said of a job.
+/// A VM's answer to a poll of a job's state.
 #[derive(Debug, Clone)]
-pub struct Told {
-    /// When.
-    pub at: Instant,
-    /// Which VM.
+pub struct StateAnswer {
+    /// When it was received.
+    pub received_at: Instant,
+    /// The index of the VM.
     pub vm: usize,
     /// The status; 0 for no answer.
     pub status: u16,
-    /// The body.
-    pub state: String,
+    /// The body, which names the state.
+    pub body: String,
 }
 
-/// Callers at work.
+/// The running callers.
 pub struct Callers {
-    calls: Arc<Mutex<Vec<Call>>>,
+    jobs: Arc<Mutex<Vec<SubmittedJob>>>,
     tasks: JoinSet<()>,
 }
 
 impl Callers {
-    /// Starts callers that go on for `length`.
-    pub fn start(seed: u64, vms: Vec<SocketAddr>, length: Duration) -> Callers {
-        let calls = Arc::new(Mutex::new(Vec::new()));
+    /// Starts callers that submit jobs for `duration`.
+    pub fn start(seed: u64, vms: Vec<SocketAddr>, duration: Duration) -> Callers {
+        let jobs = Arc::new(Mutex::new(Vec::new()));
         let mut tasks = JoinSet::new();
-        let until = Instant::now() + length;
-        for number in 0..CALLERS {
+        let until = Instant::now() + duration;
+        for number in 0..CALLER_COUNT {
             let rng = Rng::with_seed(seed * 1_000 + number as u64);
-            tasks.spawn(call_until(until, rng, vms.clone(), calls.clone()));
+            tasks.spawn(submit_jobs_until(until, rng, vms.clone(), jobs.clone()));
         }
-        Callers { calls, tasks }
+        Callers { jobs, tasks }
     }
 
-    /// Waits for all callers, and gives what they were told.
-    pub async fn finish(mut self) -> Vec<Call> {
+    /// Waits for all callers, and returns their jobs.
+    pub async fn finish(mut self) -> Vec<SubmittedJob> {
         while let Some(ended) = self.tasks.join_next().await {
-            ended.expect("a caller does not fail");
+            ended.expect("a caller does not panic");
         }
-        let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        calls.clone()
+        let jobs = self.jobs.lock().unwrap_or_else(PoisonError::into_inner);
+        jobs.clone()
     }
 }
 
-async fn call_until(
+async fn submit_jobs_until(
     until: Instant,
     mut rng: Rng,
     vms: Vec<SocketAddr>,
-    calls: Arc<Mutex<Vec<Call>>>,
+    jobs: Arc<Mutex<Vec<SubmittedJob>>>,
 ) {
     let http = Http::new(None);
     while Instant::now() < until {
-        let call = one_job(&http, &mut rng, &vms).await;
-        calls.lock().unwrap_or_else(PoisonError::into_inner).push(call);
+        let job = submit_and_poll_job(&http, &mut rng, &vms).await;
+        jobs.lock().unwrap_or_else(PoisonError::into_inner).push(job);
         sleep(Duration::from_millis(rng.u64(50..250))).await;
     }
 }
 
-/// Submits a job, asks for it some times, and cancels one in six.
-async fn one_job(http: &Http, rng: &mut Rng, vms: &[SocketAddr]) -> Call {
-    let tasks = rng.usize(1..=6);
+/// Submits a job and polls its state some times; one accepted job in six is cancelled.
+async fn submit_and_poll_job(http: &Http, rng: &mut Rng, vms: &[SocketAddr]) -> SubmittedJob {
+    let task_count = rng.usize(1..=6);
     let id = format!("{:016x}", rng.u64(..));
-    let mut call = Call {
+    let mut job = SubmittedJob {
         id,
-        tasks,
-        submitted: Vec::new(),
-        accepted: None,
-        cancel_sent: None,
-        cancelled: None,
-        told: Vec::new(),
+        task_count,
+        submit_statuses: Vec::new(),
+        accepted_at: None,
+        cancel_sent_at: None,
+        cancelled_at: None,
+        answers: Vec::new(),
     };
-    for _ in 0..TRIES {
+    for _ in 0..SUBMIT_TRIES_MAX {
         let vm = vms[rng.usize(..vms.len())];
-        let status = ask(http, vm, Method::POST, &call.id, body(tasks)).await.0;
-        call.submitted.push(status);
+        let status = send_request(http, vm, Method::POST, &job.id, job_body(task_count)).await.0;
+        job.submit_statuses.push(status);
         if status == 200 {
-            call.accepted = Some(Instant::now());
+            job.accepted_at = Some(Instant::now());
             break;
         }
         if status == 503 {
             break;
         }
     }
-    let cancels = call.accepted.is_some() && rng.u32(..6) == 0;
-    for look in 0..rng.usize(1..6) {
+    let will_cancel = job.accepted_at.is_some() && rng.u32(..6) == 0;
+    for poll in 0..rng.usize(1..6) {
         sleep(Duration::from_millis(rng.u64(20..300))).await;
-        let number = rng.usize(..vms.len());
-        let vm = vms[number];
-        if cancels && look == 0 {
-            call.cancel_sent = Some(Instant::now());
-            let status = ask(http, vm, Method::DELETE, &call.id, String::new()).await.0;
-            // Either answer says that the job runs no more.
-            call.cancelled = matches!(status, 200 | 410).then(Instant::now);
+        let vm_index = rng.usize(..vms.len());
+        let vm = vms[vm_index];
+        if will_cancel && poll == 0 {
+            job.cancel_sent_at = Some(Instant::now());
+            let status = send_request(http, vm, Method::DELETE, &job.id, String::new()).await.0;
+            // Both statuses mean that the job no longer runs.
+            job.cancelled_at = matches!(status, 200 | 410).then(Instant::now);
             continue;
         }
-        let (status, state) = ask(http, vm, Method::GET, &call.id, String::new()).await;
-        call.told.push(Told { at: Instant::now(), vm: number, status, state });
+        let (status, body) = send_request(http, vm, Method::GET, &job.id, String::new()).await;
+        job.answers.push(StateAnswer { received_at: Instant::now(), vm: vm_index, status, body });
     }
-    call
+    job
 }
 
-/// A job of one step, half a core a task.
-fn body(tasks: usize) -> String {
+/// Returns the body of a submission: a job of one step, with half a core for each task.
+fn job_body(task_count: usize) -> String {
     format!(
-        r#"{{"spec":"text","steps":[{{"count":{tasks},"cpu":500,"mem-mb":16,"est-runtime-ms":400}}]}}"#
+        r#"{{"spec":"text","steps":[{{"count":{task_count},"cpu":500,"mem-mb":16,"est-runtime-ms":400}}]}}"#
     )
 }
 
-/// Asks a VM; status 0 for no whole answer.
-pub async fn ask(
+/// Sends a VM a request about a job, and returns the status and the body of the answer; status 0 if
+/// no complete answer was received.
+pub async fn send_request(
     http: &Http,
     vm: SocketAddr,
     method: Method,
@@ -154,7 +155,7 @@
 ) -> (u16, String) {
     let req = http.request(method, vm, &format!("/jobs/{id}")).header("host", "shop.example");
     let req = req.body(Full::from(body)).expect("a request");
-    match http.call(req, PATIENCE, 1 << 20).await {
+    match http.call(req, ANSWER_TIMEOUT, 1 << 20).await {
         Ok(reply) => (reply.status.as_u16(), String::from_utf8_lossy(&reply.body).into_owned()),
         Err(_) => (0, String::new()),
     }
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! A log and workers behind links, and processes; and what the plan does to them.
+//! The log, the workers, their links and the processes of a soak run, and the injection of faults.
 
 use std::{
     net::SocketAddr,
@@ -18,91 +18,95 @@
 use tokio::time::sleep;
 
 use crate::{
-    callers::{Call, ask},
-    plan::{Fault, Plan, Way},
+    callers::{SubmittedJob, send_request},
+    plan::{Fault, LinkFault, Plan},
     process::Process,
 };
 
-/// Workers that have a link of their own.
-const LINKED: usize = 6;
-/// A task's work.
-const WORK: Duration = Duration::from_millis(400);
-/// Cores of a worker; a task takes half of one.
+/// The number of workers that have a link of their own.
+const LINKED_WORKERS: usize = 6;
+/// The duration of a task.
+const TASK_DURATION: Duration = Duration::from_millis(400);
+/// The number of cores of a worker; a task takes half a core.
 pub const CORES: u32 = 4;
-/// Between steps of the schedule.
-const STEP: Duration = Duration::from_millis(20);
-/// How long a process may take to be ready.
-const READY: Duration = Duration::from_secs(30);
+/// The interval at which the schedule is checked.
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(20);
+/// How long all processes together may take to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// All that a seed plays with.
+/// The stand-ins and processes of one soak run.
 pub struct Fleet {
     log: Log,
     workers: Vec<Worker>,
-    /// The link of each process to the log, then those of workers.
-    store_links: Vec<Link>,
+    /// The link of each process to the log.
+    log_links: Vec<Link>,
+    /// The links to the first workers.
     worker_links: Vec<Link>,
     processes: Vec<Process>,
-    /// What ends at which time.
-    ends: Vec<(Instant, End)>,
+    /// The ends of the active faults, with the time at which each is due.
+    scheduled_ends: Vec<(Instant, FaultEnd)>,
+    /// The version of the newest configuration.
     version: u64,
 }
 
-/// The end of a fault.
+/// What ends a fault. Processes and workers are named by their index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    Restart(usize),
-    Continue(usize),
-    Store(usize),
-    Worker(usize),
-    OnTime(usize),
-    Log,
+enum FaultEnd {
+    RestartProcess(usize),
+    ResumeProcess(usize),
+    RestoreLogLink(usize),
+    RestoreWorkerLink(usize),
+    RestoreWorker(usize),
+    RestoreLog,
 }
 
 impl Fleet {
-    /// Starts everything and waits until callers can come.
+    /// Starts all stand-ins and processes, and waits until every process is ready.
     pub async fn start(plan: &Plan) -> Fleet {
         let log = Log::start().await.expect("a port of loopback");
         let mut workers = Vec::new();
         let mut worker_links = Vec::new();
-        for at in 0..plan.workers {
-            let worker = Worker::start(&log, &format!("w{at}"), "shop", CORES, WORK).await;
+        for index in 0..plan.workers {
+            let worker =
+                Worker::start(&log, &format!("w{index}"), "shop", CORES, TASK_DURATION).await;
             let worker = worker.expect("a port of loopback");
-            worker.slow_clock(plan.clocks[at]);
-            if at < LINKED {
+            worker.slow_clock(plan.clock_permille[index]);
+            if index < LINKED_WORKERS {
                 let link = link_to(worker.address).await;
                 worker.announce_at(link.address());
                 worker_links.push(link);
             }
             workers.push(worker);
         }
-        let mut store_links = Vec::new();
+        let mut log_links = Vec::new();
         for _ in 0..plan.vms {
-            store_links.push(link_to(log.address).await);
+            log_links.push(link_to(log.address).await);
         }
         let processes =
-            store_links.iter().enumerate().map(|(at, it)| Process::start(at, it.address()));
+            log_links.iter().enumerate().map(|(vm, it)| Process::start(vm, it.address()));
         let processes = processes.collect();
-        let ends = Vec::new();
+        let scheduled_ends = Vec::new();
         let mut fleet =
-            Fleet { log, workers, store_links, worker_links, processes, ends, version: 0 };
+            Fleet { log, workers, log_links, worker_links, processes, scheduled_ends, version: 0 };
         fleet.configure();
         fleet.wait_ready().await;
         fleet
     }
 
-    /// Where callers come in.
-    pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.processes.iter().map(|it| it.callers).collect()
+    /// Returns the address of each process for callers.
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
+        self.processes.iter().map(|it| it.caller_address).collect()
     }
 
-    /// All runs that workers have begun, by worker.
+    /// Returns all runs that workers have begun, each with the index of its worker.
     pub fn runs(&self) -> Vec<(usize, Seen)> {
-        let of = |(at, worker): (usize, &Worker)| {
-            worker.seen().into_iter().map(move |it| (at, it)).collect::<Vec<_>>()
+        let runs_of = |(index, worker): (usize, &Worker)| {
+            worker.seen().into_iter().map(move |it| (index, it)).collect::<Vec<_>>()
         };
-        self.workers.iter().enumerate().flat_map(of).collect()
+        self.workers.iter().enumerate().flat_map(runs_of).collect()
     }
 
+    /// Publishes a configuration with a new version.
     fn configure(&mut self) {
         self.version += 1;
         self.log.configure(&json!({
@@ -115,21 +119,22 @@
         }));
     }
 
-    /// Plays the schedule.
-    pub async fn carry_out(&mut self, plan: &Plan) {
+    /// Injects the faults of the plan and ends them when they are due, until the plan's duration is
+    /// over.
+    pub async fn run_schedule(&mut self, plan: &Plan) {
         let began = Instant::now();
         let mut faults = plan.faults.iter().peekable();
-        while began.elapsed() < plan.length {
+        while began.elapsed() < plan.duration {
             while let Some((_, fault)) = faults.next_if(|(at, _)| *at <= began.elapsed()) {
-                self.begin(*fault);
+                self.inject(*fault);
             }
-            self.end_due(Instant::now());
-            self.restart_ended();
-            sleep(STEP).await;
+            self.end_due_faults(Instant::now());
+            self.restart_exited();
+            sleep(SCHEDULE_INTERVAL).await;
         }
     }
 
-    fn begin(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         let now = Instant::now();
         match fault {
             Fault::Kill(vm, down) => self.kill(vm, now + down),
@@ -139,26 +144,28 @@
             Fault::Pause(vm, time) => self.signal(vm, Signal::SIGSTOP, Some(now + time)),
             Fault::Terminate(vm) => self.signal(vm, Signal::SIGTERM, None),
             Fault::Hangup(vm) => self.signal(vm, Signal::SIGHUP, None),
-            Fault::Store(vm, way, time) => {
-                self.store_links[vm].set_faults(faults(way));
-                self.ends.push((now + time, End::Store(vm)));
+            Fault::LogLink(vm, fault, time) => {
+                self.log_links[vm].set_faults(link_faults(fault));
+                self.scheduled_ends.push((now + time, FaultEnd::RestoreLogLink(vm)));
             }
-            Fault::Worker(worker, way, time) => {
-                self.worker_links[worker].set_faults(faults(way));
-                self.ends.push((now + time, End::Worker(worker)));
+            Fault::WorkerLink(worker, fault, time) => {
+                self.worker_links[worker].set_faults(link_faults(fault));
+                self.scheduled_ends.push((now + time, FaultEnd::RestoreWorkerLink(worker)));
             }
-            Fault::Crash(worker) => self.workers[worker].crash(),
-            Fault::Late(worker, after) => {
-                /// How long such a worker takes orders late.
-                const LATE_FOR: Duration = Duration::from_secs(2);
-                self.workers[worker].set_fault(WorkerFault::Late(after));
-                self.ends.push((now + LATE_FOR, End::OnTime(worker)));
+            Fault::CrashWorker(worker) => self.workers[worker].crash(),
+            Fault::DelayOrders(worker, delay) => {
+                /// How long the worker delays the orders that it receives.
+                const FAULT_DURATION: Duration = Duration::from_secs(2);
+                self.workers[worker].set_fault(WorkerFault::Late(delay));
+                self.scheduled_ends.push((now + FAULT_DURATION, FaultEnd::RestoreWorker(worker)));
             }
-            Fault::LogBusy(time) => self.set_log(LogFault::Busy, now + time),
-            Fault::LogSilent(time) => self.set_log(LogFault::Silent, now + time),
-            Fault::LogLosesAnswers(time) => self.set_log(LogFault::LosesAnswers, now + time),
-            Fault::LogSlow(each, time) => self.set_log(LogFault::SlowAppends(each), now + time),
-            Fault::Forget => {
+            Fault::LogBusy(time) => self.set_log_fault(LogFault::Busy, now + time),
+            Fault::LogUnresponsive(time) => self.set_log_fault(LogFault::Silent, now + time),
+            Fault::LogLosesAnswers(time) => self.set_log_fault(LogFault::LosesAnswers, now + time),
+            Fault::LogSlowAppends(each, time) => {
+                self.set_log_fault(LogFault::SlowAppends(each), now + time)
+            }
+            Fault::DropHistory => {
                 for topic in ["keyed.op", "keyed.servers", "keyed.states", "keyed.jobs"] {
                     self.log.forget(topic);
                 }
@@ -167,70 +174,72 @@
         }
     }
 
-    fn set_log(&mut self, fault: LogFault, until: Instant) {
+    fn set_log_fault(&mut self, fault: LogFault, until: Instant) {
         self.log.set_fault(fault);
-        self.ends.push((until, End::Log));
+        self.scheduled_ends.push((until, FaultEnd::RestoreLog));
     }
 
-    /// Kills a process, unless it is down.
+    /// Kills a process until a given time, unless it is already killed.
     fn kill(&mut self, vm: usize, until: Instant) {
-        if self.is_down(vm) {
+        if self.is_killed(vm) {
             return;
         }
         self.processes[vm].kill();
-        self.ends.push((until, End::Restart(vm)));
+        self.scheduled_ends.push((until, FaultEnd::RestartProcess(vm)));
     }
 
     fn signal(&mut self, vm: usize, signal: Signal, until: Option<Instant>) {
-        if self.is_down(vm) || self.processes[vm].try_exit().is_some() {
+        if self.is_killed(vm) || self.processes[vm].try_exit_code().is_some() {
             return;
         }
         self.processes[vm].signal(signal);
-        self.ends.extend(until.map(|it| (it, End::Continue(vm))));
+        self.scheduled_ends.extend(until.map(|it| (it, FaultEnd::ResumeProcess(vm))));
     }
 
-    fn is_down(&self, vm: usize) -> bool {
-        self.ends.iter().any(|(_, it)| *it == End::Restart(vm))
+    fn is_killed(&self, vm: usize) -> bool {
+        self.scheduled_ends.iter().any(|(_, it)| *it == FaultEnd::RestartProcess(vm))
     }
 
-    fn end_due(&mut self, now: Instant) {
-        let ends = std::mem::take(&mut self.ends);
-        let (due, later) = ends.into_iter().partition(|(at, _)| *at <= now);
-        self.ends = later;
-        let due: Vec<(Instant, End)> = due;
+    fn end_due_faults(&mut self, now: Instant) {
+        let scheduled_ends = std::mem::take(&mut self.scheduled_ends);
+        let (due, pending) = scheduled_ends.into_iter().partition(|(at, _)| *at <= now);
+        self.scheduled_ends = pending;
+        let due: Vec<(Instant, FaultEnd)> = due;
         for (_, it) in due {
-            self.end(it);
+            self.end_fault(it);
         }
     }
 
-    fn end(&mut self, end: End) {
+    fn end_fault(&mut self, end: FaultEnd) {
         match end {
-            End::Restart(vm) => self.processes[vm].restart(),
-            End::Continue(vm) => {
-                if !self.is_down(vm) && self.processes[vm].try_exit().is_none() {
+            FaultEnd::RestartProcess(vm) => self.processes[vm].restart(),
+            FaultEnd::ResumeProcess(vm) => {
+                if !self.is_killed(vm) && self.processes[vm].try_exit_code().is_none() {
                     self.processes[vm].signal(Signal::SIGCONT);
                 }
             }
-            End::Store(vm) => self.store_links[vm].set_faults(LinkFaults::default()),
-            End::Worker(worker) => self.worker_links[worker].set_faults(LinkFaults::default()),
-            End::OnTime(worker) => self.workers[worker].set_fault(WorkerFault::None),
-            End::Log => self.log.set_fault(LogFault::None),
+            FaultEnd::RestoreLogLink(vm) => self.log_links[vm].set_faults(LinkFaults::default()),
+            FaultEnd::RestoreWorkerLink(worker) => {
+                self.worker_links[worker].set_faults(LinkFaults::default())
+            }
+            FaultEnd::RestoreWorker(worker) => self.workers[worker].set_fault(WorkerFault::None),
+            FaultEnd::RestoreLog => self.log.set_fault(LogFault::None),
         }
     }
 
-    /// A process that ended as planned is started again.
-    fn restart_ended(&mut self) {
+    /// Restarts the processes that have ended by themselves, as after a planned stop.
+    fn restart_exited(&mut self) {
         for vm in 0..self.processes.len() {
-            if !self.is_down(vm) && self.processes[vm].try_exit().is_some() {
+            if !self.is_killed(vm) && self.processes[vm].try_exit_code().is_some() {
                 self.processes[vm].restart();
             }
         }
     }
 
     /// Ends all faults and waits until every process is ready.
-    pub async fn recover(&mut self) {
-        for (_, it) in std::mem::take(&mut self.ends) {
-            self.end(it);
+    pub async fn end_all_faults(&mut self) {
+        for (_, it) in std::mem::take(&mut self.scheduled_ends) {
+            self.end_fault(it);
         }
         self.wait_ready().await;
     }
@@ -240,58 +249,73 @@
         let began = Instant::now();
         for vm in 0..self.processes.len() {
             loop {
-                self.restart_ended();
-                let address = self.processes[vm].readiness;
+                self.restart_exited();
+                let address = self.processes[vm].readiness_address;
                 let req = http.request(Method::GET, address, "/daisyshift/readiness");
                 let req = req.body(http_body_util::Full::default()).expect("a request");
                 let reply = http.call(req, Duration::from_secs(1), 1 << 10).await;
                 if reply.is_ok_and(|it| it.status.is_success()) {
                     break;
                 }
-                assert!(began.elapsed() < READY, "VM {vm} is not ready");
+                assert!(began.elapsed() < READY_TIMEOUT, "VM {vm} is not ready in time");
                 sleep(Duration::from_millis(50)).await;
             }
         }
     }
 
-    /// Waits until every accepted job is told as ended by every VM; what is not, after `patience`.
-    pub async fn settle(&self, calls: &[Call], patience: Duration) -> Vec<String> {
+    /// Waits until every VM reports every accepted job as ended, and returns descriptions of those
+    /// that are not reported so before the timeout.
+    pub async fn wait_for_ended_jobs(
+        &self,
+        jobs: &[SubmittedJob],
+        timeout: Duration,
+    ) -> Vec<String> {
         let http = Http::new(None);
-        let until = Instant::now() + patience;
-        let mut broken = Vec::new();
-        for call in calls.iter().filter(|it| it.accepted.is_some()) {
+        let until = Instant::now() + timeout;
+        let mut unfinished = Vec::new();
+        for job in jobs.iter().filter(|it| it.accepted_at.is_some()) {
             for (vm, process) in self.processes.iter().enumerate() {
                 loop {
-                    let (status, state) =
-                        ask(&http, process.callers, Method::GET, &call.id, String::new()).await;
-                    let completed = state.contains("completed");
-                    let cancelled = state.contains("cancelled") && call.cancel_sent.is_some();
-                    if status == 200 && (completed || cancelled) {
+                    let (status, body) = send_request(
+                        &http,
+                        process.caller_address,
+                        Method::GET,
+                        &job.id,
+                        String::new(),
+                    )
+                    .await;
+                    let is_completed = body.contains("completed");
+                    let is_cancelled = body.contains("cancelled") && job.cancel_sent_at.is_some();
+                    if status == 200 && (is_completed || is_cancelled) {
                         break;
                     }
                     if Instant::now() > until {
-                        broken.push(format!("{} at VM {vm}: {status} {state}", call.id));
+                        unfinished.push(format!(
+                            "job {} has not ended at VM {vm}: {status} {body}",
+                            job.id
+                        ));
                         break;
                     }
                     sleep(Duration::from_millis(50)).await;
                 }
             }
         }
-        broken
+        unfinished
     }
 
-    /// Copies the logs of all processes aside and says where.
-    pub fn keep_logs(&self, seed: u64) -> PathBuf {
+    /// Copies the logs of all processes into a folder of the seed, and returns its path.
+    pub fn copy_logs(&self, seed: u64) -> PathBuf {
         let to = std::env::temp_dir().join(format!("daisyshift-soak-{seed}"));
-        std::fs::create_dir_all(&to).expect("room for logs");
+        std::fs::create_dir_all(&to).expect("a folder for logs");
         for (vm, process) in self.processes.iter().enumerate() {
-            // A process that never wrote has no log.
-            let _ = std::fs::copy(process.log(), to.join(format!("vm-{vm}.log")));
+            // A process that never logged has no file.
+            let _ = std::fs::copy(process.log_path(), to.join(format!("vm-{vm}.log")));
         }
         to
     }
 }
 
+/// Starts a link that forwards to an address.
 async fn link_to(to: SocketAddr) -> Link {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let forward_rules = vec![ForwardRule { listen: loopback, to }];
@@ -305,12 +329,12 @@
     Link::start(options).await.expect("ports of loopback")
 }
 
-fn faults(way: Way) -> LinkFaults {
-    let good = LinkFaults::default();
-    match way {
-        Way::Cut => LinkFaults { cut: true, ..good },
-        Way::CutBack => LinkFaults { cut_back: true, ..good },
-        Way::Reset => LinkFaults { reset: true, ..good },
-        Way::Delay(delay_ms) => LinkFaults { delay_ms, ..good },
+fn link_faults(fault: LinkFault) -> LinkFaults {
+    let none = LinkFaults::default();
+    match fault {
+        LinkFault::Cut => LinkFaults { cut: true, ..none },
+        LinkFault::CutReplies => LinkFaults { cut_back: true, ..none },
+        LinkFault::Reset => LinkFaults { reset: true, ..none },
+        LinkFault::Delay(delay_ms) => LinkFaults { delay_ms, ..none },
     }
 }
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,129 +1,131 @@
-//! What goes wrong, and when, as a seed has it.
+//! The schedule of faults that follows from a seed.
 
 use std::time::Duration;
 
 use fastrand::Rng;
 
-/// Something that goes wrong.
+/// A fault to inject. Processes and workers are named by their index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A process is killed and starts again after this long.
+    /// A process is killed, and restarted after this time.
     Kill(usize, Duration),
-    /// All processes are killed and start again after this long.
+    /// All processes are killed, and restarted after this time.
     KillAll(Duration),
-    /// A process stands still for this long.
+    /// A process is paused for this time.
     Pause(usize, Duration),
-    /// A process is stopped as planned, and starts again when it has ended.
+    /// A process is stopped as planned, and restarted when it has ended.
     Terminate(usize),
-    /// A process is told that its settings changed.
+    /// A process is signalled to reload its settings.
     Hangup(usize),
-    /// A process's link to the log is bad for this long.
-    Store(usize, Way, Duration),
-    /// A worker's link is bad for this long.
-    Worker(usize, Way, Duration),
-    /// A worker crashes and starts again.
-    Crash(usize),
-    /// A worker says nothing to orders and carries them out this long after.
-    Late(usize, Duration),
-    /// The log does nothing and says so, for this long.
+    /// The link of a process to the log has a fault for this time.
+    LogLink(usize, LinkFault, Duration),
+    /// The link to a worker has a fault for this time.
+    WorkerLink(usize, LinkFault, Duration),
+    /// A worker crashes and restarts at once.
+    CrashWorker(usize),
+    /// A worker does not answer orders to start, and carries them out after this delay.
+    DelayOrders(usize, Duration),
+    /// The log rejects all calls for this time.
     LogBusy(Duration),
-    /// The log says nothing for this long.
-    LogSilent(Duration),
-    /// The log appends without an answer for this long.
+    /// The log neither carries out nor answers calls for this time.
+    LogUnresponsive(Duration),
+    /// The log carries out appends without answering them, for this time.
     LogLosesAnswers(Duration),
-    /// Appends take this long each, for this long.
-    LogSlow(Duration, Duration),
-    /// The log drops the history of what processes read.
-    Forget,
+    /// Each append takes the first time, for the duration of the second.
+    LogSlowAppends(Duration, Duration),
+    /// The log drops all records but the newest of each key, in the topics that processes read.
+    DropHistory,
     /// Operators publish a configuration.
     Configure,
 }
 
-/// How a link is bad.
+/// The fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// Nothing passes.
+pub enum LinkFault {
+    /// Nothing passes in either direction.
     Cut,
-    /// Nothing comes back.
-    CutBack,
+    /// Requests pass, but nothing is returned.
+    CutReplies,
     /// Connections are reset.
     Reset,
-    /// All takes this many milliseconds more.
+    /// All data is delayed by this many milliseconds.
     Delay(u64),
 }
 
 /// A seed's schedule.
 #[derive(Debug)]
 pub struct Plan {
-    /// VMs.
+    /// The number of VMs, each with one process.
     pub vms: usize,
-    /// Workers.
+    /// The number of workers.
     pub workers: usize,
-    /// How long callers come.
-    pub length: Duration,
-    /// When, and what; in the order of time.
+    /// How long callers submit jobs.
+    pub duration: Duration,
+    /// The faults with the time since the start at which each is injected, in the order of time.
     pub faults: Vec<(Duration, Fault)>,
-    /// How fast each worker's clock runs, in thousandths.
-    pub clocks: Vec<u64>,
+    /// The speed of each worker's clock, in thousandths of the real speed.
+    pub clock_permille: Vec<u64>,
 }
 
 impl Plan {
-    /// The schedule of a seed. Every fifth has several shards.
+    /// Returns the schedule of a seed. The workers of every fifth seed are divided into several
+    /// shards.
     pub fn new(seed: u64) -> Plan {
-        /// Above this many, workers are divided among two owners.
-        const SHARDED: usize = 105;
-        const FEW: usize = 6;
+        /// So many workers are divided among two owners.
+        const SHARDED_WORKERS: usize = 105;
+        const FEW_WORKERS: usize = 6;
         let mut rng = Rng::with_seed(seed);
         let vms = rng.usize(2..=4);
-        let workers = if seed.is_multiple_of(5) { SHARDED } else { FEW };
-        let length = Duration::from_secs(8);
+        let workers = if seed.is_multiple_of(5) { SHARDED_WORKERS } else { FEW_WORKERS };
+        let duration = Duration::from_secs(8);
         let count = rng.usize(3..=9);
-        let mut faults: Vec<_> =
-            (0..count).map(|_| (time(&mut rng, 300..7_500), fault(&mut rng, vms))).collect();
+        let mut faults: Vec<_> = (0..count)
+            .map(|_| (random_time(&mut rng, 300..7_500), random_fault(&mut rng, vms)))
+            .collect();
         faults.sort_by_key(|(at, _)| *at);
         // The platform's contract allows clocks that are 2 % slow.
-        let clocks = (0..workers).map(|_| rng.u64(980..=1_000)).collect();
-        Plan { vms, workers, length, faults, clocks }
+        let clock_permille = (0..workers).map(|_| rng.u64(980..=1_000)).collect();
+        Plan { vms, workers, duration, faults, clock_permille }
     }
 }
 
-fn time(rng: &mut Rng, millis: std::ops::Range<u64>) -> Duration {
+fn random_time(rng: &mut Rng, millis: std::ops::Range<u64>) -> Duration {
     Duration::from_millis(rng.u64(millis))
 }
 
-fn fault(rng: &mut Rng, vms: usize) -> Fault {
-    /// Workers that have a link of their own.
-    const LINKED: usize = 6;
+fn random_fault(rng: &mut Rng, vms: usize) -> Fault {
+    /// The number of workers that have a link of their own.
+    const LINKED_WORKERS: usize = 6;
     let vm = rng.usize(..vms);
-    let worker = rng.usize(..LINKED);
+    let worker = rng.usize(..LINKED_WORKERS);
     match rng.u32(..17) {
-        0 | 1 => Fault::Kill(vm, time(rng, 50..2_500)),
-        2 => Fault::KillAll(time(rng, 50..1_500)),
-        3 | 4 => Fault::Pause(vm, time(rng, 200..4_000)),
+        0 | 1 => Fault::Kill(vm, random_time(rng, 50..2_500)),
+        2 => Fault::KillAll(random_time(rng, 50..1_500)),
+        3 | 4 => Fault::Pause(vm, random_time(rng, 200..4_000)),
         5 => Fault::Terminate(vm),
         6 => Fault::Hangup(vm),
-        7 | 8 => Fault::Store(vm, way(rng), time(rng, 300..5_000)),
-        9 | 10 => Fault::Worker(worker, way(rng), time(rng, 300..7_000)),
-        11 => Fault::Crash(worker),
-        12 => Fault::Late(worker, time(rng, 500..4_000)),
+        7 | 8 => Fault::LogLink(vm, random_link_fault(rng), random_time(rng, 300..5_000)),
+        9 | 10 => Fault::WorkerLink(worker, random_link_fault(rng), random_time(rng, 300..7_000)),
+        11 => Fault::CrashWorker(worker),
+        12 => Fault::DelayOrders(worker, random_time(rng, 500..4_000)),
         13 => match rng.bool() {
-            true => Fault::LogBusy(time(rng, 300..4_000)),
-            false => Fault::LogSilent(time(rng, 300..4_000)),
+            true => Fault::LogBusy(random_time(rng, 300..4_000)),
+            false => Fault::LogUnresponsive(random_time(rng, 300..4_000)),
         },
-        14 => Fault::LogLosesAnswers(time(rng, 300..3_000)),
+        14 => Fault::LogLosesAnswers(random_time(rng, 300..3_000)),
         15 => match rng.bool() {
-            true => Fault::LogSlow(time(rng, 40..200), time(rng, 300..4_000)),
-            false => Fault::Forget,
+            true => Fault::LogSlowAppends(random_time(rng, 40..200), random_time(rng, 300..4_000)),
+            false => Fault::DropHistory,
         },
         _ => Fault::Configure,
     }
 }
 
-fn way(rng: &mut Rng) -> Way {
+fn random_link_fault(rng: &mut Rng) -> LinkFault {
     match rng.u32(..4) {
-        0 => Way::Cut,
-        1 => Way::CutBack,
-        2 => Way::Reset,
-        _ => Way::Delay(rng.u64(20..400)),
+        0 => LinkFault::Cut,
+        1 => LinkFault::CutReplies,
+        2 => LinkFault::Reset,
+        _ => LinkFault::Delay(rng.u64(20..400)),
     }
 }
--- a/tests/soak/promises.rs
+++ b/tests/soak/promises.rs
@@ -1,117 +1,130 @@
-//! What must hold of all that callers and workers saw.
+//! Checks the promises of the system against what callers and workers observed.
 
 use std::time::{Duration, Instant};
 
 use daisy_platform_standin::Seen;
 
 use crate::{
-    callers::{Call, Told},
+    callers::{StateAnswer, SubmittedJob},
     fleet::CORES,
 };
 
-/// Tasks of half a core that a worker holds.
-const TASKS_MAX: usize = CORES as usize * 2;
-/// How long after its acceptance a job may be unknown to a VM, and how far a VM may be behind others
-/// in what it tells: it says that it does not know once it has not read for 2.6 s.
-const VISIBLE: Duration = Duration::from_secs(3);
+/// The number of tasks of half a core that fit on a worker.
+const TASKS_PER_WORKER_MAX: usize = CORES as usize * 2;
+/// How long a job may be unknown to a VM after its acceptance, and how old a VM's answer may be in
+/// comparison with others: a VM that has not read the log for 2.6 s answers that it does not know.
+const STALENESS_MAX: Duration = Duration::from_secs(3);
 
-/// All promises that were broken, in words.
-pub fn broken(calls: &[Call], runs: &[(usize, Seen)]) -> Vec<String> {
-    let mut broken = Vec::new();
-    for call in calls {
-        broken.extend(told_truly(call));
-        let of_job: Vec<_> = runs.iter().filter(|(_, it)| it.task.starts_with(&call.id)).collect();
-        broken.extend(of_one_job(call, &of_job));
+/// Returns descriptions of all violations of the promises.
+pub fn violations(jobs: &[SubmittedJob], runs: &[(usize, Seen)]) -> Vec<String> {
+    let mut violations = Vec::new();
+    for job in jobs {
+        violations.extend(state_violations(job));
+        let of_job: Vec<_> = runs.iter().filter(|(_, it)| it.task.starts_with(&job.id)).collect();
+        violations.extend(run_violations(job, &of_job));
     }
-    let known = |it: &Seen| calls.iter().any(|call| it.task.starts_with(&call.id));
-    let foreign = runs.iter().filter(|(_, it)| !known(it));
-    broken.extend(foreign.map(|(_, it)| format!("{} runs and nobody submitted it", it.task)));
-    broken.extend(over_capacity(runs));
-    broken
+    let was_submitted = |it: &Seen| jobs.iter().any(|job| it.task.starts_with(&job.id));
+    let foreign = runs.iter().filter(|(_, it)| !was_submitted(it));
+    violations
+        .extend(foreign.map(|(_, it)| format!("task {} ran but no caller submitted it", it.task)));
+    violations.extend(capacity_violations(runs));
+    violations
 }
 
-/// A job that was accepted is never unknown later on, and an ended one is not told to run: by the
-/// same VM never, by another one not after the time that it may be behind.
-fn told_truly(call: &Call) -> Vec<String> {
-    let mut broken = Vec::new();
-    for (at, told) in call.told.iter().enumerate() {
-        let late = call.accepted.is_some_and(|it| told.at > it + VISIBLE);
-        if told.status == 410 && late && call.cancel_sent.is_none() {
-            broken.push(format!("{} was accepted and is said not to exist", call.id));
+/// Checks the reported states: an accepted job is not reported as unknown after [`STALENESS_MAX`],
+/// and a job that was reported as completed is not reported as queued or running later, by the same
+/// VM at any time and by another VM after [`STALENESS_MAX`].
+fn state_violations(job: &SubmittedJob) -> Vec<String> {
+    let mut violations = Vec::new();
+    for (index, answer) in job.answers.iter().enumerate() {
+        let must_be_known =
+            job.accepted_at.is_some_and(|it| answer.received_at > it + STALENESS_MAX);
+        if answer.status == 410 && must_be_known && job.cancel_sent_at.is_none() {
+            violations.push(format!("job {} was accepted but is reported as unknown", job.id));
         }
-        let open = told.state.contains("running") || told.state.contains("queued");
-        for before in call.told[..at].iter().filter(|it| it.state.contains("completed")) {
-            let behind = before.vm != told.vm && told.at < before.at + VISIBLE;
-            if open && !behind {
-                let Told { vm, state, .. } = told;
-                let was = before.vm;
-                broken.push(format!("{} ended at VM {was} and is {state} at VM {vm}", call.id));
+        let is_unfinished = answer.body.contains("running") || answer.body.contains("queued");
+        for earlier in job.answers[..index].iter().filter(|it| it.body.contains("completed")) {
+            let may_be_stale =
+                earlier.vm != answer.vm && answer.received_at < earlier.received_at + STALENESS_MAX;
+            if is_unfinished && !may_be_stale {
+                let StateAnswer { vm, body, .. } = answer;
+                let earlier_vm = earlier.vm;
+                violations.push(format!(
+                    "job {} was completed at VM {earlier_vm} but is {body} at VM {vm}",
+                    job.id
+                ));
             }
         }
     }
-    broken
+    violations
 }
 
-fn of_one_job(call: &Call, runs: &[&(usize, Seen)]) -> Vec<String> {
-    let mut broken = Vec::new();
-    let refused = call.submitted.iter().all(|it| *it == 503) && !call.submitted.is_empty();
-    if refused && !runs.is_empty() {
-        broken.push(format!("{} was refused and runs", call.id));
+/// Checks the runs of one job's tasks: only an accepted job runs, all of its tasks run unless it is
+/// cancelled, and no task runs at two places at one time or again after its acknowledged end.
+fn run_violations(job: &SubmittedJob, runs: &[&(usize, Seen)]) -> Vec<String> {
+    let mut violations = Vec::new();
+    let was_rejected =
+        job.submit_statuses.iter().all(|it| *it == 503) && !job.submit_statuses.is_empty();
+    if was_rejected && !runs.is_empty() {
+        violations.push(format!("job {} was rejected but ran", job.id));
     }
     let mut done: Vec<_> = runs.iter().filter(|(_, it)| it.done).map(|(_, it)| &it.task).collect();
     done.sort_unstable();
     done.dedup();
-    if call.accepted.is_some() && call.cancel_sent.is_none() && done.len() != call.tasks {
-        broken.push(format!(
-            "{} was accepted; {} of {} tasks ran",
-            call.id,
+    if job.accepted_at.is_some() && job.cancel_sent_at.is_none() && done.len() != job.task_count {
+        violations.push(format!(
+            "job {} was accepted, but {} of {} tasks were done",
+            job.id,
             done.len(),
-            call.tasks
+            job.task_count
         ));
     }
-    if call.cancelled.is_some() && runs.iter().any(|(_, it)| it.ended.is_none()) {
-        broken.push(format!("{} was cancelled and runs on", call.id));
+    if job.cancelled_at.is_some() && runs.iter().any(|(_, it)| it.ended.is_none()) {
+        violations.push(format!("job {} was cancelled but still runs", job.id));
     }
-    for (at, (first, a)) in runs.iter().enumerate() {
-        for (second, b) in &runs[at + 1..] {
+    for (index, (worker_a, a)) in runs.iter().enumerate() {
+        for (worker_b, b) in &runs[index + 1..] {
             if a.task != b.task {
                 continue;
             }
-            if overlap(a, b) {
-                broken.push(format!(
-                    "{} runs {} on {first} and {} on {second} at one time",
+            if overlaps(a, b) {
+                violations.push(format!(
+                    "task {}: run {} on worker {worker_a} and run {} on worker {worker_b} overlap",
                     a.task, a.run, b.run
                 ));
             }
-            let (one, next) = if a.began <= b.began { (a, b) } else { (b, a) };
-            if one.done && one.acknowledged {
-                broken.push(format!("{} run {} starts after its end", one.task, next.run));
+            let (earlier, later) = if a.began <= b.began { (a, b) } else { (b, a) };
+            if earlier.done && earlier.acknowledged {
+                violations.push(format!(
+                    "task {}: run {} starts after the task's acknowledged end",
+                    earlier.task, later.run
+                ));
             }
         }
     }
-    broken
+    violations
 }
 
-/// Whether two runs were there at one time.
-fn overlap(a: &Seen, b: &Seen) -> bool {
-    let ends = |it: &Seen| it.ended.unwrap_or_else(|| it.began + Duration::from_secs(3_600));
-    a.began < ends(b) && b.began < ends(a)
+/// Returns whether two runs overlap in time; a run without an end is treated as still running.
+fn overlaps(a: &Seen, b: &Seen) -> bool {
+    let end_of = |it: &Seen| it.ended.unwrap_or_else(|| it.began + Duration::from_secs(3_600));
+    a.began < end_of(b) && b.began < end_of(a)
 }
 
-/// Workers that held more at one time than they have room for.
-fn over_capacity(runs: &[(usize, Seen)]) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Checks that no worker ever held more tasks at one time than fit on it.
+fn capacity_violations(runs: &[(usize, Seen)]) -> Vec<String> {
+    let mut violations = Vec::new();
     let workers = runs.iter().map(|(worker, _)| *worker).max().map_or(0, |it| it + 1);
     for worker in 0..workers {
         let mut changes: Vec<(Instant, i32)> = Vec::new();
-        for (_, it) in runs.iter().filter(|(at, _)| *at == worker) {
+        for (_, it) in runs.iter().filter(|(index, _)| *index == worker) {
             changes.push((it.began, 1));
             changes.extend(it.ended.map(|at| (at, -1)));
         }
-        // Where one ends as another begins, the end counts first.
+        // If one run ends when another begins, the end is applied first.
         changes.sort_by_key(|(at, change)| (*at, *change));
         let mut held = 0;
-        let most = changes
+        let held_max = changes
             .iter()
             .map(|(_, it)| {
                 held += it;
@@ -119,9 +132,10 @@
             })
             .max()
             .unwrap_or_default();
-        if most > TASKS_MAX as i32 {
-            broken.push(format!("worker {worker} held {most} tasks; {TASKS_MAX} fit"));
+        if held_max > TASKS_PER_WORKER_MAX as i32 {
+            violations
+                .push(format!("worker {worker} held {held_max} tasks; {TASKS_PER_WORKER_MAX} fit"));
         }
     }
-    broken
+    violations
 }
