--- a/tests/soak/promises.rs
+++ b/tests/soak/promises.rs
@@ -59,8 +59,9 @@
     violations
 }
 
-/// Checks the runs of one job's tasks: only an accepted job runs, all of its tasks run unless it is
-/// cancelled, and no task runs at two places at one time or again after its acknowledged end.
+/// Checks the runs of one job's tasks: no task of a rejected job runs, all tasks of an accepted job
+/// are done unless it is cancelled, no task of a cancelled job still runs, and no task runs twice at
+/// one time or again after its acknowledged end.
 fn run_violations(job: &SubmittedJob, runs: &[&(usize, Seen)]) -> Vec<String> {
     let mut violations = Vec::new();
     let was_rejected =
