--- a/tests/proofs/at_most_once.rs
+++ b/tests/proofs/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Point 6: a non-idempotent request runs at most once.
+//! Guarantee 6: a non-idempotent request runs at most once.
 
 use std::time::Duration;
 
@@ -9,89 +9,93 @@
 };
 use tokio::time::sleep;
 
-use crate::{assert_none, cluster::Cluster, shape::Shape};
+use crate::{assert_no_violations, cluster::Cluster, cluster_config::ClusterConfig};
 
-fn orders(cluster: &Cluster, count: u64, rate: f64) -> Options {
-    Options { keyed_per_mille: 1_000, service_ms: Some(10), ..cluster.load(count, rate) }
+/// Returns a load of which every request has an idempotency key and takes 10 ms.
+fn keyed_load(cluster: &Cluster, count: u64, rate: f64) -> Options {
+    Options { keyed_per_mille: 1_000, service_ms: Some(10), ..cluster.load_options(count, rate) }
 }
 
-fn check(cluster: &Cluster, callers: &daisy_standin::Recorder) {
+/// Checks the histories of a cluster and its callers.
+fn check_history(cluster: &Cluster, callers: &daisy_standin::Recorder) {
     let history = cluster.history(vec![callers.history()]);
-    assert_none(at_most_once::check(&history));
-    assert_none(not_run::check(&history));
-    assert_none(own_answer::check(&history));
+    assert_no_violations(at_most_once::check(&history));
+    assert_no_violations(not_run::check(&history));
+    assert_no_violations(own_answer::check(&history));
 }
 
-async fn lose_answers(cluster: &Cluster) {
+/// Lets all backend servers lose 15 % of their answers.
+async fn lose_backend_answers(cluster: &Cluster) {
     for (vm, _) in &cluster.workers {
         let faults = Faults { lose_per_mille: 150, seed: 11, ..Faults::default() };
-        cluster.set_faults(cluster.at.backend(vm.id), faults).await;
+        cluster.set_faults(cluster.addresses.backend(vm.id), faults).await;
     }
 }
 
-/// Backend servers run orders and lose the answers; callers repeat their orders through other
-/// entry VMs under the same key. Passed on again, an order would be baked twice.
+/// Backend servers run requests and lose the answers; callers retry through other entry VMs under
+/// the same key. If an entry VM forwarded such a retry, the request would run twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn retries_through_other_entry_vms_run_nothing_twice() {
-    let shape = Shape { dcs: vec![("porto", "north", 3, 2)], ..Shape::default() };
-    let mut cluster = Cluster::start("retries", shape).await;
+    let config = ClusterConfig { dcs: vec![("porto", "north", 3, 2)], ..ClusterConfig::default() };
+    let mut cluster = Cluster::start("retries", config).await;
     cluster.create_service(2).await;
-    cluster.keys_settled().await;
-    lose_answers(&cluster).await;
+    cluster.wait_for_key_histories().await;
+    lose_backend_answers(&cluster).await;
 
-    let load = Load::start(orders(&cluster, 400, 100.0)).await.expect("callers");
+    let load = Load::start(keyed_load(&cluster, 400, 100.0)).await.expect("callers");
     let callers = load.recorder();
     let report = load.finish().await.expect("a report");
 
-    check(&cluster, &callers);
+    check_history(&cluster, &callers);
     assert!(report.answered > 250, "{report}");
 }
 
-/// An entry VM is killed, and with it the keys that it keeps; another one is frozen and comes
-/// back with keys and requests from before. Callers repeat through whoever is ready. What the
-/// new homes have not seen they must not run.
+/// An entry VM is killed, and the keys that it stores are lost; another one is paused and resumes
+/// with old keys and requests. Callers retry through any entry VM that is ready. The new homes of
+/// the keys must not run requests whose history they do not know.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn homes_of_keys_that_are_killed_or_frozen_run_nothing_twice() {
-    let shape = Shape { dcs: vec![("porto", "north", 4, 2)], ..Shape::default() };
-    let mut cluster = Cluster::start("homes", shape).await;
+    let config = ClusterConfig { dcs: vec![("porto", "north", 4, 2)], ..ClusterConfig::default() };
+    let mut cluster = Cluster::start("homes", config).await;
     cluster.create_service(2).await;
-    cluster.keys_settled().await;
-    lose_answers(&cluster).await;
+    cluster.wait_for_key_histories().await;
+    lose_backend_answers(&cluster).await;
 
-    let load = Load::start(orders(&cluster, 700, 100.0)).await.expect("callers");
+    let load = Load::start(keyed_load(&cluster, 700, 100.0)).await.expect("callers");
     let callers = load.recorder();
     sleep(Duration::from_millis(1_500)).await;
     cluster.kill_entry(0);
     sleep(Duration::from_millis(1_000)).await;
-    cluster.entries[1].1.freeze();
+    cluster.entries[1].1.pause();
     sleep(Duration::from_millis(2_500)).await;
-    cluster.entries[1].1.thaw();
+    cluster.entries[1].1.resume();
     let report = load.finish().await.expect("a report");
 
-    check(&cluster, &callers);
+    check_history(&cluster, &callers);
     assert!(report.answered > 100, "{report}");
 }
 
-/// Two data centres take orders and lose sight of each other in the middle. A caller whose
-/// attempt at one went unanswered tries the other, which cannot ask about the key. It must
-/// not run the order.
+/// Two data centres accept requests and are cut off from each other meanwhile. A caller whose
+/// attempt at one data centre got no answer retries at the other, which cannot query the first
+/// about the key. It must not run the request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn data_centres_that_are_cut_from_each_other_run_nothing_twice() {
     let dcs = vec![("porto", "north", 2, 2), ("lisbon", "south", 2, 2)];
-    let mut cluster = Cluster::start("cut-keys", Shape { dcs, ..Shape::default() }).await;
-    let link = cluster.link_off(1).await;
+    let mut cluster =
+        Cluster::start("cut-keys", ClusterConfig { dcs, ..ClusterConfig::default() }).await;
+    let link = cluster.insert_link_around_dc(1).await;
     cluster.create_service(4).await;
-    cluster.keys_settled().await;
-    lose_answers(&cluster).await;
+    cluster.wait_for_key_histories().await;
+    lose_backend_answers(&cluster).await;
 
-    let load = Load::start(orders(&cluster, 600, 100.0)).await.expect("callers");
+    let load = Load::start(keyed_load(&cluster, 600, 100.0)).await.expect("callers");
     let callers = load.recorder();
     sleep(Duration::from_millis(1_500)).await;
-    cluster.cut(&link, 1).await;
+    cluster.isolate_dc(&link, 1).await;
     sleep(Duration::from_millis(2_500)).await;
-    cluster.heal(&link, 1).await;
+    cluster.reconnect_dc(&link, 1).await;
     let report = load.finish().await.expect("a report");
 
-    check(&cluster, &callers);
+    check_history(&cluster, &callers);
     assert!(report.answered > 150, "{report}");
 }
--- a/tests/proofs/cluster.rs
+++ b/tests/proofs/cluster.rs
@@ -1,4 +1,4 @@
-//! All processes of one test.
+//! A cluster: all processes of one test.
 
 use std::{
     collections::BTreeSet,
@@ -23,78 +23,84 @@
 };
 
 use crate::{
-    eventually,
+    cluster_config::{Addresses, ClusterConfig, SERVICE, entry_vm},
     operators::Operator,
     process::Process,
-    shape::{Addresses, SERVICE, Shape, entry_vm},
+    wait_for,
 };
 
-const STARTS: Duration = Duration::from_secs(15);
-const STATUS_POLL: Duration = Duration::from_millis(100);
-/// How tasks of particular jobs run; written before any worker reads it.
-const JOBS: &str = "jobs.json";
-pub const SOON: Duration = Duration::from_secs(2);
-const KEYS_SETTLED: Duration = Duration::from_millis(6_000);
-/// Two reads of the VM list.
-const LIST_READ: Duration = Duration::from_millis(400);
-/// What the number of a VM's replacement has more.
-const ROLLED: u32 = 50;
-
-/// The processes of one test and what they saw.
+/// Time limit for processes to be ready, the service to answer and changes to be accepted.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
+/// The interval at which status and histories are polled.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The file with the behaviour of particular jobs; written before any worker starts.
+const JOBS_FILE: &str = "jobs.json";
+/// The timeout of a call to a stand-in or an entry VM.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the homes of keys need until their history is complete; longer than the 5 s of a key
+/// transfer.
+const KEY_HISTORY_DELAY: Duration = Duration::from_millis(6_000);
+/// The time of two reads of the VM list.
+const LIST_READ_DELAY: Duration = Duration::from_millis(400);
+/// The difference between the id of a VM and that of its replacement.
+const REPLACEMENT_ID_OFFSET: u32 = 50;
+
+/// The processes of one test and what they recorded.
 #[derive(Debug)]
 pub struct Cluster {
-    pub at: Addresses,
-    pub shape: Shape,
+    pub addresses: Addresses,
+    pub config: ClusterConfig,
     pub operator: Operator,
     pub client: Client,
     pub platform: Process,
     pub entries: Vec<(VmJson, Process)>,
     pub workers: Vec<(VmJson, Process)>,
     dir: PathBuf,
-    watchers: Vec<Watcher>,
-    _turn: SemaphorePermit<'static>,
+    config_watchers: Vec<ConfigWatcher>,
+    _permit: SemaphorePermit<'static>,
 }
 
-/// Tests that run at one time, whatever the number of the machine's cores: each starts up to
-/// a dozen processes, and starved ones would miss their heartbeats.
-static TURNS: Semaphore = Semaphore::const_new(4);
+/// Limits the tests that run at one time, whatever the number of the machine's cores: each starts
+/// up to a dozen processes, which would miss their heartbeats if they got too little processor
+/// time.
+static TEST_PERMITS: Semaphore = Semaphore::const_new(4);
 
-/// Asks one entry VM again and again what it has in force.
+/// Polls one entry VM for the configuration that it has in force, and records it.
 #[derive(Debug)]
-struct Watcher {
+struct ConfigWatcher {
     recorder: Recorder,
     task: JoinHandle<()>,
 }
 
 impl Cluster {
-    /// Starts everything and waits until all entry VMs are ready.
-    pub async fn start(test: &str, shape: Shape) -> Cluster {
-        let turn = TURNS.acquire().await.expect("never closed");
-        let at = Addresses::take();
+    /// Starts all processes and waits until all entry VMs are ready.
+    pub async fn start(test: &str, config: ClusterConfig) -> Cluster {
+        let permit = TEST_PERMITS.acquire().await.expect("the semaphore is never closed");
+        let addresses = Addresses::allocate();
         let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("proofs-{test}"));
         let _ = fs::remove_dir_all(&dir);
         fs::create_dir_all(&dir).expect("a directory for the test");
-        let jobs = serde_json::to_vec(&shape.jobs).expect("JSON");
-        fs::write(dir.join(JOBS), jobs).expect("the jobs' file");
-        let vms = shape.vms(at);
-        let platform = start_platform(&dir, &shape, &vms, at);
+        let jobs = serde_json::to_vec(&config.jobs).expect("JSON");
+        fs::write(dir.join(JOBS_FILE), jobs).expect("the jobs' file");
+        let vms = config.vms(addresses);
+        let platform = start_platform(&dir, &config, &vms, addresses);
         let mut cluster = Cluster {
-            at,
-            shape,
+            addresses,
+            config,
             operator: Operator::new("operator"),
             client: Client::new(),
             platform,
             entries: Vec::new(),
             workers: Vec::new(),
             dir,
-            watchers: Vec::new(),
-            _turn: turn,
+            config_watchers: Vec::new(),
+            _permit: permit,
         };
-        cluster.answers(at.platform(), "/v1/vms").await;
+        cluster.wait_for_answer(addresses.platform(), "/v1/vms").await;
         for vm in vms {
             cluster.start_vm(vm);
         }
-        cluster.ready(STARTS).await;
+        cluster.wait_until_ready(START_TIMEOUT).await;
         cluster
     }
 
@@ -106,16 +112,17 @@
         }
     }
 
-    /// Waits until every entry VM that runs is ready.
-    pub async fn ready(&mut self, within: Duration) {
-        let at = self.at;
-        let all = self.entries.iter_mut();
-        let all = all.filter_map(|(vm, process)| process.runs().then_some(vm.id));
-        let all: Vec<u32> = all.collect();
-        for id in all {
+    /// Waits until every running entry VM is ready.
+    pub async fn wait_until_ready(&mut self, timeout: Duration) {
+        let addresses = self.addresses;
+        let running = self.entries.iter_mut();
+        let running = running.filter_map(|(vm, process)| process.is_running().then_some(vm.id));
+        let running: Vec<u32> = running.collect();
+        for id in running {
             let client = self.client.clone();
-            eventually("an entry VM is ready", within, async || {
-                let answer = client.get(at.callers(id), "/readyz", SOON).await.ok()?;
+            wait_for("an entry VM is ready", timeout, async || {
+                let answer =
+                    client.get(addresses.callers(id), "/readyz", CALL_TIMEOUT).await.ok()?;
                 answer.status.is_success().then_some(())
             })
             .await;
@@ -124,15 +131,16 @@
 
     /// Creates the service with `tasks` tasks and waits until a request is answered.
     ///
-    /// A task takes more than half a worker, so that each has a worker of its own.
+    /// A task needs more than half of a worker's processors, so that each task has a worker of its
+    /// own.
     pub async fn create_service(&mut self, tasks: u32) {
         let create = format!(
             "create service {SERVICE} team web tasks {tasks} cpu 5 memory 256Mi priority critical"
         );
-        self.accept("quota team web cpu 1000 memory 1000Gi accelerators 100").await;
-        self.accept(&create).await;
-        let options = self.load(1, 1.0);
-        eventually("the service answers", STARTS, async || {
+        self.submit_statement("quota team web cpu 1000 memory 1000Gi accelerators 100").await;
+        self.submit_statement(&create).await;
+        let options = self.load_options(1, 1.0);
+        wait_for("the service answers", START_TIMEOUT, async || {
             let options = LoadOptions { attempts: 1, first_call: u64::MAX - 1, ..options.clone() };
             let report = Load::start(options).await.ok()?.finish().await.ok()?;
             (report.answered == 1).then_some(())
@@ -140,40 +148,43 @@
         .await;
     }
 
-    /// Waits until the keys' homes vouch for their past: a process that has just started knows
-    /// of no keys before it, and vouches only after the retry window, here 3 s, or after the
-    /// 5 s in which others may hand their keys over.
-    pub async fn keys_settled(&self) {
-        self.accept("publish policy retry-window=3s").await;
-        sleep(KEYS_SETTLED).await;
+    /// Waits until the homes of keys have a complete history: a process that has just started knows
+    /// no earlier keys, and its history is complete only after the retry window, here 3 s, or after
+    /// the 5 s in which other processes may transfer their keys.
+    pub async fn wait_for_key_histories(&self) {
+        self.submit_statement("publish policy retry-window=3s").await;
+        sleep(KEY_HISTORY_DELAY).await;
     }
 
-    /// Makes a change through any entry VM, and fails unless it is accepted in the end.
-    pub async fn accept(&self, statement: &str) -> u64 {
-        eventually(statement, STARTS, async || {
+    /// Submits a statement through any entry VM until it is accepted, and returns the new
+    /// generation; panics after [`START_TIMEOUT`].
+    pub async fn submit_statement(&self, statement: &str) -> u64 {
+        wait_for(statement, START_TIMEOUT, async || {
             for (vm, _) in &self.entries {
-                let entry = self.at.operators(vm.id);
-                let Some(said) = self.operator.say(entry, statement).await else { continue };
-                let generation = said["results"][0]["generation"].as_u64();
+                let entry = self.addresses.operators(vm.id);
+                let Some(answer) = self.operator.send_statements(entry, statement).await else {
+                    continue;
+                };
+                let generation = answer["results"][0]["generation"].as_u64();
                 if let Some(generation) = generation {
                     self.operator
                         .recorder()
                         .record(EventKind::ConfigAccepted { version: generation });
                     return Some(generation);
                 }
-                eprintln!("{statement}: {said}");
+                eprintln!("{statement}: {answer}");
             }
             None
         })
         .await
     }
 
-    /// Callers that make `count` requests at `rate` a second through all entry VMs, and
-    /// through those that replace them.
-    pub fn load(&self, count: u64, rate: f64) -> LoadOptions {
-        let ids = self.entries.iter().flat_map(|(vm, _)| [vm.id, vm.id + ROLLED]);
+    /// Returns the options for a load of `count` requests at `rate` per second through all entry
+    /// VMs and those that replace them.
+    pub fn load_options(&self, count: u64, rate: f64) -> LoadOptions {
+        let ids = self.entries.iter().flat_map(|(vm, _)| [vm.id, vm.id + REPLACEMENT_ID_OFFSET]);
         LoadOptions {
-            entries: ids.map(|id| self.at.callers(id)).collect(),
+            entries: ids.map(|id| self.addresses.callers(id)).collect(),
             history: Some(self.dir.join("callers.jsonl")),
             service: SERVICE.to_owned(),
             count,
@@ -182,21 +193,32 @@
         }
     }
 
-    /// Waits until tasks 0 to `tasks` of `job` are done; else fails with the system's reason.
-    pub async fn done(&self, job: u32, tasks: u32, within: Duration) {
+    /// Waits until tasks 0 to `task_count - 1` of a job are done; panics after the timeout, with the
+    /// system's reason for an unfinished task.
+    pub async fn wait_for_done_tasks(&self, job: u32, task_count: u32, timeout: Duration) {
         let began = Instant::now();
         loop {
             let done = self.done_tasks(job);
-            let Some(open) = (0..tasks).find(|index| !done.contains(index)) else { return };
-            if began.elapsed() > within {
-                let entry = self.at.operators(self.entries[self.holder(0).await].0.id);
-                let why = self.operator.say(entry, &format!("why task {job}/{open}")).await;
-                panic!("{} of {tasks} tasks are done; task {job}/{open}: {why:?}", done.len());
+            let Some(unfinished) = (0..task_count).find(|index| !done.contains(index)) else {
+                return;
+            };
+            if began.elapsed() > timeout {
+                let entry =
+                    self.addresses.operators(self.entries[self.wait_for_holder(0).await].0.id);
+                let reason = self
+                    .operator
+                    .send_statements(entry, &format!("why task {job}/{unfinished}"))
+                    .await;
+                panic!(
+                    "{} of {task_count} tasks are done; task {job}/{unfinished}: {reason:?}",
+                    done.len()
+                );
             }
-            sleep(STATUS_POLL).await;
+            sleep(STATUS_POLL_INTERVAL).await;
         }
     }
 
+    /// Returns the indexes of the tasks of a job that are done.
     fn done_tasks(&self, job: u32) -> BTreeSet<u32> {
         let history = self.worker_history();
         let done = history.events().iter().filter_map(|event| match event.kind {
@@ -206,22 +228,23 @@
         done.collect()
     }
 
-    /// Waits until a task of `job` runs anywhere.
-    pub async fn runs(&self, job: u32, within: Duration) {
-        eventually("a task runs", within, async || {
+    /// Waits until any worker has started a task of a job.
+    pub async fn wait_for_task_start(&self, job: u32, timeout: Duration) {
+        wait_for("a task runs", timeout, async || {
             let history = self.worker_history();
-            let started =
+            let is_start =
                 |kind: &EventKind| matches!(kind, EventKind::TaskStarted { run, .. } if run.job == job);
-            history.events().iter().any(|event| started(&event.kind)).then_some(())
+            history.events().iter().any(|event| is_start(&event.kind)).then_some(())
         })
         .await;
     }
 
-    /// The position in `entries` of the holder of a data centre, once it has one.
-    pub async fn holder(&self, dc: u16) -> usize {
-        eventually("the data centre has a holder", STARTS, async || {
+    /// Waits until a data centre has a holder, and returns the holder's index in `entries`.
+    pub async fn wait_for_holder(&self, dc: u16) -> usize {
+        wait_for("the data centre has a holder", START_TIMEOUT, async || {
             for (vm, _) in self.entries.iter().filter(|(vm, _)| vm.dc == dc) {
-                let Some(status) = self.operator.status(self.at.operators(vm.id)).await else {
+                let Some(status) = self.operator.status(self.addresses.operators(vm.id)).await
+                else {
                     continue;
                 };
                 let Some(holder) = status["holder"].as_u64() else { continue };
@@ -236,132 +259,138 @@
     }
 
     /// Replaces the platform's fault switches.
-    pub async fn platform_faults(&self, faults: Faults) {
-        self.set_faults(self.at.platform(), faults).await;
+    pub async fn set_platform_faults(&self, faults: Faults) {
+        self.set_faults(self.addresses.platform(), faults).await;
     }
 
     /// Replaces the fault switches of a stand-in.
     pub async fn set_faults(&self, standin: SocketAddr, faults: Faults) {
-        self.client.set_faults(standin, &faults).await.expect("the switches are set");
+        self.client.set_faults(standin, &faults).await.expect("the fault switches are set");
     }
 
     /// Changes the platform's list of VMs.
     pub async fn change_vm(&self, change: &VmChange) {
         let body = serde_json::to_vec(change).expect("JSON");
-        let answer = self.client.post(self.at.platform(), "/standin/vms", body, SOON).await;
+        let answer =
+            self.client.post(self.addresses.platform(), "/standin/vms", body, CALL_TIMEOUT).await;
         assert!(answer.as_ref().is_ok_and(|it| it.status.is_success()), "{answer:?}");
     }
 
-    /// Kills an entry VM.
-    pub fn kill_entry(&mut self, at: usize) {
-        let entry = self.callers_of(at);
-        self.entries[at].1.kill(Some(entry));
+    /// Kills the process of an entry VM.
+    pub fn kill_entry(&mut self, index: usize) {
+        let entry = self.caller_address_of(index);
+        self.entries[index].1.kill(Some(entry));
     }
 
-    /// Asks an entry VM for its planned stop.
-    pub fn terminate_entry(&self, at: usize) {
-        self.entries[at].1.terminate(Some(self.callers_of(at)));
+    /// Starts the planned stop of an entry VM.
+    pub fn terminate_entry(&self, index: usize) {
+        self.entries[index].1.terminate(Some(self.caller_address_of(index)));
     }
 
-    fn callers_of(&self, at: usize) -> String {
-        self.at.callers(self.entries[at].0.id).to_string()
+    fn caller_address_of(&self, index: usize) -> String {
+        self.addresses.callers(self.entries[index].0.id).to_string()
     }
 
-    /// Replaces all entry VMs one after the other: a fresh one is ready before an old one
-    /// stops, and `within` bounds each stop.
-    pub async fn roll(&mut self, within: Duration) {
-        let old = self.entries.len();
-        for at in 0..old {
-            let vm = &self.entries[at].0;
-            let fresh = entry_vm(vm.id + ROLLED, vm.dc, self.at);
-            self.change_vm(&VmChange::Put(fresh.clone())).await;
-            self.start_vm(fresh);
-            self.ready(STARTS).await;
-            self.change_vm(&VmChange::Leave(self.entries[at].0.id)).await;
-            self.terminate_entry(at);
-            let status = self.entries[at].1.ended(within).await;
+    /// Replaces all entry VMs one after the other: the replacement is ready before the old one
+    /// stops, and each stop must end within `stop_timeout`.
+    pub async fn replace_all_entries(&mut self, stop_timeout: Duration) {
+        let old_count = self.entries.len();
+        for index in 0..old_count {
+            let vm = &self.entries[index].0;
+            let replacement = entry_vm(vm.id + REPLACEMENT_ID_OFFSET, vm.dc, self.addresses);
+            self.change_vm(&VmChange::Put(replacement.clone())).await;
+            self.start_vm(replacement);
+            self.wait_until_ready(START_TIMEOUT).await;
+            self.change_vm(&VmChange::Leave(self.entries[index].0.id)).await;
+            self.terminate_entry(index);
+            let status = self.entries[index].1.wait_for_exit(stop_timeout).await;
             assert!(status.success(), "{status}");
-            self.change_vm(&VmChange::Remove(self.entries[at].0.id)).await;
-            // A VM that starts while the list still names one that is gone waits in vain for its
-            // keys, and vouches for none until a retry window later.
-            sleep(Duration::from_millis(self.shape.vm_lag_ms) + LIST_READ).await;
+            self.change_vm(&VmChange::Remove(self.entries[index].0.id)).await;
+            // A VM that starts while the list still has a removed VM waits for that VM's keys,
+            // which never come, and its own history of keys is not complete until a retry window
+            // later.
+            sleep(Duration::from_millis(self.config.vm_lag_ms) + LIST_READ_DELAY).await;
         }
     }
 
-    /// What workers and backend servers saw.
+    /// Returns what workers and backend servers recorded.
     pub fn worker_history(&self) -> History {
         History::merge(self.workers.iter().map(|(_, process)| process.history()).collect())
     }
 
-    /// What all processes saw, with the callers' part.
+    /// Returns what all processes recorded, merged with the callers' histories.
     pub fn history(&self, callers: Vec<History>) -> History {
         let processes = self.entries.iter().chain(&self.workers).map(|(_, process)| process);
         let mut parts: Vec<History> = processes.map(Process::history).collect();
         parts.push(self.platform.history());
         parts.push(self.operator.recorder().history());
-        parts.extend(self.watchers.iter().map(|watcher| watcher.recorder.history()));
+        parts.extend(self.config_watchers.iter().map(|watcher| watcher.recorder.history()));
         parts.extend(callers);
         History::merge(parts)
     }
 
-    async fn answers(&self, address: SocketAddr, path: &str) {
-        eventually("a stand-in answers", STARTS, async || {
-            self.client.get(address, path, SOON).await.ok().map(|_| ())
+    /// Waits until a stand-in answers.
+    async fn wait_for_answer(&self, address: SocketAddr, path: &str) {
+        wait_for("a stand-in answers", START_TIMEOUT, async || {
+            self.client.get(address, path, CALL_TIMEOUT).await.ok().map(|_| ())
         })
         .await;
     }
 
     fn start_entry(&mut self, vm: VmJson) {
         let file = self.dir.join(format!("{}.yaml", vm.name));
-        fs::write(&file, self.shape.settings(&vm, self.at)).expect("the settings' file");
-        let args = ["entry".to_owned(), "--settings".to_owned(), text(&file)];
+        fs::write(&file, self.config.settings(&vm, self.addresses)).expect("the settings' file");
+        let args = ["entry".to_owned(), "--settings".to_owned(), path_text(&file)];
         let process = Process::start(&vm.name, &self.dir, &args, None);
-        self.watch(&vm);
+        self.start_config_watcher(&vm);
         self.entries.push((vm, process));
     }
 
     fn start_worker(&mut self, vm: VmJson) {
-        let jobs = self.dir.join(JOBS);
+        let jobs = self.dir.join(JOBS_FILE);
         let history = self.dir.join(format!("{}.jsonl", vm.name));
         let args = [
             ("--name", vm.name.clone()),
-            ("--control", self.at.control(vm.id).to_string()),
-            ("--backend", self.at.backend(vm.id).to_string()),
+            ("--control", self.addresses.control(vm.id).to_string()),
+            ("--backend", self.addresses.backend(vm.id).to_string()),
             ("--cpu-milli", vm.capacity.cpu_milli.to_string()),
             ("--memory-mib", vm.capacity.memory_mib.to_string()),
             ("--accelerators", vm.capacity.accelerators.to_string()),
-            ("--run-ms", self.shape.run_ms.to_string()),
-            ("--jobs", text(&jobs)),
-            ("--history", text(&history)),
+            ("--run-ms", self.config.run_ms.to_string()),
+            ("--jobs", path_text(&jobs)),
+            ("--history", path_text(&history)),
         ];
-        let process = Process::start(&vm.name, &self.dir, &standin("worker", &args), Some(history));
+        let process =
+            Process::start(&vm.name, &self.dir, &standin_args("worker", &args), Some(history));
         self.workers.push((vm, process));
     }
 
-    fn watch(&mut self, vm: &VmJson) {
+    /// Starts to poll an entry VM for the configuration that it has in force.
+    fn start_config_watcher(&mut self, vm: &VmJson) {
         let recorder = Recorder::new(&vm.name);
-        let (operator, entry) = (self.operator.clone(), self.at.operators(vm.id));
-        let own = recorder.clone();
+        let (operator, entry) = (self.operator.clone(), self.addresses.operators(vm.id));
+        let watcher_recorder = recorder.clone();
         let task = tokio::spawn(async move {
             loop {
-                sleep(STATUS_POLL).await;
+                sleep(STATUS_POLL_INTERVAL).await;
                 let Some(status) = operator.status(entry).await else { continue };
-                // An entry VM that is not ready takes no callers, so it has nothing in force.
+                // An entry VM that is not ready accepts no callers, so no configuration is in force
+                // there.
                 if status["ready"].as_bool() != Some(true) {
                     continue;
                 }
                 if let Some(version) = status["generation"].as_u64() {
-                    own.record(EventKind::ConfigInForce { version });
+                    watcher_recorder.record(EventKind::ConfigInForce { version });
                 }
             }
         });
-        self.watchers.push(Watcher { recorder, task });
+        self.config_watchers.push(ConfigWatcher { recorder, task });
     }
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        for watcher in &self.watchers {
+        for watcher in &self.config_watchers {
             watcher.task.abort();
         }
         if !std::thread::panicking() {
@@ -370,24 +399,30 @@
     }
 }
 
-fn start_platform(dir: &Path, shape: &Shape, vms: &[VmJson], at: Addresses) -> Process {
+fn start_platform(
+    dir: &Path,
+    config: &ClusterConfig,
+    vms: &[VmJson],
+    addresses: Addresses,
+) -> Process {
     let list = dir.join("vms.json");
     fs::write(&list, serde_json::to_vec(vms).expect("JSON")).expect("the VM list's file");
     let history = dir.join("platform.jsonl");
     let args = [
-        ("--listen", at.platform().to_string()),
-        ("--vms", text(&list)),
-        ("--vm-lag-ms", shape.vm_lag_ms.to_string()),
-        ("--history", text(&history)),
+        ("--listen", addresses.platform().to_string()),
+        ("--vms", path_text(&list)),
+        ("--vm-lag-ms", config.vm_lag_ms.to_string()),
+        ("--history", path_text(&history)),
     ];
-    Process::start("platform", dir, &standin("platform", &args), Some(history))
+    Process::start("platform", dir, &standin_args("platform", &args), Some(history))
 }
 
-fn standin(kind: &str, options: &[(&str, String)]) -> Vec<String> {
+/// Returns the arguments that start a stand-in.
+fn standin_args(kind: &str, options: &[(&str, String)]) -> Vec<String> {
     let options = options.iter().flat_map(|(name, value)| [(*name).to_owned(), value.clone()]);
     ["standin", kind].map(str::to_owned).into_iter().chain(options).collect()
 }
 
-fn text(path: &Path) -> String {
-    path.to_str().expect("a path of text").to_owned()
+fn path_text(path: &Path) -> String {
+    path.to_str().expect("a path in UTF-8").to_owned()
 }
--- a/tests/proofs/main.rs
+++ b/tests/proofs/main.rs
@@ -1,14 +1,14 @@
-//! What must always hold, checked on histories of separate processes under faults.
+//! Proofs of the system's guarantees, on the histories of separate processes under faults.
 //!
 //! Each test starts a platform, workers, and entry VMs as processes of their own on loopback,
-//! brings faults about by signals and by the stand-ins' switches, and hands the merged
+//! injects faults by signals and by the stand-ins' fault switches, and passes the merged
 //! histories to the checkers of `daisy-history`.
 
 mod cluster;
-mod cuts;
+mod cluster_config;
 mod operators;
+mod partitions;
 mod process;
-mod shape;
 
 mod at_most_once;
 mod capacity;
@@ -26,28 +26,30 @@
 use daisy_history::Violation;
 use tokio::time::sleep;
 
-const POLL: Duration = Duration::from_millis(50);
-/// Violations that a failed test prints.
-const SHOWN: usize = 3;
+/// The interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The number of violations that a failed test prints at most.
+const VIOLATIONS_SHOWN_MAX: usize = 3;
 
-/// Waits until `holds` gives a value, and fails with `what` after `within`.
-async fn eventually<T, F>(what: &str, within: Duration, mut holds: F) -> T
+/// Waits until `condition` returns a value, and panics with `what` after `timeout`.
+async fn wait_for<T, F>(what: &str, timeout: Duration, mut condition: F) -> T
 where
     F: AsyncFnMut() -> Option<T>,
 {
     let began = Instant::now();
     loop {
-        if let Some(found) = holds().await {
+        if let Some(found) = condition().await {
             return found;
         }
-        assert!(began.elapsed() < within, "not within {within:?}: {what}");
-        sleep(POLL).await;
+        assert!(began.elapsed() < timeout, "not within {timeout:?}: {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Fails with the first violations, if there are any.
+/// Panics with the first violations, if there are any.
 #[track_caller]
-fn assert_none(violations: Vec<Violation>) {
-    let text: Vec<String> = violations.iter().take(SHOWN).map(ToString::to_string).collect();
+fn assert_no_violations(violations: Vec<Violation>) {
+    let text: Vec<String> =
+        violations.iter().take(VIOLATIONS_SHOWN_MAX).map(ToString::to_string).collect();
     assert!(violations.is_empty(), "{} violations:\n{}", violations.len(), text.join("\n"));
 }
--- a/tests/proofs/not_run.rs
+++ b/tests/proofs/not_run.rs
@@ -1,4 +1,4 @@
-//! Point 5: when the system says that a request was not run, it was not run.
+//! Guarantee 5: a request that the system reports as not run has not run.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 };
 use tokio::time::sleep;
 
-use crate::{assert_none, cluster::Cluster, shape::Shape};
+use crate::{assert_no_violations, cluster::Cluster, cluster_config::ClusterConfig};
 
-/// Twice as many requests come as the backend servers can work on, and one of them loses
-/// answers, refuses connections and is killed in the end. Callers that are told "not run"
-/// order elsewhere; if the request had run, they would get two deliveries.
+/// Callers send twice as many requests as the backend servers can process, and one of the servers
+/// loses answers, then refuses connections and is finally killed. Callers that are told "not run"
+/// may repeat the request elsewhere; if it had run, it would run twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn overload_and_broken_connections_make_no_false_denials() {
-    let mut cluster = Cluster::start("denials", Shape::default()).await;
+    let mut cluster = Cluster::start("denials", ClusterConfig::default()).await;
     cluster.create_service(2).await;
-    let backend = cluster.at.backend(cluster.workers[0].0.id);
+    let backend = cluster.addresses.backend(cluster.workers[0].0.id);
 
     let options = Options {
         service_ms: Some(60),
         keyed_per_mille: 500,
         deadline: Duration::from_millis(800),
-        ..cluster.load(1_800, 450.0)
+        ..cluster.load_options(1_800, 450.0)
     };
     let load = Load::start(options).await.expect("callers");
     let callers = load.recorder();
     sleep(Duration::from_millis(800)).await;
-    let lost = Faults { lose_per_mille: 200, seed: 5, ..Faults::default() };
-    cluster.set_faults(backend, lost).await;
+    let lost_answers = Faults { lose_per_mille: 200, seed: 5, ..Faults::default() };
+    cluster.set_faults(backend, lost_answers).await;
     sleep(Duration::from_millis(800)).await;
     cluster.set_faults(backend, Faults { refuse: true, ..Faults::default() }).await;
     sleep(Duration::from_millis(800)).await;
@@ -40,10 +40,13 @@
     let report = load.finish().await.expect("a report");
 
     let history = cluster.history(vec![callers.history()]);
-    assert_none(not_run::check(&history));
-    assert_none(own_answer::check(&history));
-    let denied = |kind: &EventKind| {
+    assert_no_violations(not_run::check(&history));
+    assert_no_violations(own_answer::check(&history));
+    let is_not_run = |kind: &EventKind| {
         matches!(kind, EventKind::CallEnded { outcome: CallOutcome::NotRun, .. })
     };
-    assert!(history.events().iter().any(|event| denied(&event.kind)), "no overload: {report}");
+    assert!(
+        history.events().iter().any(|event| is_not_run(&event.kind)),
+        "no request was reported as not run: {report}"
+    );
 }
--- a/tests/proofs/operators.rs
+++ b/tests/proofs/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' statements and status, as the operators' port answers them.
+//! An operator, who sends statements to the operators' port and reads its status.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,13 +8,15 @@
 use http_body_util::Full;
 use serde_json::Value;
 
-use crate::shape::TOKEN;
+use crate::cluster_config::TOKEN;
 
-/// How long an operator waits; above the entry VM's own bound for a verdict.
-const PATIENCE: Duration = Duration::from_secs(10);
-const STATUS_PATIENCE: Duration = Duration::from_millis(500);
+/// How long an operator waits for an answer; longer than an entry VM waits for the outcome of a
+/// statement.
+const STATEMENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long an operator waits for a status.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One operator; clones are the same one.
+/// An operator; its clones share the recorder.
 #[derive(Debug, Clone)]
 pub struct Operator {
     client: Client,
@@ -30,17 +32,18 @@
         &self.recorder
     }
 
-    /// Sends statements; `None` when no answer came.
-    pub async fn say(&self, entry: SocketAddr, statements: &str) -> Option<Value> {
+    /// Sends statements and returns the answer; `None` if none was received.
+    pub async fn send_statements(&self, entry: SocketAddr, statements: &str) -> Option<Value> {
         let req = Request::post(format!("http://{entry}/v1/statements"))
             .header("authorization", format!("Bearer {TOKEN}"))
             .body(Full::from(statements.to_owned()))
             .expect("a request");
-        let answer = self.client.send(req, PATIENCE).await.ok()?;
+        let answer = self.client.send(req, STATEMENT_TIMEOUT).await.ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
-    /// Sends one change, numbered `change`, and records what came of it.
+    /// Sends a change with the number `change`, only to be accepted if the `expected` generation is
+    /// in force, and records its outcome.
     pub async fn change(
         &self,
         change: u64,
@@ -53,8 +56,8 @@
             None => statement.to_owned(),
         };
         self.recorder.record(EventKind::ChangeSent { change, expected });
-        let said = self.say(entry, &text).await;
-        let verdict = said.as_ref().map_or(ChangeOutcome::Unknown, verdict_of);
+        let answer = self.send_statements(entry, &text).await;
+        let verdict = answer.as_ref().map_or(ChangeOutcome::Unknown, outcome_of);
         self.recorder.record(EventKind::ChangeEnded { change, verdict });
         if let ChangeOutcome::Accepted(version) = verdict {
             self.recorder.record(EventKind::ConfigAccepted { version });
@@ -62,15 +65,16 @@
         verdict
     }
 
-    /// How an entry VM stands; `None` when it does not answer.
+    /// Returns the status of an entry VM; `None` if it does not answer.
     pub async fn status(&self, entry: SocketAddr) -> Option<Value> {
-        let answer = self.client.get(entry, "/v1/status", STATUS_PATIENCE).await.ok()?;
+        let answer = self.client.get(entry, "/v1/status", STATUS_TIMEOUT).await.ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 }
 
-fn verdict_of(said: &Value) -> ChangeOutcome {
-    let result = &said["results"][0];
+/// Returns the outcome of a change from the answer to its statement.
+fn outcome_of(answer: &Value) -> ChangeOutcome {
+    let result = &answer["results"][0];
     match (result["kind"].as_str(), result["generation"].as_u64()) {
         (Some("accepted"), Some(generation)) => ChangeOutcome::Accepted(generation),
         (Some("refused"), _) => ChangeOutcome::Refused,
--- a/tests/proofs/process.rs
+++ b/tests/proofs/process.rs
@@ -1,4 +1,4 @@
-//! One process of the product under test.
+//! A process of `daisyshift`.
 
 use std::{
     fs::File,
@@ -16,20 +16,21 @@
 };
 use tokio::time::sleep;
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running process; killed by its own id when dropped.
+/// A running process, which is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
     child: Child,
+    /// The file to which the process writes its history, if it writes one.
     history: Option<PathBuf>,
-    /// What the test did to the process.
+    /// Records what the test does to the process.
     recorder: Recorder,
 }
 
 impl Process {
-    /// Starts `daisyshift` with `args`; what it logs goes to `NAME.log` in `dir`.
+    /// Starts `daisyshift` with `args`; its log is written to `NAME.log` in `dir`.
     pub fn start(name: &str, dir: &Path, args: &[String], history: Option<PathBuf>) -> Process {
         let log = File::options()
             .create(true)
@@ -42,62 +43,62 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .expect("the product's binary");
+            .expect("the binary of daisyshift");
         Process { name: name.to_owned(), child, history, recorder: Recorder::new(name) }
     }
 
-    /// Records what the test does to the process.
+    /// Records an event that the test causes at the process.
     pub fn record(&self, kind: EventKind) {
         self.recorder.record(kind);
     }
 
-    /// Ends it at once, as a failed VM.
+    /// Kills the process, as when its VM fails.
     pub fn kill(&mut self, entry: Option<String>) {
         self.signal(Signal::SIGKILL);
         let _ = self.child.wait();
         self.record(EventKind::Killed { entry });
     }
 
-    /// Stops it in its tracks, as a paused VM.
-    pub fn freeze(&self) {
+    /// Pauses the process, as when its VM is paused.
+    pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
         self.record(EventKind::CutOff);
     }
 
-    /// Lets a frozen process go on.
-    pub fn thaw(&self) {
+    /// Lets a paused process continue.
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
         self.record(EventKind::Healed);
     }
 
-    /// Asks it for its planned stop.
+    /// Sends the process SIGTERM, which starts its planned stop.
     pub fn terminate(&self, entry: Option<String>) {
         self.record(EventKind::Stopping { entry });
         self.signal(Signal::SIGTERM);
     }
 
-    /// Waits for its end.
-    pub async fn ended(&mut self, within: Duration) -> ExitStatus {
+    /// Waits until the process has exited; panics after the timeout.
+    pub async fn wait_for_exit(&mut self, timeout: Duration) -> ExitStatus {
         let began = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child of this process") {
                 return status;
             }
-            assert!(began.elapsed() < within, "{} goes on after {within:?}", self.name);
-            sleep(POLL).await;
+            assert!(began.elapsed() < timeout, "{} has not exited after {timeout:?}", self.name);
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Whether it has not ended.
-    pub fn runs(&mut self) -> bool {
+    /// Returns whether the process has not exited.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// What it saw so far, and what the test did to it.
+    /// Returns what the process has recorded so far, and what the test did to it.
     pub fn history(&self) -> History {
         let text = match self.history.as_ref().map(std::fs::read_to_string) {
             Some(Ok(text)) => text,
-            // It has not come so far as to open its file.
+            // The process has not created its file yet.
             Some(Err(error)) if error.kind() == ErrorKind::NotFound => String::new(),
             Some(Err(error)) => panic!("{}'s history: {error}", self.name),
             None => String::new(),
