--- a/daisy-measure/src/main.rs
+++ b/daisy-measure/src/main.rs
@@ -14,16 +14,16 @@
 mod proxy;
 mod retries;
 
-/// Measures one of daisyshift's decisions; the last line holds all variants as key=value.
+/// Measures one of daisyshift's decisions; the last line of output holds the figures of all variants as key=value pairs.
 #[derive(Debug, argh::FromArgs)]
 struct Args {
     #[argh(subcommand)]
-    measure: Measure,
+    measurement: Measurement,
 }
 
 #[derive(Debug, argh::FromArgs)]
 #[argh(subcommand)]
-enum Measure {
+enum Measurement {
     Changeover(changeover::Args),
     Choose(choose::Args),
     Interference(interference::Args),
@@ -37,18 +37,18 @@
 }
 
 fn main() -> anyhow::Result<()> {
-    let Args { measure } = argh::from_env();
-    match measure {
-        Measure::Changeover(args) => changeover::run(&args),
-        Measure::Choose(args) => choose::run(&args),
-        Measure::Interference(args) => interference::run(&args),
-        Measure::Ledger(args) => ledger::run(&args)?,
-        Measure::Placement(args) => placement::run(&args),
-        Measure::Proxy(args) => proxy::run(&args)?,
-        Measure::Retries(args) => retries::run(&args),
-        Measure::Node(args) => node::run(&args)?,
-        Measure::Overload(args) => overload::run(&args),
-        Measure::Peers(args) => peers::run(&args)?,
+    let Args { measurement } = argh::from_env();
+    match measurement {
+        Measurement::Changeover(args) => changeover::run(&args),
+        Measurement::Choose(args) => choose::run(&args),
+        Measurement::Interference(args) => interference::run(&args),
+        Measurement::Ledger(args) => ledger::run(&args)?,
+        Measurement::Placement(args) => placement::run(&args),
+        Measurement::Proxy(args) => proxy::run(&args)?,
+        Measurement::Retries(args) => retries::run(&args),
+        Measurement::Node(args) => node::run(&args)?,
+        Measurement::Overload(args) => overload::run(&args),
+        Measurement::Peers(args) => peers::run(&args)?,
     }
     Ok(())
 }
--- a/daisy-measure/src/overload.rs
+++ b/daisy-measure/src/overload.rs
@@ -1,66 +1,75 @@
-//! `overload`: who is served where tasks that last leave little room for what comes and goes.
+//! `overload`: which jobs are served when long-running tasks leave little free capacity for others.
 //!
-//! The owners of shards, as they run, over a model of workers: rooms, processors that best-effort
-//! tasks share, tails that they disturb, reports that come late. One load is drawn by each seed and
-//! played with each rule of packing, and with one worker that has the room of all. No room is lost there
-//! by how tasks are laid out, so that its figures for tasks that reserve room bound those of the others.
-//! For best-effort tasks it says nothing: all of them disturb all that serve.
+//! Runs the real shard owners over a model of workers. The model covers capacity, processors that
+//! best-effort tasks share, tail latency that these tasks increase, and delayed reports. Each seed
+//! draws one load, which is run with each packing rule and, as a bound, with a single worker that
+//! has the capacity of all workers. A single worker loses no capacity to fragmentation, so its
+//! figures for tasks that reserve capacity bound those of the other variants. They say nothing
+//! about best-effort tasks, since there every best-effort task interferes with every serving task.
 
-mod drive;
 mod load;
 mod report;
+mod simulation;
 mod worker;
 
 use daisy_workflow::{Packing, PlacementRules};
 
-use self::drive::Drive;
+use self::simulation::Simulation;
 
-/// Measures who is served on a fleet that is nearly full of tasks that last.
+/// Measures which jobs are served on a fleet that is nearly full of long-running tasks.
 #[derive(Debug, argh::FromArgs)]
 #[argh(subcommand, name = "overload")]
 pub struct Args {
-    /// workers (default 96)
+    /// number of workers (default 96)
     #[argh(option, default = "96")]
     workers: usize,
-    /// seconds after the fleet has filled (default 30)
+    /// simulated seconds after the fleet has filled (default 30)
     #[argh(option, default = "30")]
     seconds: u64,
     /// the first seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// how many seeds (default 3)
+    /// number of seeds (default 3)
     #[argh(option, default = "3")]
     seeds: u64,
-    /// one rule alone: first_fit, worst_fit, best_fit, kept or bound
+    /// run one rule only: first_fit, worst_fit, best_fit, kept or bound
     #[argh(option)]
     rule: Option<String>,
-    /// jobs that last come and hardly leave, instead of a mix drawn by each seed
+    /// long-running jobs arrive and hardly ever end, instead of a mix drawn from each seed
     #[argh(switch)]
     filling: bool,
 }
 
-/// The rules that are compared, and whether one worker has the room of all.
+/// Returns the names and rules that are compared, and whether a single worker has the capacity of all.
 fn variants() -> [(&'static str, PlacementRules, bool); 5] {
-    let kept = PlacementRules::default();
-    let before = PlacementRules { defragments: false, ..kept };
+    let default_rules = PlacementRules::default();
+    let without_defragmentation = PlacementRules { defragments: false, ..default_rules };
     [
-        ("first_fit", PlacementRules { packing: Packing::FirstFit, ..before }, false),
-        ("worst_fit", PlacementRules { packing: Packing::WorstFit, ..before }, false),
-        ("best_fit", before, false),
-        ("kept", kept, false),
-        ("bound", before, true),
+        (
+            "first_fit",
+            PlacementRules { packing: Packing::FirstFit, ..without_defragmentation },
+            false,
+        ),
+        (
+            "worst_fit",
+            PlacementRules { packing: Packing::WorstFit, ..without_defragmentation },
+            false,
+        ),
+        ("best_fit", without_defragmentation, false),
+        ("kept", default_rules, false),
+        ("bound", without_defragmentation, true),
     ]
 }
 
-/// Prints a line a seed and rule.
+/// Runs the measurement and prints one line for each seed and rule.
 pub fn run(args: &Args) {
     for seed in args.seed..args.seed + args.seeds {
-        for (name, rules, whole) in variants() {
+        for (name, rules, single_worker) in variants() {
             if args.rule.as_ref().is_some_and(|it| it != name) {
                 continue;
             }
-            let report = Drive::new(args, seed, rules, whole).run();
-            println!("seed={seed} rule={name} {}", report.line());
+            let report = Simulation::new(args, seed, rules, single_worker).run();
+            println!("seed={seed} rule={name} {}", report.fields());
         }
     }
 }
--- a/daisy-measure/src/overload/drive.rs
+++ b/daisy-measure/src/overload/simulation.rs
@@ -1,4 +1,4 @@
-//! Owners of shards over workers of the model, and a log that takes each append in a few milliseconds.
+//! Runs shard owners over modelled workers and a log that stores each append within 10 ms.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,68 +11,75 @@
 
 use super::{
     Args,
-    load::{Arrival, LEAD_MS, MIB_PER_MILLI, Mix},
+    load::{Arrival, MIB_PER_MILLI, Mix, WARM_UP_MS},
     report::Report,
     worker::Worker,
 };
 
-const STEP: Duration = Duration::from_millis(10);
-/// An append, an order's way, and a write to another shard.
-const APPEND: Duration = Duration::from_millis(10);
-const WRITE: Duration = Duration::from_millis(40);
-/// Between signs of life, and between ticks of an owner.
-const TELL: u64 = 40;
-const TICK: u64 = 5;
-/// Time after the last arrival in which what was accepted can still end.
-const FINISH: Duration = Duration::from_secs(10);
+/// Simulated time of one step, and the time until a worker's reply to an order arrives.
+const TIME_STEP: Duration = Duration::from_millis(10);
+/// Time from an append, or from the submission of a job, until the owner receives the result.
+const APPEND_DELAY: Duration = Duration::from_millis(10);
+/// Time until a record that is forwarded to another shard arrives there.
+const FORWARD_DELAY: Duration = Duration::from_millis(40);
+/// Steps between two heartbeats of the owners.
+const HEARTBEAT_STEPS: u64 = 40;
+/// Steps between two ticks of an owner.
+const TICK_STEPS: u64 = 5;
+/// Time after the last arrival in which accepted jobs can still complete.
+const COMPLETION_TIME: Duration = Duration::from_secs(10);
 
-/// One shard.
+/// A shard: its owner, its workers and its log.
 struct Shard {
     owner: Owner,
     workers: Vec<Worker>,
-    /// Positions of workers by the owner's keys.
-    places: Vec<usize>,
+    /// Positions in `workers`, indexed by the owner's worker keys.
+    worker_positions: Vec<usize>,
+    /// The batch that is being appended, and when its append ends.
     batch: Option<(Instant, Batch)>,
+    /// Replies of workers, and when they reach the owner.
     events: Vec<(Instant, Event)>,
     ledger: Ledger,
 }
 
-/// A run of the model.
-pub struct Drive {
+/// One run of the model.
+pub struct Simulation {
     now: Instant,
     layout: Layout,
     shards: Vec<Shard>,
     arrivals: Vec<Arrival>,
     steps: SortedMap<JobId, Vec<Arc<daisy_workflow::StepSpec>>>,
-    under_way: Vec<(Instant, ShardId, Record)>,
+    /// Records, the shards they are sent to, and when they arrive.
+    in_transit: Vec<(Instant, ShardId, Record)>,
     report: Report,
 }
 
-impl Drive {
-    /// A fleet under the load of a seed; one worker that has the room of all if `whole`.
-    pub fn new(args: &Args, seed: u64, rules: PlacementRules, whole: bool) -> Drive {
+impl Simulation {
+    /// Creates a fleet under the load drawn from `seed`. If `single_worker`, one worker has the
+    /// capacity of all.
+    pub fn new(args: &Args, seed: u64, rules: PlacementRules, single_worker: bool) -> Simulation {
         let (workers, seconds) = (args.workers, args.seconds);
         let mut rng = fastrand::Rng::with_seed(seed);
         let mix = if args.filling { Mix::FILLING } else { Mix::draw(&mut rng) };
-        let sizes: Vec<u32> = (0..workers)
+        let worker_cores: Vec<u32> = (0..workers)
             .map(|at| if at % 3 == 2 { mix.cores * 3 / 2 } else { mix.cores })
             .collect();
-        let cores: u64 = sizes.iter().map(|it| u64::from(*it)).sum();
+        let cores: u64 = worker_cores.iter().map(|it| u64::from(*it)).sum();
         let mut arrivals = mix.arrivals(&mut rng, cores, seconds);
-        if whole {
+        if single_worker {
             let steps = arrivals.iter_mut().flat_map(|it| &mut it.spec.steps);
             steps.for_each(|it| it.max_per_worker = 0);
         }
-        let layout = match whole {
+        let layout = match single_worker {
             true => Layout { shards: 1 },
             false => Layout::for_workers(workers, u16::MAX),
         };
-        let sizes = if whole { vec![cores as u32] } else { sizes };
+        let worker_cores = if single_worker { vec![cores as u32] } else { worker_cores };
         let mut shards: Vec<Shard> = layout.all().map(|it| Shard::new(it, layout, rules)).collect();
-        for (at, cores) in sizes.into_iter().enumerate() {
+        for (at, cores) in worker_cores.into_iter().enumerate() {
             let name = format!("worker-{at}");
             let shard = usize::from(layout.of_worker(&name.as_str().into()).0);
-            shards[shard].workers.push(Worker::new(name, room(cores), rng.f64()));
+            shards[shard].workers.push(Worker::new(name, capacity_of(cores), rng.f64()));
         }
         let steps = arrivals
             .iter()
@@ -80,55 +87,57 @@
         let steps = steps.collect();
         let now = Instant::from_millis(0);
         let report = Report::default();
-        Drive { now, layout, shards, arrivals, steps, under_way: Vec::new(), report }
+        Simulation { now, layout, shards, arrivals, steps, in_transit: Vec::new(), report }
     }
 
-    /// Plays all, and gives what came of it.
+    /// Runs the simulation to its end and returns the results.
     pub fn run(mut self) -> Report {
-        let last = self.arrivals.last().map_or(self.now, |it| it.at);
-        let (mut next, mut turn) = (0, 0u64);
-        while self.now < last + FINISH {
-            self.now = self.now + STEP;
-            turn += 1;
-            while let Some(it) = self.arrivals.get(next).filter(|it| it.at <= self.now) {
+        let last_arrival_at = self.arrivals.last().map_or(self.now, |it| it.at);
+        let (mut next_arrival, mut steps_done) = (0, 0u64);
+        while self.now < last_arrival_at + COMPLETION_TIME {
+            self.now = self.now + TIME_STEP;
+            steps_done += 1;
+            while let Some(it) = self.arrivals.get(next_arrival).filter(|it| it.at <= self.now) {
                 let id = JobId(it.id);
-                self.under_way.push((
-                    self.now + APPEND,
+                self.in_transit.push((
+                    self.now + APPEND_DELAY,
                     self.layout.of_job(id),
                     Record::Submitted(id, it.spec.clone()),
                 ));
-                next += 1;
+                next_arrival += 1;
             }
-            self.leave();
-            self.deliver();
-            if turn.is_multiple_of(TELL) {
-                self.tell();
+            self.cancel_departing_jobs();
+            self.deliver_records();
+            if steps_done.is_multiple_of(HEARTBEAT_STEPS) {
+                self.publish_heartbeats();
             }
             for at in 0..self.shards.len() {
-                self.step(at, turn);
+                self.step_shard(at, steps_done);
             }
-            if self.now >= Instant::from_millis(LEAD_MS) && self.now < last {
-                self.sample(turn);
+            if self.now >= Instant::from_millis(WARM_UP_MS) && self.now < last_arrival_at {
+                self.sample_workers(steps_done);
             }
         }
-        self.finish()
+        self.into_report()
     }
 
-    fn leave(&mut self) {
-        let (now, before) = (self.now, self.now - STEP);
+    /// Cancels the long-running jobs whose time ended within this step.
+    fn cancel_departing_jobs(&mut self) {
+        let (now, before) = (self.now, self.now - TIME_STEP);
         for it in &self.arrivals {
-            if it.leaves.is_some_and(|at| at <= now && at > before) {
+            if it.cancelled_at.is_some_and(|at| at <= now && at > before) {
                 let id = JobId(it.id);
-                self.under_way.push((now, self.layout.of_job(id), Record::Cancelled(id)));
+                self.in_transit.push((now, self.layout.of_job(id), Record::Cancelled(id)));
             }
         }
     }
 
-    fn deliver(&mut self) {
+    /// Passes records that have arrived to their shards.
+    fn deliver_records(&mut self) {
         let now = self.now;
         let (due, later) =
-            std::mem::take(&mut self.under_way).into_iter().partition(|it| it.0 <= now);
-        self.under_way = later;
+            std::mem::take(&mut self.in_transit).into_iter().partition(|it| it.0 <= now);
+        self.in_transit = later;
         let due: Vec<(Instant, ShardId, Record)> = due;
         for (_, shard, record) in due {
             let shard = &mut self.shards[usize::from(shard.0)];
@@ -137,34 +146,35 @@
         }
     }
 
-    fn tell(&mut self) {
+    /// Passes each owner's load and interference sums to the other owners, and confirms heartbeats.
+    fn publish_heartbeats(&mut self) {
         let now = self.now;
         let loads: Vec<_> =
             self.layout.all().zip(&self.shards).map(|(id, it)| (id, it.owner.load(now))).collect();
-        let seen: Vec<_> =
+        let observed: Vec<_> =
             self.shards.iter_mut().map(|it| it.owner.take_interference_sums()).collect();
-        for (own, shard) in self.layout.all().zip(&mut self.shards) {
-            let others = loads.iter().filter(|(id, _)| *id != own).copied();
+        for (own_id, shard) in self.layout.all().zip(&mut self.shards) {
+            let others = loads.iter().filter(|(id, _)| *id != own_id).copied();
             shard.owner.step(now, Event::Loads(others.collect()));
             shard.owner.step(now, Event::HeartbeatStored { sent_at: now });
-            for (from, seen) in self.layout.all().zip(&seen) {
-                if from != own && !seen.is_empty() {
-                    shard.owner.step(now, Event::Observed(seen.clone()));
+            for (from, observed) in self.layout.all().zip(&observed) {
+                if from != own_id && !observed.is_empty() {
+                    shard.owner.step(now, Event::Observed(observed.clone()));
                 }
             }
         }
     }
 
-    fn step(&mut self, at: usize, turn: u64) {
+    fn step_shard(&mut self, at: usize, steps_done: u64) {
         let now = self.now;
         let shard = &mut self.shards[at];
         for worker in &mut shard.workers {
-            worker.pass(now, STEP);
-            if let Some((key, answer)) = worker.try_answer(now) {
+            worker.advance(now, TIME_STEP);
+            if let Some((key, answer)) = worker.try_answer_renewal(now) {
                 shard.owner.step(now, Event::HoldAnswered(key, Some(answer)));
             }
         }
-        if turn.is_multiple_of(TELL) || turn == 1 {
+        if steps_done.is_multiple_of(HEARTBEAT_STEPS) || steps_done == 1 {
             let listed = shard.workers.iter().map(Worker::listing).collect();
             shard.owner.step(now, Event::Workers(listed));
         }
@@ -173,42 +183,46 @@
         shard.events = later;
         let due: Vec<(Instant, Event)> = due;
         due.into_iter().for_each(|(_, it)| shard.owner.step(now, it));
-        if turn.is_multiple_of(TICK) {
+        if steps_done.is_multiple_of(TICK_STEPS) {
             shard.owner.step(now, Event::Tick);
         }
-        self.act(at);
+        self.carry_out_actions(at);
         let shard = &mut self.shards[at];
         if shard.batch.is_none() {
-            shard.batch = shard.owner.try_batch(now).map(|it| (now + APPEND, it));
+            shard.batch = shard.owner.try_batch(now).map(|it| (now + APPEND_DELAY, it));
         }
         if let Some((_, batch)) = shard.batch.take_if(|(at, _)| *at <= now) {
             batch.records.into_iter().for_each(|it| {
                 shard.ledger.fold(it);
             });
             shard.owner.step(now, Event::Appended);
-            self.act(at);
+            self.carry_out_actions(at);
         }
     }
 
-    fn act(&mut self, at: usize) {
+    fn carry_out_actions(&mut self, at: usize) {
         let now = self.now;
         for action in self.shards[at].owner.act(now) {
             let shard = &mut self.shards[at];
             match action {
                 Action::Hold { worker: key, cursor, wait, .. } => {
                     let worker = shard.worker(key);
-                    worker.hold(now, key, cursor, wait.max(STEP));
+                    worker.hold(now, key, cursor, wait.max(TIME_STEP));
                 }
                 Action::Start(key, start) => self.start(at, key, start),
                 Action::Stop(key, task, run, _) => {
                     let reply = shard.worker(key).stop(now, task, run);
-                    shard.events.push((now + STEP, Event::Stopped(key, task, run, reply)));
+                    shard.events.push((now + TIME_STEP, Event::Stopped(key, task, run, reply)));
                 }
                 Action::Pace(key, task, run, percent) => {
                     let reply = shard.worker(key).set_pace(now, task, run, percent);
-                    shard.events.push((now + STEP, Event::Paced(key, task, run, percent, reply)));
+                    shard
+                        .events
+                        .push((now + TIME_STEP, Event::Paced(key, task, run, percent, reply)));
+                }
+                Action::Forward(to, record) => {
+                    self.in_transit.push((now + FORWARD_DELAY, to, record))
                 }
-                Action::Forward(to, record) => self.under_way.push((now + WRITE, to, record)),
                 Action::StepDown => {}
                 Action::Note(note) => self.report.note(now, &note),
             }
@@ -223,39 +237,39 @@
         let now = self.now;
         let (Some(spec), shard) = (spec, &mut self.shards[at]) else { return };
         let reply = shard.worker(key).start(now, &start, spec, work_ms);
-        self.report.started(self.now, job);
-        shard.events.push((now + STEP, Event::Started(key, start.task, start.run, reply)));
+        self.report.note_start(self.now, job);
+        shard.events.push((now + TIME_STEP, Event::Started(key, start.task, start.run, reply)));
     }
 
-    /// Looks at rooms and tails twice a second.
-    fn sample(&mut self, turn: u64) {
-        const EVERY: u64 = 50;
-        if !turn.is_multiple_of(EVERY) {
+    /// Samples waiting tasks, free capacity and tail latency twice a second.
+    fn sample_workers(&mut self, steps_done: u64) {
+        const SAMPLE_STEPS: u64 = 50;
+        if !steps_done.is_multiple_of(SAMPLE_STEPS) {
             return;
         }
         let now = self.now;
         for shard in &self.shards {
             let sum = shard.owner.summary(now);
             self.report.waiting_long_running += sum.waiting_long_running;
-            self.report.waiting_once += sum.waiting;
+            self.report.waiting_finite += sum.waiting;
             self.report.unusable_cpu += sum.unusable_cpu;
             self.report.free_cpu += sum.free_cpu;
             for worker in &shard.workers {
-                let (at_work, over) = worker.serving(now);
-                self.report.serving += at_work;
-                self.report.over += over;
+                let (serving_runs, over_target) = worker.count_serving(now);
+                self.report.serving += serving_runs;
+                self.report.over_target += over_target;
             }
         }
         self.report.samples += 1;
     }
 
-    fn finish(mut self) -> Report {
+    fn into_report(mut self) -> Report {
         for it in &self.arrivals {
             let id = JobId(it.id);
             let state = self.shards.iter().find_map(|shard| {
                 shard.ledger.job(id).filter(|it| !it.belongs_to_other_shard()).map(|it| it.state())
             });
-            if it.spec.kind() != JobKind::LongRunning && it.at >= Instant::from_millis(LEAD_MS) {
+            if it.spec.kind() != JobKind::LongRunning && it.at >= Instant::from_millis(WARM_UP_MS) {
                 self.report.add_job(it, state == Some(JobState::Completed));
             }
         }
@@ -274,11 +288,11 @@
         };
         let now = Instant::from_millis(0);
         let claimed = OwnershipStart { at: now, predecessors_ended: true, epoch: 1, after: 0 };
-        let owner = Owner::new(now, 0, settings, Ledger::default(), queues(), claimed);
+        let owner = Owner::new(now, 0, settings, Ledger::default(), queue_config(), claimed);
         Shard {
             owner,
             workers: Vec::new(),
-            places: Vec::new(),
+            worker_positions: Vec::new(),
             batch: None,
             events: Vec::new(),
             ledger: Ledger::default(),
@@ -286,23 +300,24 @@
     }
 
     fn worker(&mut self, key: WorkerKey) -> &mut Worker {
-        while self.places.len() <= key.0 as usize {
-            let id = self.owner.worker(WorkerKey(self.places.len() as u32)).map(|it| &it.id.0);
-            let place =
+        while self.worker_positions.len() <= key.0 as usize {
+            let id =
+                self.owner.worker(WorkerKey(self.worker_positions.len() as u32)).map(|it| &it.id.0);
+            let worker_position =
                 self.workers.iter().position(|it| Some(it.name.as_str()) == id.map(|it| &**it));
-            self.places.push(place.unwrap_or_default());
+            self.worker_positions.push(worker_position.unwrap_or_default());
         }
-        &mut self.workers[self.places[key.0 as usize]]
+        &mut self.workers[self.worker_positions[key.0 as usize]]
     }
 }
 
-fn room(cores: u32) -> Resources {
+fn capacity_of(cores: u32) -> Resources {
     let cpu_milli = cores * 1_000;
     let memory_mib = (f64::from(cpu_milli) * MIB_PER_MILLI) as u32;
     Resources { cpu_milli, memory_mib, accelerators: 0 }
 }
 
-fn queues() -> Arc<QueueConfig> {
+fn queue_config() -> Arc<QueueConfig> {
     let services = vec![Service { name: "shop".into(), admission_control: false, connections: 64 }];
     Arc::new(QueueConfig { version: 1, queues: Vec::<Queue>::new(), services, body_bytes: 1 << 18 })
 }
--- a/daisy-measure/src/overload/worker.rs
+++ b/daisy-measure/src/overload/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the model: room, processors that are shared, and tails that are disturbed.
+//! A modelled worker: its capacity, processors shared by best-effort tasks, and tail latency.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,58 +8,70 @@
     WorkerKey, WorkerListing,
 };
 
-use super::load::{TARGET_MS, disturbs};
-
-/// How long a stop takes, and until a lasting task is at work.
-const STOP: Duration = Duration::from_millis(300);
-const STARTUP: Duration = Duration::from_millis(500);
-/// Headroom that an idle serving task has, its load in the mean, and how much and how long it swings.
-const HEADROOM: f64 = 5.0;
-const LOAD: f64 = 0.45;
-const SWING: f64 = 0.2;
-const SWING_S: f64 = 14.0;
-/// Headroom that best-effort tasks on a whole worker take.
-const HEAVY: f64 = 18.0;
-const LIGHT: f64 = 0.6;
-
-/// A run.
+use super::load::{TARGET_MS, interferes_strongly};
+
+/// How long a worker takes to stop a run.
+const STOP_TIME: Duration = Duration::from_millis(300);
+/// Time from the start of a long-running task until it is ready.
+const STARTUP_TIME: Duration = Duration::from_millis(500);
+/// Latency headroom (latency target divided by tail latency) of an idle serving task.
+const IDLE_HEADROOM: f64 = 5.0;
+/// Mean load of a serving task, as a share of its reserved processors.
+const MEAN_LOAD: f64 = 0.45;
+/// Amplitude of the load's variation, as a share of the mean.
+const LOAD_SWING: f64 = 0.2;
+/// Period of the load's variation, in seconds.
+const SWING_PERIOD_S: f64 = 14.0;
+/// Headroom that best-effort tasks filling a whole worker take from a serving task, if their image
+/// interferes strongly with its image.
+const HIGH_INTERFERENCE: f64 = 18.0;
+/// The same, if it does not.
+const LOW_INTERFERENCE: f64 = 0.6;
+
+/// A run of a task on the worker.
 #[derive(Debug, Clone)]
 struct Run {
     task: TaskId,
     run: u32,
     step: Arc<StepSpec>,
-    began: Instant,
-    /// Milliseconds of work, and of work done.
+    started_at: Instant,
+    /// Milliseconds of work in all.
     work_ms: f64,
+    /// Milliseconds of work done.
     done_ms: f64,
+    /// Share of its processors that the owner allows it, from 0 to 1.
     pace: f64,
-    stops_at: Option<Instant>,
+    /// When the run ends, if it has been ordered to stop.
+    stop_ends_at: Option<Instant>,
 }
 
-/// An answer that a renewal waits for.
+/// A lease renewal that is answered when a run ends, or at `until`.
 #[derive(Debug, Clone, Copy)]
 struct Hold {
     until: Instant,
     key: WorkerKey,
+    /// The number of the last ended run that the owner knows.
     cursor: u64,
 }
 
-/// A worker.
+/// A modelled worker.
 #[derive(Debug)]
 pub struct Worker {
     pub name: String,
     pub capacity: Resources,
     runs: Vec<Run>,
-    ends: Vec<EndedRun>,
-    number: u64,
+    ended_runs: Vec<EndedRun>,
+    /// The number of the last ended run.
+    last_end_number: u64,
     hold: Option<Hold>,
-    phase: f64,
+    /// Offset of the load's variation, in periods.
+    load_phase: f64,
 }
 
 impl Worker {
-    pub fn new(name: String, capacity: Resources, phase: f64) -> Worker {
-        let (runs, ends) = (Vec::new(), Vec::new());
-        Worker { name, capacity, runs, ends, number: 0, hold: None, phase }
+    pub fn new(name: String, capacity: Resources, load_phase: f64) -> Worker {
+        let (runs, ended_runs) = (Vec::new(), Vec::new());
+        Worker { name, capacity, runs, ended_runs, last_end_number: 0, hold: None, load_phase }
     }
 
     pub fn listing(&self) -> WorkerListing {
@@ -76,57 +88,69 @@
         }
     }
 
-    /// Lets `passed` go by.
-    pub fn pass(&mut self, now: Instant, passed: Duration) {
-        let pace = self.pace();
-        let millis = passed.as_secs_f64() * 1_000.0;
+    /// Advances all runs by `elapsed` and ends those that are stopped or done.
+    pub fn advance(&mut self, now: Instant, elapsed: Duration) {
+        let best_effort_share = self.best_effort_share();
+        let millis = elapsed.as_secs_f64() * 1_000.0;
         let mut ended = Vec::new();
         self.runs.retain_mut(|it| {
-            let share = if it.step.best_effort { pace * it.pace } else { 1.0 };
+            let share = if it.step.best_effort { best_effort_share * it.pace } else { 1.0 };
             it.done_ms += millis * share;
-            let how = match it.stops_at {
+            let end_outcome = match it.stop_ends_at {
                 Some(at) if now >= at => Outcome::Stopped,
                 _ if !it.step.long_running && it.done_ms >= it.work_ms => Outcome::Done,
                 _ => return true,
             };
-            ended.push((it.task, it.run, how, it.done_ms));
+            ended.push((it.task, it.run, end_outcome, it.done_ms));
             false
         });
         for (task, run, outcome, done_ms) in ended {
-            self.number += 1;
+            self.last_end_number += 1;
             let checkpoint = format!("{done_ms}");
-            self.ends.push(EndedRun { number: self.number, task, run, outcome, checkpoint });
+            self.ended_runs.push(EndedRun {
+                number: self.last_end_number,
+                task,
+                run,
+                outcome,
+                checkpoint,
+            });
         }
     }
 
-    /// The share of its processors that each best-effort run gets.
-    fn pace(&self) -> f64 {
+    /// Returns the share of its paced demand that each best-effort run gets, from 0 to 1.
+    fn best_effort_share(&self) -> f64 {
         let used = |it: &Run| match (it.step.best_effort, it.step.long_running) {
             (true, _) => 0.0,
-            (false, true) => f64::from(it.step.need.cpu_milli) * LOAD,
+            (false, true) => f64::from(it.step.need.cpu_milli) * MEAN_LOAD,
             (false, false) => f64::from(it.step.need.cpu_milli),
         };
         let idle = f64::from(self.capacity.cpu_milli) - self.runs.iter().map(used).sum::<f64>();
         let best_effort = self.runs.iter().filter(|it| it.step.best_effort);
-        let asked: f64 = best_effort.map(|it| f64::from(it.step.need.cpu_milli) * it.pace).sum();
-        (idle.max(0.0) / asked.max(1.0)).min(1.0)
+        let requested: f64 =
+            best_effort.map(|it| f64::from(it.step.need.cpu_milli) * it.pace).sum();
+        (idle.max(0.0) / requested.max(1.0)).min(1.0)
     }
 
-    /// The headroom of a serving run: what its own load and the best-effort runs beside it leave.
+    /// Returns the latency headroom that a serving run's own load and the best-effort runs on the
+    /// worker leave. Below 1 the run misses its target.
     fn headroom(&self, now: Instant, run: &Run) -> f64 {
         let seconds = now.0 as f64 / 1e6;
-        let angle = std::f64::consts::TAU * (seconds / SWING_S + self.phase);
-        let load = LOAD * (1.0 + SWING * angle.sin());
-        let pace = self.pace();
-        let taken = |it: &Run| match (&run.step.image, &it.step.image) {
+        let angle = std::f64::consts::TAU * (seconds / SWING_PERIOD_S + self.load_phase);
+        let load = MEAN_LOAD * (1.0 + LOAD_SWING * angle.sin());
+        let best_effort_share = self.best_effort_share();
+        let interference = |it: &Run| match (&run.step.image, &it.step.image) {
             (Some(serving), Some(best_effort)) if it.step.best_effort => {
                 let share = f64::from(it.step.need.cpu_milli) / f64::from(self.capacity.cpu_milli);
-                let weight = if disturbs(serving, best_effort) { HEAVY } else { LIGHT };
-                weight * share * it.pace * pace
+                let weight = if interferes_strongly(serving, best_effort) {
+                    HIGH_INTERFERENCE
+                } else {
+                    LOW_INTERFERENCE
+                };
+                weight * share * it.pace * best_effort_share
             }
             _ => 0.0,
         };
-        HEADROOM * (1.0 - load) - self.runs.iter().map(taken).sum::<f64>()
+        IDLE_HEADROOM * (1.0 - load) - self.runs.iter().map(interference).sum::<f64>()
     }
 
     pub fn start(
@@ -137,8 +161,8 @@
         work_ms: f64,
     ) -> OrderReply {
         let clock_ms = now.0 / 1_000;
-        let used = self.used().try_add(step.allocation());
-        if used.is_none_or(|it| !it.fits(self.capacity)) {
+        let allocated = self.allocated().try_add(step.allocation());
+        if allocated.is_none_or(|it| !it.fits(self.capacity)) {
             return OrderReply::Refused(Refusal::DoesNotFit);
         }
         let done_ms = start.checkpoint.parse().unwrap_or_default();
@@ -146,11 +170,11 @@
             task: start.task,
             run: start.run,
             step,
-            began: now,
+            started_at: now,
             work_ms,
             done_ms,
             pace: 1.0,
-            stops_at: None,
+            stop_ends_at: None,
         });
         OrderReply::Done { clock_ms }
     }
@@ -158,7 +182,7 @@
     pub fn stop(&mut self, now: Instant, task: TaskId, run: u32) -> OrderReply {
         let run = self.runs.iter_mut().find(|it| it.task == task && it.run == run);
         if let Some(it) = run {
-            it.stops_at.get_or_insert(now + STOP);
+            it.stop_ends_at.get_or_insert(now + STOP_TIME);
         }
         OrderReply::Done { clock_ms: now.0 / 1_000 }
     }
@@ -171,49 +195,50 @@
         OrderReply::Done { clock_ms: now.0 / 1_000 }
     }
 
-    /// A renewal that waits for an end.
+    /// Receives a lease renewal, to be answered after `wait` or when a run ends.
     pub fn hold(&mut self, now: Instant, key: WorkerKey, cursor: u64, wait: Duration) {
-        self.ends.retain(|it| it.number > cursor);
+        self.ended_runs.retain(|it| it.number > cursor);
         self.hold = Some(Hold { until: now + wait, key, cursor });
     }
 
-    /// The answer to the renewal that waits, if it is due.
-    pub fn try_answer(&mut self, now: Instant) -> Option<(WorkerKey, HoldAnswer)> {
+    /// Returns the answer to the pending renewal, if it is due.
+    pub fn try_answer_renewal(&mut self, now: Instant) -> Option<(WorkerKey, HoldAnswer)> {
         let hold = self.hold?;
-        if now < hold.until && !self.ends.iter().any(|it| it.number > hold.cursor) {
+        if now < hold.until && !self.ended_runs.iter().any(|it| it.number > hold.cursor) {
             return None;
         }
         self.hold = None;
-        let running = self.runs.iter().map(|it| self.running(now, it)).collect();
-        let ended = self.ends.clone();
+        let running = self.runs.iter().map(|it| self.active_run(now, it)).collect();
+        let ended = self.ended_runs.clone();
         Some((hold.key, HoldAnswer { clock_ms: now.0 / 1_000, started_at_ms: 1, running, ended }))
     }
 
-    fn running(&self, now: Instant, it: &Run) -> ActiveRun {
-        let at_work = now.since(it.began) >= STARTUP;
+    fn active_run(&self, now: Instant, it: &Run) -> ActiveRun {
+        let is_ready = now.since(it.started_at) >= STARTUP_TIME;
         let percent = match it.step.long_running {
-            true if at_work => 100,
+            true if is_ready => 100,
             true => 50,
             false => (it.done_ms * 100.0 / it.work_ms.max(1.0)).min(99.0) as u8,
         };
         let load = match it.step.target_ms {
-            0 => (f64::from(it.step.need.cpu_milli) * it.pace * self.pace()) as u32,
+            0 => (f64::from(it.step.need.cpu_milli) * it.pace * self.best_effort_share()) as u32,
             _ => (f64::from(TARGET_MS) / self.headroom(now, it).max(0.1)) as u32,
         };
         ActiveRun { task: it.task, run: it.run, checkpoint: String::new(), percent, load }
     }
 
-    fn used(&self) -> Resources {
+    fn allocated(&self) -> Resources {
         let add =
             |sum: Resources, it: &Run| sum.try_add(it.step.allocation()).unwrap_or(self.capacity);
         self.runs.iter().fold(Resources::ZERO, add)
     }
 
-    /// Serving runs at work, and those of them that miss their target.
-    pub fn serving(&self, now: Instant) -> (usize, usize) {
+    /// Returns the number of ready serving runs, and how many of them miss their latency target.
+    pub fn count_serving(&self, now: Instant) -> (usize, usize) {
         let serving = self.runs.iter().filter(|it| it.step.target_ms > 0);
-        let at_work: Vec<&Run> = serving.filter(|it| now.since(it.began) >= STARTUP).collect();
-        let over = at_work.iter().filter(|it| self.headroom(now, it) < 1.0).count();
-        (at_work.len(), over)
+        let ready: Vec<&Run> =
+            serving.filter(|it| now.since(it.started_at) >= STARTUP_TIME).collect();
+        let over_target = ready.iter().filter(|it| self.headroom(now, it) < 1.0).count();
+        (ready.len(), over_target)
     }
 }
