--- a/daisy-measure/src/choose/policy.rs
+++ b/daisy-measure/src/choose/policy.rs
@@ -1,4 +1,4 @@
-//! The baselines, and what a run asks of any policy.
+//! The interface that a run uses to choose backend servers, the baselines and the router behind it.
 
 use std::time::Duration;
 
@@ -8,46 +8,51 @@
     TryReport, Urgency,
 };
 
-use crate::choose::sim::{DEADLINE, SERVERS, SLOTS};
+use crate::choose::sim::{REQUEST_TIMEOUT, SERVER_COUNT, SLOTS_PER_SERVER};
 
-/// Callers that share the load, for the router's fairness.
-const CALLERS: u64 = 100;
+/// Number of callers that share the load, between which the router is fair.
+const CALLER_COUNT: u64 = 100;
 
-/// What a policy says of a request.
+/// What a policy decides for a request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Said {
-    /// It goes to this server.
+pub(crate) enum Decision {
+    /// The request is sent to this server.
     Send(u32),
-    /// It waits at the entry VM.
+    /// The request waits at the entry VM.
     Wait,
-    /// It is refused.
+    /// The request is rejected.
     Reject,
 }
 
-/// A change for a request that waited.
+/// A decision for a request that was waiting.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Later {
+pub(crate) struct DecisionUpdate {
     /// The request.
     pub(crate) request: u32,
-    /// What becomes of it.
-    pub(crate) said: Said,
+    /// What is decided for it.
+    pub(crate) decision: Decision,
 }
 
-/// One entry VM's policy.
+/// The policy of one entry VM.
 pub(crate) trait Policy {
-    /// A request arrives.
-    fn offer(&mut self, now: Instant, request: u32) -> Said;
-    /// An answer arrives, with the server's requests in progress at that time.
-    fn answered(&mut self, now: Instant, request: u32, in_flight: u32) -> Vec<Later>;
-    /// A peer's heartbeat arrives.
-    fn heartbeat(&mut self, now: Instant, peer: u32, in_flight: &[(VmId, u32)]) -> Vec<Later>;
-    /// What the own heartbeat says.
+    /// Decides on a request that arrives.
+    fn decide(&mut self, now: Instant, request: u32) -> Decision;
+    /// Handles an answer, which states the server's requests in flight when it was sent.
+    fn answered(&mut self, now: Instant, request: u32, in_flight: u32) -> Vec<DecisionUpdate>;
+    /// Handles a peer's heartbeat, which states its requests in flight by server.
+    fn heartbeat(
+        &mut self,
+        now: Instant,
+        peer: u32,
+        in_flight: &[(VmId, u32)],
+    ) -> Vec<DecisionUpdate>;
+    /// Returns this entry VM's requests in flight by server, for its heartbeat.
     fn in_flight(&self) -> Vec<(VmId, u32)>;
-    /// Time passes.
-    fn tick(&mut self, now: Instant) -> Vec<Later>;
+    /// Handles the passing of time.
+    fn tick(&mut self, now: Instant) -> Vec<DecisionUpdate>;
 }
 
-/// A way to choose that knows the own requests only and never refuses.
+/// A rule that knows the requests of its own entry VM only and never rejects one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Baseline {
     Random,
@@ -72,57 +77,67 @@
 
 /// A baseline at one entry VM.
 #[derive(Debug)]
-pub(crate) struct Plain {
+pub(crate) struct BaselinePolicy {
     baseline: Baseline,
-    own: Vec<u32>,
-    sent: SortedMap<u32, u32>,
-    next: u32,
+    /// Requests in flight from this entry VM, by server.
+    own_in_flight: Vec<u32>,
+    /// The server of each request in flight.
+    sent_to: SortedMap<u32, u32>,
+    next_server: u32,
     rng: fastrand::Rng,
 }
 
-impl Plain {
-    pub(crate) fn new(baseline: Baseline, seed: u64) -> Plain {
+impl BaselinePolicy {
+    pub(crate) fn new(baseline: Baseline, seed: u64) -> BaselinePolicy {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let next = rng.u32(..SERVERS);
-        Plain { baseline, own: vec![0; SERVERS as usize], sent: SortedMap::new(), next, rng }
+        let next_server = rng.u32(..SERVER_COUNT);
+        BaselinePolicy {
+            baseline,
+            own_in_flight: vec![0; SERVER_COUNT as usize],
+            sent_to: SortedMap::new(),
+            next_server,
+            rng,
+        }
     }
 
-    fn pick(&mut self) -> u32 {
+    fn choose_server(&mut self) -> u32 {
         match self.baseline {
-            Baseline::Random => self.rng.u32(..SERVERS),
+            Baseline::Random => self.rng.u32(..SERVER_COUNT),
             Baseline::RoundRobin => {
-                self.next = (self.next + 1) % SERVERS;
-                self.next
+                self.next_server = (self.next_server + 1) % SERVER_COUNT;
+                self.next_server
             }
             Baseline::LeastInFlight => {
                 let rng = &mut self.rng;
-                let own = &self.own;
-                (0..SERVERS).min_by_key(|&at| (own[at as usize], rng.u32(..))).unwrap_or(0)
+                let own_in_flight = &self.own_in_flight;
+                (0..SERVER_COUNT)
+                    .min_by_key(|&at| (own_in_flight[at as usize], rng.u32(..)))
+                    .unwrap_or(0)
             }
             Baseline::TwoChoices => {
-                let (a, b) = (self.rng.u32(..SERVERS), self.rng.u32(..SERVERS));
-                if self.own[a as usize] <= self.own[b as usize] { a } else { b }
+                let (a, b) = (self.rng.u32(..SERVER_COUNT), self.rng.u32(..SERVER_COUNT));
+                if self.own_in_flight[a as usize] <= self.own_in_flight[b as usize] { a } else { b }
             }
         }
     }
 }
 
-impl Policy for Plain {
-    fn offer(&mut self, _: Instant, request: u32) -> Said {
-        let server = self.pick();
-        self.own[server as usize] += 1;
-        self.sent.insert(request, server);
-        Said::Send(server)
+impl Policy for BaselinePolicy {
+    fn decide(&mut self, _: Instant, request: u32) -> Decision {
+        let server = self.choose_server();
+        self.own_in_flight[server as usize] += 1;
+        self.sent_to.insert(request, server);
+        Decision::Send(server)
     }
 
-    fn answered(&mut self, _: Instant, request: u32, _: u32) -> Vec<Later> {
-        if let Some(server) = self.sent.remove(&request) {
-            self.own[server as usize] -= 1;
+    fn answered(&mut self, _: Instant, request: u32, _: u32) -> Vec<DecisionUpdate> {
+        if let Some(server) = self.sent_to.remove(&request) {
+            self.own_in_flight[server as usize] -= 1;
         }
         Vec::new()
     }
 
-    fn heartbeat(&mut self, _: Instant, _: u32, _: &[(VmId, u32)]) -> Vec<Later> {
+    fn heartbeat(&mut self, _: Instant, _: u32, _: &[(VmId, u32)]) -> Vec<DecisionUpdate> {
         Vec::new()
     }
 
@@ -130,96 +145,103 @@
         Vec::new()
     }
 
-    fn tick(&mut self, _: Instant) -> Vec<Later> {
+    fn tick(&mut self, _: Instant) -> Vec<DecisionUpdate> {
         Vec::new()
     }
 }
 
 /// daisyshift's router at one entry VM.
 #[derive(Debug)]
-pub(crate) struct Daisy {
+pub(crate) struct RouterPolicy {
     router: Router,
     rng: fastrand::Rng,
     service: Name,
-    tries: SortedMap<u32, TryId>,
-    waiting: SortedMap<daisy_routing::Ticket, u32>,
+    /// Try ids of requests in flight.
+    try_ids: SortedMap<u32, TryId>,
+    /// Requests that wait, by the router's tickets.
+    queued: SortedMap<daisy_routing::Ticket, u32>,
 }
 
-impl Daisy {
-    pub(crate) fn new(me: u32, routers: u32, seed: u64) -> Daisy {
+impl RouterPolicy {
+    pub(crate) fn new(me: u32, routers: u32, seed: u64) -> RouterPolicy {
         let service = Name::new("quote").expect("a name");
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut router = Router::new(entry(me));
         router.set_routes(Instant::default(), &routes(routers, &service), &mut rng);
-        Daisy { router, rng, service, tries: SortedMap::new(), waiting: SortedMap::new() }
+        RouterPolicy { router, rng, service, try_ids: SortedMap::new(), queued: SortedMap::new() }
     }
 
-    fn later(&mut self, grants: Vec<QueueDecision>) -> Vec<Later> {
-        grants.into_iter().filter_map(|grant| self.try_later(grant)).collect()
+    fn collect_updates(&mut self, decisions: Vec<QueueDecision>) -> Vec<DecisionUpdate> {
+        decisions.into_iter().filter_map(|queue_decision| self.try_update(queue_decision)).collect()
     }
 
-    fn try_later(&mut self, grant: QueueDecision) -> Option<Later> {
-        match grant {
+    fn try_update(&mut self, queue_decision: QueueDecision) -> Option<DecisionUpdate> {
+        match queue_decision {
             QueueDecision::Send(target) => {
-                let request = self.waiting.remove(&target.ticket)?;
-                self.tries.insert(request, target.try_id);
-                Some(Later { request, said: Said::Send(target.vm.0) })
+                let request = self.queued.remove(&target.ticket)?;
+                self.try_ids.insert(request, target.try_id);
+                Some(DecisionUpdate { request, decision: Decision::Send(target.vm.0) })
             }
             QueueDecision::Reject(ticket, _) => {
-                let request = self.waiting.remove(&ticket)?;
-                Some(Later { request, said: Said::Reject })
+                let request = self.queued.remove(&ticket)?;
+                Some(DecisionUpdate { request, decision: Decision::Reject })
             }
         }
     }
 }
 
-impl Policy for Daisy {
-    fn offer(&mut self, now: Instant, request: u32) -> Said {
+impl Policy for RouterPolicy {
+    fn decide(&mut self, now: Instant, request: u32) -> Decision {
         let call = Call {
             service: self.service.clone(),
             urgency: Urgency::Normal,
-            caller: CallerId(u64::from(request) % CALLERS),
-            deadline: now + DEADLINE,
+            caller: CallerId(u64::from(request) % CALLER_COUNT),
+            deadline: now + REQUEST_TIMEOUT,
             idempotent: false,
             bytes: 200,
         };
         match self.router.offer(now, &call, &mut self.rng) {
             Admission::Send(target) => {
-                self.tries.insert(request, target.try_id);
-                Said::Send(target.vm.0)
+                self.try_ids.insert(request, target.try_id);
+                Decision::Send(target.vm.0)
             }
             Admission::Wait(ticket) => {
-                self.waiting.insert(ticket, request);
-                Said::Wait
+                self.queued.insert(ticket, request);
+                Decision::Wait
             }
-            Admission::Reject(_) => Said::Reject,
+            Admission::Reject(_) => Decision::Reject,
         }
     }
 
-    fn answered(&mut self, now: Instant, request: u32, in_flight: u32) -> Vec<Later> {
-        let Some(try_id) = self.tries.remove(&request) else { return Vec::new() };
+    fn answered(&mut self, now: Instant, request: u32, in_flight: u32) -> Vec<DecisionUpdate> {
+        let Some(try_id) = self.try_ids.remove(&request) else { return Vec::new() };
         let report = TryReport {
             end: TryOutcome::Answered,
             in_flight: Some(in_flight),
             leaving: false,
             bytes: 200,
         };
-        let grants = self.router.finish(now, try_id, report, &mut self.rng);
-        self.later(grants)
+        let decisions = self.router.finish(now, try_id, report, &mut self.rng);
+        self.collect_updates(decisions)
     }
 
-    fn heartbeat(&mut self, now: Instant, peer: u32, in_flight: &[(VmId, u32)]) -> Vec<Later> {
-        let grants = self.router.peer_in_flight(now, entry(peer), in_flight, &mut self.rng);
-        self.later(grants)
+    fn heartbeat(
+        &mut self,
+        now: Instant,
+        peer: u32,
+        in_flight: &[(VmId, u32)],
+    ) -> Vec<DecisionUpdate> {
+        let decisions = self.router.peer_in_flight(now, entry(peer), in_flight, &mut self.rng);
+        self.collect_updates(decisions)
     }
 
     fn in_flight(&self) -> Vec<(VmId, u32)> {
         self.router.in_flight()
     }
 
-    fn tick(&mut self, now: Instant) -> Vec<Later> {
-        let grants = self.router.tick(now, &mut self.rng);
-        self.later(grants)
+    fn tick(&mut self, now: Instant) -> Vec<DecisionUpdate> {
+        let decisions = self.router.tick(now, &mut self.rng);
+        self.collect_updates(decisions)
     }
 }
 
@@ -229,12 +251,12 @@
 
 fn routes(routers: u32, service: &Name) -> Routes {
     let entries: Vec<(DcId, VmId)> = (0..routers).map(|index| (DcId(0), entry(index))).collect();
-    let backends = (0..SERVERS)
+    let backends = (0..SERVER_COUNT)
         .map(|vm| Backend {
             vm: VmId(vm),
             dc: DcId(0),
             address: ([127, 0, 0, 1], 1).into(),
-            slots: SLOTS,
+            slots: SLOTS_PER_SERVER,
             connections: 64,
             leaving: false,
         })
@@ -251,5 +273,5 @@
     }
 }
 
-/// Between looks at the queue, as the entry VM does.
-pub(crate) const TICK: Duration = Duration::from_millis(5);
+/// Interval between checks of the queue, the same as in the entry VM.
+pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(5);
--- a/daisy-measure/src/proxy.rs
+++ b/daisy-measure/src/proxy.rs
@@ -1,6 +1,7 @@
-//! What one entry VM costs a request, against the same load sent straight to a backend server.
+//! `proxy`: cost of a request through one entry VM, against the same load sent directly to a backend
+//! server.
 //!
-//! Backend server, entry VM and callers have threads of their own; loopback between them.
+//! Backend server, entry VM and callers each have their own threads and talk over loopback.
 
 use std::{
     convert::Infallible,
@@ -33,27 +34,27 @@
     sync::watch,
 };
 
-/// Callers' connections.
-const CONNECTIONS: usize = 32;
-/// Threads of each of the three.
-const THREADS: usize = 2;
+/// Number of callers' connections.
+const CALLER_CONNECTIONS: usize = 32;
+/// Threads of each of the three runtimes.
+const THREADS_PER_RUNTIME: usize = 2;
 const REQUEST_BYTES: usize = 200;
 const ANSWER_BYTES: usize = 1_024;
-/// The name of the entry VM's threads, by which their processor time is found.
+/// Name of the entry VM's threads, by which their processor time is found.
 const ENTRY_THREAD: &str = "entry";
 /// Ticks of processor time in a second, as Linux reports them.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Measures one entry VM against a backend server without it.
+/// Measures requests through one entry VM against requests sent directly to a backend server.
 #[derive(Debug, argh::FromArgs)]
 #[argh(subcommand, name = "proxy")]
 pub(crate) struct Args {
-    /// seconds of each of the four runs (default 5)
+    /// seconds that each of the four runs takes (default 5)
     #[argh(option, default = "5")]
     seconds: u64,
 }
 
-/// Runs both ways at full and at half load and prints one line for all.
+/// Runs both paths at full and at half load and prints one line for all.
 pub(crate) fn run(args: &Args) -> anyhow::Result<()> {
     let length = Duration::from_secs(args.seconds);
     let (servers, entries, callers) =
@@ -62,23 +63,23 @@
     let entry = entries.block_on(start_entry(direct))?;
     std::thread::sleep(Duration::from_millis(200));
 
-    let direct_full = callers.block_on(load(direct, length, None))?;
+    let direct_full = callers.block_on(send_load(direct, length, None))?;
     let before = entry_ticks()?;
-    let entry_full = callers.block_on(load(entry, length, None))?;
+    let entry_full = callers.block_on(send_load(entry, length, None))?;
     let ticks = entry_ticks()? - before;
     let half = entry_full.per_second / 2.0;
-    let direct_half = callers.block_on(load(direct, length, Some(half)))?;
-    let entry_half = callers.block_on(load(entry, length, Some(half)))?;
+    let direct_half = callers.block_on(send_load(direct, length, Some(half)))?;
+    let entry_half = callers.block_on(send_load(entry, length, Some(half)))?;
 
-    let cpu_us = ticks / TICKS * 1e6 / entry_full.answers.max(1) as f64;
+    let cpu_us = ticks / TICKS_PER_SECOND * 1e6 / entry_full.answers.max(1) as f64;
     println!(
         "measure=proxy direct_per_s={:.0} entry_per_s={:.0} throughput_ratio={:.2} \
          half_load_per_s={half:.0} {} {} p99_ratio={:.2} entry_cpu_us={cpu_us:.1} failed={}",
         direct_full.per_second,
         entry_full.per_second,
         entry_full.per_second / direct_full.per_second,
-        direct_half.show("direct"),
-        entry_half.show("entry"),
+        direct_half.format_latencies("direct"),
+        entry_half.format_latencies("entry"),
         entry_half.quantile_us(0.99) / direct_half.quantile_us(0.99),
         direct_full.failed + entry_full.failed + direct_half.failed + entry_half.failed,
     );
@@ -87,10 +88,10 @@
 
 fn runtime(name: &str) -> anyhow::Result<Runtime> {
     let mut builder = Builder::new_multi_thread();
-    Ok(builder.worker_threads(THREADS).thread_name(name).enable_all().build()?)
+    Ok(builder.worker_threads(THREADS_PER_RUNTIME).thread_name(name).enable_all().build()?)
 }
 
-/// A backend server that answers at once and echoes the request's id.
+/// Starts a backend server that answers at once and echoes the request's id.
 async fn start_backend() -> anyhow::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -115,6 +116,7 @@
     Ok(response)
 }
 
+/// Access to peers of an entry VM that has none.
 #[derive(Debug, Clone)]
 struct NoPeers;
 
@@ -144,9 +146,10 @@
     Ok(address)
 }
 
-/// Slots and connections are no bound here: what is measured is the way, not the limit.
+/// Returns routes to one backend server. Its slots and connections are more than the callers use,
+/// since the cost of the path is measured and not the limits.
 fn routes(address: SocketAddr) -> Routes {
-    let slots = 2 * CONNECTIONS as u32;
+    let slots = 2 * CALLER_CONNECTIONS as u32;
     let backend = Backend {
         vm: VmId(100),
         dc: DcId(0),
@@ -186,25 +189,28 @@
         self.latencies.value_at_quantile(q) as f64
     }
 
-    fn show(&self, name: &str) -> String {
+    fn format_latencies(&self, name: &str) -> String {
         let [p50, p99, p999] = [0.5, 0.99, 0.999].map(|q| self.quantile_us(q));
         format!("{name}_p50_us={p50:.0} {name}_p99_us={p99:.0} {name}_p999_us={p999:.0}")
     }
 }
 
-/// Sends for `length`, as fast as answers come or `per_second` in all.
-async fn load(
+/// Sends requests for `length`, at `per_second` over all connections, or else as fast as answers
+/// arrive.
+async fn send_load(
     to: SocketAddr,
     length: Duration,
     per_second: Option<f64>,
 ) -> anyhow::Result<Summary> {
     let failed = Arc::new(AtomicU64::new(0));
-    let begun = Instant::now();
-    let tasks: Vec<_> = (0..CONNECTIONS)
+    let started_at = Instant::now();
+    let tasks: Vec<_> = (0..CALLER_CONNECTIONS)
         .map(|at| {
-            let pace = per_second.map(|rate| Duration::from_secs_f64(CONNECTIONS as f64 / rate));
-            let first = begun + pace.unwrap_or_default().mul_f64(at as f64 / CONNECTIONS as f64);
-            tokio::spawn(caller(to, first, begun + length, pace, Arc::clone(&failed)))
+            let interval =
+                per_second.map(|rate| Duration::from_secs_f64(CALLER_CONNECTIONS as f64 / rate));
+            let first_due = started_at
+                + interval.unwrap_or_default().mul_f64(at as f64 / CALLER_CONNECTIONS as f64);
+            tokio::spawn(caller(to, first_due, started_at + length, interval, Arc::clone(&failed)))
         })
         .collect();
     let mut latencies = Histogram::new_with_bounds(1, 60_000_000, 3)?;
@@ -212,16 +218,16 @@
         latencies.add(task.await??)?;
     }
     let answers = latencies.len();
-    let per_second = answers as f64 / begun.elapsed().as_secs_f64();
+    let per_second = answers as f64 / started_at.elapsed().as_secs_f64();
     Ok(Summary { per_second, answers, failed: failed.load(Ordering::Relaxed), latencies })
 }
 
-/// One connection; latency counts from when a request was due.
+/// Sends requests over one connection. Latency is counted from the time a request was due.
 async fn caller(
     to: SocketAddr,
-    first: Instant,
+    first_due: Instant,
     end: Instant,
-    pace: Option<Duration>,
+    interval: Option<Duration>,
     failed: Arc<AtomicU64>,
 ) -> anyhow::Result<Histogram<u64>> {
     let stream = TcpStream::connect(to).await?;
@@ -229,23 +235,23 @@
     let (mut tx, conn) = client::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(conn);
     let mut latencies = Histogram::new_with_bounds(1, 60_000_000, 3)?;
-    let mut due = first;
+    let mut due = first_due;
     while due < end && Instant::now() < end {
-        if pace.is_some() {
+        if interval.is_some() {
             tokio::time::sleep_until(due.into()).await;
         } else {
             due = Instant::now();
         }
         tx.ready().await?;
         let response = tx.send_request(request()?).await?;
-        let good = response.status().is_success();
-        let whole = response.into_body().collect().await?.to_bytes().len() == ANSWER_BYTES;
-        if good && whole {
+        let has_success_status = response.status().is_success();
+        let is_complete = response.into_body().collect().await?.to_bytes().len() == ANSWER_BYTES;
+        if has_success_status && is_complete {
             latencies.saturating_record(due.elapsed().as_micros() as u64);
         } else {
             failed.fetch_add(1, Ordering::Relaxed);
         }
-        due += pace.unwrap_or_default();
+        due += interval.unwrap_or_default();
     }
     Ok(latencies)
 }
@@ -255,12 +261,12 @@
     Ok(builder.body(Full::new(Bytes::from_static(&[b'q'; REQUEST_BYTES])))?)
 }
 
-/// Processor time of the entry VM's threads so far, in ticks.
+/// Returns the processor time of the entry VM's threads so far, in ticks.
 fn entry_ticks() -> anyhow::Result<f64> {
     let mut ticks = 0.0;
     for task in fs::read_dir("/proc/self/task")? {
         let stat = fs::read_to_string(task?.path().join("stat"))?;
-        // The name stands in parentheses; user and system time are the 14th and 15th field.
+        // The thread's name is in parentheses; user and system time are the 14th and 15th field.
         let Some((head, rest)) = stat.rsplit_once(')') else { continue };
         if head.ends_with(ENTRY_THREAD) {
             let fields = rest.split_whitespace().skip(11).take(2);
--- a/daisy-measure/src/retries.rs
+++ b/daisy-measure/src/retries.rs
@@ -1,7 +1,8 @@
-//! A burst of failures with and without a budget for retries: extra load, and time to recover.
+//! `retries`: extra load and time to recover of a burst of failures, with and without a retry budget.
 //!
-//! Explicit time: one router before 20 backend servers at 80 % of capacity. For five seconds half
-//! of all tries fail after having taken twice their time. Callers wait for one second.
+//! The run uses simulated time. One router stands before 20 backend servers at 80 % of capacity. For
+//! five seconds half of all tries fail after taking twice their normal time. Callers wait for one
+//! second.
 
 use std::{
     cmp::Reverse,
@@ -15,22 +16,26 @@
     TryOutcome, TryReport, Urgency,
 };
 
-const SERVERS: u32 = 20;
-const SLOTS: u32 = 8;
-const MEAN: f64 = 0.020;
-const LOAD: f64 = 0.8;
-const DEADLINE: Duration = Duration::from_secs(1);
-const BURST: (Duration, Duration) = (Duration::from_secs(5), Duration::from_secs(10));
-const END: Duration = Duration::from_secs(40);
-const FAIL_SHARE: f64 = 0.5;
-const FAIL_TIME: f64 = 2.0;
+const SERVER_COUNT: u32 = 20;
+const SLOTS_PER_SERVER: u32 = 8;
+const MEAN_SERVICE_TIME_S: f64 = 0.020;
+const LOAD_SHARE: f64 = 0.8;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Start and end of the burst of failures, from the start of the run.
+const BURST_WINDOW: (Duration, Duration) = (Duration::from_secs(5), Duration::from_secs(10));
+const RUN_LENGTH: Duration = Duration::from_secs(40);
+/// Share of the tries that fail during the burst.
+const BURST_FAILURE_SHARE: f64 = 0.5;
+/// How much longer a failed try takes than a successful one.
+const FAILED_TIME_FACTOR: f64 = 2.0;
 const MAX_TRIES: u32 = 4;
-const TICK: Duration = Duration::from_millis(5);
-/// Windows in which recovery is judged, and the share of good answers that counts as recovered.
-const WINDOW: Duration = Duration::from_millis(250);
-const RECOVERED: f64 = 0.99;
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// Length of the windows by which recovery is judged.
+const RECOVERY_WINDOW: Duration = Duration::from_millis(250);
+/// Share of answers in time from which a window is treated as recovered.
+const RECOVERED_SHARE: f64 = 0.99;
 
-/// Measures a burst of failures with no budget for retries and with ours.
+/// Measures a burst of failures without a retry budget and with the router's.
 #[derive(Debug, argh::FromArgs)]
 #[argh(subcommand, name = "retries")]
 pub(crate) struct Args {
@@ -42,11 +47,12 @@
 /// How failed tries are repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Variant {
-    /// Least in flight, no refusals; failed and late tries are repeated at once.
+    /// Chooses the server with the fewest tries in flight and never rejects; failed and timed-out
+    /// tries are repeated at once.
     Plain,
-    /// The router's choice and admission; failed tries are offered again.
+    /// Uses the router's choice and admission; failed tries are offered again as new requests.
     NoBudget,
-    /// The router's retries.
+    /// Uses the router's retries with their budget.
     Budget,
 }
 
@@ -56,10 +62,11 @@
     let variants =
         [(Variant::Plain, "plain"), (Variant::NoBudget, "no_budget"), (Variant::Budget, "budget")];
     for (variant, name) in variants {
-        let Summary { extra, good_in_burst, recover } = Run::new(variant, args.seed).play();
+        let Summary { extra_load, good_in_burst, recovery_s } =
+            Run::new(variant, args.seed).simulate();
         line.push_str(&format!(
-            " {name}_extra_load={extra:.3} {name}_good_in_burst={good_in_burst:.3} \
-             {name}_recover_s={recover:.2}"
+            " {name}_extra_load={extra_load:.3} {name}_good_in_burst={good_in_burst:.3} \
+             {name}_recover_s={recovery_s:.2}"
         ));
     }
     println!("{line}");
@@ -67,19 +74,19 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Summary {
-    /// Tries for each request offered during the burst, less one.
-    extra: f64,
+    /// Tries for each request offered during the burst, minus one.
+    extra_load: f64,
     /// Share of the requests offered during the burst that were answered in time.
     good_in_burst: f64,
-    /// Seconds from the burst's end until all windows are good.
-    recover: f64,
+    /// Seconds from the end of the burst until all later windows are recovered.
+    recovery_s: f64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
-    Done { request: u32, server: u32, try_id: u32, failed: bool },
-    Late { request: u32 },
+    Done { request: u32, server: u32, try_index: u32, failed: bool },
+    TimedOut { request: u32 },
     Tick,
 }
 
@@ -88,14 +95,15 @@
     arrived: Instant,
     tries: u32,
     ended: bool,
-    good: bool,
+    answered_in_time: bool,
 }
 
 #[derive(Debug, Default)]
 struct Server {
     busy: u32,
+    /// Waiting tries: the request and the index in `Run::try_ids`.
     queue: VecDeque<(u32, u32)>,
-    sent: u32,
+    in_flight_tries: u32,
 }
 
 struct Run {
@@ -107,8 +115,10 @@
     requests: Vec<Request>,
     servers: Vec<Server>,
     router: Router,
-    attempts: Vec<Option<TryId>>,
-    waiting: SortedMap<daisy_routing::Ticket, u32>,
+    /// The router's id of each try that is in flight, by the try's index; none for plain tries.
+    try_ids: Vec<Option<TryId>>,
+    /// Requests that wait, by the router's tickets.
+    queued: SortedMap<daisy_routing::Ticket, u32>,
 }
 
 impl Run {
@@ -123,18 +133,18 @@
             seq: 0,
             rng,
             requests: Vec::new(),
-            servers: (0..SERVERS).map(|_| Server::default()).collect(),
+            servers: (0..SERVER_COUNT).map(|_| Server::default()).collect(),
             router,
-            attempts: Vec::new(),
-            waiting: SortedMap::new(),
+            try_ids: Vec::new(),
+            queued: SortedMap::new(),
         }
     }
 
-    fn play(mut self) -> Summary {
-        self.after(Duration::ZERO, Event::Arrival);
-        self.after(TICK, Event::Tick);
+    fn simulate(mut self) -> Summary {
+        self.schedule_after(Duration::ZERO, Event::Arrival);
+        self.schedule_after(TICK_INTERVAL, Event::Tick);
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > Instant::default() + END {
+            if at > Instant::default() + RUN_LENGTH {
                 break;
             }
             self.now = at;
@@ -145,26 +155,31 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Arrival => self.arrive(),
-            Event::Done { request, server, try_id, failed } => {
-                self.done(request, server, try_id, failed);
+            Event::Arrival => self.handle_arrival(),
+            Event::Done { request, server, try_index, failed } => {
+                self.handle_completion(request, server, try_index, failed);
             }
-            Event::Late { request } => self.late(request),
+            Event::TimedOut { request } => self.handle_timeout(request),
             Event::Tick => {
-                let grants = self.router.tick(self.now, &mut self.rng);
-                self.apply(grants);
-                self.after(TICK, Event::Tick);
+                let decisions = self.router.tick(self.now, &mut self.rng);
+                self.apply(decisions);
+                self.schedule_after(TICK_INTERVAL, Event::Tick);
             }
         }
     }
 
-    fn arrive(&mut self) {
-        let rate = LOAD * f64::from(SERVERS * SLOTS) / MEAN;
+    fn handle_arrival(&mut self) {
+        let rate = LOAD_SHARE * f64::from(SERVER_COUNT * SLOTS_PER_SERVER) / MEAN_SERVICE_TIME_S;
         let gap = -(1.0 - self.rng.f64()).ln() / rate;
-        self.after(Duration::from_secs_f64(gap), Event::Arrival);
+        self.schedule_after(Duration::from_secs_f64(gap), Event::Arrival);
         let request = self.requests.len() as u32;
-        self.requests.push(Request { arrived: self.now, tries: 0, ended: false, good: false });
-        self.after(DEADLINE, Event::Late { request });
+        self.requests.push(Request {
+            arrived: self.now,
+            tries: 0,
+            ended: false,
+            answered_in_time: false,
+        });
+        self.schedule_after(REQUEST_TIMEOUT, Event::TimedOut { request });
         self.offer(request);
     }
 
@@ -172,16 +187,16 @@
         if self.variant == Variant::Plain {
             let rng = &mut self.rng;
             let servers = &self.servers;
-            let least = (0..SERVERS)
-                .min_by_key(|&at| (servers[at as usize].sent, rng.u32(..)))
+            let least_loaded = (0..SERVER_COUNT)
+                .min_by_key(|&at| (servers[at as usize].in_flight_tries, rng.u32(..)))
                 .unwrap_or(0);
-            return self.send(request, least, None);
+            return self.send(request, least_loaded, None);
         }
         let call = self.call(request);
         match self.router.offer(self.now, &call, &mut self.rng) {
             Admission::Send(target) => self.send_to(request, target),
             Admission::Wait(ticket) => {
-                self.waiting.insert(ticket, request);
+                self.queued.insert(ticket, request);
             }
             Admission::Reject(_) => self.requests[request as usize].ended = true,
         }
@@ -193,42 +208,44 @@
 
     fn send(&mut self, request: u32, server: u32, try_id: Option<TryId>) {
         self.requests[request as usize].tries += 1;
-        let number = self.attempts.len() as u32;
-        self.attempts.push(try_id);
+        let try_index = self.try_ids.len() as u32;
+        self.try_ids.push(try_id);
         let state = &mut self.servers[server as usize];
-        state.sent += 1;
-        if state.busy < SLOTS {
+        state.in_flight_tries += 1;
+        if state.busy < SLOTS_PER_SERVER {
             state.busy += 1;
-            self.serve(request, server, number);
+            self.serve(request, server, try_index);
         } else {
-            state.queue.push_back((request, number));
+            state.queue.push_back((request, try_index));
         }
     }
 
-    fn serve(&mut self, request: u32, server: u32, try_id: u32) {
+    fn serve(&mut self, request: u32, server: u32, try_index: u32) {
         let since = self.now.since(Instant::default());
-        let burst = since >= BURST.0 && since < BURST.1;
-        let failed = burst && self.rng.f64() < FAIL_SHARE;
-        let time = -(1.0 - self.rng.f64()).ln() * MEAN * if failed { FAIL_TIME } else { 1.0 };
-        let done = Event::Done { request, server, try_id, failed };
-        self.after(Duration::from_secs_f64(time), done);
+        let burst = since >= BURST_WINDOW.0 && since < BURST_WINDOW.1;
+        let failed = burst && self.rng.f64() < BURST_FAILURE_SHARE;
+        let time = -(1.0 - self.rng.f64()).ln()
+            * MEAN_SERVICE_TIME_S
+            * if failed { FAILED_TIME_FACTOR } else { 1.0 };
+        let completion = Event::Done { request, server, try_index, failed };
+        self.schedule_after(Duration::from_secs_f64(time), completion);
     }
 
-    fn done(&mut self, request: u32, server: u32, try_id: u32, failed: bool) {
+    fn handle_completion(&mut self, request: u32, server: u32, try_index: u32, failed: bool) {
         let state = &mut self.servers[server as usize];
-        state.sent -= 1;
+        state.in_flight_tries -= 1;
         match state.queue.pop_front() {
-            Some((next, number)) => self.serve(next, server, number),
+            Some((next, try_index)) => self.serve(next, server, try_index),
             None => state.busy -= 1,
         }
         let end = if failed { TryOutcome::Broken } else { TryOutcome::Answered };
-        if let Some(try_id) = self.attempts[try_id as usize].take() {
+        if let Some(try_id) = self.try_ids[try_index as usize].take() {
             let report = TryReport {
-                in_flight: Some(self.servers[server as usize].sent),
+                in_flight: Some(self.servers[server as usize].in_flight_tries),
                 ..TryReport::without_answer(end)
             };
-            let grants = self.router.finish(self.now, try_id, report, &mut self.rng);
-            self.apply(grants);
+            let decisions = self.router.finish(self.now, try_id, report, &mut self.rng);
+            self.apply(decisions);
         }
         let state = &mut self.requests[request as usize];
         if state.ended {
@@ -238,7 +255,7 @@
             self.retry(request, server);
         } else {
             state.ended = true;
-            state.good = true;
+            state.answered_in_time = true;
         }
     }
 
@@ -257,8 +274,9 @@
         }
     }
 
-    /// A plain caller that has waited in vain asks again; the first try goes on at its server.
-    fn late(&mut self, request: u32) {
+    /// Ends a request whose caller has stopped waiting. A plain caller repeats it, while the first
+    /// try goes on at its server.
+    fn handle_timeout(&mut self, request: u32) {
         let state = &mut self.requests[request as usize];
         if state.ended {
             return;
@@ -266,24 +284,24 @@
         state.ended = true;
         if self.variant == Variant::Plain && state.tries < MAX_TRIES {
             let arrived = self.now;
-            let again = self.requests.len() as u32;
+            let repeated = self.requests.len() as u32;
             let tries = self.requests[request as usize].tries;
-            self.requests.push(Request { arrived, tries, ended: false, good: false });
-            self.after(DEADLINE, Event::Late { request: again });
-            self.offer(again);
+            self.requests.push(Request { arrived, tries, ended: false, answered_in_time: false });
+            self.schedule_after(REQUEST_TIMEOUT, Event::TimedOut { request: repeated });
+            self.offer(repeated);
         }
     }
 
-    fn apply(&mut self, grants: Vec<QueueDecision>) {
-        for grant in grants {
-            match grant {
+    fn apply(&mut self, decisions: Vec<QueueDecision>) {
+        for decision in decisions {
+            match decision {
                 QueueDecision::Send(target) => {
-                    if let Some(request) = self.waiting.remove(&target.ticket) {
+                    if let Some(request) = self.queued.remove(&target.ticket) {
                         self.send_to(request, target);
                     }
                 }
                 QueueDecision::Reject(ticket, _) => {
-                    if let Some(request) = self.waiting.remove(&ticket) {
+                    if let Some(request) = self.queued.remove(&ticket) {
                         self.requests[request as usize].ended = true;
                     }
                 }
@@ -296,38 +314,44 @@
             service: service(),
             urgency: Urgency::Normal,
             caller: CallerId(u64::from(request) % 100),
-            deadline: self.requests[request as usize].arrived + DEADLINE,
+            deadline: self.requests[request as usize].arrived + REQUEST_TIMEOUT,
             idempotent: true,
             bytes: 200,
         }
     }
 
-    fn after(&mut self, wait: Duration, event: Event) {
+    fn schedule_after(&mut self, wait: Duration, event: Event) {
         self.seq += 1;
         self.events.push(Reverse((self.now + wait, self.seq, event)));
     }
 
     fn summary(&self) -> Summary {
         let since = |request: &Request| request.arrived.since(Instant::default());
-        let in_burst = |request: &&Request| since(request) >= BURST.0 && since(request) < BURST.1;
+        let in_burst = |request: &&Request| {
+            since(request) >= BURST_WINDOW.0 && since(request) < BURST_WINDOW.1
+        };
         let burst: Vec<&Request> = self.requests.iter().filter(in_burst).collect();
         let tries: u32 = burst.iter().map(|request| request.tries).sum();
-        let good = burst.iter().filter(|request| request.good).count();
-        let windows = ((END - DEADLINE - BURST.1).as_secs_f64() / WINDOW.as_secs_f64()) as usize;
+        let answered_in_time = burst.iter().filter(|request| request.answered_in_time).count();
+        let windows = ((RUN_LENGTH - REQUEST_TIMEOUT - BURST_WINDOW.1).as_secs_f64()
+            / RECOVERY_WINDOW.as_secs_f64()) as usize;
         let mut counts = vec![(0_u32, 0_u32); windows];
-        for request in self.requests.iter().filter(|request| since(request) >= BURST.1) {
-            let at = ((since(request) - BURST.1).as_secs_f64() / WINDOW.as_secs_f64()) as usize;
-            if let Some((all, good)) = counts.get_mut(at) {
+        for request in self.requests.iter().filter(|request| since(request) >= BURST_WINDOW.1) {
+            let at = ((since(request) - BURST_WINDOW.1).as_secs_f64()
+                / RECOVERY_WINDOW.as_secs_f64()) as usize;
+            if let Some((all, answered_in_time)) = counts.get_mut(at) {
                 *all += 1;
-                *good += u32::from(request.good);
+                *answered_in_time += u32::from(request.answered_in_time);
             }
         }
-        let bad = |(all, good): &(u32, u32)| f64::from(*good) < f64::from(*all) * RECOVERED;
+        let bad = |(all, answered_in_time): &(u32, u32)| {
+            f64::from(*answered_in_time) < f64::from(*all) * RECOVERED_SHARE
+        };
         let last_bad = counts.iter().rposition(bad).map_or(0, |at| at + 1);
         Summary {
-            extra: f64::from(tries) / burst.len().max(1) as f64 - 1.0,
-            good_in_burst: good as f64 / burst.len().max(1) as f64,
-            recover: last_bad as f64 * WINDOW.as_secs_f64(),
+            extra_load: f64::from(tries) / burst.len().max(1) as f64 - 1.0,
+            good_in_burst: answered_in_time as f64 / burst.len().max(1) as f64,
+            recovery_s: last_bad as f64 * RECOVERY_WINDOW.as_secs_f64(),
         }
     }
 }
@@ -338,12 +362,12 @@
 
 fn routes() -> Routes {
     let entries = vec![(DcId(0), VmId(10_000))];
-    let backends = (0..SERVERS)
+    let backends = (0..SERVER_COUNT)
         .map(|vm| Backend {
             vm: VmId(vm),
             dc: DcId(0),
             address: ([127, 0, 0, 1], 1).into(),
-            slots: SLOTS,
+            slots: SLOTS_PER_SERVER,
             connections: 64,
             leaving: false,
         })
