--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -1,11 +1,10 @@
-//! `changeover`: how long nothing is started after a holder was killed.
+//! `changeover`: how long no task is started after a holder was killed.
 //!
-//! The decisions are those of the product: [`Membership`] of seven entry VMs finds the holder
-//! silent and claims, a new [`Holder`] polls its workers and starts what waits. Given are the
-//! delays: 1 ms between entry VMs and 3 ms for a worker's answer within a data centre, 12 ms
-//! one way to the log across the region link (the users' sizes of today), and 5 ms for the
-//! log itself. Some workers
-//! do not answer for 15 seconds.
+//! The decisions are those of the product: the [`Membership`] of seven entry VMs notices that the
+//! holder no longer sends heartbeats and claims the data centre, and a new [`Holder`] polls its
+//! workers and starts waiting tasks. The delays are given: 1 ms between entry VMs, 3 ms for a
+//! worker's answer within a data centre, 12 ms one way to the log across the region link (the users'
+//! current sizes), and 5 ms for the log itself. Some workers do not answer for 15 seconds.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -15,56 +14,63 @@
 use daisy_placement::{Holder, Options, WorkerStatus};
 use hdrhistogram::Histogram;
 
-use crate::fleet::{self, Fleet, Nature};
+use crate::fleet::{self, TaskProfile, WorkerFleet};
 
 /// Measures the time without starts after a holder was killed.
 #[derive(Debug, argh::FromArgs)]
 #[argh(subcommand, name = "changeover")]
 pub struct Args {
-    /// holders killed, each at another phase of its heartbeats (default 100)
+    /// number of holders killed, each at a different phase of its heartbeats (default 100)
     #[argh(option, default = "100")]
     kills: u64,
-    /// workers (default 130)
+    /// number of workers (default 130)
     #[argh(option, default = "130")]
     workers: usize,
 }
 
-const ENTRIES: u32 = 7;
-/// VM numbers of entry VMs start here, above those of workers.
+const ENTRY_COUNT: u32 = 7;
+/// Lowest VM number of an entry VM, above those of workers.
 const FIRST_ENTRY: u32 = 9_000;
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(2_000);
-const LEASE: Duration = Duration::from_secs(30);
-const STEP: Duration = Duration::from_millis(5);
+const LEASE_DURATION: Duration = Duration::from_secs(30);
+/// Simulated time of one step.
+const TIME_STEP: Duration = Duration::from_millis(5);
 /// Steps between two ticks of every process.
-const TICK_STEPS: u64 = 10;
+const STEPS_PER_TICK: u64 = 10;
+/// One-way delay between entry VMs.
 const PEER_DELAY: Duration = Duration::from_millis(1);
+/// Time until a worker has answered a call.
 const CALL_DELAY: Duration = Duration::from_millis(3);
-/// To the log, through it and back: two ways over the region link.
+/// Round trip to the log, with the log's own time: 12 ms each way over the region link, and 5 ms.
 const LOG_DELAY: Duration = Duration::from_millis(29);
-/// From the log to a reader, the same way once more.
+/// One-way delay from the log to a reader over the region link.
 const READ_DELAY: Duration = Duration::from_millis(12);
-/// A call to a worker that does not answer ends after this.
+/// Timeout of a call to a worker that does not answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// One worker in so many does not answer the new holder, for a time.
-const MUTE: usize = 50;
-const MUTE_FOR: Duration = Duration::from_secs(15);
-const CAPACITY: Resources = Resources { cpu_milli: 64_000, memory_mib: 250_000, accelerators: 0 };
-const SIZE: Resources = Resources { cpu_milli: 2_000, memory_mib: 4_000, accelerators: 0 };
-const BEFORE: Duration = Duration::from_secs(8);
-/// Long enough for every lease of the dead holder to lapse.
-const AFTER: Duration = Duration::from_secs(25);
+/// One in this many workers does not answer the new holder for a time.
+const UNRESPONSIVE_EVERY: usize = 50;
+/// How long these workers do not answer.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(15);
+const WORKER_CAPACITY: Resources =
+    Resources { cpu_milli: 64_000, memory_mib: 250_000, accelerators: 0 };
+const TASK_SIZE: Resources = Resources { cpu_milli: 2_000, memory_mib: 4_000, accelerators: 0 };
+/// Time before the holder is killed, plus a random phase of up to one second.
+const TIME_BEFORE_KILL: Duration = Duration::from_secs(8);
+/// Time that a run continues once all workers answer again; long enough for every lease of the dead
+/// holder to expire.
+const TIME_AFTER_UNRESPONSIVE: Duration = Duration::from_secs(25);
 
-/// What travels.
+/// A message in transit, or a timeout that is pending.
 #[derive(Debug)]
 enum Message {
-    Heartbeat { to: usize, beat: Heartbeat },
+    Heartbeat { to: usize, heartbeat: Heartbeat },
     Appended { from: usize, record: Record },
     Call { from: usize, vm: VmId, call: WorkerCall },
     NoAnswer { from: usize, vm: VmId },
 }
 
-/// One entry VM's process.
+/// The process of one entry VM.
 #[derive(Debug)]
 struct Entry {
     membership: Membership,
@@ -72,64 +78,71 @@
     alive: bool,
 }
 
+/// One run, in which one holder is killed.
 #[derive(Debug)]
 struct Run {
     now: Instant,
     steps: u64,
     entries: Vec<Entry>,
     vms: Vec<Vm>,
-    fleet: Fleet,
+    fleet: WorkerFleet,
     state: State,
-    seq: u64,
-    flying: VecDeque<(Instant, Message)>,
-    mute: bool,
-    killed: Option<Instant>,
-    claimed: Option<Instant>,
-    started: Option<Instant>,
-    polled: Option<Instant>,
+    append_seq: u64,
+    /// Messages with the times at which they arrive.
+    in_transit: VecDeque<(Instant, Message)>,
+    /// Whether one in [`UNRESPONSIVE_EVERY`] workers does not answer now.
+    some_unresponsive: bool,
+    killed_at: Option<Instant>,
+    claimed_at: Option<Instant>,
+    /// When a worker first accepted a start from the new holder.
+    first_start_at: Option<Instant>,
+    /// When every worker that can answer had answered the new holder.
+    all_polled_at: Option<Instant>,
 }
 
 /// Runs the measurement.
 pub fn run(args: &Args) {
-    let mut claim = histogram();
-    let mut start = histogram();
-    let mut polled = histogram();
-    let mut lapsed = 0;
-    let mut none = 0;
+    let mut claim_times = histogram();
+    let mut start_times = histogram();
+    let mut polled_times = histogram();
+    let mut tasks_lapsed = 0;
+    let mut never_started = 0;
     for seed in 0..args.kills {
         let mut run = Run::new(args.workers, seed);
         run.kill_and_wait(seed);
-        lapsed += run.fleet.lapsed;
-        none += usize::from(run.started.is_none());
-        for (times, at) in
-            [(&mut claim, run.claimed), (&mut start, run.started), (&mut polled, run.polled)]
-        {
-            if let Some((at, killed)) = at.zip(run.killed) {
-                times.saturating_record(at.since(killed).as_millis() as u64);
+        tasks_lapsed += run.fleet.tasks_lost_to_lease_expiry;
+        never_started += usize::from(run.first_start_at.is_none());
+        for (times, at) in [
+            (&mut claim_times, run.claimed_at),
+            (&mut start_times, run.first_start_at),
+            (&mut polled_times, run.all_polled_at),
+        ] {
+            if let Some((at, killed_at)) = at.zip(run.killed_at) {
+                times.saturating_record(at.since(killed_at).as_millis() as u64);
             }
         }
     }
     println!(
         "measure=changeover kills={} workers={} claim_p50_ms={} claim_max_ms={} start_p50_ms={} \
-         start_p99_ms={} start_max_ms={} polled_p50_ms={} polled_max_ms={} never_started={none} \
-         tasks_lapsed={lapsed}",
+         start_p99_ms={} start_max_ms={} polled_p50_ms={} polled_max_ms={} never_started={never_started} \
+         tasks_lapsed={tasks_lapsed}",
         args.kills,
         args.workers,
-        claim.value_at_quantile(0.5),
-        claim.max(),
-        start.value_at_quantile(0.5),
-        start.value_at_quantile(0.99),
-        start.max(),
-        polled.value_at_quantile(0.5),
-        polled.max(),
+        claim_times.value_at_quantile(0.5),
+        claim_times.max(),
+        start_times.value_at_quantile(0.5),
+        start_times.value_at_quantile(0.99),
+        start_times.max(),
+        polled_times.value_at_quantile(0.5),
+        polled_times.max(),
     );
 }
 
-/// The longest time counted, in milliseconds.
-const HIGHEST: u64 = 1_000_000;
+/// Upper bound of the histograms, in milliseconds.
+const HISTOGRAM_MAX_MS: u64 = 1_000_000;
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, HIGHEST, 3).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, HISTOGRAM_MAX_MS, 3).expect("the bounds are in order")
 }
 
 impl Run {
@@ -138,102 +151,103 @@
         let options = |at: u32| daisy_membership::Options {
             vm: VmId(FIRST_ENTRY + at),
             dc: DcId(0),
-            heartbeat: HEARTBEAT,
+            heartbeat: HEARTBEAT_INTERVAL,
             holder_timeout: HOLDER_TIMEOUT,
         };
         let entry =
             |at| Entry { membership: Membership::new(now, options(at)), holder: None, alive: true };
-        let mut vms: Vec<Vm> = (0..workers).map(|at| fleet::vm(at, CAPACITY)).collect();
-        vms.extend((0..ENTRIES).map(|at| fleet::entry_vm(VmId(FIRST_ENTRY + at))));
+        let mut vms: Vec<Vm> =
+            (0..workers).map(|at| fleet::worker_vm(at, WORKER_CAPACITY)).collect();
+        vms.extend((0..ENTRY_COUNT).map(|at| fleet::entry_vm(VmId(FIRST_ENTRY + at))));
         let mut run = Run {
             now,
             steps: 0,
-            entries: (0..ENTRIES).map(entry).collect(),
+            entries: (0..ENTRY_COUNT).map(entry).collect(),
             vms,
-            fleet: Fleet::new(workers, CAPACITY, seed),
+            fleet: WorkerFleet::new(workers, WORKER_CAPACITY, seed),
             state: State::default(),
-            seq: 0,
-            flying: VecDeque::new(),
-            mute: false,
-            killed: None,
-            claimed: None,
-            started: None,
-            polled: None,
+            append_seq: 0,
+            in_transit: VecDeque::new(),
+            some_unresponsive: false,
+            killed_at: None,
+            claimed_at: None,
+            first_start_at: None,
+            all_polled_at: None,
         };
-        run.fold(fleet::quota());
-        let nature = Nature { service: true, kind: 0, work: f32::INFINITY };
-        run.declare("s0x", workers as u32, nature);
+        run.fold(fleet::quota_record());
+        let profile = TaskProfile { is_service: true, kind: 0, work_s: f32::INFINITY };
+        run.create_job("s0x", workers as u32, profile);
         run
     }
 
-    fn declare(&mut self, text: &str, tasks: u32, nature: Nature) {
+    fn create_job(&mut self, text: &str, tasks: u32, profile: TaskProfile) {
         let job = self.state.jobs.next_id();
-        self.fleet.declare(job, nature);
-        self.fold(fleet::create(text, tasks, SIZE, nature));
+        self.fleet.set_profile(job, profile);
+        self.fold(fleet::create_job_record(text, tasks, TASK_SIZE, profile));
     }
 
     fn fold(&mut self, record: Record) -> Epoch {
         let offset = self.state.next;
-        self.seq += 1;
-        let id = AppendId { sender: 1, seq: self.seq };
+        self.append_seq += 1;
+        let id = AppendId { sender: 1, seq: self.append_seq };
         self.state.apply(offset, &Batch { id, records: vec![record] });
         Epoch(offset.0 + 1)
     }
 
-    /// Lets one holder work, kills it, and lets the others go on.
+    /// Lets a holder work, kills it, and lets the other entry VMs continue.
     fn kill_and_wait(&mut self, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let phase = Duration::from_millis(rng.u64(0..1_000));
-        self.run_for(BEFORE + phase);
+        self.run_for(TIME_BEFORE_KILL + phase);
         let holder = self.entries.iter().position(|it| it.holder.is_some());
         let holder = holder.expect("one entry VM became the holder");
         self.entries[holder].alive = false;
-        self.killed = Some(self.now);
-        self.mute = true;
-        self.run_for(MUTE_FOR);
-        self.mute = false;
-        self.run_for(AFTER);
+        self.killed_at = Some(self.now);
+        self.some_unresponsive = true;
+        self.run_for(UNRESPONSIVE_TIME);
+        self.some_unresponsive = false;
+        self.run_for(TIME_AFTER_UNRESPONSIVE);
     }
 
-    fn run_for(&mut self, span: Duration) {
-        let end = self.now + span;
+    fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.step();
         }
     }
 
     fn step(&mut self) {
-        self.now = self.now + STEP;
+        self.now = self.now + TIME_STEP;
         self.steps += 1;
-        let due = self.flying.iter().filter(|(at, _)| *at <= self.now).count();
+        let due = self.in_transit.iter().filter(|(at, _)| *at <= self.now).count();
         if due > 0 {
-            let flying = std::mem::take(&mut self.flying);
-            for (at, message) in flying {
+            let in_transit = std::mem::take(&mut self.in_transit);
+            for (at, message) in in_transit {
                 if at <= self.now {
                     self.deliver(message);
                 } else {
-                    self.flying.push_back((at, message));
+                    self.in_transit.push_back((at, message));
                 }
             }
         }
-        if self.steps.is_multiple_of(TICK_STEPS) {
+        if self.steps.is_multiple_of(STEPS_PER_TICK) {
             self.tick();
         }
     }
 
     fn tick(&mut self) {
-        self.fleet.advance(self.now, (STEP * TICK_STEPS as u32).as_secs_f32());
-        if self.steps.is_multiple_of(TICK_STEPS * 4) {
-            // Something always waits to be started.
-            let nature = Nature { service: false, kind: 1, work: 20.0 };
-            self.declare(&format!("b1x-{}", self.steps), 4, nature);
+        self.fleet.advance(self.now, (TIME_STEP * STEPS_PER_TICK as u32).as_secs_f32());
+        if self.steps.is_multiple_of(STEPS_PER_TICK * 4) {
+            // Keeps tasks waiting to be started at all times.
+            let profile = TaskProfile { is_service: false, kind: 1, work_s: 20.0 };
+            self.create_job(&format!("b1x-{}", self.steps), 4, profile);
         }
         for at in 0..self.entries.len() {
             if self.entries[at].alive {
                 self.tick_entry(at);
             }
         }
-        self.note_polled();
+        self.record_polled();
     }
 
     fn tick_entry(&mut self, at: usize) {
@@ -268,7 +282,7 @@
         self.entries[at].membership.step(self.now, event, &mut actions);
         for action in actions {
             match action {
-                daisy_membership::Action::Heartbeat(to) => self.beat(at, to),
+                daisy_membership::Action::Heartbeat(to) => self.send_heartbeat(at, to),
                 daisy_membership::Action::Claim => {
                     let holder = VmId(FIRST_ENTRY + at as u32);
                     let record = Record::Claim { dc: DcId(0), holder };
@@ -284,21 +298,22 @@
     }
 
     fn take_over(&mut self, at: usize, epoch: Epoch) {
-        if self.killed.is_some() && self.claimed.is_none() {
-            self.claimed = Some(self.now);
+        if self.killed_at.is_some() && self.claimed_at.is_none() {
+            self.claimed_at = Some(self.now);
         }
-        self.entries[at].holder = Some(Holder::new(Options::new(DcId(0), epoch, LEASE, 1)));
+        self.entries[at].holder =
+            Some(Holder::new(Options::new(DcId(0), epoch, LEASE_DURATION, 1)));
     }
 
-    fn beat(&mut self, at: usize, to: VmId) {
-        let beat = self.entries[at].membership.heartbeat(self.now);
+    fn send_heartbeat(&mut self, at: usize, to: VmId) {
+        let heartbeat = self.entries[at].membership.heartbeat(self.now);
         let to = (to.0 - FIRST_ENTRY) as usize;
-        self.flying.push_back((self.now + PEER_DELAY, Message::Heartbeat { to, beat }));
+        self.in_transit.push_back((self.now + PEER_DELAY, Message::Heartbeat { to, heartbeat }));
     }
 
     fn append(&mut self, from: usize, record: Record) {
         let at = self.now + LOG_DELAY + READ_DELAY;
-        self.flying.push_back((at, Message::Appended { from, record }));
+        self.in_transit.push_back((at, Message::Appended { from, record }));
     }
 
     fn send(&mut self, from: usize, actions: Vec<daisy_placement::Action>) {
@@ -306,13 +321,14 @@
             match action {
                 daisy_placement::Action::Append(record) => self.append(from, record),
                 daisy_placement::Action::Call { vm, call } => {
-                    let is_mute = self.mute && (vm.0 as usize).is_multiple_of(MUTE);
-                    let message = if is_mute {
+                    let is_unresponsive = self.some_unresponsive
+                        && (vm.0 as usize).is_multiple_of(UNRESPONSIVE_EVERY);
+                    let message = if is_unresponsive {
                         (self.now + CALL_TIMEOUT, Message::NoAnswer { from, vm })
                     } else {
                         (self.now + CALL_DELAY, Message::Call { from, vm, call })
                     };
-                    self.flying.push_back(message);
+                    self.in_transit.push_back(message);
                 }
             }
         }
@@ -320,11 +336,11 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Heartbeat { to, beat } if self.entries[to].alive => {
-                self.step_membership(to, daisy_membership::Event::Heartbeat(beat));
+            Message::Heartbeat { to, heartbeat } if self.entries[to].alive => {
+                self.step_membership(to, daisy_membership::Event::Heartbeat(heartbeat));
             }
             Message::Heartbeat { .. } => {}
-            // An append that is on its way takes effect though its sender is dead.
+            // An append in transit takes effect even if its sender has been killed.
             Message::Appended { from, record } => {
                 let is_claim = matches!(record, Record::Claim { .. });
                 self.fold(record);
@@ -343,8 +359,8 @@
     fn deliver_call(&mut self, from: usize, vm: VmId, call: &WorkerCall) {
         let starts = call.orders.iter().any(|it| matches!(it, Order::Start { .. }));
         let report = self.fleet.call(self.now, vm.0 as usize, call);
-        if starts && report.accepted && self.claimed.is_some() && self.started.is_none() {
-            self.started = Some(self.now);
+        if starts && report.accepted && self.claimed_at.is_some() && self.first_start_at.is_none() {
+            self.first_start_at = Some(self.now);
         }
         self.step_holder(from, daisy_placement::Event::Report { vm, report: &report });
     }
@@ -360,9 +376,9 @@
         self.send(at, actions);
     }
 
-    /// Notes when every worker that can answer has answered the new holder.
-    fn note_polled(&mut self) {
-        if self.claimed.is_none() || self.polled.is_some() {
+    /// Records the time at which every worker that can answer has answered the new holder.
+    fn record_polled(&mut self) {
+        if self.claimed_at.is_none() || self.all_polled_at.is_some() {
             return;
         }
         let Some(holder) =
@@ -371,11 +387,11 @@
             return;
         };
         let workers = holder.workers();
-        let answers = |it: &daisy_placement::WorkerView| {
-            it.status == WorkerStatus::Open || (it.vm.0 as usize).is_multiple_of(MUTE)
+        let is_done = |it: &daisy_placement::WorkerView| {
+            it.status == WorkerStatus::Open || (it.vm.0 as usize).is_multiple_of(UNRESPONSIVE_EVERY)
         };
-        if !workers.is_empty() && workers.iter().all(answers) {
-            self.polled = Some(self.now);
+        if !workers.is_empty() && workers.iter().all(is_done) {
+            self.all_polled_at = Some(self.now);
         }
     }
 }
--- a/daisy-measure/src/fleet.rs
+++ b/daisy-measure/src/fleet.rs
@@ -1,14 +1,14 @@
-//! Workers with tasks that disturb one another, and a driver of a holder over them.
+//! Modelled workers whose tasks interfere with one another, and a driver that runs a holder over them.
 //!
-//! Not a simulator of a cluster: calls are answered at once and the log folds at once. What
-//! is modelled is only what placement decides on: room, use, late reports, slowdowns.
+//! This does not simulate a whole cluster: calls are answered at once and the log folds at once. Only
+//! what placement decides on is modelled: capacity, resource usage, delayed reports and slowdowns.
 
-mod drive;
-mod truth;
+mod driver;
+mod interference_model;
 mod worker;
 
 pub use self::{
-    drive::{Drive, Spent, create, entry_vm, quota, vm},
-    truth::{BATCHES, SERVICES, Truth},
-    worker::{Fleet, Nature},
+    driver::{HolderDriver, HolderTime, create_job_record, entry_vm, quota_record, worker_vm},
+    interference_model::{BATCH_KINDS, InterferenceModel, SERVICE_KINDS},
+    worker::{TaskProfile, WorkerFleet},
 };
--- a/daisy-measure/src/fleet/worker.rs
+++ b/daisy-measure/src/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! Workers that run, end, throttle and checkpoint tasks, and report late.
+//! Modelled workers that run, end, throttle and checkpoint tasks, and report usage with a delay.
 
 use std::collections::VecDeque;
 
@@ -8,34 +8,38 @@
 };
 use hdrhistogram::Histogram;
 
-use super::Truth;
+use super::InterferenceModel;
 
-/// How late usage is reported.
-const LAG_MICROS: u64 = 5_000_000;
-/// Between two samples of usage, in microseconds.
-const SAMPLE_MICROS: u64 = 2_000_000;
+/// Delay with which usage is reported, in microseconds.
+const USAGE_LAG_MICROS: u64 = 5_000_000;
+/// Interval between two samples of usage, in microseconds.
+const SAMPLE_INTERVAL_MICROS: u64 = 2_000_000;
 
-/// The highest value counted; what is above counts as this.
-const HIGHEST: u64 = 1_000_000;
+/// Upper bound of the histograms; higher values are counted as this.
+const HISTOGRAM_MAX: u64 = 1_000_000;
 
-/// What a job's tasks are in truth.
+/// The actual behaviour of a job's tasks, which the decisions under measurement do not know.
 #[derive(Debug, Clone, Copy)]
-pub struct Nature {
-    pub service: bool,
+pub struct TaskProfile {
+    /// Whether the tasks are replicas of a service; otherwise they are batch work.
+    pub is_service: bool,
+    /// The kind of service or batch work, as in [`InterferenceModel`].
     pub kind: usize,
-    /// Seconds of work of one task when undisturbed and not limited.
-    pub work: f32,
+    /// Seconds of work of one task without interference and throttling.
+    pub work_s: f32,
 }
 
-/// A task that runs.
+/// A running task.
 #[derive(Debug, Clone, Copy)]
 pub struct Task {
     pub task: TaskId,
     pub incarnation: Incarnation,
     pub size: Resources,
+    /// Share of its processors that the task may use, in thousandths.
     pub share: u32,
-    pub nature: Nature,
-    left: f32,
+    pub profile: TaskProfile,
+    remaining_work_s: f32,
+    /// Current slowdown in thousandths; 1000 is none.
     slowdown: u32,
 }
 
@@ -45,71 +49,76 @@
     tasks: Vec<Task>,
     ended: Vec<Ended>,
     samples: VecDeque<(Instant, Vec<Usage>)>,
-    sampled: Instant,
+    last_sample_at: Instant,
     lease_end: Instant,
-    busy: f32,
+    /// Share of the worker's processors in use.
+    cpu_use: f32,
 }
 
-/// All workers, and what the measurements count.
+/// All workers, and the figures that the measurements count.
 #[derive(Debug)]
-pub struct Fleet {
-    pub truth: Truth,
+pub struct WorkerFleet {
+    pub interference_model: InterferenceModel,
     workers: Vec<Worker>,
-    natures: SortedMap<JobId, Nature>,
+    profiles: SortedMap<JobId, TaskProfile>,
     rng: fastrand::Rng,
     pub epoch: Epoch,
     /// Slowdowns of services, sampled once a second for each replica.
     pub slowdowns: Histogram<u64>,
     /// Processor use of workers in thousandths, sampled once a second.
-    pub busy: Histogram<u64>,
+    pub cpu_use: Histogram<u64>,
     /// Seconds of batch work done.
     pub work_done: f64,
     pub finished: usize,
     pub evictions: usize,
     pub starts: usize,
-    pub no_room: usize,
-    pub lapsed: usize,
-    counted: Instant,
+    /// Starts refused because the task did not fit.
+    pub starts_without_capacity: usize,
+    /// Tasks ended because their worker's lease expired.
+    pub tasks_lost_to_lease_expiry: usize,
+    last_count_at: Instant,
 }
 
-impl Fleet {
-    pub fn new(workers: usize, capacity: Resources, seed: u64) -> Fleet {
+impl WorkerFleet {
+    pub fn new(workers: usize, capacity: Resources, seed: u64) -> WorkerFleet {
         let worker = || Worker {
             capacity,
             tasks: Vec::new(),
             ended: Vec::new(),
             samples: VecDeque::new(),
-            sampled: Instant(0),
+            last_sample_at: Instant(0),
             lease_end: Instant(u64::MAX),
-            busy: 0.0,
+            cpu_use: 0.0,
         };
-        Fleet {
-            truth: Truth::new(seed),
+        WorkerFleet {
+            interference_model: InterferenceModel::new(seed),
             workers: (0..workers).map(|_| worker()).collect(),
-            natures: SortedMap::new(),
+            profiles: SortedMap::new(),
             rng: fastrand::Rng::with_seed(seed),
             epoch: Epoch(0),
-            slowdowns: Histogram::new_with_bounds(1, HIGHEST, 3).expect("the bounds are in order"),
-            busy: Histogram::new_with_bounds(1, HIGHEST, 3).expect("the bounds are in order"),
+            slowdowns: Histogram::new_with_bounds(1, HISTOGRAM_MAX, 3)
+                .expect("the bounds are in order"),
+            cpu_use: Histogram::new_with_bounds(1, HISTOGRAM_MAX, 3)
+                .expect("the bounds are in order"),
             work_done: 0.0,
             finished: 0,
             evictions: 0,
             starts: 0,
-            no_room: 0,
-            lapsed: 0,
-            counted: Instant(0),
+            starts_without_capacity: 0,
+            tasks_lost_to_lease_expiry: 0,
+            last_count_at: Instant(0),
         }
     }
 
-    /// Tells what a job's tasks are.
-    pub fn declare(&mut self, job: JobId, nature: Nature) {
-        self.natures.insert(job, nature);
+    /// Sets the behaviour of a job's tasks.
+    pub fn set_profile(&mut self, job: JobId, profile: TaskProfile) {
+        self.profiles.insert(job, profile);
     }
 
-    /// Starts what is counted anew.
+    /// Resets the figures that are counted over the measured time.
     pub fn reset_counts(&mut self) {
         self.slowdowns.reset();
-        self.busy.reset();
+        self.cpu_use.reset();
         self.work_done = 0.0;
         self.finished = 0;
         self.evictions = 0;
@@ -122,116 +131,131 @@
 
     pub fn free(&self, worker: usize) -> Resources {
         let it = &self.workers[worker];
-        let taken = it.tasks.iter().fold(Resources::ZERO, |sum, task| {
+        let allocated = it.tasks.iter().fold(Resources::ZERO, |sum, task| {
             sum.try_add(task.size).expect("sums of a worker are small")
         });
-        it.capacity.try_sub(taken).unwrap_or(Resources::ZERO)
+        it.capacity.try_sub(allocated).unwrap_or(Resources::ZERO)
     }
 
-    /// Lets time pass to `now`.
+    /// Advances all workers by `seconds`, to `now`.
     pub fn advance(&mut self, now: Instant, seconds: f32) {
-        let is_count = now.since(self.counted).as_millis() >= 1_000;
-        if is_count {
-            self.counted = now;
+        let is_count_due = now.since(self.last_count_at).as_millis() >= 1_000;
+        if is_count_due {
+            self.last_count_at = now;
         }
         for at in 0..self.workers.len() {
-            self.lapse(at, now);
-            self.progress(at, now, seconds, is_count);
+            self.expire_lease(at, now);
+            self.progress(at, now, seconds, is_count_due);
             self.sample(at, now);
         }
     }
 
-    fn lapse(&mut self, at: usize, now: Instant) {
+    fn expire_lease(&mut self, at: usize, now: Instant) {
         let worker = &mut self.workers[at];
         if now > worker.lease_end {
-            self.lapsed += worker.tasks.len();
+            self.tasks_lost_to_lease_expiry += worker.tasks.len();
             worker.tasks.clear();
         }
     }
 
-    fn progress(&mut self, at: usize, now: Instant, seconds: f32, is_count: bool) {
-        let clock = now.0 as f32 / 1e6;
-        let busy = self.busy_of(at, clock);
+    fn progress(&mut self, at: usize, now: Instant, seconds: f32, is_count_due: bool) {
+        let seconds_now = now.0 as f32 / 1e6;
+        let cpu_use = self.cpu_use_of(at, seconds_now);
         let worker = &mut self.workers[at];
-        worker.busy = busy;
-        if is_count {
-            self.busy.saturating_record((busy * 1000.0) as u64);
+        worker.cpu_use = cpu_use;
+        if is_count_due {
+            self.cpu_use.saturating_record((cpu_use * 1000.0) as u64);
         }
-        let crowding = self.truth.crowding(busy);
-        let mut counts = [0.0_f32; super::SERVICES];
-        for (service, sum) in counts.iter_mut().enumerate() {
-            let batch = worker.tasks.iter().filter(|it| !it.nature.service);
-            let added = batch.map(|it| self.truth.added(service, it.nature.kind, it.share, clock));
-            *sum = added.sum();
+        let overload_slowdown = self.interference_model.overload_slowdown(cpu_use);
+        let mut service_slowdowns = [0.0_f32; super::SERVICE_KINDS];
+        for (service, sum) in service_slowdowns.iter_mut().enumerate() {
+            let batch = worker.tasks.iter().filter(|it| !it.profile.is_service);
+            let added_slowdown = batch.map(|it| {
+                self.interference_model.added_slowdown(
+                    service,
+                    it.profile.kind,
+                    it.share,
+                    seconds_now,
+                )
+            });
+            *sum = added_slowdown.sum();
         }
-        let mut done = Vec::new();
+        let mut finished_indexes = Vec::new();
         for (index, it) in worker.tasks.iter_mut().enumerate() {
-            if it.nature.service {
-                it.slowdown = (1000.0 + counts[it.nature.kind] + crowding) as u32;
-                if is_count {
+            if it.profile.is_service {
+                it.slowdown =
+                    (1000.0 + service_slowdowns[it.profile.kind] + overload_slowdown) as u32;
+                if is_count_due {
                     self.slowdowns.saturating_record(u64::from(it.slowdown));
                 }
                 continue;
             }
-            it.slowdown = (1000.0 + crowding) as u32;
+            it.slowdown = (1000.0 + overload_slowdown) as u32;
             let speed = it.share as f32 / it.slowdown as f32;
-            it.left -= speed * seconds;
+            it.remaining_work_s -= speed * seconds;
             self.work_done += f64::from(speed * seconds);
-            if it.left <= 0.0 {
-                done.push(index);
+            if it.remaining_work_s <= 0.0 {
+                finished_indexes.push(index);
             }
         }
-        for index in done.into_iter().rev() {
+        for index in finished_indexes.into_iter().rev() {
             let Task { task, incarnation, .. } = worker.tasks.swap_remove(index);
             worker.ended.push(Ended { task, incarnation, exit: Exit::Done });
             self.finished += 1;
         }
     }
 
-    fn busy_of(&self, at: usize, clock: f32) -> f32 {
+    fn cpu_use_of(&self, at: usize, seconds_now: f32) -> f32 {
         let worker = &self.workers[at];
-        let used = worker.tasks.iter().map(|it| self.cpu_of(it, clock)).sum::<f32>();
+        let used = worker.tasks.iter().map(|it| self.cpu_used_by(it, seconds_now)).sum::<f32>();
         used / worker.capacity.cpu_milli as f32
     }
 
-    fn cpu_of(&self, it: &Task, clock: f32) -> f32 {
-        let Nature { service, kind, .. } = it.nature;
-        let wave = if service { 1.0 } else { self.truth.wave(kind, clock) };
+    fn cpu_used_by(&self, it: &Task, seconds_now: f32) -> f32 {
+        let TaskProfile { is_service, kind, .. } = it.profile;
+        let interference_wave = if is_service {
+            1.0
+        } else {
+            self.interference_model.interference_wave(kind, seconds_now)
+        };
         let share = it.share as f32 / 1000.0;
-        it.size.cpu_milli as f32 * self.truth.use_of(service, kind) * share * (0.5 + 0.5 * wave)
+        it.size.cpu_milli as f32
+            * self.interference_model.cpu_use_share(is_service, kind)
+            * share
+            * (0.5 + 0.5 * interference_wave)
     }
 
     fn sample(&mut self, at: usize, now: Instant) {
-        if now.0 < self.workers[at].sampled.0 + SAMPLE_MICROS {
+        if now.0 < self.workers[at].last_sample_at.0 + SAMPLE_INTERVAL_MICROS {
             return;
         }
-        let clock = now.0 as f32 / 1e6;
+        let seconds_now = now.0 as f32 / 1e6;
         let usage = self.workers[at].tasks.iter().map(|it| Usage {
             task: it.task,
-            used: Resources { cpu_milli: self.cpu_of(it, clock) as u32, ..it.size },
+            used: Resources { cpu_milli: self.cpu_used_by(it, seconds_now) as u32, ..it.size },
             slowdown: it.slowdown,
         });
         let mut usage: Vec<Usage> = usage.collect();
-        // Measured through noise of a few percent.
+        // Adds measurement noise of up to 3 percent.
         for it in &mut usage {
             it.slowdown = it.slowdown * self.rng.u32(970..1_030) / 1_000;
         }
         let worker = &mut self.workers[at];
-        worker.sampled = now;
+        worker.last_sample_at = now;
         worker.samples.push_back((now, usage));
-        while worker.samples.len() > 1 && worker.samples[1].0.0 + LAG_MICROS <= now.0 {
+        while worker.samples.len() > 1 && worker.samples[1].0.0 + USAGE_LAG_MICROS <= now.0 {
             worker.samples.pop_front();
         }
     }
 
-    /// A worker's answer to a call, by the platform's rules.
+    /// Returns a worker's answer to a call, by the platform's rules.
     pub fn call(&mut self, now: Instant, at: usize, call: &WorkerCall) -> WorkerReport {
         let accepted = call.epoch >= self.epoch;
         self.epoch = self.epoch.max(call.epoch);
         let mut results = Vec::new();
         if accepted {
             self.workers[at].lease_end = now + call.lease;
-            results = call.orders.iter().map(|order| self.carry_out(at, order)).collect();
+            results = call.orders.iter().map(|order| self.carry_out_order(at, order)).collect();
         }
         let worker = &self.workers[at];
         let running = worker.tasks.iter().map(|it| Running {
@@ -240,7 +264,7 @@
             size: it.size,
             share: it.share,
         });
-        let usage = worker.samples.front().filter(|(at, _)| at.0 + LAG_MICROS <= now.0);
+        let usage = worker.samples.front().filter(|(at, _)| at.0 + USAGE_LAG_MICROS <= now.0);
         WorkerReport {
             epoch: self.epoch,
             accepted,
@@ -252,17 +276,19 @@
         }
     }
 
-    fn carry_out(&mut self, at: usize, order: &Order) -> OrderResult {
+    fn carry_out_order(&mut self, at: usize, order: &Order) -> OrderResult {
         match *order {
             Order::Start { task, incarnation, size, checkpoint } => {
                 self.start(at, task, incarnation, size, checkpoint)
             }
-            Order::Stop { task, .. } => self.end(at, task, Exit::Stopped),
+            Order::Stop { task, .. } => self.end_task(at, task, Exit::Stopped),
             Order::Checkpoint { task, .. } => {
                 let found = self.workers[at].tasks.iter().find(|it| it.task == task);
-                let Some(left) = found.map(|it| it.left) else { return OrderResult::Unknown };
+                let Some(remaining_work_s) = found.map(|it| it.remaining_work_s) else {
+                    return OrderResult::Unknown;
+                };
                 self.evictions += 1;
-                self.end(at, task, Exit::Checkpointed((left * 1000.0) as u64))
+                self.end_task(at, task, Exit::Checkpointed((remaining_work_s * 1000.0) as u64))
             }
             Order::Throttle { task, share, .. } => {
                 let found = self.workers[at].tasks.iter_mut().find(|it| it.task == task);
@@ -278,7 +304,7 @@
         }
     }
 
-    /// Starts a task, with what is left of its work.
+    /// Starts a task with its whole work, or with what its checkpoint says is left.
     pub fn start(
         &mut self,
         at: usize,
@@ -288,20 +314,29 @@
         checkpoint: Option<u64>,
     ) -> OrderResult {
         if !size.fits(self.free(at)) {
-            self.no_room += 1;
+            self.starts_without_capacity += 1;
             return OrderResult::NoRoom;
         }
-        let Some(nature) = self.natures.get(&task.job).copied() else {
+        let Some(profile) = self.profiles.get(&task.job).copied() else {
             return OrderResult::Failed;
         };
         self.starts += 1;
-        let left = checkpoint.map_or(nature.work, |left| left as f32 / 1000.0);
-        let started = Task { task, incarnation, size, share: 1000, nature, left, slowdown: 1000 };
+        let remaining_work_s =
+            checkpoint.map_or(profile.work_s, |remaining_work_s| remaining_work_s as f32 / 1000.0);
+        let started = Task {
+            task,
+            incarnation,
+            size,
+            share: 1000,
+            profile,
+            remaining_work_s,
+            slowdown: 1000,
+        };
         self.workers[at].tasks.push(started);
         OrderResult::Done
     }
 
-    fn end(&mut self, at: usize, task: TaskId, exit: Exit) -> OrderResult {
+    fn end_task(&mut self, at: usize, task: TaskId, exit: Exit) -> OrderResult {
         let worker = &mut self.workers[at];
         let Some(index) = worker.tasks.iter().position(|it| it.task == task) else {
             return OrderResult::Unknown;
