--- a/daisy-measure/src/ledger/fleet.rs
+++ b/daisy-measure/src/ledger/holder_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of holders on a simulated clock, which fills the log as a real one would.
+//! Holders on a simulated clock that append to the log as real ones would.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -13,92 +13,103 @@
 use hdrhistogram::Histogram;
 
 /// Data centres (the users' size plan).
-const DCS: u16 = 6;
-const WORKERS: u32 = 790;
-const TEAMS: u32 = 29;
+const DC_COUNT: u16 = 6;
+const WORKER_COUNT: u32 = 790;
+const TEAM_COUNT: u32 = 29;
 const SERVICE_TASKS: u32 = 3_100;
 const BATCH_TASKS: u32 = 23_000;
 /// Tasks of one service.
-const SERVICE_SIZE: u32 = 31;
-/// Tasks of one batch job: 62 starts/s from 8,600 jobs a day.
-const BATCH_SIZE: u32 = 620;
-/// The time of a tick of the simulated clock.
-const TICK: Duration = Duration::from_millis(10);
-/// From an append to its fold: one way over the region link and back, and the store's time.
+const TASKS_PER_SERVICE: u32 = 31;
+/// Tasks of one batch job: 8,600 jobs a day give 62 starts a second.
+const TASKS_PER_BATCH_JOB: u32 = 620;
+/// Interval between ticks of the simulated clock.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time from an append to its fold: both ways over the region link, and the store's time.
 const ROUND_TRIP: Duration = Duration::from_millis(30);
-/// How often a holder tells placements and exits in bulk.
-const TOLD_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which a holder appends placements and exits in bulk.
+const BULK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The log of a run.
+/// The log entries of a run and the state that they fold to.
 #[derive(Debug)]
-pub(crate) struct Traffic {
+pub(crate) struct RunLog {
     pub(crate) entries: Vec<(Offset, Vec<u8>)>,
     pub(crate) state: State,
 }
 
-impl Traffic {
+impl RunLog {
     pub(crate) fn bytes(&self) -> usize {
         self.entries.iter().map(|(_, bytes)| bytes.len()).sum()
     }
 }
 
+/// The holder of one data centre.
 #[derive(Debug)]
 struct Holder {
     dc: DcId,
     epoch: Epoch,
     queue: Queue,
-    /// Appends on their way to the fold.
-    sent: VecDeque<(Instant, Batch)>,
-    /// Tasks asked for and when.
-    asked: Vec<(TaskId, Instant)>,
+    /// Appends that are not folded yet, and when they will be.
+    in_transit: VecDeque<(Instant, Batch)>,
+    /// Tasks that were requested, and when.
+    requested: Vec<(TaskId, Instant)>,
+    /// Batch tasks that run, with their incarnations, the oldest first.
     running: VecDeque<(TaskId, u32)>,
+    /// Placements and exits to append in bulk.
     placements: Vec<Placement>,
     exits: Vec<Ended>,
 }
 
 /// All holders, the log and its fold.
 #[derive(Debug)]
-pub(crate) struct Fleet {
+pub(crate) struct HolderFleet {
     now: Instant,
     state: State,
     entries: Vec<(Offset, Vec<u8>)>,
     holders: Vec<Holder>,
-    grants: Histogram<u64>,
+    /// Times from request to grant, in milliseconds.
+    grant_times: Histogram<u64>,
     rng: fastrand::Rng,
+    /// Size of the fleet, in percent of the design size.
     percent: u32,
-    seq: u64,
-    jobs: u32,
+    append_seq: u64,
+    jobs_created: u32,
 }
 
-impl Fleet {
-    /// A fleet of `percent` of the design size whose jobs are declared and that runs nothing.
-    pub(crate) fn new(percent: u32, seed: u64, interval: Duration, max_records: usize) -> Fleet {
-        let holders = (0..DCS).map(|dc| {
+impl HolderFleet {
+    /// Creates a fleet of `percent` of the design size. Its quotas and services are declared and its
+    /// holders have claimed their data centres, but no task runs.
+    pub(crate) fn new(
+        percent: u32,
+        seed: u64,
+        interval: Duration,
+        max_records: usize,
+    ) -> HolderFleet {
+        let holders = (0..DC_COUNT).map(|dc| {
             let options = Options::new(u64::from(dc) + 1, interval);
             let options = Options { max_records: max_records.min(options.max_records), ..options };
             Holder {
                 dc: DcId(dc),
                 epoch: Epoch(0),
                 queue: Queue::new(options),
-                sent: VecDeque::new(),
-                asked: Vec::new(),
+                in_transit: VecDeque::new(),
+                requested: Vec::new(),
                 running: VecDeque::new(),
                 placements: Vec::new(),
                 exits: Vec::new(),
             }
         });
-        let mut fleet = Fleet {
+        let mut fleet = HolderFleet {
             now: Instant::default(),
             state: State::default(),
             entries: Vec::new(),
             holders: holders.collect(),
-            grants: Histogram::new(3).expect("three digits are allowed"),
+            grant_times: Histogram::new(3).expect("three digits are allowed"),
             rng: fastrand::Rng::with_seed(seed),
             percent,
-            seq: 0,
-            jobs: 0,
+            append_seq: 0,
+            jobs_created: 0,
         };
-        fleet.declare();
+        fleet.set_up();
         fleet
     }
 
@@ -106,22 +117,24 @@
         &self.state
     }
 
-    /// The log from the end of [`Fleet::warm_up`] on, and times to grants in milliseconds.
-    pub(crate) fn into_traffic(self) -> (Traffic, Histogram<u64>) {
-        (Traffic { entries: self.entries, state: self.state }, self.grants)
+    /// Returns the log since the end of [`HolderFleet::warm_up`] or
+    /// [`HolderFleet::fill_bounded_history`], and the times to grants in milliseconds.
+    pub(crate) fn into_log(self) -> (RunLog, Histogram<u64>) {
+        (RunLog { entries: self.entries, state: self.state }, self.grant_times)
     }
 
-    fn declare(&mut self) {
-        for team in 0..TEAMS {
+    /// Declares quotas and services, and claims the data centres.
+    fn set_up(&mut self) {
+        for team in 0..TEAM_COUNT {
             let limit = Resources {
                 cpu_milli: 1_000_000_000,
                 memory_mib: 1_000_000_000,
                 accelerators: 10_000,
             };
-            self.change(Command::Quota { team: name("team", team), limit });
+            self.append_change(Command::Quota { team: name("team", team), limit });
         }
-        for _ in 0..SERVICE_TASKS * self.percent / 100 / SERVICE_SIZE {
-            self.create(JobKind::Service, SERVICE_SIZE);
+        for _ in 0..SERVICE_TASKS * self.percent / 100 / TASKS_PER_SERVICE {
+            self.create_job(JobKind::Service, TASKS_PER_SERVICE);
         }
         for index in 0..self.holders.len() {
             let (dc, holder) = (self.holders[index].dc, VmId(index as u32));
@@ -133,37 +146,38 @@
 
     /// Checks out and places all services and as many batch tasks as run at this size.
     pub(crate) fn warm_up(&mut self) {
-        for _ in 0..(BATCH_TASKS * self.percent / 100).div_ceil(BATCH_SIZE) {
-            self.create(JobKind::Batch, BATCH_SIZE);
+        for _ in 0..(BATCH_TASKS * self.percent / 100).div_ceil(TASKS_PER_BATCH_JOB) {
+            self.create_job(JobKind::Batch, TASKS_PER_BATCH_JOB);
         }
         let pending = self.state.jobs.pending().to_vec();
         for (tasks, index) in pending.chunks(500).zip((0..self.holders.len()).cycle()) {
             let Holder { dc, epoch, .. } = self.holders[index];
-            let taken = match self.append(Record::Checkout { dc, epoch, tasks: tasks.to_vec() }) {
-                Some(Outcome::Granted(tasks)) => tasks,
-                _ => continue,
-            };
+            let granted_tasks =
+                match self.append(Record::Checkout { dc, epoch, tasks: tasks.to_vec() }) {
+                    Some(Outcome::Granted(tasks)) => tasks,
+                    _ => continue,
+                };
             let placements: Vec<Placement> =
-                taken.iter().map(|&task| self.placement(task)).collect();
+                granted_tasks.iter().map(|&task| self.placement(task)).collect();
             self.append(Record::Placed { dc, epoch, placements });
-            let batch = taken.into_iter().filter(|it| is_batch(&self.state, it.job));
+            let batch = granted_tasks.into_iter().filter(|it| is_batch(&self.state, it.job));
             self.holders[index].running.extend(batch.map(|task| (task, 1)));
         }
         self.entries.clear();
     }
 
-    /// Fills all that is kept to a bound: finished jobs, the audit trail, intents; gives the bytes
-    /// in the log of one change.
-    pub(crate) fn fill(&mut self) -> f64 {
+    /// Fills everything that is retained up to a bound: finished jobs, the audit trail and intents.
+    /// Returns the mean bytes of one change in the log.
+    pub(crate) fn fill_bounded_history(&mut self) -> f64 {
         let tasks = Jobs::MAX_FINISHED_TASKS / Jobs::MAX_FINISHED_JOBS;
         for _ in 0..Jobs::MAX_FINISHED_JOBS {
-            let id = self.create(JobKind::Batch, tasks as u32);
+            let id = self.create_job(JobKind::Batch, tasks as u32);
             let job = self.state.jobs.get(id).map(|job| job.spec.name.clone());
             let Some(job) = job else { continue };
-            self.change(Command::Cancel { kind: JobKind::Batch, job });
+            self.append_change(Command::Cancel { kind: JobKind::Batch, job });
         }
         for _ in 0..State::MAX_AUDIT_ENTRIES - 2 * Jobs::MAX_FINISHED_JOBS {
-            self.change(Command::Pause(WorkClass::Priority(Priority::Low)));
+            self.append_change(Command::Pause(WorkClass::Priority(Priority::Low)));
         }
         let bytes: usize = self.entries.iter().map(|(_, bytes)| bytes.len()).sum();
         let change_bytes = bytes as f64 / self.entries.len() as f64;
@@ -179,27 +193,27 @@
     pub(crate) fn run(&mut self, seconds: u64, starts: u32) {
         let end = self.now + Duration::from_secs(seconds);
         let mut due = 0.0;
-        let mut tell = self.now + TOLD_EVERY;
+        let mut next_bulk_append = self.now + BULK_INTERVAL;
         while self.now < end {
-            self.now = self.now + TICK;
-            due += f64::from(starts) * TICK.as_secs_f64();
+            self.now = self.now + TICK_INTERVAL;
+            due += f64::from(starts) * TICK_INTERVAL.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
-                self.start_one();
+                self.end_one_and_request_next();
             }
-            if self.now >= tell {
-                tell = tell + TOLD_EVERY;
-                self.tell_all();
+            if self.now >= next_bulk_append {
+                next_bulk_append = next_bulk_append + BULK_INTERVAL;
+                self.append_bulk_records();
             }
             for index in 0..self.holders.len() {
-                self.deliver(index);
+                self.fold_due_appends(index);
                 self.step(index, Event::Tick);
             }
         }
     }
 
-    /// Ends the task that has run longest somewhere, and asks for a pending one there.
-    fn start_one(&mut self) {
+    /// Ends the longest-running batch task of a random holder and requests a pending task for it.
+    fn end_one_and_request_next(&mut self) {
         let index = self.rng.usize(..self.holders.len());
         let holder = &mut self.holders[index];
         if let Some((task, incarnation)) = holder.running.pop_front() {
@@ -207,96 +221,99 @@
             holder.exits.push(Ended { task, incarnation, exit: Exit::Done });
         }
         let Some(task) = self.next_pending() else { return };
-        self.holders[index].asked.push((task, self.now));
+        self.holders[index].requested.push((task, self.now));
     }
 
-    /// A pending task that nobody has asked for; declares a job if there is none.
+    /// Returns a pending task that no holder has requested; declares a job if there is none.
     fn next_pending(&mut self) -> Option<TaskId> {
-        let asked = |it: &TaskId| {
-            self.holders.iter().any(|holder| holder.asked.iter().any(|(task, _)| task == it))
+        let is_requested = |it: &TaskId| {
+            self.holders.iter().any(|holder| holder.requested.iter().any(|(task, _)| task == it))
         };
-        let free = self.state.jobs.pending().iter().copied().find(|it| !asked(it));
+        let free = self.state.jobs.pending().iter().copied().find(|it| !is_requested(it));
         free.or_else(|| {
-            let job = self.create(JobKind::Batch, BATCH_SIZE);
+            let job = self.create_job(JobKind::Batch, TASKS_PER_BATCH_JOB);
             Some(TaskId { job, index: 0 })
         })
     }
 
-    /// Pushes what each holder has to tell in bulk.
-    fn tell_all(&mut self) {
+    /// Queues the placements and exits of each holder for append.
+    fn append_bulk_records(&mut self) {
         for holder in &mut self.holders {
             let (dc, epoch) = (holder.dc, holder.epoch);
             let placements = std::mem::take(&mut holder.placements);
             let exits = std::mem::take(&mut holder.exits);
             if !placements.is_empty() {
-                push(&mut holder.queue, Record::Placed { dc, epoch, placements });
+                push_record(&mut holder.queue, Record::Placed { dc, epoch, placements });
             }
             if !exits.is_empty() {
-                push(&mut holder.queue, Record::Ended { dc, epoch, exits });
+                push_record(&mut holder.queue, Record::Ended { dc, epoch, exits });
             }
         }
     }
 
     /// Folds appends that have reached the log.
-    fn deliver(&mut self, index: usize) {
-        while let Some((at, batch)) = self.holders[index].sent.pop_front() {
+    fn fold_due_appends(&mut self, index: usize) {
+        while let Some((at, batch)) = self.holders[index].in_transit.pop_front() {
             if at > self.now {
-                self.holders[index].sent.push_front((at, batch));
+                self.holders[index].in_transit.push_front((at, batch));
                 return;
             }
             let id = batch.id;
             for outcome in self.fold(batch) {
                 if let Outcome::Granted(tasks) = outcome {
-                    self.granted(index, &tasks);
+                    self.handle_grant(index, &tasks);
                 }
             }
             self.step(index, Event::Folded { id });
         }
     }
 
-    fn granted(&mut self, index: usize, tasks: &[TaskId]) {
+    /// Places tasks that were granted and records how long their grants took.
+    fn handle_grant(&mut self, index: usize, tasks: &[TaskId]) {
         for &task in tasks {
             let placement = self.placement(task);
             let holder = &mut self.holders[index];
-            let Some(at) = holder.asked.iter().position(|(it, _)| *it == task) else { continue };
-            let (_, since) = holder.asked.swap_remove(at);
+            let Some(at) = holder.requested.iter().position(|(it, _)| *it == task) else {
+                continue;
+            };
+            let (_, since) = holder.requested.swap_remove(at);
             holder.placements.push(placement);
             holder.running.push_back((task, 1));
             let waited = self.now.since(since).as_millis() as u64;
-            self.grants.record(waited).expect("within the range");
+            self.grant_times.record(waited).expect("within the range");
         }
     }
 
     fn step(&mut self, index: usize, event: Event) {
         let (now, holder) = (self.now, &mut self.holders[index]);
-        // What has been asked for goes into the next append whole.
+        // All tasks requested in this tick go into one checkout.
         let new: Vec<TaskId> =
-            holder.asked.iter().filter(|(_, at)| *at == now).map(|(task, _)| *task).collect();
+            holder.requested.iter().filter(|(_, at)| *at == now).map(|(task, _)| *task).collect();
         if event == Event::Tick && !new.is_empty() {
             let (dc, epoch) = (holder.dc, holder.epoch);
-            push(&mut holder.queue, Record::Checkout { dc, epoch, tasks: new });
+            push_record(&mut holder.queue, Record::Checkout { dc, epoch, tasks: new });
         }
         let mut actions = Vec::new();
         holder.queue.step(now, event, &mut actions);
         for action in actions {
             if let Action::Send(batch) = action {
-                holder.sent.push_back((now + ROUND_TRIP, batch));
+                holder.in_transit.push_back((now + ROUND_TRIP, batch));
             }
         }
     }
 
     fn placement(&mut self, task: TaskId) -> Placement {
-        let vm = VmId(self.rng.u32(..WORKERS));
+        let vm = VmId(self.rng.u32(..WORKER_COUNT));
         Placement { task, incarnation: daisy_model::Incarnation(1), vm }
     }
 
-    fn create(&mut self, kind: JobKind, tasks: u32) -> JobId {
-        let number = self.jobs;
-        self.jobs += 1;
+    fn create_job(&mut self, kind: JobKind, tasks: u32) -> JobId {
+        let number = self.jobs_created;
+        self.jobs_created += 1;
         let batch = kind == JobKind::Batch;
         let spec = JobSpec {
             name: name(if batch { "price-list-refresh" } else { "quotation" }, number),
-            team: name("team", number % TEAMS),
+            team: name("team", number % TEAM_COUNT),
             kind,
             tasks,
             size: Resources { cpu_milli: 500, memory_mib: 1_024, accelerators: 0 },
@@ -308,12 +325,12 @@
             region_bytes: 1 << 20,
         };
         let id = self.state.jobs.next_id();
-        self.change(Command::Create(spec));
+        self.append_change(Command::Create(spec));
         id
     }
 
-    fn change(&mut self, command: Command) {
-        // As long as such a statement is when written out.
+    fn append_change(&mut self, command: Command) {
+        // The text has the length of a typical statement.
         let text = "create job price-list-refresh-0000 team team-00 tasks 620 cpu 500m memory 1Gi \
                     may delay, evict run time 371s in dc-1, dc-2 region bytes 1Mi";
         let who = name("operator", 1);
@@ -329,10 +346,10 @@
         }
     }
 
-    /// Appends a record of an entry VM that is no holder.
+    /// Appends a record from an entry VM that is not a holder.
     fn append(&mut self, record: Record) -> Option<Outcome> {
-        self.seq += 1;
-        let id = AppendId { sender: 99, seq: self.seq };
+        self.append_seq += 1;
+        let id = AppendId { sender: 99, seq: self.append_seq };
         self.fold(Batch { id, records: vec![record] }).pop()
     }
 
@@ -344,8 +361,8 @@
     }
 }
 
-fn push(queue: &mut Queue, record: Record) {
-    queue.push(record).expect("the log takes what is pushed");
+fn push_record(queue: &mut Queue, record: Record) {
+    queue.push(record).expect("the queue accepts the record");
 }
 
 fn is_batch(state: &State, job: JobId) -> bool {
@@ -357,8 +374,8 @@
     Name::new(&format!("{prefix}-{number}")).expect("a name")
 }
 
-/// The number of tasks that a state has checked out.
-pub(crate) fn out(state: &State) -> usize {
+/// Returns the number of tasks that are checked out in a state.
+pub(crate) fn checked_out_tasks(state: &State) -> usize {
     let tasks = state.jobs.iter().flat_map(|(_, job)| &job.tasks);
     tasks.filter(|task| matches!(task.state, TaskState::CheckedOut(_))).count()
 }
--- a/daisy-measure/src/ledger/memory.rs
+++ b/daisy-measure/src/ledger/memory.rs
@@ -1,10 +1,11 @@
-//! Memory of this process.
+//! Reads the memory of this process.
 
 use std::fs;
 
-/// Bytes of memory that this process has resident, from the operating system; pages of 4 KiB.
+/// Returns the bytes of this process's resident memory, which the operating system states in pages of
+/// 4 KiB.
 ///
-/// Only growth between two readings says something, and only while nothing large is freed.
+/// Only the growth between two readings is meaningful, and only if nothing large is freed in between.
 pub(crate) fn resident() -> anyhow::Result<u64> {
     const PAGE: u64 = 4_096;
     let text = fs::read_to_string("/proc/self/statm")?;
--- a/daisy-measure/src/node/fleet.rs
+++ b/daisy-measure/src/node/data_centre.rs
@@ -1,4 +1,4 @@
-//! One data centre: two entry VMs as processes, the platform and the workers in this one.
+//! One data centre: two entry VMs as processes, with the platform and the workers in this process.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -25,110 +25,112 @@
 
 use super::relay::{self, Counter, Traffic};
 
-const ENTRIES: usize = 2;
+const ENTRY_COUNT: usize = 2;
 const FIRST_WORKER: u32 = 100;
-const WORKERS_A_RACK: u32 = 11;
-const TOKEN: &str = "measure-token-0123456789";
+const WORKERS_PER_RACK: u32 = 11;
+const OPERATOR_TOKEN: &str = "measure-token-0123456789";
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(200);
-/// The long-running job is created first, so the ledger numbers it 0.
-const LONG_JOB: u32 = 0;
-const SHORT_TASK: Duration = Duration::from_secs(2);
-/// One of the users' larger workers, so that every task fits.
-const CAPACITY: Resources = Resources { cpu_milli: 64_000, memory_mib: 250 << 10, accelerators: 2 };
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of the long-running job: it is created first, so the ledger numbers it 0.
+const LONG_RUNNING_JOB: u32 = 0;
+const SHORT_TASK_RUN_TIME: Duration = Duration::from_secs(2);
+/// Capacity of one of the users' larger workers, so that every task fits.
+const WORKER_CAPACITY: Resources =
+    Resources { cpu_milli: 64_000, memory_mib: 250 << 10, accelerators: 2 };
 
-/// How large the data centre is.
+/// The size of the data centre.
 #[derive(Debug)]
-pub struct Plan {
-    /// Workers.
+pub struct DataCentreSize {
+    /// Number of workers.
     pub workers: u32,
-    /// Tasks that run all the time.
+    /// Number of long-running tasks.
     pub tasks: u32,
 }
 
-/// One entry VM's process.
-struct Entry {
+/// The process of one entry VM.
+struct EntryProcess {
     child: Child,
-    operators: SocketAddr,
-    /// Its exchange with the platform.
-    platform: Arc<Counter>,
+    operator_address: SocketAddr,
+    /// Its traffic with the platform.
+    platform_traffic: Arc<Counter>,
 }
 
-impl Drop for Entry {
-    /// A measurement that ends early must not leave its processes behind.
+impl Drop for EntryProcess {
+    /// Ends the process, also when a measurement ends early.
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The running data centre.
-pub struct Fleet {
+/// A running data centre.
+pub struct DataCentre {
     platform: Platform,
     workers: Vec<Worker>,
-    entries: Vec<Entry>,
-    /// The holder's exchange with all workers; nobody else calls them.
-    calls: Arc<Counter>,
-    /// The exchange of the two entry VMs with one another.
-    peers: Arc<Counter>,
+    entries: Vec<EntryProcess>,
+    /// The holder's traffic with all workers; no other VM calls them.
+    worker_traffic: Arc<Counter>,
+    /// The traffic between the two entry VMs.
+    peer_traffic: Arc<Counter>,
     client: Client,
     dir: PathBuf,
 }
 
-impl Fleet {
-    /// Starts everything and creates the job that runs all the time.
+impl DataCentre {
+    /// Starts all parts and creates the long-running job.
     ///
     /// # Errors
     ///
     /// If the binary is missing or a part does not start.
-    pub async fn start(plan: &Plan) -> anyhow::Result<Fleet> {
+    pub async fn start(size: &DataCentreSize) -> anyhow::Result<DataCentre> {
         let platform = Platform::start(platform::Options::default()).await?;
         let dir = std::env::temp_dir().join(format!("daisy-measure-{}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         let client = Client::new();
-        let mut fleet = Fleet {
+        let mut data_centre = DataCentre {
             platform,
             workers: Vec::new(),
             entries: Vec::new(),
-            calls: Arc::default(),
-            peers: Arc::default(),
+            worker_traffic: Arc::default(),
+            peer_traffic: Arc::default(),
             client,
             dir,
         };
-        fleet.start_workers(plan.workers).await?;
-        fleet.start_entries().await?;
-        let long = format!(
+        data_centre.start_workers(size.workers).await?;
+        data_centre.start_entries().await?;
+        let long_running = format!(
             "quota team measure cpu 100000 memory 100000Gi accelerators 1000;\n\
              create job long team measure tasks {} cpu 500m memory 512Mi may delay, evict",
-            plan.tasks
+            size.tasks
         );
-        fleet.declare(&long).await?;
-        Ok(fleet)
+        data_centre.submit_statements(&long_running).await?;
+        Ok(data_centre)
     }
 
-    /// The process of entry VM `at`.
+    /// Returns the process id of entry VM `at`.
     pub fn pid(&self, at: usize) -> u32 {
         self.entries[at].child.id()
     }
 
-    /// Bytes of entry VM `at` so far, with those of the workers' calls if it is the `holder`.
+    /// Returns the traffic of entry VM `at` so far, with that of calls to workers if it is the `holder`.
     pub fn traffic(&self, at: usize, holder: usize) -> Traffic {
-        let mut traffic = self.entries[at].platform.traffic() + self.peers.traffic();
+        let mut traffic = self.entries[at].platform_traffic.traffic() + self.peer_traffic.traffic();
         if at == holder {
-            traffic = traffic + self.calls.traffic();
+            traffic = traffic + self.worker_traffic.traffic();
         }
         traffic
     }
 
-    /// The position of the entry VM that holds the data centre.
+    /// Returns the position of the entry VM that holds the data centre.
     ///
     /// # Errors
     ///
-    /// If none does.
+    /// If no entry VM holds it, or one does not answer.
     pub async fn holder(&self) -> anyhow::Result<usize> {
         for (at, entry) in self.entries.iter().enumerate() {
-            let answer = self.client.get(entry.operators, "/v1/status", CALL_TIMEOUT).await?;
+            let answer =
+                self.client.get(entry.operator_address, "/v1/status", CALL_TIMEOUT).await?;
             let status: Value = serde_json::from_slice(&answer.body)?;
             if status["role"] == "holder" {
                 return Ok(at);
@@ -137,11 +139,11 @@
         bail!("no entry VM holds the data centre")
     }
 
-    /// Waits until `tasks` tasks have been started.
+    /// Waits until `tasks` tasks are running.
     ///
     /// # Errors
     ///
-    /// If that takes too long.
+    /// If they are not running after [`START_TIMEOUT`].
     pub async fn wait_until_running(&self, tasks: u32) -> anyhow::Result<()> {
         let deadline = Instant::now() + START_TIMEOUT;
         loop {
@@ -150,22 +152,22 @@
                 return Ok(());
             }
             if Instant::now() > deadline {
-                bail!("{running} of {tasks} tasks run after {START_TIMEOUT:?}");
+                bail!("only {running} of {tasks} tasks are running after {START_TIMEOUT:?}");
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Creates a job of short tasks, started as fast as the holder can.
+    /// Creates a job of short tasks, which the holder starts as fast as it can.
     ///
     /// # Errors
     ///
     /// If the statement is not accepted.
-    pub async fn create_short_tasks(&self, tasks: u32) -> anyhow::Result<()> {
+    pub async fn create_short_job(&self, tasks: u32) -> anyhow::Result<()> {
         let text = format!(
             "create job short team measure tasks {tasks} cpu 500m memory 256Mi may delay, evict"
         );
-        self.declare(&text).await
+        self.submit_statements(&text).await
     }
 
     /// Ends the processes and stops the stand-ins.
@@ -178,13 +180,13 @@
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 
-    async fn declare(&self, statements: &str) -> anyhow::Result<()> {
+    async fn submit_statements(&self, statements: &str) -> anyhow::Result<()> {
         let deadline = Instant::now() + START_TIMEOUT;
         loop {
             let req = Request::builder()
                 .method(Method::POST)
-                .uri(format!("http://{}/v1/statements", self.entries[0].operators))
-                .header(header::AUTHORIZATION, format!("Bearer {TOKEN}"))
+                .uri(format!("http://{}/v1/statements", self.entries[0].operator_address))
+                .header(header::AUTHORIZATION, format!("Bearer {OPERATOR_TOKEN}"))
                 .body(Full::new(Bytes::copy_from_slice(statements.as_bytes())))?;
             let cause = match self.client.send(req, CALL_TIMEOUT).await {
                 Ok(answer) if answer.status.is_success() => return Ok(()),
@@ -192,19 +194,20 @@
                 Err(e) => e.to_string(),
             };
             if Instant::now() > deadline {
-                bail!("not accepted: {cause}");
+                bail!("the statements were not accepted in time: {cause}");
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn start_workers(&mut self, workers: u32) -> anyhow::Result<()> {
         for at in 0..workers {
-            let long = JobBehaviour { job: LONG_JOB, run_ms: None, fails: false, service: None };
+            let long_running =
+                JobBehaviour { job: LONG_RUNNING_JOB, run_ms: None, fails: false, service: None };
             let worker = WorkerOptions {
-                capacity: CAPACITY,
-                run_time: Some(SHORT_TASK),
-                jobs: vec![long],
+                capacity: WORKER_CAPACITY,
+                run_time: Some(SHORT_TASK_RUN_TIME),
+                jobs: vec![long_running],
                 ..WorkerOptions::default()
             };
             let name = format!("worker-{at}");
@@ -217,22 +220,22 @@
 
     async fn start_entries(&mut self) -> anyhow::Result<()> {
         for (at, worker) in self.workers.iter().enumerate() {
-            let control = relay::start(worker.address(), self.calls.clone()).await?;
+            let control = relay::start(worker.address(), self.worker_traffic.clone()).await?;
             let vm = vm_json(FIRST_WORKER + at as u32, RoleJson::Worker, control);
             self.platform.change_vm(VmChange::Put(vm))?;
         }
-        for at in 0..ENTRIES {
+        for at in 0..ENTRY_COUNT {
             let counter = Arc::new(Counter::default());
             let platform = relay::start(self.platform.address(), counter.clone()).await?;
-            let [callers, peers, operators] = [free_port()?, free_port()?, free_port()?];
+            let [callers, peers, operator_address] = [free_port()?, free_port()?, free_port()?];
             let path = self.dir.join(format!("entry-{at}.yaml"));
-            std::fs::write(&path, settings(at, platform, [callers, peers, operators]))?;
-            let child = Command::new(binary()?)
+            std::fs::write(&path, settings(at, platform, [callers, peers, operator_address]))?;
+            let child = Command::new(daisyshift_binary()?)
                 .args([Path::new("entry"), Path::new("--settings"), &path])
                 .spawn()
-                .context("starting an entry VM")?;
-            self.entries.push(Entry { child, operators, platform: counter });
-            let peers = relay::start(peers, self.peers.clone()).await?;
+                .context("starting the process of an entry VM")?;
+            self.entries.push(EntryProcess { child, operator_address, platform_traffic: counter });
+            let peers = relay::start(peers, self.peer_traffic.clone()).await?;
             let vm = vm_json(at as u32 + 1, RoleJson::Entry, peers);
             self.platform.change_vm(VmChange::Put(vm))?;
         }
@@ -240,8 +243,12 @@
     }
 }
 
-/// The release binary beside this one.
-pub(crate) fn binary() -> anyhow::Result<PathBuf> {
+/// Returns the path of the `daisyshift` binary in the folder of this one.
+///
+/// # Errors
+///
+/// If there is none.
+pub(crate) fn daisyshift_binary() -> anyhow::Result<PathBuf> {
     let path = std::env::current_exe()?.with_file_name("daisyshift");
     if !path.exists() {
         bail!("{} is missing: run `cargo build --release` first", path.display());
@@ -254,13 +261,13 @@
 }
 
 fn settings(at: usize, platform: SocketAddr, own: [SocketAddr; 3]) -> String {
-    let [callers, peers, operators] = own;
+    let [callers, peers, operator_address] = own;
     let vm = at + 1;
     format!(
         "name: entry-{vm}\nvm: {vm}\ndata_centre: porto\n\
          data_centres: [{{name: porto, region: north}}]\n\
-         callers: {callers}\npeers: {peers}\noperators: {operators}\nplatform: {platform}\n\
-         operator_tokens: [{{who: measure, token: {TOKEN}}}]\nlog_level: error\n"
+         callers: {callers}\npeers: {peers}\noperators: {operator_address}\nplatform: {platform}\n\
+         operator_tokens: [{{who: measure, token: {OPERATOR_TOKEN}}}]\nlog_level: error\n"
     )
 }
 
@@ -269,11 +276,11 @@
         id,
         name: format!("vm-{id}"),
         dc: 0,
-        rack: (id / WORKERS_A_RACK) as u16,
+        rack: (id / WORKERS_PER_RACK) as u16,
         role,
         status: StatusJson::Live,
         control,
         backend: None,
-        capacity: CAPACITY.into(),
+        capacity: WORKER_CAPACITY.into(),
     }
 }
--- a/daisy-measure/src/node/relay.rs
+++ b/daisy-measure/src/node/relay.rs
@@ -1,4 +1,4 @@
-//! Passes bytes on and counts them.
+//! Relays connections and counts their bytes.
 
 use std::{
     net::SocketAddr,
@@ -14,19 +14,19 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Bytes over any number of relays.
+/// Counts the bytes of any number of relays.
 #[derive(Debug, Default)]
 pub struct Counter {
     sent: AtomicU64,
     received: AtomicU64,
 }
 
-/// Bytes so far.
+/// Bytes counted so far.
 #[derive(Debug, Clone, Copy)]
 pub struct Traffic {
-    /// From whoever opened the connections.
+    /// Bytes from the side that opened the connections.
     pub sent: u64,
-    /// To whoever opened the connections.
+    /// Bytes to the side that opened the connections.
     pub received: u64,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Counter {
-    /// Bytes so far.
+    /// Returns the bytes counted so far.
     pub fn traffic(&self) -> Traffic {
         Traffic {
             sent: self.sent.load(Ordering::Relaxed),
@@ -48,11 +48,11 @@
     }
 }
 
-/// Relays connections to `to`; what is sent there counts as sent.
+/// Starts a relay to `to` and returns its address. Bytes towards `to` are counted as sent.
 ///
 /// # Errors
 ///
-/// If no port can be taken.
+/// If no port can be opened.
 pub async fn start(to: SocketAddr, counter: Arc<Counter>) -> anyhow::Result<SocketAddr> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
     let address = listener.local_addr()?;
@@ -65,8 +65,8 @@
                 let (from_read, from_write) = from.into_split();
                 let (to_read, to_write) = to.into_split();
                 tokio::join!(
-                    pass(from_read, to_write, &counter.sent),
-                    pass(to_read, from_write, &counter.received),
+                    copy_counted(from_read, to_write, &counter.sent),
+                    copy_counted(to_read, from_write, &counter.received),
                 );
             });
         }
@@ -74,7 +74,8 @@
     Ok(address)
 }
 
-async fn pass<R, W>(mut from: R, mut to: W, count: &AtomicU64)
+/// Copies bytes until one side ends the connection, and adds them to `count`.
+async fn copy_counted<R, W>(mut from: R, mut to: W, count: &AtomicU64)
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
@@ -86,6 +87,6 @@
             return;
         }
     }
-    // The other side learns that this one has ended; if it is gone already, so much the better.
+    // Tells the other side that this one has ended; an error means that it is closed already.
     let _ = to.shutdown().await;
 }
