--- a/daisy-measure/src/overload/drive.rs
+++ b/daisy-measure/src/overload/drive.rs
@@ -133,7 +133,7 @@
         for (_, shard, record) in due {
             let shard = &mut self.shards[usize::from(shard.0)];
             shard.ledger.fold(record.clone());
-            shard.owner.step(now, Event::Record(record));
+            shard.owner.handle_event(now, Event::Record(record));
         }
     }
 
@@ -145,11 +145,11 @@
             self.shards.iter_mut().map(|it| it.owner.take_interference_sums()).collect();
         for (own, shard) in self.layout.all().zip(&mut self.shards) {
             let others = loads.iter().filter(|(id, _)| *id != own).copied();
-            shard.owner.step(now, Event::Loads(others.collect()));
-            shard.owner.step(now, Event::HeartbeatStored { sent_at: now });
+            shard.owner.handle_event(now, Event::Loads(others.collect()));
+            shard.owner.handle_event(now, Event::HeartbeatStored { sent_at: now });
             for (from, seen) in self.layout.all().zip(&seen) {
                 if from != own && !seen.is_empty() {
-                    shard.owner.step(now, Event::Observed(seen.clone()));
+                    shard.owner.handle_event(now, Event::InterferenceSums(seen.clone()));
                 }
             }
         }
@@ -161,20 +161,20 @@
         for worker in &mut shard.workers {
             worker.pass(now, STEP);
             if let Some((key, answer)) = worker.try_answer(now) {
-                shard.owner.step(now, Event::HoldAnswered(key, Some(answer)));
+                shard.owner.handle_event(now, Event::RenewalAnswered(key, Some(answer)));
             }
         }
         if turn.is_multiple_of(TELL) || turn == 1 {
             let listed = shard.workers.iter().map(Worker::listing).collect();
-            shard.owner.step(now, Event::Workers(listed));
+            shard.owner.handle_event(now, Event::Workers(listed));
         }
         let (due, later) =
             std::mem::take(&mut shard.events).into_iter().partition(|it| it.0 <= now);
         shard.events = later;
         let due: Vec<(Instant, Event)> = due;
-        due.into_iter().for_each(|(_, it)| shard.owner.step(now, it));
+        due.into_iter().for_each(|(_, it)| shard.owner.handle_event(now, it));
         if turn.is_multiple_of(TICK) {
-            shard.owner.step(now, Event::Tick);
+            shard.owner.handle_event(now, Event::Tick);
         }
         self.act(at);
         let shard = &mut self.shards[at];
@@ -185,28 +185,30 @@
             batch.records.into_iter().for_each(|it| {
                 shard.ledger.fold(it);
             });
-            shard.owner.step(now, Event::Appended);
+            shard.owner.handle_event(now, Event::Appended);
             self.act(at);
         }
     }
 
     fn act(&mut self, at: usize) {
         let now = self.now;
-        for action in self.shards[at].owner.act(now) {
+        for action in self.shards[at].owner.take_actions(now) {
             let shard = &mut self.shards[at];
             match action {
-                Action::Hold { worker: key, cursor, wait, .. } => {
+                Action::Renew { worker: key, cursor, wait, .. } => {
                     let worker = shard.worker(key);
                     worker.hold(now, key, cursor, wait.max(STEP));
                 }
                 Action::Start(key, start) => self.start(at, key, start),
                 Action::Stop(key, task, run, _) => {
                     let reply = shard.worker(key).stop(now, task, run);
-                    shard.events.push((now + STEP, Event::Stopped(key, task, run, reply)));
+                    shard.events.push((now + STEP, Event::StopAnswered(key, task, run, reply)));
                 }
                 Action::Pace(key, task, run, percent) => {
                     let reply = shard.worker(key).set_pace(now, task, run, percent);
-                    shard.events.push((now + STEP, Event::Paced(key, task, run, percent, reply)));
+                    shard
+                        .events
+                        .push((now + STEP, Event::PaceAnswered(key, task, run, percent, reply)));
                 }
                 Action::Forward(to, record) => self.under_way.push((now + WRITE, to, record)),
                 Action::StepDown => {}
@@ -224,7 +226,7 @@
         let (Some(spec), shard) = (spec, &mut self.shards[at]) else { return };
         let reply = shard.worker(key).start(now, &start, spec, work_ms);
         self.report.started(self.now, job);
-        shard.events.push((now + STEP, Event::Started(key, start.task, start.run, reply)));
+        shard.events.push((now + STEP, Event::StartAnswered(key, start.task, start.run, reply)));
     }
 
     /// Looks at rooms and tails twice a second.
@@ -273,7 +275,12 @@
             rules,
         };
         let now = Instant::from_millis(0);
-        let claimed = OwnershipStart { at: now, predecessors_ended: true, epoch: 1, after: 0 };
+        let claimed = OwnershipStart {
+            claim_sent_at: now,
+            predecessors_ended: true,
+            epoch: 1,
+            previous_epoch: 0,
+        };
         let owner = Owner::new(now, 0, settings, Ledger::default(), queues(), claimed);
         Shard {
             owner,
--- a/daisy-measure/src/overload/worker.rs
+++ b/daisy-measure/src/overload/worker.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::{Instant, Resources};
 use daisy_workflow::{
-    ActiveRun, EndedRun, HoldAnswer, OrderReply, Outcome, Refusal, Start, StepSpec, TaskId,
+    ActiveRun, EndedRun, OrderReply, Outcome, RejectReason, RenewalAnswer, Start, StepSpec, TaskId,
     WorkerKey, WorkerListing,
 };
 
@@ -139,7 +139,7 @@
         let clock_ms = now.0 / 1_000;
         let used = self.used().try_add(step.allocation());
         if used.is_none_or(|it| !it.fits(self.capacity)) {
-            return OrderReply::Refused(Refusal::DoesNotFit);
+            return OrderReply::Rejected(RejectReason::DoesNotFit);
         }
         let done_ms = start.checkpoint.parse().unwrap_or_default();
         self.runs.push(Run {
@@ -178,7 +178,7 @@
     }
 
     /// The answer to the renewal that waits, if it is due.
-    pub fn try_answer(&mut self, now: Instant) -> Option<(WorkerKey, HoldAnswer)> {
+    pub fn try_answer(&mut self, now: Instant) -> Option<(WorkerKey, RenewalAnswer)> {
         let hold = self.hold?;
         if now < hold.until && !self.ends.iter().any(|it| it.number > hold.cursor) {
             return None;
@@ -186,7 +186,10 @@
         self.hold = None;
         let running = self.runs.iter().map(|it| self.running(now, it)).collect();
         let ended = self.ends.clone();
-        Some((hold.key, HoldAnswer { clock_ms: now.0 / 1_000, started_at_ms: 1, running, ended }))
+        Some((
+            hold.key,
+            RenewalAnswer { clock_ms: now.0 / 1_000, started_at_ms: 1, running, ended },
+        ))
     }
 
     fn running(&self, now: Instant, it: &Run) -> ActiveRun {
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -158,10 +158,10 @@
         let rules = PlacementRules::default();
         let settings = Settings { lease, lease_max, shard: self.shard, layout, rules };
         let claimed = OwnershipStart {
-            at: self.claimed_at,
+            claim_sent_at: self.claimed_at,
             predecessors_ended: self.claim.predecessors_expired,
             epoch: self.epoch,
-            after: self.after,
+            previous_epoch: self.after,
         };
         known.begin_owner(self.shard, events.clone());
         let queues = known.queues.clone().unwrap_or_default();
@@ -221,15 +221,15 @@
                 _ = events.recv_many(&mut batch, EVENTS_MAX) => {
                     let now = clock::now();
                     for event in batch.drain(..) {
-                        self.owner.step(now, event);
+                        self.owner.handle_event(now, event);
                     }
                 }
                 _ = tick.tick() => {
                     let now = clock::now();
                     let loads =
                         self.ownership.elect.shared.lock().directory.loads(self.ownership.shard);
-                    self.owner.step(now, Event::Loads(loads));
-                    self.owner.step(now, Event::Tick);
+                    self.owner.handle_event(now, Event::Loads(loads));
+                    self.owner.handle_event(now, Event::Tick);
                     if self.lateness.record_tick(now) {
                         return self.release(appended, Ended::Late).await;
                     }
@@ -251,14 +251,14 @@
     fn act(&mut self) -> bool {
         let now = clock::now();
         let mut step_down = false;
-        for action in self.owner.act(now) {
+        for action in self.owner.take_actions(now) {
             match action {
                 Action::StepDown => step_down = true,
                 Action::Note(note) => {
                     notes::write(&note, self.ownership.shard, &self.ownership.elect.metrics);
                 }
                 Action::Forward(shard, record) => self.forward(shard, record),
-                Action::Hold { worker, .. }
+                Action::Renew { worker, .. }
                 | Action::Start(worker, _)
                 | Action::Stop(worker, ..)
                 | Action::Pace(worker, ..) => self.call(worker, action),
@@ -290,7 +290,7 @@
             it.runs,
             it.workers,
             it.usable,
-            it.silent,
+            it.unresponsive,
             it.free_cpu,
             it.unusable_cpu,
             it.largest_free_cpu,
@@ -393,7 +393,7 @@
         if seen.is_empty() || shards < 2 {
             return;
         }
-        let record = encode(&Record::Observed(*shard, seen));
+        let record = encode(&Record::InterferenceSums(*shard, seen));
         let store = elect.store.clone();
         tokio::spawn(async move {
             let records = [record];
@@ -465,7 +465,7 @@
             }
             Some(Append::Fenced) | None => return false,
         };
-        self.owner.step(clock::now(), event);
+        self.owner.handle_event(clock::now(), event);
         true
     }
 
--- a/daisy-node/src/own/calls.rs
+++ b/daisy-node/src/own/calls.rs
@@ -36,7 +36,7 @@
         let this = self.clone();
         tokio::spawn(async move {
             let event = match action {
-                Action::Hold { deadline_ms, cursor, wait, .. } => {
+                Action::Renew { deadline_ms, cursor, wait, .. } => {
                     this.hold(&to, HoldOrder { deadline_ms, cursor, wait }).await
                 }
                 Action::Start(_, start) => this.start(&to, &start).await,
@@ -51,11 +51,11 @@
 
     async fn hold(&self, to: &Target, order: HoldOrder) -> Event {
         match self.calls.hold(&to.id, to.address, order, ORDER_TIMEOUT).await {
-            Ok(answer) => Event::HoldAnswered(to.key, Some(answer)),
+            Ok(answer) => Event::RenewalAnswered(to.key, Some(answer)),
             Err(HoldError::Fenced) => Event::Fenced(to.key),
             Err(HoldError::NoAnswer(why)) => {
                 log::debug!("event=hold_failed worker={} cause=\"{why}\"", to.id);
-                Event::HoldAnswered(to.key, None)
+                Event::RenewalAnswered(to.key, None)
             }
         }
     }
@@ -69,7 +69,7 @@
             task.job
         );
         self.metrics.start(outcome);
-        Event::Started(to.key, task, run, reply)
+        Event::StartAnswered(to.key, task, run, reply)
     }
 
     async fn stop(&self, to: &Target, task: TaskId, run: u32, cause: StopCause) -> Event {
@@ -81,7 +81,7 @@
             reply_words(reply),
             cause.description()
         );
-        Event::Stopped(to.key, task, run, reply)
+        Event::StopAnswered(to.key, task, run, reply)
     }
 
     async fn pace(&self, to: &Target, task: TaskId, run: u32, percent: u8) -> Event {
@@ -93,14 +93,14 @@
             to.id,
             reply_words(reply)
         );
-        Event::Paced(to.key, task, run, percent, reply)
+        Event::PaceAnswered(to.key, task, run, percent, reply)
     }
 }
 
 fn reply_words(reply: OrderReply) -> &'static str {
     match reply {
         OrderReply::Done { .. } => "done",
-        OrderReply::Refused(_) => "refused",
+        OrderReply::Rejected(_) => "refused",
         OrderReply::NotSent => "not_sent",
         OrderReply::Unknown => "unknown",
     }
--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -28,9 +28,9 @@
         sleep(SHARE_EVERY).await;
         let Some(read) = tail.try_read(Duration::ZERO).await else { continue };
         for record in readable("observed", &read.records) {
-            if let Record::Observed(from, seen) = record
+            if let Record::InterferenceSums(from, seen) = record
                 && from != shard
-                && events.send(Event::Observed(seen)).is_err()
+                && events.send(Event::InterferenceSums(seen)).is_err()
             {
                 return;
             }
--- a/daisy-node/src/own/notes.rs
+++ b/daisy-node/src/own/notes.rs
@@ -25,10 +25,10 @@
             let from = shard.0;
             log::info!("event=delegated id={job} shard={from} to={}", to.0);
         }
-        Note::TaskTransferred { task, hop, to } => {
+        Note::TaskTransferred { task, number, to } => {
             let (id, from) = (task.job, shard.0);
             log::info!(
-                "event=handed_over id={id} task={task} hop={hop} shard={from} to={} \
+                "event=handed_over id={id} task={task} hop={number} shard={from} to={} \
                  cause=\"no worker of the shard has room\"",
                 to.0
             );
@@ -55,7 +55,7 @@
                 "event=run_lost id={id} task={task} run={run} worker={worker} cause=\"{cause}\""
             );
         }
-        Note::Worker { worker, state, cause } => {
+        Note::WorkerChanged { worker, state, cause } => {
             log::info!("event=worker worker={worker} is={state} cause=\"{cause}\"");
         }
     }
@@ -67,7 +67,7 @@
         Outcome::Failed => "failed",
         Outcome::Stopped => "stopped",
         Outcome::LeaseExpired => "lapsed",
-        Outcome::Broken => "broken",
+        Outcome::GangMemberEnded => "broken",
         Outcome::GangIncomplete => "alone",
     }
 }
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -81,7 +81,7 @@
 
     /// Records a transfer of a task and returns whether it is newer than all that were known.
     pub(crate) fn move_task(&mut self, id: TaskId, transfer: TransferState) -> bool {
-        let newer = self.transfers.get(&id).is_none_or(|it| it.hop < transfer.hop);
+        let newer = self.transfers.get(&id).is_none_or(|it| it.number < transfer.number);
         if newer {
             self.transfers.insert(id, transfer);
             self.update_task_locations();
@@ -199,7 +199,7 @@
             Record::State(..)
             | Record::OwnerHeartbeat(_)
             | Record::Layout(_)
-            | Record::Observed(..) => FoldEffect::Nothing,
+            | Record::InterferenceSums(..) => FoldEffect::Nothing,
         }
     }
 
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -38,8 +38,8 @@
 };
 pub use self::{
     message::{
-        Action, ActiveRun, Batch, EndedRun, Event, HoldAnswer, Note, OrderReply, Outcome, Refusal,
-        Start, StopCause, WaitCause, WorkerListing,
+        Action, ActiveRun, Batch, EndedRun, Event, Note, OrderReply, Outcome, RejectReason,
+        RenewalAnswer, Start, StopCause, WaitCause, WorkerListing,
     },
     shortfall::PlacementShortfall,
     succession::{OwnershipStart, Witness, Witnesses},
@@ -263,7 +263,7 @@
     }
 
     /// Processes an event.
-    pub fn step(&mut self, now: Instant, event: Event) {
+    pub fn handle_event(&mut self, now: Instant, event: Event) {
         match event {
             Event::Record(record) => self.process_record(now, record),
             Event::Workers(listed) => {
@@ -277,21 +277,21 @@
                     self.plan_due = true;
                 }
             }
-            Event::HoldAnswered(worker, answer) => self.hold_answered(now, worker, answer),
+            Event::RenewalAnswered(worker, answer) => self.hold_answered(now, worker, answer),
             Event::Fenced(_) => self.actions.push(Action::StepDown),
-            Event::Started(worker, task, run, reply) => {
+            Event::StartAnswered(worker, task, run, reply) => {
                 self.start_answered(now, worker, task, run, reply);
             }
-            Event::Stopped(worker, task, run, reply) => {
+            Event::StopAnswered(worker, task, run, reply) => {
                 self.stop_answered(now, worker, task, run, reply);
             }
-            Event::Paced(worker, task, run, percent, reply) => {
+            Event::PaceAnswered(worker, task, run, percent, reply) => {
                 self.pace_answered(worker, task, run, percent, reply);
             }
             Event::Appended => self.batch_appended(now),
             Event::HeartbeatStored { sent_at } => self.heartbeat_stored(now, sent_at),
             Event::Loads(loads) => self.others.update(loads),
-            Event::Observed(seen) => {
+            Event::InterferenceSums(seen) => {
                 seen.iter().for_each(|it| self.interference.add_interference_sums(now, it));
             }
             Event::Tick => self.tick(now),
@@ -300,7 +300,7 @@
 
     /// Decides what starts now, at most every 20 ms, and returns all actions that
     /// have accumulated.
-    pub fn act(&mut self, now: Instant) -> Vec<Action> {
+    pub fn take_actions(&mut self, now: Instant) -> Vec<Action> {
         if self.plan_due && now.since(self.planned_at) >= PLAN_INTERVAL {
             self.plan_due = false;
             self.planned_at = now;
@@ -393,7 +393,7 @@
     fn note_worker(&mut self, key: WorkerKey, state: &'static str, cause: &'static str) {
         if let Some(worker) = self.workers.get(key) {
             let worker = worker.id.clone();
-            self.actions.push(Action::Note(Note::Worker { worker, state, cause }));
+            self.actions.push(Action::Note(Note::WorkerChanged { worker, state, cause }));
         }
     }
 }
--- a/daisy-workflow/src/owner/message.rs
+++ b/daisy-workflow/src/owner/message.rs
@@ -60,7 +60,7 @@
     /// The worker's lease ran out.
     LeaseExpired,
     /// Another member of the gang ended.
-    Broken,
+    GangMemberEnded,
     /// The run waited too long for the other members of its gang.
     GangIncomplete,
 }
@@ -82,7 +82,7 @@
 
 /// A worker's answer to a lease renewal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HoldAnswer {
+pub struct RenewalAnswer {
     /// The worker's clock in milliseconds.
     pub clock_ms: u64,
     /// Start time of the incarnation that answers, in milliseconds since 1970.
@@ -95,18 +95,18 @@
 
 /// Why a worker rejected an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// The worker has seen a higher epoch.
     Fenced,
     /// The run's number is not above that of a run of the task which was stopped or ended on the
     /// worker.
     StaleRun,
     /// The lease had expired when the order arrived.
-    Late,
+    LeaseExpired,
     /// The task does not fit into the worker's free capacity.
     DoesNotFit,
     /// The ticket is missing or has expired.
-    Ticket,
+    InvalidTicket,
     /// The worker is unhealthy and did not carry the order out.
     Unhealthy,
     /// Another incarnation answered.
@@ -124,7 +124,7 @@
         clock_ms: u64,
     },
     /// The worker rejected the order.
-    Refused(Refusal),
+    Rejected(RejectReason),
     /// The order was not sent.
     NotSent,
     /// No answer came: the order may have been carried out, or be carried out later.
@@ -157,16 +157,16 @@
     ListUnchanged,
     /// A new version of the queue configuration.
     QueueConfig(Arc<QueueConfig>),
-    /// The answer to [`Action::Hold`]; `None` if there was none.
-    HoldAnswered(WorkerKey, Option<HoldAnswer>),
+    /// The answer to [`Action::Renew`]; `None` if there was none.
+    RenewalAnswered(WorkerKey, Option<RenewalAnswer>),
     /// A worker rejected a renewal because it has seen a higher epoch.
     Fenced(WorkerKey),
     /// The answer to [`Action::Start`].
-    Started(WorkerKey, TaskId, u32, OrderReply),
+    StartAnswered(WorkerKey, TaskId, u32, OrderReply),
     /// The answer to [`Action::Stop`].
-    Stopped(WorkerKey, TaskId, u32, OrderReply),
+    StopAnswered(WorkerKey, TaskId, u32, OrderReply),
     /// The answer to [`Action::Pace`].
-    Paced(WorkerKey, TaskId, u32, u8, OrderReply),
+    PaceAnswered(WorkerKey, TaskId, u32, u8, OrderReply),
     /// The last [`Batch`] was stored in the log.
     Appended,
     /// The log stored a heartbeat of this owner.
@@ -177,7 +177,7 @@
     /// The loads that the owners of other shards last published.
     Loads(SortedMap<ShardId, Load>),
     /// Interference sums from the owner of another shard.
-    Observed(Vec<InterferenceSums>),
+    InterferenceSums(Vec<InterferenceSums>),
     /// Time has passed.
     Tick,
 }
@@ -191,14 +191,14 @@
     Done,
     /// The run is throttled in favour of serving tasks on its worker, and could run at full pace
     /// elsewhere.
-    HeldBack {
+    Throttled {
         /// The share of its processor time that the run has on this worker, in percent.
         percent: u8,
     },
     /// The task is started again elsewhere, so that another task fits on this worker.
     Moved,
     /// The run makes no progress.
-    Stuck,
+    NoProgress,
     /// The worker exits before the run would end.
     Draining,
     /// The start order may still be carried out, after the worker rejected it once or restarted.
@@ -215,9 +215,9 @@
         match self {
             StopCause::JobOver => "its job is over",
             StopCause::Done => "another copy is done",
-            StopCause::HeldBack { .. } => "throttled here, can run at full pace elsewhere",
+            StopCause::Throttled { .. } => "throttled here, can run at full pace elsewhere",
             StopCause::Moved => "moved to make space for another task",
-            StopCause::Stuck => "no progress",
+            StopCause::NoProgress => "no progress",
             StopCause::Draining => "its worker drains",
             StopCause::PossiblyDelayed => "its order may be carried out late",
             StopCause::Absent => "its worker does not list it",
@@ -249,7 +249,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Renew a worker's lease, acknowledge ended runs, and read the worker's lists.
-    Hold {
+    Renew {
         /// The worker.
         worker: WorkerKey,
         /// The lease's end on the worker's clock, in milliseconds; `None` to only read the lists.
@@ -315,7 +315,7 @@
         /// The task.
         task: TaskId,
         /// Number of the transfer among those of this task.
-        hop: u32,
+        number: u32,
         /// The shard that runs it.
         to: ShardId,
     },
@@ -356,7 +356,7 @@
         cause: &'static str,
     },
     /// The state of a worker, as the owner sees it, changed.
-    Worker {
+    WorkerChanged {
         /// The worker.
         worker: WorkerId,
         /// The new state.
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -6,7 +6,7 @@
 
 use super::{
     InFlight, Owner,
-    message::{Action, OrderReply, Refusal, Start, StopCause},
+    message::{Action, OrderReply, RejectReason, Start, StopCause},
     worker::{DelayedStart, StartState, StopState, WorkerKey},
 };
 use crate::{JobState, TaskId};
@@ -22,7 +22,7 @@
 /// How long a worker gets no new tasks after it left an order unanswered.
 const EXCLUSION_NO_ANSWER: Duration = Duration::from_millis(700);
 /// How long a worker gets no new tasks after it rejected an order.
-const EXCLUSION_REFUSED: Duration = Duration::from_millis(500);
+const EXCLUSION_REJECTED: Duration = Duration::from_millis(500);
 /// How long a worker gets no new tasks after it rejected an order because it is unhealthy.
 const EXCLUSION_UNHEALTHY: Duration = Duration::from_secs(2);
 
@@ -146,29 +146,29 @@
                 self.exclude(now, key, EXCLUSION_NO_ANSWER);
                 self.unassign(key, task, run);
             }
-            OrderReply::Refused(Refusal::Fenced) => self.actions.push(Action::StepDown),
+            OrderReply::Rejected(RejectReason::Fenced) => self.actions.push(Action::StepDown),
             // An earlier attempt was carried out and the run has ended: the list will say how.
-            OrderReply::Refused(Refusal::StaleRun) if it.may_be_delayed => {
+            OrderReply::Rejected(RejectReason::StaleRun) if it.may_be_delayed => {
                 it.start_state = StartState::Confirmed(now)
             }
-            OrderReply::Refused(cause) => self.start_refused(now, key, task, run, cause),
+            OrderReply::Rejected(cause) => self.start_rejected(now, key, task, run, cause),
         }
     }
 
-    fn start_refused(
+    fn start_rejected(
         &mut self,
         now: Instant,
         key: WorkerKey,
         task: TaskId,
         run: u32,
-        cause: Refusal,
+        cause: RejectReason,
     ) {
         let pause = match cause {
-            Refusal::Unhealthy => EXCLUSION_UNHEALTHY,
-            _ => EXCLUSION_REFUSED,
+            RejectReason::Unhealthy => EXCLUSION_UNHEALTHY,
+            _ => EXCLUSION_REJECTED,
         };
         self.exclude(now, key, pause);
-        self.note_worker(key, "shunned", refusal_cause(cause));
+        self.note_worker(key, "shunned", reject_cause(cause));
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
         // An earlier attempt may still be carried out; a stop that is answered rules that out.
         match it.may_be_delayed {
@@ -214,12 +214,14 @@
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
         it.stop_state = match reply {
             OrderReply::Done { .. } => StopState::Done(now),
-            OrderReply::Refused(Refusal::StaleRun | Refusal::Late) => StopState::Done(now),
-            OrderReply::Refused(Refusal::Fenced) => {
+            OrderReply::Rejected(RejectReason::StaleRun | RejectReason::LeaseExpired) => {
+                StopState::Done(now)
+            }
+            OrderReply::Rejected(RejectReason::Fenced) => {
                 self.actions.push(Action::StepDown);
                 return;
             }
-            OrderReply::Refused(_) | OrderReply::NotSent | OrderReply::Unknown => {
+            OrderReply::Rejected(_) | OrderReply::NotSent | OrderReply::Unknown => {
                 StopState::Due(now + STOP_RETRY_INTERVAL)
             }
         };
@@ -251,15 +253,15 @@
     }
 }
 
-fn refusal_cause(cause: Refusal) -> &'static str {
+fn reject_cause(cause: RejectReason) -> &'static str {
     match cause {
-        Refusal::Fenced => "it has seen a higher epoch",
-        Refusal::StaleRun => "it has ended a later run of a task",
-        Refusal::Late => "a start arrived after its lease had expired",
-        Refusal::DoesNotFit => "a start did not fit",
-        Refusal::Ticket => "a start had no valid ticket",
-        Refusal::Unhealthy => "it reports that it is unhealthy",
-        Refusal::OtherIncarnation => "another incarnation answered",
-        Refusal::Malformed => "it does not understand a start",
+        RejectReason::Fenced => "it has seen a higher epoch",
+        RejectReason::StaleRun => "it has ended a later run of a task",
+        RejectReason::LeaseExpired => "a start arrived after its lease had expired",
+        RejectReason::DoesNotFit => "a start did not fit",
+        RejectReason::InvalidTicket => "a start had no valid ticket",
+        RejectReason::Unhealthy => "it reports that it is unhealthy",
+        RejectReason::OtherIncarnation => "another incarnation answered",
+        RejectReason::Malformed => "it does not understand a start",
     }
 }
--- a/daisy-workflow/src/owner/pace.rs
+++ b/daisy-workflow/src/owner/pace.rs
@@ -11,7 +11,7 @@
         headroom_cost,
     },
     interference::{ImageKey, Interference},
-    message::{Action, OrderReply, Refusal, StopCause},
+    message::{Action, OrderReply, RejectReason, StopCause},
     placement::PlacementOptions,
     worker::{Assignment, StartState, StopState, Worker, WorkerKey},
 };
@@ -125,7 +125,7 @@
             && let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run))
         {
             let percent = it.pace.unwrap_or_default();
-            it.request_stop(now, StopCause::HeldBack { percent });
+            it.request_stop(now, StopCause::Throttled { percent });
         }
     }
 
@@ -137,7 +137,7 @@
         percent: u8,
         reply: OrderReply,
     ) {
-        if reply == OrderReply::Refused(Refusal::Fenced) {
+        if reply == OrderReply::Rejected(RejectReason::Fenced) {
             self.actions.push(Action::StepDown);
             return;
         }
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -10,7 +10,7 @@
     placement::{PlacementOptions, Reservation, is_at_step_limit},
     worker::WorkerKey,
 };
-use crate::{Copy, Job, JobId, JobKind, JobSpec, JobState, StepSpec, TaskId, TaskState};
+use crate::{Job, JobId, JobKind, JobSpec, JobState, StepSpec, TaskCopy, TaskId, TaskState};
 
 /// Maximum number of copies of one task at a time, where its step allows copies.
 const MAX_COPIES: usize = 2;
@@ -252,7 +252,7 @@
             && state.copies.iter().all(|it| self.is_unreachable(it))
     }
 
-    fn is_unreachable(&self, copy: &Copy) -> bool {
+    fn is_unreachable(&self, copy: &TaskCopy) -> bool {
         let worker = self.by_id.get(&copy.worker).and_then(|key| self.workers.get(*key));
         worker.is_none_or(|it| it.hold_failures > 0 || !it.listed)
     }
@@ -399,7 +399,7 @@
         let id = worker.id.clone();
         let Some(state) = self.task_mut(task) else { return };
         state.runs = run;
-        state.copies.push(Copy { run, worker: id });
+        state.copies.push(TaskCopy { run, worker: id });
         if let Some(job) = self.ledger.job_mut(task.job) {
             job.progress.has_started = true;
         }
--- a/daisy-workflow/src/owner/renewal.rs
+++ b/daisy-workflow/src/owner/renewal.rs
@@ -6,7 +6,7 @@
 
 use super::{
     Owner, Settings,
-    message::{Action, ActiveRun, HoldAnswer, Note, StopCause, WorkerListing},
+    message::{Action, ActiveRun, Note, RenewalAnswer, StopCause, WorkerListing},
     worker::{DelayedStart, StartState, StopState, Worker, WorkerKey},
 };
 use crate::{TaskId, WorkerId};
@@ -198,7 +198,7 @@
         &mut self,
         now: Instant,
         key: WorkerKey,
-        answer: Option<HoldAnswer>,
+        answer: Option<RenewalAnswer>,
     ) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.hold_in_flight = false;
@@ -226,13 +226,13 @@
         self.renew(now, key);
     }
 
-    fn mark_reachable(&mut self, now: Instant, key: WorkerKey, answer: &HoldAnswer) {
+    fn mark_reachable(&mut self, now: Instant, key: WorkerKey, answer: &RenewalAnswer) {
         let Settings { lease, lease_max, .. } = self.settings;
         let Some(worker) = self.workers.get_mut(key) else { return };
         if worker.hold_failures > 0 {
             worker.hold_failures = 0;
             self.plan_due = true;
-            self.actions.push(Action::Note(Note::Worker {
+            self.actions.push(Action::Note(Note::WorkerChanged {
                 worker: worker.id.clone(),
                 state: "reached",
                 cause: "a renewal was answered again",
@@ -307,7 +307,7 @@
         worker.hold_sent_at = now;
         let cursor = worker.cursor_durable;
         let wait = hold_wait(worker, is_log_slow);
-        self.actions.push(Action::Hold { worker: key, deadline_ms, cursor, wait });
+        self.actions.push(Action::Renew { worker: key, deadline_ms, cursor, wait });
     }
 
     pub(super) fn renew_due(&mut self, now: Instant) {
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -52,13 +52,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnershipStart {
     /// A time before the claim was sent.
-    pub at: Instant,
+    pub claim_sent_at: Instant,
     /// Whether no earlier owner can renew leases any more.
     pub predecessors_ended: bool,
     /// The owner's epoch.
     pub epoch: u64,
     /// The epoch of the previous claim.
-    pub after: u64,
+    pub previous_epoch: u64,
 }
 
 /// What an owner knows of earlier and later owners.
@@ -86,12 +86,12 @@
 impl Succession {
     pub(super) fn new(now: Instant, ownership: OwnershipStart, known: &Witnesses) -> Succession {
         // Unless all earlier owners comply with the witnesses, their answers prove nothing.
-        let is_accepted = known.accepted_by_epoch == ownership.after;
+        let is_accepted = known.accepted_by_epoch == ownership.previous_epoch;
         let witnesses = if is_accepted { known.workers.clone() } else { Vec::new() };
         let next_witnesses = (!witnesses.is_empty()).then(|| witnesses.clone());
         Succession {
             epoch: ownership.epoch,
-            last_append_sent_at: ownership.at,
+            last_append_sent_at: ownership.claim_sent_at,
             fenced_at: None,
             witness_quorum_at: None,
             predecessors_ended_at: ownership.predecessors_ended.then_some(now),
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -25,7 +25,7 @@
     /// Workers that accept new tasks.
     pub usable: usize,
     /// Workers that do not answer and may still run tasks.
-    pub silent: usize,
+    pub unresponsive: usize,
     /// Runs of long-running tasks whose outcome is unknown.
     pub unconfirmed_runs: usize,
     /// Time until the last of these runs can be treated as ended.
@@ -54,7 +54,7 @@
         for (_, worker) in self.workers.iter() {
             sum.runs += worker.tasks.len();
             sum.workers += usize::from(worker.listed);
-            sum.silent += usize::from(worker.hold_failures > 0 && !worker.tasks.is_empty());
+            sum.unresponsive += usize::from(worker.hold_failures > 0 && !worker.tasks.is_empty());
             if self.is_usable(now, worker) {
                 sum.usable += 1;
                 let free = worker.free().cpu_milli;
--- a/daisy-workflow/src/owner/tick.rs
+++ b/daisy-workflow/src/owner/tick.rs
@@ -100,7 +100,7 @@
             let there = matches!(it.start_state, StartState::Confirmed(_))
                 && it.stop_state == StopState::NotRequested;
             if there && still && !at_work && it.percent < 100 {
-                it.request_stop(now, StopCause::Stuck);
+                it.request_stop(now, StopCause::NoProgress);
                 found = true;
             }
         }
--- a/daisy-workflow/src/owner/transfer.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -23,7 +23,7 @@
 /// already.
 const TRANSFER_DELAY_DISPLACED: Duration = Duration::from_millis(100);
 /// Number of transfers after which the delay does not grow any more.
-const MAX_BACKOFF_HOPS: u32 = 4;
+const MAX_BACKOFF_TRANSFERS: u32 = 4;
 
 impl Owner {
     /// Transfers long-running tasks that have waited long for capacity in this shard.
@@ -46,8 +46,9 @@
     fn transfer_delay(&self, task: TaskId) -> Duration {
         let Some(job) = self.ledger.job(task.job) else { return TRANSFER_DELAY };
         let labelled = job.spec.step_of(task).is_some_and(|it| it.required_label.is_some());
-        let hops = job.transfers.get(&task).filter(|_| labelled).map_or(0, |it| it.hop);
-        TRANSFER_DELAY * 2u32.pow(hops.min(MAX_BACKOFF_HOPS))
+        let transfers_made =
+            job.transfers.get(&task).filter(|_| labelled).map_or(0, |it| it.number);
+        TRANSFER_DELAY * 2u32.pow(transfers_made.min(MAX_BACKOFF_TRANSFERS))
     }
 
     /// Records that a task has already waited while the outcome of its run was unknown.
@@ -96,24 +97,24 @@
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
         let Some(to) = self.others.try_find_capacity(now, own, step.allocation()) else { return };
         self.others.transferred(now, to, Demand::of_long_running_task(step));
-        let number = job.transfers.get(&task).map_or(0, |it| it.hop) + 1;
+        let number = job.transfers.get(&task).map_or(0, |it| it.number) + 1;
         job.move_task(task, OutgoingTransfer { number, to }.into());
         job.progress.has_started = true;
         self.unrecorded_jobs.push(task.job);
         self.transferring.push(task);
-        self.actions.push(Action::Note(Note::TaskTransferred { task, hop: number, to }));
+        self.actions.push(Action::Note(Note::TaskTransferred { task, number, to }));
     }
 
     /// Returns the records of transfers that are not recorded yet.
     pub(super) fn transfer_records(&self, transferring: &[TaskId]) -> Vec<Record> {
-        let hop = |task: &TaskId| {
+        let record = |task: &TaskId| {
             let transfers = self.ledger.job(task.job)?.transfers.get(task)?;
             Some(Record::TaskTransferredOut(
                 *task,
-                OutgoingTransfer { number: transfers.hop, to: transfers.to? },
+                OutgoingTransfer { number: transfers.number, to: transfers.to? },
             ))
         };
-        transferring.iter().filter_map(hop).collect()
+        transferring.iter().filter_map(record).collect()
     }
 
     /// Writes a task, and its job's cancellation if there is one, to the shard that it was
@@ -123,7 +124,7 @@
         let Some(transfers) = job.transfers.get(&task) else { return };
         let (Some(to), Some(state)) = (transfers.to, job.progress.task(task)) else { return };
         let handover = IncomingTransfer {
-            hop: transfers.hop,
+            number: transfers.number,
             spec: (*job.spec).clone(),
             runs: state.runs,
             failures: state.failures,
--- a/daisy-workflow/src/progress.rs
+++ b/daisy-workflow/src/progress.rs
@@ -16,7 +16,7 @@
 
 /// One run of a task that may be on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Copy {
+pub struct TaskCopy {
     /// The number of the run, increasing within the task.
     pub run: u32,
     /// The worker that it was started on.
@@ -35,7 +35,7 @@
     /// The newest checkpoint; empty for none.
     pub checkpoint: String,
     /// Runs that may be on a worker.
-    pub copies: Vec<Copy>,
+    pub copies: Vec<TaskCopy>,
     /// Whether another shard runs the task. This is not recorded but derived from the transfers.
     pub on_other_shard: bool,
 }
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -83,7 +83,7 @@
     /// How jobs and workers are divided among shards.
     Layout(Layout),
     /// What a shard's owner has observed about interference since its last such record.
-    Observed(ShardId, Vec<InterferenceSums>),
+    InterferenceSums(ShardId, Vec<InterferenceSums>),
 }
 
 /// How much best-effort tasks of one image interfere with serving tasks of another.
@@ -147,7 +147,7 @@
         // The log keeps only the newest record of each key, and a transfer may be written again
         // after a later one to the same shard, so each transfer has its own key.
         Record::TaskTransferredIn(id, it) => {
-            (format!("task-{id}.{}", it.hop), encode_framed(TransferWire::from(&**it)))
+            (format!("task-{id}.{}", it.number), encode_framed(TransferWire::from(&**it)))
         }
         Record::State(id, published) => (
             format!("state-{id}"),
@@ -157,7 +157,7 @@
             format!("sign-{}", heartbeat.shard.0),
             encode_framed((HeartbeatWire::from(&**heartbeat), FreeBlocksWire::from(&**heartbeat))),
         ),
-        Record::Observed(shard, sums) => {
+        Record::InterferenceSums(shard, sums) => {
             (format!("observed-{}", shard.0), encode_framed(InterferenceSumsWire::from(&sums[..])))
         }
         Record::Layout(layout) => (LAYOUT_KEY.to_owned(), encode_framed(layout.shards)),
@@ -203,7 +203,7 @@
     if kind == "observed" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
         let wire: InterferenceSumsWire = decode_framed(value)?;
-        return Ok(Record::Observed(shard, wire.try_into()?));
+        return Ok(Record::InterferenceSums(shard, wire.try_into()?));
     }
     if kind == "handed" {
         let id: TaskId = id.parse().map_err(|_| unknown())?;
@@ -212,10 +212,10 @@
         });
     }
     if kind == "task" {
-        let (id, hop) = id.rsplit_once('.').ok_or_else(unknown)?;
+        let (id, number) = id.rsplit_once('.').ok_or_else(unknown)?;
         let id: TaskId = id.parse().map_err(|_| unknown())?;
-        let hop: u32 = hop.parse().map_err(|_| unknown())?;
-        let transfer = decode_framed::<TransferWire>(value)?.into_transfer(id, hop)?;
+        let number: u32 = number.parse().map_err(|_| unknown())?;
+        let transfer = decode_framed::<TransferWire>(value)?.into_transfer(id, number)?;
         return Ok(Record::TaskTransferredIn(id, Box::new(transfer)));
     }
     let id: JobId = id.parse().map_err(|_| unknown())?;
--- a/daisy-workflow/src/record/wire.rs
+++ b/daisy-workflow/src/record/wire.rs
@@ -7,8 +7,8 @@
 
 use super::{Claim, ImageInterference, InterferenceSums, RecordError};
 use crate::{
-    Copy, FREE_BLOCKS, IncomingTransfer, JobSpec, JobState, Load, OwnerHeartbeat, Phase, Progress,
-    ShardId, StepSpec, TaskId, TaskState, Terms, Witness, Witnesses,
+    FREE_BLOCKS, IncomingTransfer, JobSpec, JobState, Load, OwnerHeartbeat, Phase, Progress,
+    ShardId, StepSpec, TaskCopy, TaskId, TaskState, Terms, Witness, Witnesses,
 };
 
 /// Names images by their position in `images`, so that each pair needs only numbers.
@@ -348,14 +348,14 @@
     pub(super) fn into_transfer(
         self,
         id: TaskId,
-        hop: u32,
+        number: u32,
     ) -> Result<IncomingTransfer, RecordError> {
         let TransferWire { spec, runs, failures, checkpoint } = self;
         let spec = JobSpec::try_from(spec)?;
         if !spec.has_task(id) {
             return Err(RecordError::Malformed(format!("the job has no task {id}")));
         }
-        Ok(IncomingTransfer { hop, spec, runs, failures, checkpoint })
+        Ok(IncomingTransfer { number, spec, runs, failures, checkpoint })
     }
 }
 
@@ -488,7 +488,7 @@
         let workers: Vec<crate::WorkerId> =
             wire.workers.iter().map(|it| it.as_str().into()).collect();
         let copy = |it: CopyWire| match workers.get(usize::from(it.worker)) {
-            Some(worker) => Ok(Copy { run: it.run, worker: worker.clone() }),
+            Some(worker) => Ok(TaskCopy { run: it.run, worker: worker.clone() }),
             None => Err(RecordError::Malformed(format!("unknown worker number {}", it.worker))),
         };
         let task = |it: TaskWire| {
--- a/daisy-workflow/src/transfer.rs
+++ b/daisy-workflow/src/transfer.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IncomingTransfer {
     /// The number of the transfer.
-    pub hop: u32,
+    pub number: u32,
     /// The task's job.
     pub spec: JobSpec,
     /// The highest run number of the task so far; later runs get higher numbers.
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransferState {
     /// The number of the newest transfer.
-    pub hop: u32,
+    pub number: u32,
     /// The shard that the task was transferred to; `None` for this shard.
     pub to: Option<ShardId>,
     /// The state of the task on arrival, if it was transferred to this shard.
@@ -45,14 +45,14 @@
 
 impl From<OutgoingTransfer> for TransferState {
     fn from(it: OutgoingTransfer) -> TransferState {
-        TransferState { hop: it.number, to: Some(it.to), received: TaskState::default() }
+        TransferState { number: it.number, to: Some(it.to), received: TaskState::default() }
     }
 }
 
 impl From<IncomingTransfer> for TransferState {
     fn from(it: IncomingTransfer) -> TransferState {
-        let IncomingTransfer { hop, runs, failures, checkpoint, .. } = it;
+        let IncomingTransfer { number, runs, failures, checkpoint, .. } = it;
         let received = TaskState { runs, failures, checkpoint, ..TaskState::default() };
-        TransferState { hop, to: None, received }
+        TransferState { number, to: None, received }
     }
 }
--- a/daisy-workflow/tests/cancel.rs
+++ b/daisy-workflow/tests/cancel.rs
@@ -230,9 +230,9 @@
     (from, Record::TaskTransferredOut(second_task(), OutgoingTransfer { number, to: ShardId(to) }))
 }
 
-fn task_received(to: usize, hop: u32) -> (usize, Record) {
+fn task_received(to: usize, number: u32) -> (usize, Record) {
     let it =
-        IncomingTransfer { hop, spec: spec(), runs: 0, failures: 0, checkpoint: String::new() };
+        IncomingTransfer { number, spec: spec(), runs: 0, failures: 0, checkpoint: String::new() };
     (to, Record::TaskTransferredIn(second_task(), Box::new(it)))
 }
 
@@ -343,7 +343,7 @@
         let third = &self.shards[2];
         let loads = SortedMap::from_iter([(ShardId(2), third.owner.load(third.now))]);
         let now = self.now();
-        self.shards[sender].owner.step(now, Event::Loads(loads));
+        self.shards[sender].owner.handle_event(now, Event::Loads(loads));
         self.step();
     }
 
--- a/daisy-workflow/tests/fragmentation.rs
+++ b/daisy-workflow/tests/fragmentation.rs
@@ -192,7 +192,7 @@
     sim.run_ms(100);
     let spec = job(vec![wide(long_running_step(1), 4)]);
     let handover =
-        IncomingTransfer { hop: 1, spec, runs: 0, failures: 0, checkpoint: String::new() };
+        IncomingTransfer { number: 1, spec, runs: 0, failures: 0, checkpoint: String::new() };
 
     sim.write(Record::TaskTransferredIn(task(0, 0, 0), Box::new(handover)));
     sim.submit(FIRST_SHORT_JOB + 1, short());
--- a/daisy-workflow/tests/free_capacity.rs
+++ b/daisy-workflow/tests/free_capacity.rs
@@ -94,7 +94,7 @@
     let id = JobId(1);
     let spec = tasks(2, 1, 100);
     let it = IncomingTransfer {
-        hop: 2,
+        number: 2,
         spec: spec.clone(),
         runs: 3,
         failures: 0,
@@ -161,7 +161,7 @@
     sim.run_ms(500);
     let id = JobId(1_000_003);
     let spec = tasks(1, 2, 100);
-    let it = IncomingTransfer { hop: 4, spec, runs: 2, failures: 0, checkpoint: String::new() };
+    let it = IncomingTransfer { number: 4, spec, runs: 2, failures: 0, checkpoint: String::new() };
     sim.shards[0].write(Record::TaskTransferredIn(first_task(id), Box::new(it)));
     sim.run_with_loads_ms(4_000);
     assert_eq!(sim.workers_running(first_task(id)), [""; 0], "no shard has capacity yet");
--- a/daisy-workflow/tests/job_transfer.rs
+++ b/daisy-workflow/tests/job_transfer.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, SortedMap};
 use daisy_workflow::{
-    Action, Copy, Demand, Event, JobId, JobSpec, JobState, Layout, Ledger, Load, OtherShards,
-    Owner, OwnershipStart, PlacementRules, Progress, Record, Settings, ShardId,
+    Action, Demand, Event, JobId, JobSpec, JobState, Layout, Ledger, Load, OtherShards, Owner,
+    OwnershipStart, PlacementRules, Progress, Record, Settings, ShardId, TaskCopy,
 };
 use std::time::Duration;
 use util::{CORE, FakeWorker, best_effort, job, long_running_step, step};
@@ -39,17 +39,22 @@
         layout: LAYOUT,
         rules: PlacementRules::default(),
     };
-    let claimed = OwnershipStart { at: at(1_000), predecessors_ended: true, epoch: 1, after: 0 };
+    let claimed = OwnershipStart {
+        claim_sent_at: at(1_000),
+        predecessors_ended: true,
+        epoch: 1,
+        previous_epoch: 0,
+    };
     Owner::new(at(1_000), 0, settings, ledger, util::queues(), claimed)
 }
 
 /// Adds a worker to the list and answers the owner's first renewals.
 fn answer_first_renewals(owner: &mut Owner, worker: &mut FakeWorker, now: Instant) {
-    owner.step(now, Event::Workers(vec![worker.listing()]));
-    for action in owner.act(now) {
-        let Action::Hold { worker: key, deadline_ms, cursor, .. } = action else { continue };
+    owner.handle_event(now, Event::Workers(vec![worker.listing()]));
+    for action in owner.take_actions(now) {
+        let Action::Renew { worker: key, deadline_ms, cursor, .. } = action else { continue };
         let answer = worker.hold(now, 1, deadline_ms, cursor);
-        owner.step(now, Event::HoldAnswered(key, answer.and_then(Result::ok)));
+        owner.handle_event(now, Event::RenewalAnswered(key, answer.and_then(Result::ok)));
     }
 }
 
@@ -60,7 +65,7 @@
     let mut worker = FakeWorker::new("w1", 4);
     answer_first_renewals(&mut owner, &mut worker, now);
     let others = SortedMap::from_iter([(OTHER, Load { capacity: 4_000, ..Load::default() })]);
-    owner.step(now, Event::Loads(others));
+    owner.handle_event(now, Event::Loads(others));
     owner
 }
 
@@ -73,7 +78,7 @@
 }
 
 fn submit(owner: &mut Owner, id: JobId, spec: JobSpec) {
-    owner.step(at(1_010), Event::Record(Record::Submitted(id, spec)));
+    owner.handle_event(at(1_010), Event::Record(Record::Submitted(id, spec)));
 }
 
 /// Long-running jobs fill some shards and leave others a third free, as the shard is drawn by the
@@ -87,9 +92,9 @@
     submit(&mut owner, second, job(vec![long_running_step(4)]));
 
     let batch = owner.try_batch(at(1_020)).expect("the decision is to be recorded");
-    let before = forwarded(owner.act(at(1_020)));
-    owner.step(at(1_030), Event::Appended);
-    let after = forwarded(owner.act(at(1_030)));
+    let before = forwarded(owner.take_actions(at(1_020)));
+    owner.handle_event(at(1_030), Event::Appended);
+    let after = forwarded(owner.take_actions(at(1_030)));
 
     assert!(batch.records.contains(&Record::Delegated(second, OTHER)), "{:?}", batch.records);
     assert_eq!(before, Vec::new());
@@ -134,10 +139,10 @@
 fn a_new_owner_transfers_no_job_until_it_knows_its_workers() {
     let mut owner = owner(Ledger::default());
     let others = SortedMap::from_iter([(OTHER, Load { capacity: 4_000, ..Load::default() })]);
-    owner.step(at(1_000), Event::Loads(others));
+    owner.handle_event(at(1_000), Event::Loads(others));
 
     submit(&mut owner, id_of(OWN), job(vec![step(1)]));
-    owner.step(at(1_500), Event::Tick);
+    owner.handle_event(at(1_500), Event::Tick);
 
     assert_eq!(owner.try_batch(at(1_510)), None);
 }
@@ -153,7 +158,7 @@
     ledger.fold(Record::Delegated(id, OTHER));
 
     let mut owner = owner(ledger);
-    let forwarded = forwarded(owner.act(at(1_010)));
+    let forwarded = forwarded(owner.take_actions(at(1_010)));
 
     let expected =
         [(OTHER, Record::Submitted(id, job(vec![step(2)]))), (OTHER, Record::Cancelled(id))];
@@ -174,7 +179,7 @@
     answer_first_renewals(&mut owner, &mut worker, at(1_000));
 
     submit(&mut owner, id, job(vec![step(2)]));
-    let actions = owner.act(at(1_020));
+    let actions = owner.take_actions(at(1_020));
 
     assert_eq!(owner.try_batch(at(1_020)), None);
     assert_eq!(forwarded(actions), [(OTHER, Record::Submitted(id, job(vec![step(2)])))]);
@@ -188,7 +193,7 @@
     let mut progress = Progress::new(&spec);
     progress.has_started = true;
     progress.occurrences[0][0][0].runs = 1;
-    progress.occurrences[0][0][0].copies = vec![Copy { run: 1, worker: "w1".into() }];
+    progress.occurrences[0][0][0].copies = vec![TaskCopy { run: 1, worker: "w1".into() }];
     let mut ledger = Ledger::default();
     ledger.fold(Record::Progress(id, progress));
     let mut owner = owner(ledger);
@@ -196,7 +201,7 @@
     answer_first_renewals(&mut owner, &mut worker, at(1_000));
 
     submit(&mut owner, id, spec);
-    owner.act(at(1_020));
+    owner.take_actions(at(1_020));
 
     assert_eq!(owner.try_batch(at(1_020)), None);
 }
@@ -210,11 +215,11 @@
     ledger.fold(Record::Submitted(id, job(vec![step(2)])));
     ledger.fold(Record::Delegated(id, OTHER));
     let mut owner = owner(ledger);
-    owner.act(at(1_010));
+    owner.take_actions(at(1_010));
 
-    owner.step(at(1_020), Event::Record(Record::Cancelled(id)));
+    owner.handle_event(at(1_020), Event::Record(Record::Cancelled(id)));
 
-    assert_eq!(forwarded(owner.act(at(1_020))), [(OTHER, Record::Cancelled(id))]);
+    assert_eq!(forwarded(owner.take_actions(at(1_020))), [(OTHER, Record::Cancelled(id))]);
     assert_eq!(owner.take_states(), [(id, JobState::Cancelled)]);
 }
 
@@ -237,10 +242,10 @@
     let mut owner = owner_of_one_worker(at(1_000));
     let id = id_of(OWN);
     submit(&mut owner, id, job(vec![step(1)]));
-    owner.act(at(1_020));
+    owner.take_actions(at(1_020));
     let full = Load { capacity: 4_000, ..Load::default() };
-    owner.step(at(1_500), Event::Loads(SortedMap::from_iter([(OTHER, full)])));
-    owner.step(at(1_500), Event::Tick);
+    owner.handle_event(at(1_500), Event::Loads(SortedMap::from_iter([(OTHER, full)])));
+    owner.handle_event(at(1_500), Event::Tick);
 
     let batch = owner.try_batch(at(1_520)).expect("a start is to be recorded");
 
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -6,10 +6,10 @@
 use bincode::{Encode, config};
 use daisy_model::Resources;
 use daisy_workflow::{
-    Claim, Copy, FREE_BLOCKS, FoldEffect, ImageInterference, IncomingTransfer, InterferenceSums,
-    JobId, JobState, Layout, Ledger, Load, OutgoingTransfer, OwnerHeartbeat, Phase, Progress,
-    PublishedState, Record, RecordError, ShardId, SpecError, TaskState, Witness, Witnesses, decode,
-    encode,
+    Claim, FREE_BLOCKS, FoldEffect, ImageInterference, IncomingTransfer, InterferenceSums, JobId,
+    JobState, Layout, Ledger, Load, OutgoingTransfer, OwnerHeartbeat, Phase, Progress,
+    PublishedState, Record, RecordError, ShardId, SpecError, TaskCopy, TaskState, Witness,
+    Witnesses, decode, encode,
 };
 use util::{best_effort, job, long_running_step, step, step_after, task};
 
@@ -18,7 +18,8 @@
 fn progress() -> Progress {
     let mut progress = Progress::new(&job(vec![step(3)]));
     progress.has_started = true;
-    let copies = vec![Copy { run: 4, worker: "w1".into() }, Copy { run: 5, worker: "w2".into() }];
+    let copies =
+        vec![TaskCopy { run: 4, worker: "w1".into() }, TaskCopy { run: 5, worker: "w2".into() }];
     progress.occurrences[0][0][1] = TaskState {
         runs: 5,
         failures: 1,
@@ -73,14 +74,14 @@
         Record::TaskTransferredIn(
             task(7, 0, 1),
             Box::new(IncomingTransfer {
-                hop: 3,
+                number: 3,
                 spec: job(vec![long_running_step(2)]),
                 runs: 5,
                 failures: 1,
                 checkpoint: "c".to_owned(),
             }),
         ),
-        Record::Observed(
+        Record::InterferenceSums(
             ShardId(3),
             vec![InterferenceSums {
                 serving: "s".into(),
--- a/daisy-workflow/tests/task_transfer.rs
+++ b/daisy-workflow/tests/task_transfer.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Copy, Event, FoldEffect, IncomingTransfer, JobId, JobSpec, Layout, Ledger, Load, OtherShards,
-    OutgoingTransfer, Progress, Record, ShardId, StepSpec, TaskId,
+    Event, FoldEffect, IncomingTransfer, JobId, JobSpec, Layout, Ledger, Load, OtherShards,
+    OutgoingTransfer, Progress, Record, ShardId, StepSpec, TaskCopy, TaskId,
 };
 use util::{CORE, FakeWorker, ShardedSimulation, job, long_running_step, task};
 
@@ -46,9 +46,14 @@
     job(vec![StepSpec { need, ..long_running_step(2) }])
 }
 
-fn task_received(hop: u32, runs: u32) -> Record {
-    let it =
-        IncomingTransfer { hop, spec: large_job(), runs, failures: 0, checkpoint: String::new() };
+fn task_received(number: u32, runs: u32) -> Record {
+    let it = IncomingTransfer {
+        number,
+        spec: large_job(),
+        runs,
+        failures: 0,
+        checkpoint: String::new(),
+    };
     Record::TaskTransferredIn(task_of_job(0), Box::new(it))
 }
 
@@ -155,7 +160,7 @@
     let now = sim.shards[0].now;
     sim.shards[0]
         .owner
-        .step(now, Event::Loads(SortedMap::from_iter([(SHARD_WITH_CAPACITY, full)])));
+        .handle_event(now, Event::Loads(SortedMap::from_iter([(SHARD_WITH_CAPACITY, full)])));
 
     sim.run_ms(4_500);
 
@@ -199,7 +204,7 @@
 #[test]
 fn older_progress_does_not_lower_the_run_number() {
     let mut progress = Progress::new(&large_job());
-    progress.occurrences[0][0][1].copies = vec![Copy { run: 1, worker: "w".into() }];
+    progress.occurrences[0][0][1].copies = vec![TaskCopy { run: 1, worker: "w".into() }];
     let mut ledger = Ledger::default();
     ledger.fold(task_received(1, 4));
 
--- a/daisy-workflow/tests/transfer_paths.rs
+++ b/daisy-workflow/tests/transfer_paths.rs
@@ -175,7 +175,7 @@
     sim.run_with_loads_ms(30_000);
 
     let jobs = sim.shards.iter().filter_map(|it| it.ledger.job(id));
-    let hops = jobs.flat_map(|it| it.transfers.iter().map(|(_, it)| it.hop)).max().unwrap_or(0);
+    let hops = jobs.flat_map(|it| it.transfers.iter().map(|(_, it)| it.number)).max().unwrap_or(0);
     assert!(hops <= 6, "{hops} hops in 30 s");
 }
 
@@ -196,7 +196,7 @@
     let id = JobId(1);
     let spec = tasks(1, 1);
     let it = IncomingTransfer {
-        hop: 2,
+        number: 2,
         spec: spec.clone(),
         runs: 3,
         failures: 0,
--- a/daisy-workflow/tests/util/partition.rs
+++ b/daisy-workflow/tests/util/partition.rs
@@ -478,9 +478,9 @@
         let (due, later) = process.inbox.drain(..).partition(is_due);
         process.inbox = later;
         let due: Vec<(Instant, Event)> = due;
-        due.into_iter().for_each(|(_, event)| process.owner.step(now, event));
-        process.owner.step(now, Event::Tick);
-        process.outbox = process.owner.act(now);
+        due.into_iter().for_each(|(_, event)| process.owner.handle_event(now, event));
+        process.owner.handle_event(now, Event::Tick);
+        process.outbox = process.owner.take_actions(now);
         if process.outbox.contains(&Action::StepDown) {
             self.send(vm, &mut process);
             return;
@@ -538,13 +538,13 @@
         }
         let now = self.now;
         for record in &self.log.submissions[process.submissions_read..] {
-            process.owner.step(now, Event::Record(record.clone()));
+            process.owner.handle_event(now, Event::Record(record.clone()));
         }
         process.submissions_read = self.log.submissions.len();
         if process.listed_at.is_none_or(|it| now.since(it) >= LIST_INTERVAL) {
             process.listed_at = Some(now);
             let listed = self.worker_entries.iter().map(|(_, it)| it.clone()).collect();
-            process.owner.step(now, Event::Workers(listed));
+            process.owner.handle_event(now, Event::Workers(listed));
         }
     }
 
--- a/daisy-workflow/tests/util/sharded_simulation.rs
+++ b/daisy-workflow/tests/util/sharded_simulation.rs
@@ -105,7 +105,7 @@
             .collect();
         for (own, sim) in (0u16..).map(ShardId).zip(&mut self.shards) {
             let others = loads.iter().filter(|(shard, _)| *shard != own).copied();
-            sim.owner.step(sim.now, Event::Loads(SortedMap::from_iter(others)));
+            sim.owner.handle_event(sim.now, Event::Loads(SortedMap::from_iter(others)));
         }
     }
 
--- a/daisy-workflow/tests/util/simulation.rs
+++ b/daisy-workflow/tests/util/simulation.rs
@@ -89,7 +89,7 @@
     pub fn write(&mut self, record: Record) {
         let record = self.log.submit(&record);
         self.ledger.fold(record.clone());
-        self.owner.step(self.now, Event::Record(record));
+        self.owner.handle_event(self.now, Event::Record(record));
     }
 
     /// Replaces the owner by one that starts from the folded ledger.
@@ -173,21 +173,21 @@
         }
         if !self.list_is_stale {
             let listed = self.workers.iter().filter(|it| it.listed).map(FakeWorker::listing);
-            self.owner.step(now, Event::Workers(listed.collect()));
+            self.owner.handle_event(now, Event::Workers(listed.collect()));
         }
         let due = std::mem::take(&mut self.events);
         let (due, later) = due.into_iter().partition(|(at, _)| *at <= now);
         self.events = later;
         let due: Vec<(Instant, Event)> = due;
         for (_, event) in due {
-            self.owner.step(now, event);
+            self.owner.handle_event(now, event);
         }
         // Stored heartbeats show the owner that the log accepts writes.
         if self.log_up && now.0.is_multiple_of(HEARTBEAT_INTERVAL_US) {
-            self.owner.step(now, Event::HeartbeatStored { sent_at: now });
+            self.owner.handle_event(now, Event::HeartbeatStored { sent_at: now });
         }
-        self.owner.step(now, Event::Tick);
-        for action in self.owner.act(now) {
+        self.owner.handle_event(now, Event::Tick);
+        for action in self.owner.take_actions(now) {
             self.carry_out(action);
         }
         self.append();
@@ -206,8 +206,8 @@
             && let Some((_, batch)) = self.pending.take()
         {
             self.store(&batch);
-            self.owner.step(self.now, Event::Appended);
-            for action in self.owner.act(self.now) {
+            self.owner.handle_event(self.now, Event::Appended);
+            for action in self.owner.take_actions(self.now) {
                 self.carry_out(action);
             }
         }
@@ -299,7 +299,11 @@
         layout,
         rules: PlacementRules::default(),
     };
-    let claimed =
-        OwnershipStart { at: now, predecessors_ended: predecessor_ended, epoch, after: epoch - 1 };
+    let claimed = OwnershipStart {
+        claim_sent_at: now,
+        predecessors_ended: predecessor_ended,
+        epoch,
+        previous_epoch: epoch - 1,
+    };
     Owner::new(now, 0, settings, ledger, super::queues(), claimed)
 }
--- a/daisy-workflow/tests/util/worker.rs
+++ b/daisy-workflow/tests/util/worker.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources};
 use daisy_workflow::{
-    Action, ActiveRun, EndedRun, Event, HoldAnswer, OrderReply, Outcome, Refusal, Start, TaskId,
-    WorkerKey, WorkerListing,
+    Action, ActiveRun, EndedRun, Event, OrderReply, Outcome, RejectReason, RenewalAnswer, Start,
+    TaskId, WorkerKey, WorkerListing,
 };
 
 use super::{LEASE_MAX, TICK};
@@ -87,7 +87,7 @@
 /// Returns the worker that an action calls.
 pub fn target_worker(action: &Action) -> Option<WorkerKey> {
     match action {
-        Action::Hold { worker: key, .. }
+        Action::Renew { worker: key, .. }
         | Action::Start(key, _)
         | Action::Stop(key, ..)
         | Action::Pace(key, ..) => Some(*key),
@@ -99,10 +99,12 @@
 pub fn unanswered_event(action: Action) -> Option<Event> {
     let reply = OrderReply::Unknown;
     Some(match action {
-        Action::Hold { worker, .. } => Event::HoldAnswered(worker, None),
-        Action::Start(key, start) => Event::Started(key, start.task, start.run, reply),
-        Action::Stop(key, task, run, _) => Event::Stopped(key, task, run, reply),
-        Action::Pace(key, task, run, percent) => Event::Paced(key, task, run, percent, reply),
+        Action::Renew { worker, .. } => Event::RenewalAnswered(worker, None),
+        Action::Start(key, start) => Event::StartAnswered(key, start.task, start.run, reply),
+        Action::Stop(key, task, run, _) => Event::StopAnswered(key, task, run, reply),
+        Action::Pace(key, task, run, percent) => {
+            Event::PaceAnswered(key, task, run, percent, reply)
+        }
         Action::Forward(..) | Action::StepDown | Action::Note(_) => return None,
     })
 }
@@ -168,25 +170,25 @@
         work_ms: u64,
     ) -> Option<(Duration, Event)> {
         Some(match action {
-            Action::Hold { worker: key, deadline_ms, cursor, wait } => {
+            Action::Renew { worker: key, deadline_ms, cursor, wait } => {
                 match self.hold(now, epoch, deadline_ms, cursor) {
-                    None => (Duration::from_millis(300), Event::HoldAnswered(key, None)),
+                    None => (Duration::from_millis(300), Event::RenewalAnswered(key, None)),
                     Some(Err(())) => (TICK, Event::Fenced(key)),
-                    Some(Ok(answer)) => (wait.max(TICK), Event::HoldAnswered(key, Some(answer))),
+                    Some(Ok(answer)) => (wait.max(TICK), Event::RenewalAnswered(key, Some(answer))),
                 }
             }
             Action::Start(key, start) => {
                 let reply = self.start(now, epoch, &start, work_ms);
-                (TICK, Event::Started(key, start.task, start.run, reply))
+                (TICK, Event::StartAnswered(key, start.task, start.run, reply))
             }
             Action::Stop(key, task, run, _) => {
                 let reply = self.stop(now, epoch, task, run);
-                (TICK, Event::Stopped(key, task, run, reply))
+                (TICK, Event::StopAnswered(key, task, run, reply))
             }
             Action::Pace(key, task, run, percent) => {
                 self.set_pace(task, run, percent);
                 let reply = OrderReply::Done { clock_ms: self.clock(now) };
-                (TICK, Event::Paced(key, task, run, percent, reply))
+                (TICK, Event::PaceAnswered(key, task, run, percent, reply))
             }
             Action::Forward(..) | Action::StepDown | Action::Note(_) => return None,
         })
@@ -270,17 +272,17 @@
 
     fn accept(&mut self, clock: u64, epoch: u64, start: &Start, work_ms: u64) -> OrderReply {
         if epoch < self.fence {
-            return OrderReply::Refused(Refusal::Fenced);
+            return OrderReply::Rejected(RejectReason::Fenced);
         }
         self.fence = epoch;
         if self.runs.iter().any(|it| it.task == start.task && it.run == start.run) {
             return OrderReply::Done { clock_ms: clock };
         }
         if self.closed_runs.iter().any(|(task, run)| *task == start.task && start.run <= *run) {
-            return OrderReply::Refused(Refusal::StaleRun);
+            return OrderReply::Rejected(RejectReason::StaleRun);
         }
         if start.deadline_ms < clock {
-            return OrderReply::Refused(Refusal::Late);
+            return OrderReply::Rejected(RejectReason::LeaseExpired);
         }
         self.grant(clock, start.deadline_ms);
         let (task, run) = (start.task, start.run);
@@ -308,7 +310,7 @@
             return OrderReply::Unknown;
         }
         if epoch < self.fence {
-            return OrderReply::Refused(Refusal::Fenced);
+            return OrderReply::Rejected(RejectReason::Fenced);
         }
         self.fence = epoch;
         let clock = self.clock(now);
@@ -326,7 +328,7 @@
         epoch: u64,
         deadline_ms: Option<u64>,
         cursor: u64,
-    ) -> Option<Result<HoldAnswer, ()>> {
+    ) -> Option<Result<RenewalAnswer, ()>> {
         if self.fault == Fault::Unreachable {
             return None;
         }
@@ -355,7 +357,7 @@
             load: self.tail_latency_ms,
         });
         let running = running.collect();
-        Some(Ok(HoldAnswer {
+        Some(Ok(RenewalAnswer {
             clock_ms: clock,
             started_at_ms: self.started_at_ms,
             running,
@@ -381,8 +383,8 @@
 /// Returns a renewal with its wait limited to `most`, and any other action unchanged.
 pub fn with_max_wait(action: Action, most: Duration) -> Action {
     match action {
-        Action::Hold { worker, deadline_ms, cursor, wait } => {
-            Action::Hold { worker, deadline_ms, cursor, wait: wait.min(most) }
+        Action::Renew { worker, deadline_ms, cursor, wait } => {
+            Action::Renew { worker, deadline_ms, cursor, wait: wait.min(most) }
         }
         other => other,
     }
