--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -339,7 +339,7 @@
                 it.run,
                 self.ownership.shard.0,
                 it.worker,
-                it.left.as_millis(),
+                it.time_left.as_millis(),
                 it.cause.description()
             );
         }
@@ -376,7 +376,7 @@
         }
         let now = clock::now();
         let heartbeat = self.telling.is_heartbeat_due(now).then(|| self.heartbeat(now, false));
-        let Some(records) = self.telling.try_records(now, heartbeat) else { return };
+        let Some(records) = self.telling.take_due_records(now, heartbeat) else { return };
         self.send_states(records);
     }
 
@@ -501,7 +501,7 @@
             self.telling.add(id, state);
         }
         let heartbeat = self.heartbeat(clock::now(), true);
-        let mut records = self.telling.records();
+        let mut records = self.telling.take_records();
         records.push(Record::OwnerHeartbeat(Box::new(heartbeat)));
         self.send_states(records);
         appended.recv().await;
--- a/daisy-workflow/src/balance.rs
+++ b/daisy-workflow/src/balance.rs
@@ -111,7 +111,7 @@
     }
 
     /// Records that a job or task with this demand was transferred to `shard`.
-    pub fn transferred(&mut self, now: Instant, shard: ShardId, demand: Demand) {
+    pub fn add_transfer(&mut self, now: Instant, shard: ShardId, demand: Demand) {
         self.recent_transfers.push((now, shard, demand));
     }
 
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -142,7 +142,7 @@
     /// A job's progress was updated.
     Progress(JobId),
     /// A task was transferred to this shard.
-    Task(TaskId),
+    TaskReceived(TaskId),
     /// The shard was claimed.
     Claim,
     /// Nothing that its reader acts on, as for a record that repeats another.
@@ -222,7 +222,7 @@
         }
         let job = self.jobs.get_mut(&id.job);
         match job.is_some_and(|it| it.move_task(id, transfer.into())) {
-            true => FoldEffect::Task(id),
+            true => FoldEffect::TaskReceived(id),
             false => FoldEffect::Nothing,
         }
     }
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -137,7 +137,7 @@
             return;
         }
         let Some(to) = self.others.try_find_better_shard(now, own, demand) else { return };
-        self.others.transferred(now, to, demand);
+        self.others.add_transfer(now, to, demand);
         if let Some(job) = self.ledger.job_mut(id) {
             job.delegate(to);
         }
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -22,7 +22,7 @@
                 self.forward_cancel(id);
                 self.cancel(now, id);
             }
-            FoldEffect::Task(task) => self.task_submitted(now, task),
+            FoldEffect::TaskReceived(task) => self.task_submitted(now, task),
             FoldEffect::Progress(_) | FoldEffect::Claim | FoldEffect::Nothing => {}
         }
         self.plan_due = true;
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -94,7 +94,8 @@
         }
         let unconfirmed_runs = self.unconfirmed_runs(now);
         sum.unconfirmed_runs = unconfirmed_runs.len();
-        sum.unconfirmed_for = unconfirmed_runs.iter().map(|it| it.left).max().unwrap_or_default();
+        sum.unconfirmed_for =
+            unconfirmed_runs.iter().map(|it| it.time_left).max().unwrap_or_default();
         let waits = self.waiting_since.iter().map(|(_, since)| now.since(*since));
         sum.longest_wait = waits.max().unwrap_or_default();
         sum
--- a/daisy-workflow/src/owner/transfer.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -96,7 +96,7 @@
         }
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
         let Some(to) = self.others.try_find_capacity(now, own, step.allocation()) else { return };
-        self.others.transferred(now, to, Demand::of_long_running_task(step));
+        self.others.add_transfer(now, to, Demand::of_long_running_task(step));
         let number = job.transfers.get(&task).map_or(0, |it| it.number) + 1;
         job.move_task(task, OutgoingTransfer { number, to }.into());
         job.progress.has_started = true;
--- a/daisy-workflow/src/owner/unconfirmed_runs.rs
+++ b/daisy-workflow/src/owner/unconfirmed_runs.rs
@@ -52,7 +52,7 @@
     /// Why its outcome is unknown.
     pub cause: UnconfirmedCause,
     /// Time until the run can be treated as ended.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 impl Owner {
@@ -63,7 +63,7 @@
             let Some(cause) = unconfirmed_cause(worker) else { continue };
             let over_at =
                 self.runs_over_at(worker).unwrap_or_else(|| self.latest_inherited_leases_end(now));
-            let left = over_at.since(now);
+            let time_left = over_at.since(now);
             let long_running = worker
                 .tasks
                 .iter()
@@ -73,17 +73,17 @@
                 run: it.run,
                 worker: worker.id.clone(),
                 cause,
-                left,
+                time_left,
             }));
         }
-        let left = self.latest_inherited_leases_end(now).since(now);
+        let time_left = self.latest_inherited_leases_end(now).since(now);
         let long_running = self.orphans.iter().filter(|it| self.is_long_running(it.task));
         found.extend(long_running.map(|it| UnconfirmedRun {
             task: it.task,
             run: it.run,
             worker: it.worker.clone(),
             cause: UnconfirmedCause::NotListed,
-            left,
+            time_left,
         }));
         found
     }
--- a/daisy-workflow/src/publisher.rs
+++ b/daisy-workflow/src/publisher.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the records to append now, if any are due; `heartbeat` is given if one is due.
-    pub fn try_records(
+    pub fn take_due_records(
         &mut self,
         now: Instant,
         heartbeat: Option<OwnerHeartbeat>,
@@ -73,12 +73,12 @@
             self.last_heartbeat_at = Some(now);
             records.push(Record::OwnerHeartbeat(Box::new(heartbeat)));
         }
-        records.extend(self.records());
+        records.extend(self.take_records());
         Some(records)
     }
 
     /// Takes the states to be published next.
-    pub fn records(&mut self) -> Vec<Record> {
+    pub fn take_records(&mut self) -> Vec<Record> {
         let next: Vec<_> =
             self.pending.iter().take(STATES_MAX).map(|(id, it)| (*id, *it)).collect();
         let mut records = Vec::with_capacity(next.len());
--- a/daisy-workflow/tests/job_transfer.rs
+++ b/daisy-workflow/tests/job_transfer.rs
@@ -288,7 +288,7 @@
 
     for _ in 0..10 {
         let to = others.try_find_better_shard(at(0), own, demand).expect("others are empty");
-        others.transferred(at(0), to, demand);
+        others.add_transfer(at(0), to, demand);
         taken[usize::from(to.0)] += 1;
     }
 
@@ -319,7 +319,7 @@
             let to = view
                 .try_find_better_shard(at(0), load(900), demand)
                 .expect("two shards have capacity");
-            view.transferred(at(0), to, demand);
+            view.add_transfer(at(0), to, demand);
             taken[usize::from(to == empty)] += cores(10);
         }
     }
--- a/daisy-workflow/tests/state_publishing.rs
+++ b/daisy-workflow/tests/state_publishing.rs
@@ -43,7 +43,7 @@
     let mut publisher = StatePublisher::new(at(0), OWN, SortedMap::new());
 
     let due = publisher.is_heartbeat_due(at(0));
-    let records = publisher.try_records(at(0), Some(sample_heartbeat()));
+    let records = publisher.take_due_records(at(0), Some(sample_heartbeat()));
 
     assert!(due);
     assert_eq!(records, Some(vec![Record::OwnerHeartbeat(Box::new(sample_heartbeat()))]));
@@ -56,8 +56,8 @@
     publisher.add(ID, JobState::Queued);
     publisher.add(ID, JobState::Running);
 
-    let early = publisher.try_records(at(10), None);
-    let due = publisher.try_records(at(30), None);
+    let early = publisher.take_due_records(at(10), None);
+    let due = publisher.take_due_records(at(30), None);
 
     assert_eq!((early, due), (None, Some(vec![state_record(JobState::Running)])));
     assert!(!publisher.has_pending_states());
@@ -82,7 +82,10 @@
 
     publisher.add(ID, JobState::Queued);
 
-    assert_eq!(publisher.try_records(at(30), None), Some(vec![state_record(JobState::Queued)]));
+    assert_eq!(
+        publisher.take_due_records(at(30), None),
+        Some(vec![state_record(JobState::Queued)])
+    );
 }
 
 #[test]
@@ -115,7 +118,7 @@
     publisher.add(ID, JobState::Queued);
 
     let while_pending = publisher.are_all_published(&Directory::default(), [ID].into_iter());
-    publisher.try_records(at(30), None);
+    publisher.take_due_records(at(30), None);
     let after_publishing = publisher.are_all_published(&Directory::default(), [ID].into_iter());
 
     assert_eq!((while_pending, after_publishing), (true, true));
--- a/daisy-workflow/tests/task_transfer.rs
+++ b/daisy-workflow/tests/task_transfer.rs
@@ -194,7 +194,10 @@
     let fold = ledger.fold(task_received(2, 6));
     let second_fold = ledger.fold(task_received(2, 6));
 
-    assert_eq!((fold, second_fold), (FoldEffect::Task(task_of_job(0)), FoldEffect::Nothing));
+    assert_eq!(
+        (fold, second_fold),
+        (FoldEffect::TaskReceived(task_of_job(0)), FoldEffect::Nothing)
+    );
     assert!(is_waiting_here(&ledger));
 }
 
@@ -235,7 +238,7 @@
     let mut transferred = 0;
 
     while let Some(to) = others.try_find_capacity(Instant::default(), FULL_SHARD, need) {
-        others.transferred(
+        others.add_transfer(
             Instant::default(),
             to,
             daisy_workflow::Demand::of_long_running_task(&large_job().steps[0]),
