--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records a transfer of a task and returns whether it is newer than all that were known.
-    pub(crate) fn move_task(&mut self, id: TaskId, transfer: TransferState) -> bool {
+    pub(crate) fn add_transfer(&mut self, id: TaskId, transfer: TransferState) -> bool {
         let newer = self.transfers.get(&id).is_none_or(|it| it.number < transfer.number);
         if newer {
             self.transfers.insert(id, transfer);
@@ -189,7 +189,7 @@
             }
             Record::TaskTransferredOut(id, transfer) => {
                 match self.jobs.get_mut(&id.job) {
-                    Some(job) => drop(job.move_task(id, transfer.into())),
+                    Some(job) => drop(job.add_transfer(id, transfer.into())),
                     None => self.add_early_transfer(id, transfer),
                 }
                 FoldEffect::Nothing
@@ -221,7 +221,7 @@
             self.add_job(id.job, transfer.spec.clone(), true);
         }
         let job = self.jobs.get_mut(&id.job);
-        match job.is_some_and(|it| it.move_task(id, transfer.into())) {
+        match job.is_some_and(|it| it.add_transfer(id, transfer.into())) {
             true => FoldEffect::TaskReceived(id),
             false => FoldEffect::Nothing,
         }
@@ -247,7 +247,7 @@
             .collect();
         for (task, transfer) in early_transfers {
             self.early_transfers.remove(&task);
-            job.move_task(task, transfer.into());
+            job.add_transfer(task, transfer.into());
         }
         job.update_task_locations();
         self.jobs.insert(id, job);
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -126,7 +126,7 @@
     delegating: Vec<JobId>,
     /// Starts whose record is not in the log yet.
     unrecorded_starts: Vec<(WorkerKey, TaskId, u32)>,
-    in_flight: Option<InFlight>,
+    in_flight: Option<InFlightBatch>,
     interference: Interference,
     /// When the learned interference was last recorded.
     interference_recorded_at: Instant,
@@ -172,7 +172,7 @@
 
 /// A batch that is being appended to the log.
 #[derive(Debug)]
-struct InFlight {
+struct InFlightBatch {
     /// When the batch was created.
     began: Instant,
     starts: Vec<(WorkerKey, TaskId, u32)>,
@@ -232,7 +232,7 @@
         };
         let own = owner.ledger.jobs().filter(|(_, it)| !it.belongs_to_other_shard());
         owner.states = own.map(|(id, job)| (id, job.state())).collect();
-        owner.forward_all();
+        owner.forward_all_jobs();
         owner.forward_all_tasks();
         owner.inherit(now);
         owner
@@ -256,7 +256,7 @@
         let copies = recorded_copies(id, job);
         for (worker, task, run) in copies {
             match self.by_id.get(&worker).copied() {
-                Some(key) => self.adopt(now, key, task, run, StartState::Inherited),
+                Some(key) => self.adopt_run(now, key, task, run, StartState::Inherited),
                 None => self.orphans.push(Orphan { worker, task, run }),
             }
         }
@@ -277,7 +277,7 @@
                     self.plan_due = true;
                 }
             }
-            Event::RenewalAnswered(worker, answer) => self.hold_answered(now, worker, answer),
+            Event::RenewalAnswered(worker, answer) => self.renewal_answered(now, worker, answer),
             Event::Fenced(_) => self.actions.push(Action::StepDown),
             Event::StartAnswered(worker, task, run, reply) => {
                 self.start_answered(now, worker, task, run, reply);
@@ -311,10 +311,10 @@
 
     /// Whether there are records to append and no batch is being appended.
     pub fn has_batch(&self) -> bool {
-        let nothing = self.unrecorded_jobs.is_empty()
+        let nothing_unrecorded = self.unrecorded_jobs.is_empty()
             && self.delegating.is_empty()
             && self.unrecorded_starts.is_empty();
-        self.in_flight.is_none() && (!nothing || self.succession.has_record())
+        self.in_flight.is_none() && (!nothing_unrecorded || self.succession.has_record())
     }
 
     /// Returns the records to append next, or `None` while a batch is being appended or if there
@@ -330,8 +330,9 @@
         let mut records = Vec::with_capacity(changed.len());
         let mut states = Vec::with_capacity(changed.len());
         let delegated = std::mem::take(&mut self.delegating);
-        let to = |id: &JobId| ledger.job(*id).and_then(|it| it.delegated);
-        records.extend(delegated.iter().filter_map(|id| Some(Record::Delegated(*id, to(id)?))));
+        let receiver = |id: &JobId| ledger.job(*id).and_then(|it| it.delegated);
+        records
+            .extend(delegated.iter().filter_map(|id| Some(Record::Delegated(*id, receiver(id)?))));
         for id in changed {
             let Some(job) = ledger.job(id) else { continue };
             records.push(Record::Progress(id, job.progress.clone()));
@@ -351,7 +352,7 @@
         let cursors = seen.map(|(key, it)| (key, it.started_at_ms, it.cursor_seen)).collect();
         let starts = std::mem::take(&mut self.unrecorded_starts);
         self.in_flight =
-            Some(InFlight { began: now, starts, cursors, states, delegated, transferring });
+            Some(InFlightBatch { began: now, starts, cursors, states, delegated, transferring });
         Some(Batch { records })
     }
 
@@ -429,17 +430,17 @@
 const INITIAL_HEADROOM: f64 = 2.7;
 
 /// Creates the assignment of a run that starts now.
-fn assignment(
+fn new_assignment(
     now: Instant,
-    learned_interference: &mut Interference,
+    interference: &mut Interference,
     task: TaskId,
     run: u32,
     step: &crate::StepSpec,
 ) -> Assignment {
     let image = match (&step.image, step.target_ms) {
         (None, _) => None,
-        (Some(it), 0) => Some(learned_interference.best_effort_key(it)),
-        (Some(it), _) => Some(learned_interference.serving_key(now, it)),
+        (Some(it), 0) => Some(interference.best_effort_key(it)),
+        (Some(it), _) => Some(interference.serving_key(now, it)),
     };
     Assignment {
         task,
--- a/daisy-workflow/src/owner/best_effort.rs
+++ b/daisy-workflow/src/owner/best_effort.rs
@@ -44,7 +44,10 @@
 }
 
 /// Computes the interference load of each serving image on a worker.
-pub(super) fn interference_loads(learnt: &Interference, worker: &Worker) -> Vec<InterferenceLoad> {
+pub(super) fn interference_loads(
+    interference: &Interference,
+    worker: &Worker,
+) -> Vec<InterferenceLoad> {
     let mut all: Vec<InterferenceLoad> = Vec::new();
     for it in worker.tasks.iter().filter(|it| it.target_ms > 0) {
         match all.iter_mut().find(|known| known.image == it.image) {
@@ -59,7 +62,7 @@
     }
     for serving in &mut all {
         for it in worker.tasks.iter().filter(|it| it.best_effort_cpu > 0) {
-            match headroom_cost(learnt, worker, serving.image, it) {
+            match headroom_cost(interference, worker, serving.image, it) {
                 cost if cost >= HIGH_INTERFERENCE_MIN => serving.high += cost,
                 cost => serving.low += cost,
             }
@@ -77,12 +80,12 @@
 
 /// Returns the headroom that a best-effort task at full pace takes from a serving task of `image`.
 pub(super) fn headroom_cost(
-    learnt: &Interference,
+    interference: &Interference,
     worker: &Worker,
     image: Option<ImageKey>,
     it: &Assignment,
 ) -> f64 {
-    learnt.weight(image, it.image) * full_pace_share(worker, it.best_effort_cpu)
+    interference.weight(image, it.image) * full_pace_share(worker, it.best_effort_cpu)
 }
 
 /// Returns the processor time that is left for best-effort tasks, in thousandths of a core.
@@ -99,7 +102,7 @@
 /// Returns the share of its processor time, from 0 to 1, at which one more best-effort task of
 /// `step` could run on a worker without taking too much from the tasks already there.
 pub(super) fn pace_with(
-    learnt: &Interference,
+    interference: &Interference,
     worker: &Worker,
     step: &StepSpec,
     image: Option<ImageKey>,
@@ -108,7 +111,7 @@
     let idle = f64::from(idle_cpu(worker)) * MAX_DEMAND_PER_IDLE_CPU;
     let share = full_pace_share(worker, step.need.cpu_milli);
     let beside = worker.interference_loads.iter().map(|it| {
-        let more = learnt.weight(it.image, image) * share;
+        let more = interference.weight(it.image, image) * share;
         pace_beside(it, more)
     });
     beside.fold((idle / f64::from(asked.max(1))).min(1.0), f64::min)
--- a/daisy-workflow/src/owner/defragment.rs
+++ b/daisy-workflow/src/owner/defragment.rs
@@ -214,7 +214,7 @@
         };
         let at_work = |index: u32| {
             let task = TaskId { index, ..run.task };
-            let here = self.workers.iter().filter(|(_, it)| it.hold_failures == 0 && it.listed);
+            let here = self.workers.iter().filter(|(_, it)| it.renewal_failures == 0 && it.listed);
             here.flat_map(|(_, it)| &it.tasks).any(|it| it.task == task && is_at_work(it))
         };
         !job.belongs_to_other_shard() && (0..tasks.len() as u32).all(at_work)
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -78,7 +78,7 @@
     /// Returns the shard's capacity and the demand on it.
     fn demand(&self, now: Instant) -> Load {
         let mut load = Load::default();
-        let is_reachable = |it: &Worker| it.listed && it.ready && it.hold_failures == 0;
+        let is_reachable = |it: &Worker| it.listed && it.ready && it.renewal_failures == 0;
         for (_, worker) in self.workers.iter().filter(|(_, it)| is_reachable(it)) {
             load.capacity += u64::from(worker.capacity.cpu_milli);
         }
@@ -98,14 +98,14 @@
         let ready = self.ready_steps(now, id);
         for (k, steps) in job.progress.occurrences.iter().enumerate() {
             for (s, (tasks, step)) in steps.iter().zip(&job.spec.steps).enumerate() {
-                let turn =
+                let is_ready =
                     ready.iter().any(|it| it.occurrence as usize == k && usize::from(it.step) == s);
-                let asks = |it: &&TaskState| {
+                let adds_demand = |it: &&TaskState| {
                     !it.done
                         && !it.on_other_shard
-                        && (turn || step.long_running || !it.copies.is_empty())
+                        && (is_ready || step.long_running || !it.copies.is_empty())
                 };
-                let count = tasks.iter().filter(asks).count() as u64;
+                let count = tasks.iter().filter(adds_demand).count() as u64;
                 let cpu = count * u64::from(step.need.cpu_milli);
                 match (step.long_running, step.best_effort) {
                     (true, _) => load.long_running += cpu,
@@ -166,7 +166,7 @@
     }
 
     /// Writes a job, and its cancellation if there is one, to the shard that it was delegated to.
-    pub(super) fn forward(&mut self, id: JobId) {
+    pub(super) fn forward_job(&mut self, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         let Some(to) = job.delegated else { return };
         let spec = (*job.spec).clone();
@@ -179,10 +179,10 @@
 
     /// Writes all delegated jobs again: a new owner does not know which ones its predecessor has
     /// written.
-    pub(super) fn forward_all(&mut self) {
+    pub(super) fn forward_all_jobs(&mut self) {
         let delegated = self.ledger.jobs().filter(|(_, it)| it.delegated.is_some());
         let ids: Vec<JobId> = delegated.map(|(id, _)| id).collect();
-        ids.into_iter().for_each(|id| self.forward(id));
+        ids.into_iter().for_each(|id| self.forward_job(id));
     }
 
     pub(super) fn forward_cancel(&mut self, id: JobId) {
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -22,7 +22,7 @@
                 self.forward_cancel(id);
                 self.cancel(now, id);
             }
-            FoldEffect::TaskReceived(task) => self.task_submitted(now, task),
+            FoldEffect::TaskReceived(task) => self.task_received(now, task),
             FoldEffect::Progress(_) | FoldEffect::Claim | FoldEffect::Nothing => {}
         }
         self.plan_due = true;
@@ -37,7 +37,7 @@
         let Some(job) = self.ledger.job(id) else { return };
         if job.delegated.is_some() {
             let returned = job.has_received_tasks();
-            self.forward(id);
+            self.forward_job(id);
             if returned {
                 self.inherit_job(now, id);
             }
@@ -93,11 +93,11 @@
     }
 
     fn cancel(&mut self, now: Instant, id: JobId) {
-        let mut left = false;
+        let mut has_runs = false;
         for at in 0..self.workers.len() {
             let Some(worker) = self.workers.get_mut(WorkerKey(at as u32)) else { continue };
             for it in worker.tasks.iter_mut().filter(|it| it.task.job == id) {
-                left = true;
+                has_runs = true;
                 if it.stop_state == StopState::NotRequested
                     && it.start_state != StartState::Recording
                 {
@@ -105,7 +105,7 @@
                 }
             }
         }
-        if !left {
+        if !has_runs {
             self.active.remove(&id);
         }
         self.send_stops(now);
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -128,10 +128,10 @@
     }
 
     fn decay(&mut self, now: Instant) {
-        let keep = 0.5f64.powf(now.since(self.at).as_secs_f64() / HALF_LIFE_S);
+        let remaining = 0.5f64.powf(now.since(self.at).as_secs_f64() / HALF_LIFE_S);
         self.at = now;
-        self.loss_sums.iter_mut().for_each(|it| *it *= keep);
-        self.share_products.iter_mut().flatten().for_each(|it| *it *= keep);
+        self.loss_sums.iter_mut().for_each(|it| *it *= remaining);
+        self.share_products.iter_mut().flatten().for_each(|it| *it *= remaining);
     }
 
     fn add(&mut self, x: &[(usize, f64)], y: f64) {
@@ -206,18 +206,18 @@
 
     /// Creates an estimate that continues from what an earlier owner had learned.
     pub fn inherit(now: Instant, pairs: &[ImageInterference]) -> Interference {
-        let mut learnt = Interference::default();
+        let mut interference = Interference::default();
         for pair in pairs {
-            let at = learnt.best_effort.key(&pair.best_effort).index();
-            let key = learnt.serving_key(now, &pair.serving);
-            let len = learnt.best_effort.len();
-            let fit = &mut learnt.fits[key.index()];
+            let at = interference.best_effort.key(&pair.best_effort).index();
+            let key = interference.serving_key(now, &pair.serving);
+            let len = interference.best_effort.len();
+            let fit = &mut interference.fits[key.index()];
             fit.grow(len);
             let weight = f64::from(pair.permille) / 1_000.0;
             fit.weights[at] = weight;
             fit.priors[at] = (weight, INHERITED_STRENGTH);
         }
-        learnt
+        interference
     }
 
     /// Returns the factors of all pairs.
@@ -283,16 +283,16 @@
     /// A pair of images occurs on few workers of one shard. From its own reports alone, an owner of
     /// a fifth of the workers would have a fifth of the information on a pair, and interference
     /// changes within seconds.
-    pub fn add_interference_sums(&mut self, now: Instant, seen: &InterferenceSums) {
+    pub fn add_interference_sums(&mut self, now: Instant, sums_of_other: &InterferenceSums) {
         let mut sums = Sums::default();
-        for (image, it) in &seen.loss_sums {
+        for (image, it) in &sums_of_other.loss_sums {
             sums.loss_sums.insert(self.best_effort.key(image).index(), f64::from(*it));
         }
-        for (a, b, it) in &seen.share_products {
+        for (a, b, it) in &sums_of_other.share_products {
             let (a, b) = (self.best_effort.key(a).index(), self.best_effort.key(b).index());
             sums.share_products.insert((a.min(b), a.max(b)), f64::from(*it));
         }
-        let key = self.serving_key(now, &seen.serving);
+        let key = self.serving_key(now, &sums_of_other.serving);
         let len = self.best_effort.len();
         let fit = &mut self.fits[key.index()];
         fit.grow(len);
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -5,7 +5,7 @@
 use daisy_model::Instant;
 
 use super::{
-    InFlight, Owner,
+    InFlightBatch, Owner,
     message::{Action, OrderReply, RejectReason, Start, StopCause},
     worker::{DelayedStart, StartState, StopState, WorkerKey},
 };
@@ -33,9 +33,9 @@
         let Some(it) = self.in_flight.take() else { return };
         self.succession.append_accepted(it.began);
         self.succession.witnesses_recorded();
-        let InFlight { began: _, starts, cursors, states, delegated, transferring } = it;
+        let InFlightBatch { began: _, starts, cursors, states, delegated, transferring } = it;
         self.states.extend(states);
-        delegated.into_iter().for_each(|id| self.forward(id));
+        delegated.into_iter().for_each(|id| self.forward_job(id));
         transferring.into_iter().for_each(|task| self.forward_task(task));
         for (key, started_at_ms, number) in cursors {
             if let Some(worker) = self.workers.get_mut(key)
@@ -63,10 +63,10 @@
         let Some(worker) = self.workers.get_mut(key) else { return };
         let Some(start_state) = worker.find(task, run).map(|it| it.start_state) else { return };
         // The worker may have changed while the record was being stored.
-        let answers = worker.fenced && worker.hold_failures == 0;
-        let takes = answers && worker.used.fits(worker.capacity);
-        let can = takes || start_state != StartState::Recording;
-        let lease_end = if wanted && can { worker.lease_end(now, lease) } else { None };
+        let is_reachable = worker.fenced && worker.renewal_failures == 0;
+        let has_capacity = is_reachable && worker.used.fits(worker.capacity);
+        let may_send = has_capacity || start_state != StartState::Recording;
+        let lease_end = if wanted && may_send { worker.lease_end(now, lease) } else { None };
         let Some(it) = worker.find(task, run) else { return };
         let Some(deadline_ms) = lease_end else {
             // The task is not wanted any more, does not fit, or its worker is unreachable or has
@@ -97,7 +97,7 @@
         if let Some(worker) = self.workers.get_mut(key) {
             worker.remove(task, run);
         }
-        self.drop_copy(task, run, "");
+        self.remove_copy(task, run, "");
     }
 
     pub(super) fn start_answered(
@@ -243,7 +243,7 @@
                 .map(|it| (it.task, it.run))
                 .collect();
             // No lease is granted while a worker does not answer, so that its leases expire.
-            if worker.hold_failures > 0 || worker.clock.is_none() {
+            if worker.renewal_failures > 0 || worker.clock.is_none() {
                 continue;
             }
             for (task, run) in due {
--- a/daisy-workflow/src/owner/pace.rs
+++ b/daisy-workflow/src/owner/pace.rs
@@ -75,7 +75,7 @@
         if !worker.is_interference_current {
             worker.update_interference(&self.interference);
         }
-        let learnt = &self.interference;
+        let interference = &self.interference;
         let mut limits: Vec<PaceLimit> = Vec::new();
         let mut halt = false;
         for (serving, it) in worker.tasks.iter().enumerate() {
@@ -89,14 +89,14 @@
             let loads = worker.interference_loads.iter().find(|of| of.image == it.image);
             limits.extend(loads.and_then(|of| PaceLimit::new(serving, it, of)));
         }
-        let shares = shares(learnt, worker, &limits, halt);
+        let shares = shares(interference, worker, &limits, halt);
         order_paces(now, worker, key, |at| shares[at], &mut self.actions);
-        self.move_starved(now, key);
+        self.stop_starved(now, key);
     }
 
     /// Stops a best-effort task that has been throttled for long if another worker would not
     /// throttle it.
-    fn move_starved(&mut self, now: Instant, key: WorkerKey) {
+    fn stop_starved(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get(key) else { return };
         let starved = |it: &Assignment| {
             it.best_effort_cpu > 0
@@ -165,15 +165,15 @@
     /// limited only where the target itself is close.
     fn new(serving: usize, it: &Assignment, on_image: &InterferenceLoad) -> Option<PaceLimit> {
         let InterferenceLoad { high, low, .. } = *on_image;
-        let part = |spare: f64, wanted: f64| match wanted > spare {
+        let fitting_share = |spare: f64, wanted: f64| match wanted > spare {
             true => (spare / wanted).max(0.0),
             false => 1.0,
         };
-        let share_high = part(it.own_headroom - low - HEADROOM_MIN, high);
+        let share_high = fitting_share(it.own_headroom - low - HEADROOM_MIN, high);
         let left = it.own_headroom - high * share_high;
         let share_low = match it.own_headroom < HEADROOM_UNRECOVERABLE {
             true => 1.0,
-            false => part(left - HEADROOM_MIN_LOW_INTERFERENCE, low),
+            false => fitting_share(left - HEADROOM_MIN_LOW_INTERFERENCE, low),
         };
         let is_limited = share_high < 1.0 || share_low < 1.0;
         is_limited.then_some(PaceLimit { serving, high: share_high, low: share_low })
@@ -189,7 +189,7 @@
 }
 
 /// Learns interference from a worker's report.
-fn learn(now: Instant, learnt: &mut Interference, worker: &mut Worker) {
+fn learn(now: Instant, interference: &mut Interference, worker: &mut Worker) {
     let capacity = f64::from(worker.capacity.cpu_milli.max(1));
     let mut used: Vec<(ImageKey, f64)> = Vec::new();
     for it in worker.tasks.iter().filter(|it| it.best_effort_cpu > 0 && is_confirmed_running(it)) {
@@ -208,18 +208,18 @@
             false => None,
         };
         let Some(image) = it.image else { continue };
-        let taken = |used: &[(ImageKey, f64)], learnt: &Interference| -> f64 {
+        let headroom_loss = |used: &[(ImageKey, f64)], interference: &Interference| -> f64 {
             let each = used.iter();
-            each.map(|(other, share)| learnt.weight(Some(image), Some(*other)) * share).sum()
+            each.map(|(other, share)| interference.weight(Some(image), Some(*other)) * share).sum()
         };
-        let lost = taken(&used, learnt);
-        let own = headroom + lost;
+        let current_loss = headroom_loss(&used, interference);
+        let own = headroom + current_loss;
         match it.mean_headroom {
             Some(mean) => {
-                let expected = taken(&more, learnt);
+                let expected = headroom_loss(&more, interference);
                 // With a full queue, the report only shows a lower bound of the lost headroom.
                 if headroom >= SATURATED_HEADROOM || mean - headroom > expected {
-                    learnt.learn(now, image, mean - headroom, &more);
+                    interference.learn(now, image, mean - headroom, &more);
                 }
                 it.mean_headroom = Some(mean + (headroom - mean) * SMOOTHING);
                 it.own_headroom = match headroom >= SATURATED_HEADROOM {
@@ -257,7 +257,12 @@
 
 /// Returns the share in percent for each task of a worker. `limits` come from the serving tasks
 /// with too little headroom.
-fn shares(learnt: &Interference, worker: &Worker, limits: &[PaceLimit], halt: bool) -> Vec<u8> {
+fn shares(
+    interference: &Interference,
+    worker: &Worker,
+    limits: &[PaceLimit],
+    halt: bool,
+) -> Vec<u8> {
     let share = |it: &Assignment| {
         if it.best_effort_cpu == 0 {
             return 100;
@@ -265,7 +270,7 @@
         let mut share = 1.0f64;
         for limit in limits {
             let image = worker.tasks[limit.serving].image;
-            let high = headroom_cost(learnt, worker, image, it) >= HIGH_INTERFERENCE_MIN;
+            let high = headroom_cost(interference, worker, image, it) >= HIGH_INTERFERENCE_MIN;
             share = share.min(if high { limit.high } else { limit.low });
         }
         let percent = (share * 100.0) as u8;
--- a/daisy-workflow/src/owner/placement.rs
+++ b/daisy-workflow/src/owner/placement.rs
@@ -12,10 +12,10 @@
 
 /// Costs of a placement, in thousandths of a worker's processors: how much more free capacity a
 /// worker needs to be chosen in spite of the cost. Only the order of their magnitudes matters.
-const COST_FAILED_HERE: i64 = 100_000;
+const COST_OTHER_COPY_HERE: i64 = 100_000;
 const COST_RECENT_FAILURE: i64 = 1_500;
 const COST_FAR_FROM_DATA: i64 = 10_000;
-const COST_HEADROOM: f64 = 4_000.0;
+const COST_HEADROOM_LOST: f64 = 4_000.0;
 const COST_BELOW_FULL_PACE: f64 = 8_000.0;
 /// Costs for each unit of headroom that a placement takes, and for each unit that a serving task is
 /// then short of [`COMFORTABLE_HEADROOM`].
@@ -69,12 +69,12 @@
         let image = step.image.as_ref().and_then(|it| self.interference.try_best_effort(it));
         let mut best: Option<(i64, WorkerKey)> = None;
         for (key, it) in self.workers.iter() {
-            let takes = match step.long_running {
+            let accepts = match step.long_running {
                 true => self.accepts_long_running(now, it),
                 false => self.is_usable(now, it),
             };
-            let can = &*it.service == service
-                && takes
+            let is_candidate = &*it.service == service
+                && accepts
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
                 && rack.is_none_or(|rack| it.has_label(rack))
                 && reservations.iter().all(|reservation| {
@@ -82,7 +82,7 @@
                 })
                 && fits(now, step, it, key, tentative)
                 && !is_at_step_limit_with(step, it, key, task, tentative);
-            if !can {
+            if !is_candidate {
                 continue;
             }
             let mut cost = cost(now, step, it, task) + self.cost_packing(step, it);
@@ -124,11 +124,11 @@
         pace: f64,
     ) -> i64 {
         let asked = worker.best_effort_cpu() + step.need.cpu_milli;
-        let lacking = asked.saturating_sub(idle_cpu(worker));
+        let cpu_shortage = asked.saturating_sub(idle_cpu(worker));
         ((1.0 - pace) * COST_BELOW_FULL_PACE) as i64
             + self.cost_interference(step, worker, image)
             + i64::from(worker.harmless_images) * COST_HARMLESS_IMAGE
-            + permille(worker, lacking) * COST_CPU_SHORTAGE
+            + permille(worker, cpu_shortage) * COST_CPU_SHORTAGE
             + permille(worker, worker.best_effort_cpu())
     }
 
@@ -154,9 +154,9 @@
         let other = |it: &&Assignment| it.target_ms > 0 && it.image != image;
         let others = worker.tasks.iter().filter(other).count() as i64;
         let best_effort = worker.tasks.iter().filter(|it| it.best_effort_cpu > 0);
-        let total: f64 =
+        let lost: f64 =
             best_effort.map(|it| headroom_cost(&self.interference, worker, image, it)).sum();
-        others * COST_OTHER_IMAGE + (total.min(4.0) * COST_HEADROOM) as i64
+        others * COST_OTHER_IMAGE + (lost.min(4.0) * COST_HEADROOM_LOST) as i64
     }
 }
 
@@ -217,7 +217,7 @@
         cost += COST_RECENT_FAILURE * i64::from(worker.failures);
     }
     if worker.tasks.iter().any(|it| it.task == task) {
-        cost += COST_FAILED_HERE;
+        cost += COST_OTHER_COPY_HERE;
     }
     if step.data_rack.as_ref().is_some_and(|it| !worker.has_label(it)) {
         cost += COST_FAR_FROM_DATA;
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -254,7 +254,7 @@
 
     fn is_unreachable(&self, copy: &TaskCopy) -> bool {
         let worker = self.by_id.get(&copy.worker).and_then(|key| self.workers.get(*key));
-        worker.is_none_or(|it| it.hold_failures > 0 || !it.listed)
+        worker.is_none_or(|it| it.renewal_failures > 0 || !it.listed)
     }
 
     fn place_step(&mut self, now: Instant, ready: ReadyStep, pass: &mut PlanPass) {
@@ -358,15 +358,15 @@
         rack: Option<&str>,
         reservations: &[Reservation],
     ) -> Option<Vec<WorkerKey>> {
-        let mut taken: Vec<(WorkerKey, Resources)> = Vec::new();
+        let mut placed: Vec<(WorkerKey, Resources)> = Vec::new();
         for index in 0..step.count {
             let task = task_id(ready, index);
             let options =
-                PlacementOptions { rack, tentative: &taken, allow_throttled: true, reservations };
+                PlacementOptions { rack, tentative: &placed, allow_throttled: true, reservations };
             let key = self.try_place(now, service, step, task, options)?;
-            taken.push((key, step.allocation()));
+            placed.push((key, step.allocation()));
         }
-        Some(taken.into_iter().map(|(key, _)| key).collect())
+        Some(placed.into_iter().map(|(key, _)| key).collect())
     }
 
     fn racks(&self, service: &str) -> Vec<Arc<str>> {
@@ -392,7 +392,7 @@
 
     /// Assigns a task to a worker; the order is sent when its record is in the log.
     fn assign(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, step: &StepSpec) {
-        let it = super::assignment(now, &mut self.interference, task, run, step);
+        let it = super::new_assignment(now, &mut self.interference, task, run, step);
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.add(it);
         worker.update_interference(&self.interference);
--- a/daisy-workflow/src/owner/renewal.rs
+++ b/daisy-workflow/src/owner/renewal.rs
@@ -25,15 +25,15 @@
         }
         for it in listed {
             match self.by_id.get(&it.id).copied() {
-                Some(key) => self.relisted(now, key, it),
-                None => self.newly_listed(now, it),
+                Some(key) => self.update_listed(now, key, it),
+                None => self.add_listed(now, it),
             }
         }
         self.plan_due = true;
         self.renew_due(now);
     }
 
-    fn newly_listed(&mut self, now: Instant, listed: &WorkerListing) {
+    fn add_listed(&mut self, now: Instant, listed: &WorkerListing) {
         let mut worker = Worker::new(now, listed);
         if self.succession.names_earlier_incarnation(&worker) {
             worker.restarted_at = Some(now);
@@ -45,12 +45,12 @@
         self.orphans = elsewhere;
         let here: Vec<super::Orphan> = here;
         for orphan in here {
-            self.adopt(now, key, orphan.task, orphan.run, StartState::Inherited);
+            self.adopt_run(now, key, orphan.task, orphan.run, StartState::Inherited);
         }
     }
 
     /// Adds a run that is, or may be, on a worker, though this owner did not start it.
-    pub(super) fn adopt(
+    pub(super) fn adopt_run(
         &mut self,
         now: Instant,
         key: WorkerKey,
@@ -61,7 +61,7 @@
         let Some(job) = self.ledger.job(task.job) else { return };
         let ended = job.cancelled || job.state() != crate::JobState::Running;
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
-        let mut it = super::assignment(now, &mut self.interference, task, run, step);
+        let mut it = super::new_assignment(now, &mut self.interference, task, run, step);
         it.start_state = start_state;
         it.pace = None;
         if ended {
@@ -72,7 +72,7 @@
         }
     }
 
-    fn relisted(&mut self, now: Instant, key: WorkerKey, listed: &WorkerListing) {
+    fn update_listed(&mut self, now: Instant, key: WorkerKey, listed: &WorkerListing) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         // The list is delayed: it may still name an incarnation older than the one that has
         // answered.
@@ -96,7 +96,7 @@
             }
         };
         if !was_listed {
-            worker.hold_failures = 0;
+            worker.renewal_failures = 0;
             self.note_worker(key, "listed", "the platform's list names it again");
         }
         if restarted {
@@ -118,7 +118,7 @@
         worker.cursor_seen = 0;
         worker.cursor_durable = 0;
         worker.failures = 0;
-        worker.hold_failures = 0;
+        worker.renewal_failures = 0;
         let mut lost = Vec::new();
         for it in &mut worker.tasks {
             match it.start_state {
@@ -158,7 +158,7 @@
             }
             let Some(job) = self.ledger.job(task.job) else { continue };
             let Some(step) = job.spec.steps.get(usize::from(task.step)) else { continue };
-            let mut it = super::assignment(now, &mut self.interference, task, run, step);
+            let mut it = super::new_assignment(now, &mut self.interference, task, run, step);
             it.start_state = StartState::Unanswered(now);
             it.may_be_delayed = true;
             it.request_stop(now, StopCause::PossiblyDelayed);
@@ -177,12 +177,12 @@
         let Some(worker) = self.workers.get_mut(key) else { return };
         let id = worker.id.clone();
         let Some(it) = worker.remove(task, run) else { return };
-        self.drop_copy(task, run, &it.checkpoint);
+        self.remove_copy(task, run, &it.checkpoint);
         self.actions.push(Action::Note(Note::RunLost { task, run, worker: id, cause }));
     }
 
     /// Removes a run from a task's record.
-    pub(super) fn drop_copy(&mut self, task: TaskId, run: u32, checkpoint: &str) {
+    pub(super) fn remove_copy(&mut self, task: TaskId, run: u32, checkpoint: &str) {
         self.plan_due = true;
         if let Some(state) = self.task_mut(task) {
             state.copies.retain(|it| it.run != run);
@@ -194,17 +194,17 @@
     }
 
     /// Processes the answer to a renewal.
-    pub(super) fn hold_answered(
+    pub(super) fn renewal_answered(
         &mut self,
         now: Instant,
         key: WorkerKey,
         answer: Option<RenewalAnswer>,
     ) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        worker.hold_in_flight = false;
+        worker.renewal_in_flight = false;
         let Some(answer) = answer else {
-            worker.hold_failures += 1;
-            if worker.hold_failures == 1 {
+            worker.renewal_failures += 1;
+            if worker.renewal_failures == 1 {
                 self.note_worker(key, "silent", "a renewal was not answered");
             }
             return;
@@ -229,8 +229,8 @@
     fn mark_reachable(&mut self, now: Instant, key: WorkerKey, answer: &RenewalAnswer) {
         let Settings { lease, lease_max, .. } = self.settings;
         let Some(worker) = self.workers.get_mut(key) else { return };
-        if worker.hold_failures > 0 {
-            worker.hold_failures = 0;
+        if worker.renewal_failures > 0 {
+            worker.renewal_failures = 0;
             self.plan_due = true;
             self.actions.push(Action::Note(Note::WorkerChanged {
                 worker: worker.id.clone(),
@@ -239,8 +239,8 @@
             }));
         }
         worker.clock = Some((answer.clock_ms, now));
-        worker.hold_answered_at = now;
-        worker.answered_hold_sent_at = worker.hold_sent_at;
+        worker.renewal_answered_at = now;
+        worker.answered_renewal_sent_at = worker.renewal_sent_at;
         if !worker.fenced {
             worker.fenced = true;
             self.plan_due = true;
@@ -280,7 +280,7 @@
         let missing = missing_runs(worker, running);
         for (task, run) in unknown {
             // Such a run was given up, or its job has ended. It takes capacity until it has ended.
-            self.adopt(now, key, task, run, StartState::Confirmed(now));
+            self.adopt_run(now, key, task, run, StartState::Confirmed(now));
             if let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) {
                 it.request_stop(now, StopCause::Unknown);
             }
@@ -296,17 +296,17 @@
         let may_renew = self.may_renew(now);
         let is_log_slow = self.succession.is_log_slow(now);
         let Some(worker) = self.workers.get_mut(key) else { return };
-        if worker.hold_in_flight || !hold_due(now, worker) {
+        if worker.renewal_in_flight || !is_renewal_due(now, worker) {
             return;
         }
         // No lease is granted while a worker does not answer: otherwise its leases would never
         // expire.
-        let grant = worker.fenced && worker.hold_failures == 0 && may_renew;
+        let grant = worker.fenced && worker.renewal_failures == 0 && may_renew;
         let deadline_ms = if grant { worker.lease_end(now, lease) } else { None };
-        worker.hold_in_flight = true;
-        worker.hold_sent_at = now;
+        worker.renewal_in_flight = true;
+        worker.renewal_sent_at = now;
         let cursor = worker.cursor_durable;
-        let wait = hold_wait(worker, is_log_slow);
+        let wait = renewal_wait(worker, is_log_slow);
         self.actions.push(Action::Renew { worker: key, deadline_ms, cursor, wait });
     }
 
@@ -322,7 +322,7 @@
     /// Number of consecutive lists without a confirmed run after which the run is stopped as
     /// missing.
     const MAX_MISSED_LISTS: u8 = 2;
-    let sent_at = worker.hold_sent_at;
+    let sent_at = worker.renewal_sent_at;
     let mut missing = Vec::new();
     for it in &mut worker.tasks {
         if running.iter().any(|r| r.task == it.task && r.run == it.run) {
@@ -345,7 +345,7 @@
     missing
 }
 
-fn hold_due(now: Instant, worker: &Worker) -> bool {
+fn is_renewal_due(now: Instant, worker: &Worker) -> bool {
     /// Minimum interval between renewals while ends are not recorded: the worker would list them
     /// again at once.
     const UNRECORDED_ENDS_INTERVAL: Duration = Duration::from_millis(300);
@@ -356,9 +356,9 @@
     if !worker.listed && worker.tasks.is_empty() {
         return false;
     }
-    let since = now.since(worker.hold_sent_at);
-    if worker.hold_failures > 0 {
-        let pause = RETRY_INTERVAL * 2u32.pow(worker.hold_failures.min(4));
+    let since = now.since(worker.renewal_sent_at);
+    if worker.renewal_failures > 0 {
+        let pause = RETRY_INTERVAL * 2u32.pow(worker.renewal_failures.min(4));
         return since >= pause.min(MAX_RETRY_INTERVAL);
     }
     worker.cursor_seen == worker.cursor_durable || since >= UNRECORDED_ENDS_INTERVAL
@@ -367,13 +367,13 @@
 /// Returns how long a worker may wait for a run to end before it answers. This bounds the age of
 /// the owner's view of the worker, and the time to notice that it is unreachable; each renewal has
 /// a cost.
-fn hold_wait(worker: &Worker, is_log_slow: bool) -> Duration {
+fn renewal_wait(worker: &Worker, is_log_slow: bool) -> Duration {
     const IDLE_WAIT: Duration = Duration::from_millis(1_500);
     const RUNNING_WAIT: Duration = Duration::from_millis(800);
     const SERVING_WAIT: Duration = Duration::from_millis(500);
     /// Short enough that each worker's answer stays valid until the next one.
     const LOG_SLOW_WAIT: Duration = Duration::from_millis(300);
-    if !worker.fenced || worker.hold_failures > 0 || worker.cursor_seen > worker.cursor_durable {
+    if !worker.fenced || worker.renewal_failures > 0 || worker.cursor_seen > worker.cursor_durable {
         return Duration::ZERO;
     }
     if is_log_slow {
--- a/daisy-workflow/src/owner/run_ends.rs
+++ b/daisy-workflow/src/owner/run_ends.rs
@@ -29,14 +29,16 @@
         self.actions.push(Action::Note(Note::RunEnded { task, run, worker: id, outcome, saved }));
         let failed_elsewhere = self.failed_before(task);
         let Some(state) = self.task_mut(task) else { return };
-        let known = state.copies.iter().any(|it| it.run == run);
+        let was_recorded = state.copies.iter().any(|it| it.run == run);
         state.copies.retain(|it| it.run != run);
         if !it.checkpoint.is_empty() {
             state.checkpoint.clone_from(&it.checkpoint);
         }
         match outcome {
             Outcome::Done => self.task_done(now, key, task),
-            Outcome::Failed if known => self.run_failed(now, key, task, run, failed_elsewhere),
+            Outcome::Failed if was_recorded => {
+                self.run_failed(now, key, task, run, failed_elsewhere)
+            }
             _ => {}
         }
         self.remove_if_ended(task.job);
@@ -54,8 +56,8 @@
             true => tasks.iter_mut().for_each(|it| it.done = true),
             false => tasks[task.index as usize].done = true,
         }
-        let over = job.progress.occurrences.iter().flatten().flatten().all(|it| it.done);
-        if over && job.progress.phase == Phase::Active {
+        let all_done = job.progress.occurrences.iter().flatten().flatten().all(|it| it.done);
+        if all_done && job.progress.phase == Phase::Active {
             self.end_job(now, task.job, Phase::Completed);
         }
         self.stop_copies(now, StopCause::Done, |it| it == task);
@@ -67,7 +69,7 @@
         key: WorkerKey,
         task: TaskId,
         run: u32,
-        elsewhere: bool,
+        failed_elsewhere: bool,
     ) {
         let Some(job) = self.ledger.job_mut(task.job) else { return };
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
@@ -87,9 +89,9 @@
         }
         // A long-running task may fit on no other worker, and be started on this one again and
         // again.
-        let again =
+        let failed_again =
             is_long_running && self.workers.get(key).is_some_and(|it| has_recent_failure(now, it));
-        if !elsewhere || again {
+        if !failed_elsewhere || failed_again {
             self.count_failure(now, key);
         }
     }
@@ -128,16 +130,16 @@
         self.stop_copies(now, StopCause::JobOver, |it| it.job == id);
     }
 
-    /// Stops all runs of the tasks for which `which` returns true.
+    /// Stops all runs of the tasks for which `includes` returns true.
     pub(super) fn stop_copies(
         &mut self,
         now: Instant,
         cause: StopCause,
-        which: impl Fn(TaskId) -> bool,
+        includes: impl Fn(TaskId) -> bool,
     ) {
         for at in 0..self.workers.len() {
             let Some(worker) = self.workers.get_mut(WorkerKey(at as u32)) else { continue };
-            for it in worker.tasks.iter_mut().filter(|it| which(it.task)) {
+            for it in worker.tasks.iter_mut().filter(|it| includes(it.task)) {
                 if it.stop_state == StopState::NotRequested
                     && it.start_state != StartState::Recording
                 {
@@ -154,8 +156,9 @@
         if job.progress.phase == Phase::Active && !job.cancelled {
             return;
         }
-        let left = self.workers.iter().any(|(_, it)| it.tasks.iter().any(|it| it.task.job == id));
-        if !left {
+        let has_runs =
+            self.workers.iter().any(|(_, it)| it.tasks.iter().any(|it| it.task.job == id));
+        if !has_runs {
             self.active.remove(&id);
         }
     }
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -172,7 +172,7 @@
     fn majority_answered(&self, witnesses: &[Witness], now: Instant) -> bool {
         let answers = self.count_answered(witnesses, |worker, it| {
             worker.started_at_ms == it.started_at_ms
-                && now.since(worker.answered_hold_sent_at) < ANSWER_VALIDITY
+                && now.since(worker.answered_renewal_sent_at) < ANSWER_VALIDITY
         });
         answers * 2 > witnesses.len()
     }
@@ -211,12 +211,12 @@
         if has_quorum {
             it.witness_quorum_at.get_or_insert(now);
         }
-        let over = match it.witness_quorum_at {
+        let ended_at = match it.witness_quorum_at {
             Some(at) => at + ANSWER_VALIDITY,
             None => fenced_at + MAX_RENEWAL_WITHOUT_LOG,
         };
-        if now >= over {
-            it.predecessors_ended_at = Some(over);
+        if now >= ended_at {
+            it.predecessors_ended_at = Some(ended_at);
         }
     }
 
@@ -242,8 +242,8 @@
     /// Whether no earlier owner can renew leases, and those that they renewed have expired by any
     /// worker's clock.
     pub fn are_predecessor_leases_over(&self, now: Instant) -> bool {
-        let longest = self.settings.lease_max + self.settings.lease_max / 10;
-        self.succession.predecessors_ended_at.is_some_and(|it| now >= it + longest)
+        let max_lease = self.settings.lease_max + self.settings.lease_max / 10;
+        self.succession.predecessors_ended_at.is_some_and(|it| now >= it + max_lease)
     }
 
     /// Names new witnesses if those in the log no longer match the workers.
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -54,7 +54,8 @@
         for (_, worker) in self.workers.iter() {
             sum.runs += worker.tasks.len();
             sum.workers += usize::from(worker.listed);
-            sum.unresponsive += usize::from(worker.hold_failures > 0 && !worker.tasks.is_empty());
+            sum.unresponsive +=
+                usize::from(worker.renewal_failures > 0 && !worker.tasks.is_empty());
             if self.is_usable(now, worker) {
                 sum.usable += 1;
                 let free = worker.free().cpu_milli;
--- a/daisy-workflow/src/owner/tick.rs
+++ b/daisy-workflow/src/owner/tick.rs
@@ -15,7 +15,7 @@
 ///
 /// The owner's view of a worker is up to 0.8 s old and short tasks come and go in between, so two
 /// consecutive views must show the same progress.
-const STUCK_TIMEOUT: Duration = Duration::from_millis(1_800);
+const NO_PROGRESS_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// How long a worker is suspected after runs on it failed or got stuck.
 const SUSPICION_DURATION: Duration = Duration::from_secs(4);
 /// How long a suspected worker gets no tasks at all.
@@ -38,7 +38,7 @@
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
             self.give_up_unreachable(now, key);
-            self.stop_stuck(now, key);
+            self.stop_without_progress(now, key);
             self.stop_on_draining(now, key);
         }
         self.give_up_orphans(now);
@@ -51,7 +51,7 @@
     /// Gives up all runs on an unreachable worker once its last lease has expired for certain.
     fn give_up_unreachable(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get(key) else { return };
-        if worker.tasks.is_empty() || (worker.hold_failures == 0 && worker.listed) {
+        if worker.tasks.is_empty() || (worker.renewal_failures == 0 && worker.listed) {
             return;
         }
         if self.runs_over_at(worker).is_none_or(|it| now < it) {
@@ -74,15 +74,15 @@
             return;
         }
         for it in std::mem::take(&mut self.orphans) {
-            self.drop_copy(it.task, it.run, "");
+            self.remove_copy(it.task, it.run, "");
             self.note_displaced(now, it.task);
         }
     }
 
     /// Stops runs that make no progress, so that they are started elsewhere.
-    fn stop_stuck(&mut self, now: Instant, key: WorkerKey) {
+    fn stop_without_progress(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        if worker.hold_failures > 0 || !worker.fenced {
+        if worker.renewal_failures > 0 || !worker.fenced {
             // Their progress is not visible.
             worker.tasks.iter_mut().for_each(|it| it.progressed_at = now);
             return;
@@ -95,11 +95,11 @@
             if starved {
                 it.progressed_at = now;
             }
-            let at_work = it.target_ms > 0 && it.percent >= 100;
-            let still = now.since(it.progressed_at) > STUCK_TIMEOUT;
-            let there = matches!(it.start_state, StartState::Confirmed(_))
+            let is_serving = it.target_ms > 0 && it.percent >= 100;
+            let is_stalled = now.since(it.progressed_at) > NO_PROGRESS_TIMEOUT;
+            let is_running = matches!(it.start_state, StartState::Confirmed(_))
                 && it.stop_state == StopState::NotRequested;
-            if there && still && !at_work && it.percent < 100 {
+            if is_running && is_stalled && !is_serving && it.percent < 100 {
                 it.request_stop(now, StopCause::NoProgress);
                 found = true;
             }
@@ -124,9 +124,9 @@
         let Some(worker) = self.workers.get_mut(key) else { return };
         let Some(leaves_at) = worker.leaves_at else { return };
         for it in &mut worker.tasks {
-            let there = matches!(it.start_state, StartState::Confirmed(_))
+            let is_running = matches!(it.start_state, StartState::Confirmed(_))
                 && it.stop_state == StopState::NotRequested;
-            if there && !ends_before(now, leaves_at, it.percent, now.since(it.began_at)) {
+            if is_running && !ends_before(now, leaves_at, it.percent, now.since(it.began_at)) {
                 it.request_stop(now, StopCause::Draining);
             }
         }
@@ -150,7 +150,7 @@
             && worker.listed
             && worker.ready
             && worker.fenced
-            && worker.hold_failures == 0
+            && worker.renewal_failures == 0
             && worker.clock.is_some()
             && worker.excluded_until <= now
     }
--- a/daisy-workflow/src/owner/transfer.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -34,8 +34,8 @@
         // Workers are reserved for these tasks: in another shard their wait would start again.
         let (_, mut staying) = self.eventual_free_capacity(now);
         staying.truncate(self.max_reservations());
-        let waits = self.waiting_since.iter().filter(|(task, _)| !staying.contains(task));
-        let due = waits.filter(|(task, since)| now.since(**since) >= self.transfer_delay(**task));
+        let waiting = self.waiting_since.iter().filter(|(task, _)| !staying.contains(task));
+        let due = waiting.filter(|(task, since)| now.since(**since) >= self.transfer_delay(**task));
         let due: Vec<TaskId> = due.map(|(task, _)| *task).collect();
         due.into_iter().for_each(|task| self.try_transfer(now, task));
     }
@@ -46,9 +46,8 @@
     fn transfer_delay(&self, task: TaskId) -> Duration {
         let Some(job) = self.ledger.job(task.job) else { return TRANSFER_DELAY };
         let labelled = job.spec.step_of(task).is_some_and(|it| it.required_label.is_some());
-        let transfers_made =
-            job.transfers.get(&task).filter(|_| labelled).map_or(0, |it| it.number);
-        TRANSFER_DELAY * 2u32.pow(transfers_made.min(MAX_BACKOFF_TRANSFERS))
+        let number = job.transfers.get(&task).filter(|_| labelled).map_or(0, |it| it.number);
+        TRANSFER_DELAY * 2u32.pow(number.min(MAX_BACKOFF_TRANSFERS))
     }
 
     /// Records that a task has already waited while the outcome of its run was unknown.
@@ -70,7 +69,9 @@
     fn waiting_tasks(&self, now: Instant) -> Vec<TaskId> {
         let mut waiting = Vec::new();
         for (id, _) in self.active.iter() {
-            let Some(job) = self.ledger.job(*id).filter(|it| may_be_split(it)) else { continue };
+            let Some(job) = self.ledger.job(*id).filter(|it| has_independent_tasks(it)) else {
+                continue;
+            };
             for ready in self.ready_steps(now, *id) {
                 let steps = &job.progress.occurrences[ready.occurrence as usize];
                 let tasks = (0u32..).zip(&steps[usize::from(ready.step)]);
@@ -98,7 +99,7 @@
         let Some(to) = self.others.try_find_capacity(now, own, step.allocation()) else { return };
         self.others.add_transfer(now, to, Demand::of_long_running_task(step));
         let number = job.transfers.get(&task).map_or(0, |it| it.number) + 1;
-        job.move_task(task, OutgoingTransfer { number, to }.into());
+        job.add_transfer(task, OutgoingTransfer { number, to }.into());
         job.progress.has_started = true;
         self.unrecorded_jobs.push(task.job);
         self.transferring.push(task);
@@ -108,10 +109,10 @@
     /// Returns the records of transfers that are not recorded yet.
     pub(super) fn transfer_records(&self, transferring: &[TaskId]) -> Vec<Record> {
         let record = |task: &TaskId| {
-            let transfers = self.ledger.job(task.job)?.transfers.get(task)?;
+            let newest = self.ledger.job(task.job)?.transfers.get(task)?;
             Some(Record::TaskTransferredOut(
                 *task,
-                OutgoingTransfer { number: transfers.number, to: transfers.to? },
+                OutgoingTransfer { number: newest.number, to: newest.to? },
             ))
         };
         transferring.iter().filter_map(record).collect()
@@ -121,16 +122,16 @@
     /// transferred to.
     pub(super) fn forward_task(&mut self, task: TaskId) {
         let Some(job) = self.ledger.job(task.job) else { return };
-        let Some(transfers) = job.transfers.get(&task) else { return };
-        let (Some(to), Some(state)) = (transfers.to, job.progress.task(task)) else { return };
-        let handover = IncomingTransfer {
-            number: transfers.number,
+        let Some(newest) = job.transfers.get(&task) else { return };
+        let (Some(to), Some(state)) = (newest.to, job.progress.task(task)) else { return };
+        let transfer = IncomingTransfer {
+            number: newest.number,
             spec: (*job.spec).clone(),
             runs: state.runs,
             failures: state.failures,
             checkpoint: state.checkpoint.clone(),
         };
-        self.actions.push(Action::Forward(to, Record::TaskTransferredIn(task, Box::new(handover))));
+        self.actions.push(Action::Forward(to, Record::TaskTransferredIn(task, Box::new(transfer))));
         if job.cancelled {
             self.actions.push(Action::Forward(to, Record::Cancelled(task.job)));
         }
@@ -140,15 +141,15 @@
     /// written.
     pub(super) fn forward_all_tasks(&mut self) {
         let transferred = |(_, job): (JobId, &Job)| {
-            let away = job.transfers.iter().filter(|(_, it)| it.to.is_some());
-            away.map(|(task, _)| *task).collect::<Vec<_>>()
+            let outgoing = job.transfers.iter().filter(|(_, it)| it.to.is_some());
+            outgoing.map(|(task, _)| *task).collect::<Vec<_>>()
         };
         let tasks: Vec<TaskId> = self.ledger.jobs().flat_map(transferred).collect();
         tasks.into_iter().for_each(|it| self.forward_task(it));
     }
 
     /// Takes over a task that was transferred to this shard.
-    pub(super) fn task_submitted(&mut self, now: Instant, task: TaskId) {
+    pub(super) fn task_received(&mut self, now: Instant, task: TaskId) {
         if !self.active.contains_key(&task.job) {
             self.inherit_job(now, task.job);
         }
@@ -157,7 +158,8 @@
 
 /// Whether single tasks of a job may run in another shard: they do not depend on each other, and
 /// their ends do not decide about the job.
-fn may_be_split(job: &Job) -> bool {
-    let alone = |it: &StepSpec| it.long_running && !it.gang && it.depends_on.is_empty();
-    matches!(job.state(), JobState::Queued | JobState::Running) && job.spec.steps.iter().all(alone)
+fn has_independent_tasks(job: &Job) -> bool {
+    let is_independent = |it: &StepSpec| it.long_running && !it.gang && it.depends_on.is_empty();
+    matches!(job.state(), JobState::Queued | JobState::Running)
+        && job.spec.steps.iter().all(is_independent)
 }
--- a/daisy-workflow/src/owner/unconfirmed_runs.rs
+++ b/daisy-workflow/src/owner/unconfirmed_runs.rs
@@ -98,8 +98,8 @@
     /// worker which has not answered since it restarted: these orders name times far ahead of its
     /// clock.
     fn delayed_starts_over_at(&self, worker: &Worker) -> Option<Instant> {
-        let longest = self.settings.lease_max + self.settings.lease_max / 10;
-        worker.restarted_at.map(|it| it + MAX_ORDER_DELAY + longest)
+        let max_lease = self.settings.lease_max + self.settings.lease_max / 10;
+        worker.restarted_at.map(|it| it + MAX_ORDER_DELAY + max_lease)
     }
 
     fn is_long_running(&self, task: TaskId) -> bool {
@@ -111,7 +111,7 @@
 
 /// Returns why it is unknown what runs on a worker, if it is.
 fn unconfirmed_cause(worker: &Worker) -> Option<UnconfirmedCause> {
-    match (worker.clock, worker.hold_failures > 0 || !worker.listed) {
+    match (worker.clock, worker.renewal_failures > 0 || !worker.listed) {
         (None, _) => Some(UnconfirmedCause::NeverAnswered),
         (Some(_), true) => Some(UnconfirmedCause::Unresponsive),
         (Some(_), false) => None,
--- a/daisy-workflow/src/owner/worker.rs
+++ b/daisy-workflow/src/owner/worker.rs
@@ -153,12 +153,12 @@
     /// When a restart of the worker was noticed: orders for the previous incarnation may still
     /// reach it.
     pub(crate) restarted_at: Option<Instant>,
-    pub(crate) hold_in_flight: bool,
-    pub(crate) hold_answered_at: Instant,
-    pub(crate) hold_sent_at: Instant,
+    pub(crate) renewal_in_flight: bool,
+    pub(crate) renewal_answered_at: Instant,
+    pub(crate) renewal_sent_at: Instant,
     /// When the last renewal that was answered was sent.
-    pub(crate) answered_hold_sent_at: Instant,
-    pub(crate) hold_failures: u32,
+    pub(crate) answered_renewal_sent_at: Instant,
+    pub(crate) renewal_failures: u32,
     /// The highest number of an ended run that was processed, and the highest whose record is in
     /// the log.
     pub(crate) cursor_seen: u64,
@@ -211,11 +211,11 @@
             max_lease_end_ms: 0,
             fenced: false,
             restarted_at: None,
-            hold_in_flight: false,
-            hold_answered_at: Instant::default(),
-            hold_sent_at: Instant::default(),
-            answered_hold_sent_at: Instant::default(),
-            hold_failures: 0,
+            renewal_in_flight: false,
+            renewal_answered_at: Instant::default(),
+            renewal_sent_at: Instant::default(),
+            answered_renewal_sent_at: Instant::default(),
+            renewal_failures: 0,
             cursor_seen: 0,
             cursor_durable: 0,
             delayed_starts: Vec::new(),
@@ -313,8 +313,8 @@
     }
 
     /// Recomputes how much the best-effort tasks interfere with each serving image.
-    pub(crate) fn update_interference(&mut self, learnt: &Interference) {
-        self.interference_loads = best_effort::interference_loads(learnt, self);
+    pub(crate) fn update_interference(&mut self, interference: &Interference) {
+        self.interference_loads = best_effort::interference_loads(interference, self);
         self.is_interference_current = true;
     }
 
