--- a/daisy-workflow/src/balance.rs
+++ b/daisy-workflow/src/balance.rs
@@ -25,12 +25,13 @@
     pub finite: u64,
     /// What best-effort tasks could use, running or waiting.
     pub best_effort: u64,
-    /// For the workers with the most, the largest first: what each worker has left for long-running
-    /// tasks once all other tasks have ended. A worker is reserved for such a task until they have.
+    /// The largest free blocks, in descending order: the capacity that a worker has left for
+    /// long-running tasks once all its finite tasks have ended. A worker is reserved for a waiting
+    /// long-running task until then.
     pub free_blocks: [Resources; FREE_BLOCKS],
 }
 
-/// What a job adds to the load of its shard while its widest step runs.
+/// What a job or task adds to the load of its shard; for a job, while its widest step runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
     kind: JobKind,
@@ -59,8 +60,7 @@
         self.free_blocks.copy_from_slice(&free_blocks);
     }
 
-    /// Returns how many long-running tasks that each need this much of one worker fit into the free
-    /// blocks.
+    /// Returns how many long-running tasks of the size `need` fit into the free blocks.
     fn task_slots(&self, need: Resources) -> u64 {
         self.free_blocks.iter().map(|it| u64::from(it.count_fitting(need))).sum()
     }
@@ -154,8 +154,8 @@
         (best + IMPROVEMENT_MIN[kind as usize] < utilization).then_some(shard)
     }
 
-    /// Returns the shard that can hold the most long-running tasks that each need this much of one
-    /// worker, if any shard other than `own` can hold one. Recent transfers are counted as in
+    /// Returns the shard other than `own` whose free blocks fit the most long-running tasks of the
+    /// size `need`, if any fits one. Recent transfers are counted as in
     /// [`try_find_better_shard`](OtherShards::try_find_better_shard).
     pub fn try_find_capacity(
         &mut self,
--- a/daisy-workflow/src/directory.rs
+++ b/daisy-workflow/src/directory.rs
@@ -56,7 +56,7 @@
 }
 
 impl Directory {
-    /// Sets the layout; only the first one is kept.
+    /// Sets the layout, unless one is set already.
     pub fn set_layout(&mut self, layout: Layout) {
         self.layout.get_or_insert(layout);
     }
@@ -114,7 +114,8 @@
     pub fn is_complete(&self, now: Instant, id: JobId) -> bool {
         /// The highest age of a heartbeat since it was read: two heartbeat intervals.
         const HEARTBEAT_AGE_MAX: Duration = Duration::from_millis(900);
-        /// The highest age of a heartbeat since the read before it: the same, and that read.
+        /// The highest age of a heartbeat counted from the previous read, before which it was not
+        /// written: two heartbeat intervals and the time between two reads.
         const WRITE_AGE_MAX: Duration = Duration::from_millis(1_800);
         /// The highest age of the last read: while owners are alive, something is read every 0.4 s.
         const READ_AGE_MAX: Duration = Duration::from_millis(900);
--- a/daisy-workflow/src/election.rs
+++ b/daisy-workflow/src/election.rs
@@ -104,10 +104,10 @@
     /// claim in the shard's log. This is true only once for each claim: a claimant that is still
     /// without a heartbeat when the next claim is due has died.
     ///
-    /// Heartbeats are read some time after they are written. Without this check, each of forty VMs
-    /// that start together claims in turn; each claim costs a pass over the workers, none has
-    /// `predecessors_expired`, and the VMs farthest from the platform, which claim last, end up
-    /// owning the shards.
+    /// Heartbeats are read some time after they are written. Without this check, forty VMs that
+    /// start together would claim one after the other: each claim costs a pass over the workers,
+    /// none has `predecessors_expired`, and the VMs farthest from the platform, which claim last,
+    /// end up owning the shards.
     pub fn is_newly_claimed(&mut self, newest: Option<&Claim>) -> bool {
         let Some(newest) = newest else { return false };
         let is_own = newest.vm == self.vm && newest.process == self.process;
--- a/daisy-workflow/src/ledger.rs
+++ b/daisy-workflow/src/ledger.rs
@@ -145,7 +145,7 @@
     TaskReceived(TaskId),
     /// The shard was claimed.
     Claim,
-    /// Nothing that its reader acts on, as for a record that repeats another.
+    /// No effect that the reader acts on, such as a record that repeats another.
     Nothing,
 }
 
--- a/daisy-workflow/src/log_health.rs
+++ b/daisy-workflow/src/log_health.rs
@@ -15,7 +15,8 @@
 /// The timeout as a multiple of the recent append time. After an unanswered append the longest
 /// timeout applies.
 const TIMEOUT_FACTOR: u32 = 6;
-/// The most appends in flight, so that one that hangs does not delay the others.
+/// The maximum number of appends in flight; with more than one, an unanswered append does not delay
+/// the others.
 const IN_FLIGHT_MAX: usize = 2;
 /// The most appends in flight when those that were overtaken by reads are included.
 const IN_FLIGHT_WITH_OVERTAKEN_MAX: usize = 4;
@@ -24,9 +25,8 @@
 const SLOW_APPEND: Duration = Duration::from_millis(80);
 /// An append in flight for this many times the recent append time is treated as hanging.
 const HUNG_FACTOR: u32 = 4;
-/// An append is overtaken when a read was answered this long after it began: it is lost or delayed
-/// while the log responds. The shortest such time, and the time as a multiple of the recent append
-/// time.
+/// An append is overtaken when a read was answered this long after the append began: it is lost or
+/// delayed while the log responds. The minimum, and the multiple of the recent append time.
 const OVERTAKEN_AFTER_MIN: Duration = Duration::from_millis(500);
 const OVERTAKEN_FACTOR: u32 = 2;
 /// The log is treated as unresponsive after this time without any answer.
@@ -39,7 +39,7 @@
 /// Owners write heartbeats more often than this, and each VM reads them: after a longer time
 /// without an answered read, the log is probed before a record is sent to it.
 const READ_INTERVAL_MAX: Duration = Duration::from_millis(650);
-/// The timeout of such a probe, and the interval between probes.
+/// The timeout of a probe, and the interval between probes.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(450);
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// How long a record may wait unsent before it is rejected, with nothing done for it.
@@ -94,7 +94,7 @@
     /// Records that a read of another partition was answered at `now`. `recovered_at` is when such
     /// reads were last answered again after an outage.
     ///
-    /// The answer says nothing about an append that hangs on this partition, as only a part of the
+    /// The answer says nothing about an unanswered append to this partition, as only a part of the
     /// log may be unresponsive. But partitions that become unresponsive together recover together.
     pub fn other_partition_read(&mut self, now: Instant, recovered_at: Instant) {
         let is_idle = self.in_flight.is_empty() && self.unanswered.is_none();
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -95,7 +95,7 @@
     WorstFit,
 }
 
-/// What the owner holds about a job besides its record.
+/// What the owner knows about a job besides its record.
 #[derive(Debug, Clone)]
 pub(crate) struct JobView {
     /// When the job was accepted, on this process's clock.
@@ -146,13 +146,14 @@
     transferring: Vec<TaskId>,
     /// Since when long-running tasks have waited for capacity in this shard.
     waiting_since: SortedMap<TaskId, Instant>,
-    /// When waiting jobs and tasks were last checked for a better shard.
+    /// When it was last checked whether waiting jobs and tasks suit another shard better.
     rebalanced_at: Instant,
     /// When the last planning pass ran.
     planned_at: Instant,
-    /// Workers that this pass reserved for more urgent tasks.
+    /// Workers that the last planning pass reserved for tasks that could not be placed or are being
+    /// moved.
     reservations: Vec<Reservation>,
-    /// Sizes of tasks that the last pass could not place.
+    /// Sizes of tasks that the last planning pass could not place.
     unplaced_sizes: Vec<Resources>,
     /// Long-running tasks that are stopped on one worker to start on another.
     relocations: Vec<Relocation>,
@@ -162,7 +163,7 @@
     mean_task_cpu: u32,
 }
 
-/// A recorded run on a worker that this owner does not know.
+/// A recorded run on a worker that the platform's list has not named to this owner.
 #[derive(Debug, Clone)]
 struct Orphan {
     worker: WorkerId,
@@ -178,9 +179,9 @@
     starts: Vec<(WorkerKey, TaskId, u32)>,
     /// Ended runs that the batch records: worker, incarnation, number of the end.
     cursors: Vec<(WorkerKey, u64, u64)>,
-    /// States of jobs as the batch records them.
+    /// States of jobs in the batch, to be published once it is stored.
     states: Vec<(JobId, JobState)>,
-    /// Jobs and tasks to be written to other shards once the batch is stored.
+    /// Delegated jobs and transferred tasks to be written to other shards once the batch is stored.
     delegated: Vec<JobId>,
     transferring: Vec<TaskId>,
 }
@@ -298,8 +299,8 @@
         }
     }
 
-    /// Decides what starts now, at most every 20 ms, and returns all actions that
-    /// have accumulated.
+    /// Places waiting tasks, at most every 20 ms, and returns all actions requested since the last
+    /// call.
     pub fn take_actions(&mut self, now: Instant) -> Vec<Action> {
         if self.plan_due && now.since(self.planned_at) >= PLAN_INTERVAL {
             self.plan_due = false;
@@ -336,7 +337,8 @@
         for id in changed {
             let Some(job) = ledger.job(id) else { continue };
             records.push(Record::Progress(id, job.progress.clone()));
-            // The state of a job's part in this shard is not the state of the job.
+            // This shard runs only some of the job's tasks; the job's own shard publishes its
+            // state.
             if !job.belongs_to_other_shard() {
                 states.push((id, job.state()));
             }
@@ -382,7 +384,7 @@
         self.workers.get(key)
     }
 
-    /// Returns the state of a task to be changed, and marks its job to be recorded again.
+    /// Returns a task's state for a change, and marks its job to be recorded again.
     fn task_mut(&mut self, task: TaskId) -> Option<&mut crate::TaskState> {
         let job = self.ledger.job_mut(task.job)?;
         let steps = job.progress.occurrences.get_mut(task.occurrence as usize)?;
@@ -399,7 +401,7 @@
     }
 }
 
-/// Lists the runs of a job that may be on a worker according to its record.
+/// Lists the runs that may be on a worker according to the job's record.
 fn recorded_copies(id: JobId, job: &Job) -> Vec<(WorkerId, TaskId, u32)> {
     let mut copies = Vec::new();
     for (occurrence, steps) in (0u32..).zip(&job.progress.occurrences) {
@@ -422,7 +424,7 @@
 /// continues.
 const INTERFERENCE_RECORD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Minimum interval between planning passes: each goes through all jobs and workers, and on a busy
+/// Minimum interval between planning passes: each pass visits all jobs and workers, and on a busy
 /// owner hundreds of events per second request one.
 const PLAN_INTERVAL: Duration = Duration::from_millis(20);
 
--- a/daisy-workflow/src/owner/best_effort.rs
+++ b/daisy-workflow/src/owner/best_effort.rs
@@ -18,16 +18,16 @@
 /// Headroom to preserve for a serving task beside tasks with low interference: many of them
 /// together can matter.
 pub(super) const HEADROOM_MIN_LOW_INTERFERENCE: f64 = 1.15;
-/// Headroom taken by a best-effort task from which on its interference is treated as high.
+/// Headroom that a best-effort task must take for its interference to be treated as high.
 pub(super) const HIGH_INTERFERENCE_MIN: f64 = 0.12;
 /// Headroom that fluctuations of a serving task's own load may take while a best-effort task with
 /// high interference runs beside it for about two seconds.
 const LOAD_SWING_HEADROOM: f64 = 0.6;
-/// How much processor time best-effort tasks may ask for, relative to a worker's idle processors:
-/// most use less than they ask for.
+/// Processor time that best-effort tasks may request, relative to a worker's idle processors: most
+/// use less than they request.
 const MAX_DEMAND_PER_IDLE_CPU: f64 = 1.1;
-/// The share at which a task may start on a worker without other best-effort tasks: it could
-/// otherwise wait for a better worker for ever.
+/// The lowest pace at which a task may start on a worker without other best-effort tasks: otherwise
+/// it could wait for a better worker for ever.
 const MIN_PACE_ALONE: f64 = 0.3;
 
 /// The serving tasks of one image on a worker, and how much the best-effort tasks beside them
@@ -73,7 +73,7 @@
 
 /// Returns the share of a worker's processors that a best-effort task uses at full pace.
 pub(super) fn full_pace_share(worker: &Worker, cpu_milli: u32) -> f64 {
-    /// Average part of the requested processor time that tasks use.
+    /// Average share of the requested processor time that tasks use.
     const TYPICAL_USE: f64 = 0.8;
     f64::from(cpu_milli) * TYPICAL_USE / f64::from(worker.capacity.cpu_milli.max(1))
 }
@@ -99,8 +99,8 @@
     worker.capacity.cpu_milli.saturating_sub(worker.tasks.iter().map(used).sum())
 }
 
-/// Returns the share of its processor time, from 0 to 1, at which one more best-effort task of
-/// `step` could run on a worker without taking too much from the tasks already there.
+/// Returns the pace, from 0 to 1, at which one more best-effort task of `step` could run on a
+/// worker without taking too much from the worker's tasks.
 pub(super) fn pace_with(
     interference: &Interference,
     worker: &Worker,
@@ -117,14 +117,15 @@
     beside.fold((idle / f64::from(asked.max(1))).min(1.0), f64::min)
 }
 
-/// Returns that share as limited by the serving tasks of one image, from each of which the task
-/// would take `more` headroom.
+/// Returns the pace of a best-effort task as limited by the serving tasks of one image, from each
+/// of which it would take `more` headroom.
 fn pace_beside(it: &InterferenceLoad, more: f64) -> f64 {
     let spare = it.own_headroom - HEADROOM_MIN;
     if more >= HIGH_INTERFERENCE_MIN {
         return (spare - LOAD_SWING_HEADROOM).max(0.0) / (it.high + it.low + more);
     }
-    // Tasks with high interference are throttled first, so only what they keep then counts.
+    // Tasks with high interference are throttled first, so they take no more headroom than remains
+    // after that.
     let high = it.high.min((spare - it.low).max(0.0));
     let spare_for_low = it.own_headroom - high - HEADROOM_MIN_LOW_INTERFERENCE;
     spare_for_low.max(0.0) / (it.low + more).max(f64::MIN_POSITIVE)
--- a/daisy-workflow/src/owner/defragment.rs
+++ b/daisy-workflow/src/owner/defragment.rs
@@ -1,10 +1,10 @@
 //! Moves long-running tasks so that free capacity is contiguous on one worker.
 //!
-//! This handles the case of workers nearly full of long-running tasks, each with a free block too
-//! small for any waiting task, though the blocks together would suffice. A long-running task is
-//! moved to a worker whose free block just fits it; the capacity it leaves joins the free block of
-//! its old worker. The task is not running for about a second meanwhile. So tasks are moved only
-//! while others cannot be placed, few at a time, and only one of a step.
+//! Workers may be nearly full of long-running tasks, each with a free block too small for any
+//! waiting task, though the blocks together would suffice. A long-running task is moved to a worker
+//! whose free block just fits it; the capacity it leaves joins the free block of its old worker.
+//! The task is not running for about a second meanwhile. So tasks are moved only while others
+//! cannot be placed, few at a time, and only one of a step.
 
 use std::time::Duration;
 
@@ -20,18 +20,19 @@
 
 /// Interval between checks for tasks to move: stopping a task takes about as long.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// Relocations started per check, and the number of workers per relocation under way.
+/// Maximum number of relocations started per check, and the number of workers for each relocation
+/// that may be in progress.
 const MAX_STARTED_PER_CHECK: usize = 3;
 const WORKERS_PER_RELOCATION: usize = 12;
 /// How long capacity is reserved for a task that is being moved.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Minimum time that a long-running task runs before it is moved, since its placement used what was
-/// known then; also the minimum age of an owner that moves tasks.
+/// Minimum time that a long-running task runs before it is moved, as its placement was based on
+/// recent information; also the minimum age of an owner that moves tasks.
 const MIN_RUN_TIME: Duration = Duration::from_secs(3);
 /// If the newest stored append is older than this, no task is stopped: it could not be started
 /// again.
 const MAX_APPEND_AGE: Duration = Duration::from_millis(600);
-/// Maximum number of sizes that cannot be placed and are handled at a time.
+/// Maximum number of unplaced sizes handled per check.
 const MAX_UNPLACED_SIZES: usize = 4;
 /// Cost of each other serving image on the target worker, in thousandths of its processors.
 const COST_OTHER_IMAGE: u32 = 40;
@@ -175,7 +176,7 @@
             || self.workers.get(key).is_some_and(loses_task)
     }
 
-    /// Returns the worker on which a run leaves the least capacity free, with the cost in
+    /// Returns the worker on which the run would leave the least free capacity, with the cost in
     /// thousandths of that worker's processors.
     fn cheapest_target(
         &self,
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -2,8 +2,8 @@
 //!
 //! The owner of a job's own shard decides, once, before any task of the job was started. It records
 //! the decision and only then writes the job to the other shard's submissions; from then on it
-//! never runs the job itself. Writing the job twice has no additional effect, so the next owner
-//! writes again all jobs for which the other shard has published no state.
+//! never runs the job itself. Writing a job twice has no additional effect, so the next owner
+//! writes all delegated jobs again.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 };
 use crate::{Demand, FREE_BLOCKS, Job, JobId, JobState, Load, Record, StepSpec, TaskId, TaskState};
 
-/// How long a new owner may take to learn its workers: the time to read the list from a slow
+/// How long a new owner may take to discover its workers: the time to read the list from a slow
 /// platform.
 pub(super) const WORKER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
 /// Interval between checks of waiting jobs that have not started.
@@ -40,8 +40,9 @@
         largest_first(blocks)
     }
 
-    /// Returns the capacity that is left on each worker for long-running tasks, after all finite
-    /// tasks have ended and this shard's waiting ones are placed; and the waiting tasks that fit.
+    /// Returns the capacity left on each worker for long-running tasks, after all finite tasks have
+    /// ended and this shard's waiting long-running tasks are placed, together with the waiting
+    /// tasks that fit.
     pub(super) fn eventual_free_capacity(
         &self,
         now: Instant,
@@ -88,8 +89,8 @@
         load
     }
 
-    /// Adds a job's current demand: its running tasks, and the waiting ones of steps that are ready
-    /// or long-running.
+    /// Adds a job's current demand: its running tasks, and the waiting tasks of steps that are
+    /// ready or long-running.
     fn add_job(&self, now: Instant, id: JobId, load: &mut Load) {
         let Some(job) = self.ledger.job(id) else { return };
         if !matches!(job.state(), JobState::Queued | JobState::Running) {
@@ -187,7 +188,7 @@
 
     pub(super) fn forward_cancel(&mut self, id: JobId) {
         // While the delegation is not recorded, the job was not written to the other shard either;
-        // both are written once it is.
+        // the job and its cancellation are written once the delegation is recorded.
         if let Some(to) = self.ledger.job(id).and_then(|it| it.delegated)
             && !self.delegating.contains(&id)
             && self.in_flight.as_ref().is_none_or(|it| !it.delegated.contains(&id))
@@ -200,8 +201,8 @@
     }
 }
 
-/// Sorts free blocks by publishing order: the largest first, by the scarcer of processors and
-/// memory; some blocks with accelerators precede all others.
+/// Sorts free blocks in the order of publication: the largest first, by the scarcer of processors
+/// and memory; a few blocks with accelerators precede all others.
 fn largest_first(mut blocks: Vec<Resources>) -> Vec<Resources> {
     /// Maximum number of blocks with accelerators that precede all others.
     const WITH_ACCELERATORS: usize = FREE_BLOCKS / 4;
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -76,7 +76,7 @@
     share_products: Vec<Vec<f64>>,
     loss_sums: Vec<f64>,
     weights: Vec<f64>,
-    /// Prior value of each weight, and the strength of that prior.
+    /// Initial value of each weight, and the strength with which it is preferred.
     priors: Vec<(f64, f64)>,
     /// Sums of this owner's reports that were not yet shared with other owners.
     unshared: Sums,
@@ -84,7 +84,7 @@
 }
 
 /// Sums over reports: for each pair of images the products of their usage, for each image the
-/// products of its usage and the headroom lost.
+/// products of its usage and the lost headroom.
 #[derive(Debug, Clone, Default)]
 struct Sums {
     share_products: SortedMap<(usize, usize), f64>,
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Coordinate descent: sets each weight in turn to its best value that is not negative.
+    /// Fits the weights by coordinate descent: sets one weight after the other to its best value
+    /// that is not negative.
     fn solve(&mut self) {
         for _ in 0..SOLVER_PASSES {
             for i in 0..self.weights.len() {
@@ -239,8 +240,8 @@
     }
 
     /// Processes a report: a serving task of `image` had `loss` less headroom than the mean of
-    /// earlier reports, while the best-effort images in `more` used that much more of the worker's
-    /// processors than in the mean.
+    /// earlier reports, while each best-effort image in `more` used the given share of the worker's
+    /// processors more than in the mean of earlier reports.
     pub fn learn(&mut self, now: Instant, image: ImageKey, loss: f64, more: &[(ImageKey, f64)]) {
         let x: Vec<(usize, f64)> = more.iter().map(|(it, share)| (it.index(), *share)).collect();
         let len = self.best_effort.len();
@@ -302,8 +303,8 @@
     }
 
     /// Returns the headroom that best-effort tasks of image `other`, using all of a worker's
-    /// processors, would take from a serving task of `image`; the prior for unknown pairs and tasks
-    /// without an image.
+    /// processors, would take from a serving task of `image`; [`PRIOR_WEIGHT`] for unknown pairs
+    /// and tasks without an image.
     pub fn weight(&self, image: Option<ImageKey>, other: Option<ImageKey>) -> f64 {
         let fit = image.and_then(|it| self.fits.get(it.index()));
         let known = fit.zip(other).and_then(|(fit, at)| fit.weights.get(at.index()));
--- a/daisy-workflow/src/owner/message.rs
+++ b/daisy-workflow/src/owner/message.rs
@@ -26,7 +26,7 @@
     pub labels: Vec<Arc<str>>,
     /// When this incarnation started, in milliseconds since 1970 by the worker's own clock.
     pub started_at_ms: u64,
-    /// How much longer the worker is slow after its start, in milliseconds.
+    /// Remaining time during which the worker is still slow after its start, in milliseconds.
     pub cold_ms: u64,
     /// The minimum time until the worker exits, in milliseconds, while it drains.
     pub min_remaining_ms: Option<u64>,
@@ -118,7 +118,7 @@
 /// The answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// The order was carried out, now or earlier.
+    /// The order was carried out, by this call or by an earlier one.
     Done {
         /// The worker's clock in milliseconds.
         clock_ms: u64,
@@ -157,7 +157,7 @@
     ListUnchanged,
     /// A new version of the queue configuration.
     QueueConfig(Arc<QueueConfig>),
-    /// The answer to [`Action::Renew`]; `None` if there was none.
+    /// The answer to [`Action::Renew`]; `None` if the call was not answered.
     RenewalAnswered(WorkerKey, Option<RenewalAnswer>),
     /// A worker rejected a renewal because it has seen a higher epoch.
     Fenced(WorkerKey),
@@ -192,12 +192,12 @@
     /// The run is throttled in favour of serving tasks on its worker, and could run at full pace
     /// elsewhere.
     Throttled {
-        /// The share of its processor time that the run has on this worker, in percent.
+        /// The pace of the run on this worker, in percent.
         percent: u8,
     },
     /// The task is started again elsewhere, so that another task fits on this worker.
     Moved,
-    /// The run makes no progress.
+    /// The run has made no progress for some time.
     NoProgress,
     /// The worker exits before the run would end.
     Draining,
@@ -205,7 +205,7 @@
     PossiblyDelayed,
     /// The worker's lists do not contain the run, though it was started.
     Absent,
-    /// The run was not started by this owner, or was given up by it.
+    /// This owner did not start the run, or has given it up.
     Unknown,
 }
 
@@ -231,7 +231,7 @@
 pub enum WaitCause {
     /// No worker has enough free capacity for what the task reserves.
     Capacity,
-    /// On no worker could the task run at full pace beside the tasks that are there.
+    /// The task could not run at full pace on any worker beside that worker's tasks.
     Headroom,
 }
 
@@ -263,7 +263,7 @@
     Start(WorkerKey, Start),
     /// Stop a run.
     Stop(WorkerKey, TaskId, u32, StopCause),
-    /// Limit a run to this share of its processor time, in percent.
+    /// Set a run's pace: the share of its processor time that it may use, in percent.
     Pace(WorkerKey, TaskId, u32, u8),
     /// Append this record of a job to another shard's submissions; retried until the log has stored
     /// it.
@@ -296,7 +296,7 @@
         job: JobId,
         /// The step.
         step: u16,
-        /// Number of its tasks that wait.
+        /// Number of the step's tasks that wait.
         tasks: usize,
         /// Why they wait.
         cause: WaitCause,
@@ -314,7 +314,7 @@
     TaskTransferred {
         /// The task.
         task: TaskId,
-        /// Number of the transfer among those of this task.
+        /// Number of the transfer; a task's transfers are counted from 1.
         number: u32,
         /// The shard that runs it.
         to: ShardId,
@@ -326,7 +326,7 @@
         task: TaskId,
         /// The worker that the task leaves.
         worker: WorkerId,
-        /// Processor time that will be free there, in thousandths of a core.
+        /// Processor time that will be free on that worker, in thousandths of a core.
         free_cpu: u32,
         /// Processor time that the waiting task reserves, in thousandths of a core.
         needed_cpu: u32,
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -16,8 +16,7 @@
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval before an unanswered stop is sent again.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long after it was sent an order may still be carried out: the platform's contract allows 12
-/// s.
+/// How long after it was sent an order may still be carried out: the platform specifies up to 12 s.
 pub(super) const MAX_ORDER_DELAY: Duration = Duration::from_secs(13);
 /// How long a worker gets no new tasks after it left an order unanswered.
 const EXCLUSION_NO_ANSWER: Duration = Duration::from_millis(700);
@@ -113,7 +112,8 @@
             && worker.fenced
         {
             match worker.is_clock_reset(clock_ms) {
-                // The next list identifies the new incarnation; until then it gets no new tasks.
+                // The answer to the next renewal identifies the new incarnation; until then the
+                // worker gets no new tasks.
                 true => worker.fenced = false,
                 false => worker.clock = Some((clock_ms, now)),
             }
@@ -147,7 +147,8 @@
                 self.unassign(key, task, run);
             }
             OrderReply::Rejected(RejectReason::Fenced) => self.actions.push(Action::StepDown),
-            // An earlier attempt was carried out and the run has ended: the list will say how.
+            // An earlier attempt was carried out and the run has ended: the worker's list of ended
+            // runs will say how.
             OrderReply::Rejected(RejectReason::StaleRun) if it.may_be_delayed => {
                 it.start_state = StartState::Confirmed(now)
             }
@@ -170,7 +171,7 @@
         self.exclude(now, key, pause);
         self.note_worker(key, "shunned", reject_cause(cause));
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
-        // An earlier attempt may still be carried out; a stop that is answered rules that out.
+        // An earlier attempt may still be carried out; only an answered stop rules that out.
         match it.may_be_delayed {
             true => {
                 it.start_state = StartState::Unanswered(now + START_RETRY_INTERVAL);
--- a/daisy-workflow/src/owner/pace.rs
+++ b/daisy-workflow/src/owner/pace.rs
@@ -35,13 +35,13 @@
 /// milliseconds.
 const HEADROOM_MAX: f64 = 6.0;
 /// Minimum interval between reports that are used: workers report figures of the last half second,
-/// so earlier ones repeat them.
+/// so more frequent reports repeat them.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// The smallest change of a share that is ordered, in percent.
+/// The smallest change of a pace that is ordered, in percent.
 const MIN_PACE_CHANGE: u8 = 10;
-/// Delay after a change of a task's share before the share may be raised.
+/// Delay after a change of a task's pace before the pace may be raised.
 const PACE_RAISE_DELAY: Duration = Duration::from_millis(900);
-/// A task that was limited to less than this share, in percent, for this long is started again
+/// A task whose pace was below this value, in percent, for this long is stopped to be started
 /// elsewhere.
 const STARVED_PACE: u8 = 40;
 const STARVED_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -57,7 +57,7 @@
 }
 
 impl Owner {
-    /// Learns from a worker's report and sets the shares of its best-effort tasks.
+    /// Learns from a worker's report and sets the paces of its best-effort tasks.
     pub(super) fn pace(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if !worker.tasks.iter().any(|it| it.target_ms > 0) {
@@ -94,8 +94,8 @@
         self.stop_starved(now, key);
     }
 
-    /// Stops a best-effort task that has been throttled for long if another worker would not
-    /// throttle it.
+    /// Stops a best-effort task that has been throttled for [`STARVED_TIMEOUT`] if another worker
+    /// would not throttle it.
     fn stop_starved(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get(key) else { return };
         let starved = |it: &Assignment| {
@@ -154,15 +154,15 @@
 struct PaceLimit {
     /// Index of the serving task among the worker's tasks.
     serving: usize,
-    /// Maximum share of tasks with high interference.
+    /// Maximum pace of tasks with high interference, from 0 to 1.
     high: f64,
-    /// Maximum share of tasks with low interference.
+    /// Maximum pace of tasks with low interference, from 0 to 1.
     low: f64,
 }
 
 impl PaceLimit {
-    /// Limits tasks with high interference first. Those with low interference, which are many, are
-    /// limited only where the target itself is close.
+    /// Limits tasks with high interference first. Tasks with low interference are many; they are
+    /// limited only if the serving task would otherwise come close to its target.
     fn new(serving: usize, it: &Assignment, on_image: &InterferenceLoad) -> Option<PaceLimit> {
         let InterferenceLoad { high, low, .. } = *on_image;
         let fitting_share = |spare: f64, wanted: f64| match wanted > spare {
@@ -255,8 +255,8 @@
     more
 }
 
-/// Returns the share in percent for each task of a worker. `limits` come from the serving tasks
-/// with too little headroom.
+/// Returns the pace in percent for each task of a worker. `limits` come from the serving tasks with
+/// too little headroom.
 fn shares(
     interference: &Interference,
     worker: &Worker,
@@ -279,7 +279,7 @@
     worker.tasks.iter().map(share).collect()
 }
 
-/// Orders the shares that differ enough from the last ones.
+/// Orders the paces that differ enough from the last confirmed ones.
 fn order_paces(
     now: Instant,
     worker: &mut Worker,
--- a/daisy-workflow/src/owner/placement.rs
+++ b/daisy-workflow/src/owner/placement.rs
@@ -21,20 +21,20 @@
 /// then short of [`COMFORTABLE_HEADROOM`].
 const COST_HEADROOM_TAKEN: f64 = 2_000.0;
 const COST_HEADROOM_SHORT: f64 = 2_500.0;
-/// Cost for each image that could run on the worker without harm: tasks that can run anywhere leave
-/// such workers to those that cannot.
+/// Cost for each best-effort image that interferes little with the worker's serving tasks: tasks
+/// that can run on any worker leave these workers to tasks that cannot.
 const COST_HARMLESS_IMAGE: i64 = 120;
 /// Headroom below which fluctuations of a serving task's own load soon reach its target.
 const COMFORTABLE_HEADROOM: f64 = 1.7;
-/// Cost for each serving task of another image: a worker that serves few images can take more kinds
-/// of best-effort tasks.
+/// Cost for each serving task of another image: more kinds of best-effort tasks can run on a worker
+/// that serves few images.
 const COST_OTHER_IMAGE: i64 = 1_000;
 /// Cost for each thousandth of a worker's processors that best-effort tasks would be short of.
 const COST_CPU_SHORTAGE: i64 = 4;
 const COST_SLOW_START: i64 = 3_000;
 const COST_SUSPECTED: i64 = 1_000_000;
 
-/// Constraints on a placement besides those of the step.
+/// Constraints on a placement in addition to those of the step.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlacementOptions<'a> {
     /// The rack that the worker must be in.
@@ -47,7 +47,8 @@
     pub reservations: &'a [Reservation],
 }
 
-/// A worker that is reserved for a task until the runs that end there free enough capacity for it.
+/// A worker that is reserved for a waiting task until enough of the worker's runs have ended for
+/// the task to fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Reservation {
     pub worker: WorkerKey,
@@ -102,8 +103,8 @@
         best.map(|(_, key)| key)
     }
 
-    /// Returns the cost of the capacity that a task with a reservation takes from other waiting
-    /// tasks.
+    /// Returns the cost of the free capacity that a task's reservation takes from other waiting
+    /// tasks, according to the packing rule.
     fn cost_packing(&self, step: &StepSpec, worker: &Worker) -> i64 {
         let used = permille(worker, worker.used.cpu_milli);
         match self.settings.rules.packing {
@@ -179,8 +180,8 @@
     need.fits(worker.free())
 }
 
-/// Whether a task of `step` leaves a reserved worker the capacity it is reserved for: best-effort
-/// tasks take memory, but no reserved processor time.
+/// Whether a reserved worker still has the capacity `need` after a task of `step` is placed on it:
+/// best-effort tasks take memory, but no reserved processor time.
 fn leaves_reservation(step: &StepSpec, worker: &Worker, need: Resources) -> bool {
     let both = Resources { cpu_milli: 0, ..need }.try_add(step.allocation());
     step.best_effort && both.is_some_and(|it| it.fits(worker.free()))
@@ -231,7 +232,7 @@
     cost
 }
 
-/// Returns a part of a worker's processors in thousandths.
+/// Converts processor time to thousandths of a worker's processors.
 fn permille(worker: &Worker, cpu_milli: u32) -> i64 {
     i64::from(cpu_milli) * 1_000 / i64::from(worker.capacity.cpu_milli.max(1))
 }
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -18,9 +18,9 @@
 /// A finite job may reserve a worker if it has less spare time than this before its objective.
 const RESERVATION_SLACK: Duration = Duration::from_millis(1_000);
 
-/// How long a new long-running job on a full fleet leaves capacity to jobs that can still be in
-/// time. Its tasks run for minutes, but must not wait longer than this while tasks of about a
-/// second come and go.
+/// How long a new long-running job yields capacity to finite jobs when the fleet is full. Its tasks
+/// run for minutes, so a short wait matters little, but they must not wait longer than this while
+/// tasks of about a second come and go.
 const LONG_RUNNING_YIELD: Duration = Duration::from_millis(1_500);
 
 /// Urgency of a job; the first variant is placed first.
@@ -43,8 +43,7 @@
 /// does not delay those that can: under overload, earliest deadline first would make all of them
 /// slightly late.
 fn urgency(now: Instant, view: &JobView, chain_ms: u64) -> Urgency {
-    /// Results are of use up to three times the objective, according to the contract with
-    /// operators.
+    /// Operators regard results as useful up to three times the objective.
     const USEFUL_FACTOR: u32 = 3;
     let allowed = view.objective.since(view.accepted_at);
     match now + Duration::from_millis(chain_ms) {
@@ -54,7 +53,7 @@
     }
 }
 
-/// Whether a long-running job still leaves capacity to others. Tasks that came from another shard
+/// Whether a long-running job still yields capacity to others. Tasks that came from another shard
 /// have waited there already.
 fn yields(now: Instant, view: &JobView, job: &Job) -> bool {
     now.since(view.accepted_at) < LONG_RUNNING_YIELD && !job.belongs_to_other_shard()
@@ -68,8 +67,8 @@
     unplaceable: Vec<UnplaceableTask>,
 }
 
-/// Best-effort tasks of one image that could not be placed; those that need as much or more cannot
-/// be placed either.
+/// A best-effort task that could not be placed; tasks of the same image that need at least the same
+/// resources cannot be placed either.
 #[derive(Debug)]
 struct UnplaceableTask {
     service: Arc<str>,
@@ -165,7 +164,7 @@
     }
 
     /// Returns the jobs that have not ended by urgency: first long-running jobs, since each moment
-    /// without their tasks matters; then jobs that can be in time, by priority and by the part of
+    /// without their tasks matters; then jobs that can be in time, by priority and by the share of
     /// their work that is left. Work on a job is of no use until its last task has ended, so under
     /// overload jobs that are nearly done go before new ones.
     fn by_urgency(&self, now: Instant) -> Vec<JobId> {
@@ -237,8 +236,8 @@
         self.began_wall_ms + passed >= spec.due_ms(k)
     }
 
-    /// Whether a copy of a task is to be started: there is none, or the step allows copies and the
-    /// only one is on a worker that does not answer.
+    /// Whether a copy of a task is to be started: it has none, or its step allows several and its
+    /// only copy is on an unreachable worker.
     fn wants_copy(&self, step: &StepSpec, state: &TaskState) -> bool {
         if state.done || state.on_other_shard {
             return false;
--- a/daisy-workflow/src/owner/renewal.rs
+++ b/daisy-workflow/src/owner/renewal.rs
@@ -1,4 +1,4 @@
-//! Lease renewals and the platform's list: which workers there are, and what runs on them.
+//! Processes the platform's list of workers and the answers to lease renewals.
 
 use std::time::Duration;
 
@@ -148,8 +148,9 @@
         self.send_stops(now);
     }
 
-    /// Stops runs that ended, but whose unanswered start orders may still reach the new
-    /// incarnation. Each takes capacity until a list shows that it is not there.
+    /// Requests stops of runs that have ended but whose unanswered start orders may still reach the
+    /// new incarnation. Each run takes capacity until a list of the worker shows that it does not
+    /// run.
     fn stop_delayed_starts(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         for DelayedStart { task, run, until, .. } in std::mem::take(&mut worker.delayed_starts) {
@@ -279,7 +280,8 @@
         }
         let missing = missing_runs(worker, running);
         for (task, run) in unknown {
-            // Such a run was given up, or its job has ended. It takes capacity until it has ended.
+            // This owner gave the run up, or its job has ended. It takes capacity until it is
+            // stopped.
             self.adopt_run(now, key, task, run, StartState::Confirmed(now));
             if let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) {
                 it.request_stop(now, StopCause::Unknown);
@@ -317,10 +319,10 @@
     }
 }
 
-/// Returns the expected runs that the worker's lists show not to be there.
+/// Returns the expected runs that are certainly not on the worker, as its list does not contain
+/// them.
 fn missing_runs(worker: &mut Worker, running: &[ActiveRun]) -> Vec<(TaskId, u32)> {
-    /// Number of consecutive lists without a confirmed run after which the run is stopped as
-    /// missing.
+    /// Number of consecutive lists that lack a confirmed run after which the run is stopped.
     const MAX_MISSED_LISTS: u8 = 2;
     let sent_at = worker.renewal_sent_at;
     let mut missing = Vec::new();
@@ -330,8 +332,8 @@
         }
         match (it.stop_state, it.start_state) {
             (StopState::Done(at), _) if at <= sent_at => missing.push((it.task, it.run)),
-            // The orders of the owner that started it are rejected from now on, so it cannot appear
-            // later.
+            // The worker rejects the orders of the owner that started the run from now on, so the
+            // run cannot appear later.
             (_, StartState::Inherited) => missing.push((it.task, it.run)),
             (StopState::NotRequested, StartState::Confirmed(at)) if at <= sent_at => {
                 it.missed_lists += 1;
@@ -346,8 +348,8 @@
 }
 
 fn is_renewal_due(now: Instant, worker: &Worker) -> bool {
-    /// Minimum interval between renewals while ends are not recorded: the worker would list them
-    /// again at once.
+    /// Minimum interval between renewals while processed ends are not in the log yet: the worker
+    /// would answer at once and list them again.
     const UNRECORDED_ENDS_INTERVAL: Duration = Duration::from_millis(300);
     /// Retry interval for a worker that does not answer; doubled with each failure up to the
     /// maximum.
@@ -371,7 +373,7 @@
     const IDLE_WAIT: Duration = Duration::from_millis(1_500);
     const RUNNING_WAIT: Duration = Duration::from_millis(800);
     const SERVING_WAIT: Duration = Duration::from_millis(500);
-    /// Short enough that each worker's answer stays valid until the next one.
+    /// Short enough that each answer of a witness is still valid when the next one arrives.
     const LOG_SLOW_WAIT: Duration = Duration::from_millis(300);
     if !worker.fenced || worker.renewal_failures > 0 || worker.cursor_seen > worker.cursor_durable {
         return Duration::ZERO;
--- a/daisy-workflow/src/owner/run_ends.rs
+++ b/daisy-workflow/src/owner/run_ends.rs
@@ -87,8 +87,7 @@
         if failures >= attempts && !step.long_running && job.progress.phase == Phase::Active {
             self.end_job(now, task.job, Phase::Failed);
         }
-        // A long-running task may fit on no other worker, and be started on this one again and
-        // again.
+        // A long-running task may fit on no other worker and be started on this one repeatedly.
         let failed_again =
             is_long_running && self.workers.get(key).is_some_and(|it| has_recent_failure(now, it));
         if !failed_elsewhere || failed_again {
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Whether tasks of the same step have failed before: then the task is more likely at fault
+    /// Whether tasks of this task's step have failed before: then the task is more likely at fault
     /// than the worker.
     fn failed_before(&self, task: TaskId) -> bool {
         let Some(job) = self.ledger.job(task.job) else { return true };
--- a/daisy-workflow/src/owner/shortfall.rs
+++ b/daisy-workflow/src/owner/shortfall.rs
@@ -1,4 +1,4 @@
-//! Why a long-running task is not placed, counted over the workers.
+//! Counts why workers cannot take a waiting long-running task.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use super::{Owner, placement::is_at_step_limit};
 use crate::TaskId;
 
-/// A waiting task, and how many workers cannot take it for which reason. Each worker counts once,
-/// under the first reason that applies in the order of the fields.
+/// A waiting task and the number of workers by the reason why they cannot take it. Each worker is
+/// counted once, under the first field that applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementShortfall {
     /// The waiting task.
@@ -17,7 +17,7 @@
     pub waited: Duration,
     /// Resources that the task reserves.
     pub need: Resources,
-    /// Workers that accept no new tasks, or belong to another service or kind.
+    /// Workers that accept no new tasks, belong to another service, or lack the required label.
     pub ineligible: usize,
     /// Workers without enough free processor time or accelerators.
     pub short_of_cpu: usize,
@@ -33,7 +33,7 @@
 
 impl Owner {
     /// Returns the long-running task that has waited longest, and why workers cannot take it.
-    /// Prefers tasks for which at least one worker has the processor time.
+    /// Prefers tasks for which at least one worker has enough processor time and accelerators.
     pub fn longest_waiting_task(&self, now: Instant) -> Option<PlacementShortfall> {
         let waits = self.waiting_since.iter();
         let shortfalls = waits
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -15,7 +15,7 @@
 
 /// How long an owner whose appends the log does not store continues to renew leases.
 ///
-/// An outage of the platform must not end running work: according to the contract it lasts up to 9
+/// An outage of the platform must not end running work. The platform specifies outages of up to 9
 /// s.
 const MAX_RENEWAL_WITHOUT_LOG: Duration = Duration::from_secs(10);
 /// How long an answer of the log, or of a witness, is valid, counted from when its request was
@@ -31,8 +31,9 @@
 /// The workers that have to answer an owner which cannot reach the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Witnesses {
-    /// The epoch of the last owner that complies with these witnesses, as do all owners between it
-    /// and the one that named them. Owners of a build without witnesses are not among them.
+    /// The epoch of the last owner that is known to comply with these witnesses. All owners from
+    /// the one that named the witnesses up to this epoch comply; an owner of a build without
+    /// witnesses does not.
     pub accepted_by_epoch: u64,
     /// The workers, sorted by id.
     pub workers: Vec<Witness>,
@@ -51,7 +52,7 @@
 /// The claim with which an owner started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnershipStart {
-    /// A time before the claim was sent.
+    /// When the claim was sent, or a time shortly before.
     pub claim_sent_at: Instant,
     /// Whether no earlier owner can renew leases any more.
     pub predecessors_ended: bool,
@@ -73,7 +74,7 @@
     witness_quorum_at: Option<Instant>,
     /// From when on no earlier owner renews leases, once that is known.
     predecessors_ended_at: Option<Instant>,
-    /// Witnesses in the log with which all earlier owners comply as well.
+    /// Witnesses whose record is in the log and with which all earlier owners comply.
     witnesses: Vec<Witness>,
     /// Witnesses that have to be recorded.
     next_witnesses: Option<Vec<Witness>>,
@@ -123,12 +124,12 @@
         at.is_ok_and(|at| self.witnesses[at].started_at_ms < worker.started_at_ms)
     }
 
-    /// Whether witnesses have to be recorded.
+    /// Whether there are witnesses to record.
     pub(super) fn has_record(&self) -> bool {
         self.next_witnesses.is_some()
     }
 
-    /// Returns the record of the witnesses, if they have to be recorded.
+    /// Takes the record of the witnesses to append, if there is one.
     pub(super) fn take_witnesses_record(&mut self) -> Option<Record> {
         let next_witnesses = self.next_witnesses.take()?;
         self.recording_witnesses = Some(next_witnesses.clone());
@@ -161,7 +162,7 @@
         if since_append < ANSWER_VALIDITY {
             return true;
         }
-        // Where no witnesses are recorded, the next owner waits for the whole time.
+        // Without recorded witnesses, the next owner waits for all of `MAX_RENEWAL_WITHOUT_LOG`.
         let witnessed = it.witnesses.is_empty() || self.majority_answered(&it.witnesses, now);
         since_append <= MAX_RENEWAL_WITHOUT_LOG
             && witnessed
@@ -177,11 +178,11 @@
         answers * 2 > witnesses.len()
     }
 
-    /// Whether so many witnesses have answered this owner that no earlier one can have more than
-    /// half of them.
+    /// Whether at least half of the witnesses have answered this owner, so that an earlier owner
+    /// can no longer get answers from more than half of them.
     fn has_witness_quorum(&self) -> bool {
         let witnesses = &self.succession.witnesses;
-        // The answer of a later incarnation is as good: the earlier one has ended.
+        // An answer of a later incarnation also counts: the earlier incarnation has ended.
         let answered = self.count_answered(witnesses, |_, _| true);
         !witnesses.is_empty() && answered * 2 >= witnesses.len()
     }
@@ -227,8 +228,8 @@
         self.succession.predecessors_ended_at.map(|it| it + lease + lease / 20)
     }
 
-    /// Returns when these leases have expired at the latest, provided that the log continues to
-    /// answer.
+    /// Returns the latest time at which all leases of earlier owners have expired, provided that
+    /// the log continues to answer.
     pub(super) fn latest_inherited_leases_end(&self, now: Instant) -> Instant {
         let it = &self.succession;
         let lease = self.settings.lease;
@@ -239,8 +240,8 @@
             + lease / 20
     }
 
-    /// Whether no earlier owner can renew leases, and those that they renewed have expired by any
-    /// worker's clock.
+    /// Whether no earlier owner can renew leases any more, and all leases that earlier owners
+    /// renewed have expired on every worker, however its clock drifts.
     pub fn are_predecessor_leases_over(&self, now: Instant) -> bool {
         let max_lease = self.settings.lease_max + self.settings.lease_max / 10;
         self.succession.predecessors_ended_at.is_some_and(|it| now >= it + max_lease)
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -24,16 +24,16 @@
     pub workers: usize,
     /// Workers that accept new tasks.
     pub usable: usize,
-    /// Workers that do not answer and may still run tasks.
+    /// Workers that do not answer and may still be running tasks.
     pub unresponsive: usize,
     /// Runs of long-running tasks whose outcome is unknown.
     pub unconfirmed_runs: usize,
-    /// Time until the last of these runs can be treated as ended.
+    /// Time until the last of the `unconfirmed_runs` can be treated as ended.
     pub unconfirmed_for: Duration,
     /// Free processor time on usable workers, in thousandths of a core.
     pub free_cpu: u64,
-    /// The part of the free processor time on workers with less than a finite task reserves on
-    /// average.
+    /// The part of `free_cpu` on workers with less free processor time than a finite task reserves
+    /// on average.
     pub unusable_cpu: u64,
     /// The most free processor time on one usable worker, in thousandths of a core.
     pub largest_free_cpu: u32,
--- a/daisy-workflow/src/owner/tick.rs
+++ b/daisy-workflow/src/owner/tick.rs
@@ -11,19 +11,19 @@
 };
 use crate::TaskId;
 
-/// How long a run may show no progress, while it was able to work, before it is treated as stuck.
+/// How long a run that is able to work may show no progress before it is stopped.
 ///
 /// The owner's view of a worker is up to 0.8 s old and short tasks come and go in between, so two
 /// consecutive views must show the same progress.
 const NO_PROGRESS_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// How long a worker is suspected after runs on it failed or got stuck.
+/// How long a worker is suspected after runs on it failed or made no progress.
 const SUSPICION_DURATION: Duration = Duration::from_secs(4);
 /// How long a suspected worker gets no tasks at all.
 const SUSPICION_FULL_EXCLUSION: Duration = Duration::from_millis(1_500);
 /// Maximum age of the platform's list for starting tasks by it. An owner whose calls to the
-/// platform hang would start tasks on workers that have announced long ago that they drain, and the
-/// contract allows 2.5 s from that announcement. Reading the list, recording and sending an order
-/// take about 0.4 s.
+/// platform are not answered would otherwise start tasks on workers that announced long ago that
+/// they drain; the platform allows starts until 2.5 s after that announcement. Reading the list,
+/// recording and sending an order take about 0.4 s.
 const MAX_LIST_AGE: Duration = Duration::from_millis(1_900);
 /// Runs are stopped on a draining worker unless they end at least this long before it exits.
 const DRAIN_MARGIN: Duration = Duration::from_millis(700);
@@ -83,7 +83,7 @@
     fn stop_without_progress(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if worker.renewal_failures > 0 || !worker.fenced {
-            // Their progress is not visible.
+            // The progress of the runs is not visible.
             worker.tasks.iter_mut().for_each(|it| it.progressed_at = now);
             return;
         }
@@ -105,7 +105,7 @@
             }
         }
         if found {
-            self.suspect(now, key, "a run on it is stuck");
+            self.suspect(now, key, "a run on it makes no progress");
         }
     }
 
--- a/daisy-workflow/src/owner/transfer.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -31,7 +31,8 @@
         if now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
-        // Workers are reserved for these tasks: in another shard their wait would start again.
+        // Tasks that will fit on a reserved worker stay: in another shard their wait would start
+        // again.
         let (_, mut staying) = self.eventual_free_capacity(now);
         staying.truncate(self.max_reservations());
         let waiting = self.waiting_since.iter().filter(|(task, _)| !staying.contains(task));
@@ -157,7 +158,7 @@
 }
 
 /// Whether single tasks of a job may run in another shard: they do not depend on each other, and
-/// their ends do not decide about the job.
+/// the end of one does not end the job.
 fn has_independent_tasks(job: &Job) -> bool {
     let is_independent = |it: &StepSpec| it.long_running && !it.gang && it.depends_on.is_empty();
     matches!(job.state(), JobState::Queued | JobState::Running)
--- a/daisy-workflow/src/owner/unconfirmed_runs.rs
+++ b/daisy-workflow/src/owner/unconfirmed_runs.rs
@@ -39,8 +39,7 @@
     }
 }
 
-/// A run that is known neither to be running nor to have ended, so that its task cannot be started
-/// elsewhere.
+/// A run that may be running or have ended, so that its task cannot be started elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnconfirmedRun {
     /// The task.
--- a/daisy-workflow/src/owner/worker.rs
+++ b/daisy-workflow/src/owner/worker.rs
@@ -11,16 +11,16 @@
 };
 use crate::{TaskId, WorkerId, WorkerListing};
 
-/// How much slower a worker's clock may run than the owner's, in thousandths: the platform's
-/// contract allows 2 %.
+/// How much slower a worker's clock may run than the owner's, in thousandths: the platform
+/// specifies up to 2 %.
 const MAX_CLOCK_DRIFT_PERMILLE: u64 = 20;
 /// Clock values in answers of one incarnation that arrive out of order differ by less than this, in
 /// milliseconds: no call takes as long.
 const MAX_REORDERING_MS: u64 = 2_000;
 /// How long after an answer a worker is assumed not to have restarted.
 const ANSWER_VALIDITY: Duration = Duration::from_millis(150);
-/// Time added before a lease is treated as expired, in milliseconds: the worker needs it to end its
-/// tasks.
+/// Time after a lease's end until its runs are treated as ended, in milliseconds: the worker needs
+/// it to end its tasks.
 const EXPIRY_MARGIN_MS: u64 = 150;
 
 /// Index of a worker in its owner's arena.
@@ -44,7 +44,7 @@
     Recording,
     /// The order was sent and is not answered yet.
     InFlight,
-    /// The order was not answered; it may be carried out late, and is sent again at this time.
+    /// The order was not answered and may be carried out late; it is sent again at this time.
     Unanswered(Instant),
     /// The worker confirmed the run at this time.
     Confirmed(Instant),
@@ -99,11 +99,12 @@
     pub progressed_at: Instant,
     pub began_at: Instant,
     pub load: u32,
-    /// The last confirmed share of processor time, in percent; `None` for a run that this owner did
-    /// not start.
+    /// The last confirmed pace (share of processor time), in percent; `None` for a run that this
+    /// owner did not start.
     pub pace: Option<u8>,
     pub pace_in_flight: bool,
-    /// When a share was last ordered, and when it last fell below the limit for starved tasks.
+    /// When a pace was last ordered, and when the ordered pace last fell below that of starved
+    /// tasks.
     pub paced_at: Instant,
     pub slowed_at: Instant,
     /// Running mean of a serving task's headroom, once it was reported.
@@ -159,7 +160,7 @@
     /// When the last renewal that was answered was sent.
     pub(crate) answered_renewal_sent_at: Instant,
     pub(crate) renewal_failures: u32,
-    /// The highest number of an ended run that was processed, and the highest whose record is in
+    /// Numbers of ended runs: the highest that was processed, and the highest whose record is in
     /// the log.
     pub(crate) cursor_seen: u64,
     pub(crate) cursor_durable: u64,
@@ -252,8 +253,8 @@
         Some(end)
     }
 
-    /// Returns when every lease that was ever sent has expired by the worker's own clock, or `None`
-    /// if that clock was never read.
+    /// Returns when every lease that this owner or an earlier one granted has expired by the
+    /// worker's own clock, or `None` if that clock was never read.
     pub(crate) fn leases_over_at(&self) -> Option<Instant> {
         let (clock, at) = self.clock?;
         let left = (self.max_lease_end_ms + EXPIRY_MARGIN_MS + 1).saturating_sub(clock);
@@ -298,8 +299,7 @@
         let at = self.tasks.iter().position(|it| it.task == task && it.run == run)?;
         let it = self.tasks.swap_remove(at);
         self.is_interference_current = false;
-        // The sum is computed anew: after the capacity has shrunk, a subtraction could go below
-        // zero.
+        // The sum is recomputed: after the capacity has shrunk, a subtraction could go below zero.
         self.used = Resources::ZERO;
         for it in &self.tasks {
             self.used = self.used.try_add(it.allocation).unwrap_or(self.capacity);
--- a/daisy-workflow/src/publisher.rs
+++ b/daisy-workflow/src/publisher.rs
@@ -5,8 +5,8 @@
 use crate::{Directory, JobId, JobState, OwnerHeartbeat, PublishedState, Record, ShardId};
 use daisy_model::{Instant, SortedMap};
 
-/// The shortest time between two appends of states, so that states are batched: each call is paid
-/// for, and the platform processes the appends of all owners one after the other, 2 ms each.
+/// The minimum interval between two appends of states, so that states are batched: each call is
+/// billed, and the platform processes the appends of all owners one after the other, 2 ms each.
 const APPEND_INTERVAL_MIN: Duration = Duration::from_millis(30);
 /// The interval between heartbeats. Other VMs claim the shard after 1.4 s without one.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
@@ -56,7 +56,8 @@
         self.last_heartbeat_at.is_none_or(|at| now.since(at) >= HEARTBEAT_INTERVAL)
     }
 
-    /// Returns the records to append now, if any are due; `heartbeat` is given if one is due.
+    /// Takes the records to append now, if any are due. Pass a `heartbeat` if
+    /// [`is_heartbeat_due`](StatePublisher::is_heartbeat_due).
     pub fn take_due_records(
         &mut self,
         now: Instant,
@@ -77,7 +78,7 @@
         Some(records)
     }
 
-    /// Takes the states to be published next.
+    /// Takes the records of the states to be published next.
     pub fn take_records(&mut self) -> Vec<Record> {
         let next: Vec<_> =
             self.pending.iter().take(STATES_MAX).map(|(id, it)| (*id, *it)).collect();
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -42,7 +42,7 @@
     pub epoch: u64,
     /// Whether the owner releases its workers, so that any VM may claim them at once.
     pub released: bool,
-    /// Whether no earlier owner can renew anything any more.
+    /// Whether no earlier owner can renew leases any more.
     pub predecessors_expired: bool,
 }
 
@@ -82,7 +82,7 @@
     OwnerHeartbeat(Box<OwnerHeartbeat>),
     /// How jobs and workers are divided among shards.
     Layout(Layout),
-    /// What a shard's owner has observed about interference since its last such record.
+    /// Interference sums that a shard's owner has collected since its last record of this kind.
     InterferenceSums(ShardId, Vec<InterferenceSums>),
 }
 
@@ -98,16 +98,16 @@
     pub permille: u32,
 }
 
-/// What an owner has observed within about a second of the best-effort tasks beside a serving
-/// image: weighted sums, to which those of other owners can be added.
+/// Weighted sums of an owner's observations, within about a second, of the best-effort tasks beside
+/// one serving image. Sums of several owners can be added.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InterferenceSums {
     /// The image of the serving tasks.
     pub serving: Arc<str>,
-    /// By image of best-effort tasks, the sum of the share of a worker's processors times the
-    /// headroom lost.
+    /// By best-effort image, the sum of the used share of a worker's processors times the lost
+    /// headroom.
     pub loss_sums: Vec<(Arc<str>, f32)>,
-    /// By pair of such images, the sum of share times share.
+    /// By pair of best-effort images, the sum of the products of their used shares.
     pub share_products: Vec<(Arc<str>, Arc<str>, f32)>,
 }
 
--- a/daisy-workflow/src/shard.rs
+++ b/daisy-workflow/src/shard.rs
@@ -2,7 +2,8 @@
 
 use crate::{JobId, WorkerId};
 
-/// The most workers in a shard: as many as the smallest entry VM has processor time to manage.
+/// The maximum number of workers in a shard: the smallest entry VM has processor time to manage
+/// this many.
 const WORKERS_PER_SHARD_MAX: usize = 100;
 
 /// A shard's number.
--- a/daisy-workflow/src/spec.rs
+++ b/daisy-workflow/src/spec.rs
@@ -11,7 +11,8 @@
 /// A job's progress is one record, rewritten at each change; 20,000 tasks of about 10 bytes stay
 /// below the platform's limit of 256 KiB for a record.
 const TASKS_MAX: u64 = 20_000;
-/// The most bytes of the text that a job passes to its tasks, set by the platform's contract.
+/// The maximum length in bytes of the text that a job passes to its tasks, as the platform
+/// specifies.
 const TEXT_MAX: usize = 4_000;
 
 /// Why a submission is invalid.
--- a/daisy-workflow/src/tick_delay.rs
+++ b/daisy-workflow/src/tick_delay.rs
@@ -9,8 +9,8 @@
 /// The highest tolerable mean delay. Workers must answer within 0.45 s; above this mean, many miss
 /// that deadline.
 const MEAN_DELAY_MAX: Duration = Duration::from_millis(250);
-/// The most that one tick counts. A single long pause is a freeze, after which the process runs as
-/// well as before.
+/// The maximum delay that one tick adds to the mean. A single long pause is a freeze, after which
+/// the process runs as well as before.
 const SINGLE_DELAY_MAX: Duration = Duration::from_millis(1_000);
 
 /// The mean delay of a process's periodic ticks.
