--- a/daisy-placement/src/calls.rs
+++ b/daisy-placement/src/calls.rs
@@ -19,7 +19,7 @@
 const CALLS_PER_LEASE: u32 = 2;
 
 impl Holder {
-    /// Calls every worker that has orders to receive at once or whose next call is due.
+    /// Calls every worker that has orders for a prompt call or whose next call is due.
     pub(crate) fn call_due_workers(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let poll_interval =
             self.options.limits.poll_interval.min(self.options.lease / CALLS_PER_LEASE);
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Calls a worker that has something to report now rather than at its next regular call.
+    /// Makes the next call of a worker due now, because the worker has something to report.
     pub(crate) fn handle_worker_update(&mut self, now: Instant, vm: VmId) {
         let Some(key) = self.roster.try_key(vm) else { return };
         let Some(worker) = self.roster.get_mut(key) else { return };
@@ -108,7 +108,7 @@
 }
 
 /// Takes the orders for the next call. A worker that has not yet answered under this epoch gets
-/// none, since the tasks that run there decide what may be ordered.
+/// none: it may run tasks that this holder does not know.
 fn take_sendable_orders(worker: &mut Worker) -> Vec<Order> {
     if !worker.has_answered {
         return Vec::new();
--- a/daisy-placement/src/checkout.rs
+++ b/daisy-placement/src/checkout.rs
@@ -1,4 +1,5 @@
-//! The choice of the pending tasks that this data centre checks out, and of those it returns.
+//! Selects the pending tasks that this data centre checks out, and the checked-out tasks that it
+//! returns.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -16,14 +17,14 @@
 /// The longest that a data centre of another region waits because of `region_bytes`.
 const MAX_REGION_WAIT: Duration = Duration::from_secs(600);
 
-/// What may still be checked out.
+/// How much may still be checked out.
 #[derive(Debug)]
 struct CheckoutBudget {
-    /// Free capacity that no checked-out task is going to use.
+    /// Free capacity that remains after all waiting checked-out tasks are placed.
     free_capacity: Resources,
     /// The number of tasks beyond the free capacity, as work for an outage of the log.
     reserve: u32,
-    /// The same for urgent work, which may evict other tasks.
+    /// The number of urgent tasks beyond the free capacity; they may evict other tasks.
     urgent_reserve: u32,
 }
 
@@ -44,9 +45,10 @@
 }
 
 impl Holder {
-    /// Requests checkouts of pending tasks that there is capacity for, and of a small reserve.
+    /// Requests checkouts of pending tasks for which there is free capacity, and of a small
+    /// reserve.
     ///
-    /// The reserve is the work that is still started while the log is down.
+    /// The tasks in the reserve can be started while the log is down.
     pub(crate) fn check_out_pending(&mut self, now: Instant) {
         if !self.log_reachable || !self.is_ready() {
             return;
@@ -145,7 +147,8 @@
         }
     }
 
-    /// Recorded once and kept, since the search for the smallest shortfall visits every worker.
+    /// Records why no worker can fit a job's tasks. This is recorded once per size, since the
+    /// search for the smallest shortfall visits every worker.
     fn note_never_fits(&mut self, now: Instant, id: JobId, size: Resources) {
         let is_noted =
             self.jobs.get(&id).and_then(|job| job.wait_reason.as_ref()).is_some_and(|wait| {
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Returns how long the data centres before this one have to check a task out.
+    /// Returns how long this data centre leaves a task to the data centres that precede it.
     ///
     /// A data centre in another region than the job's data waits in addition for the time that
     /// the transfer of `region_bytes` would take at the rate that the policy allows: for that
@@ -238,8 +241,8 @@
         tasks
     }
 
-    /// Returns tasks that found no capacity for a while, so that other data centres may check
-    /// them out.
+    /// Returns tasks that found no capacity for `return_after` to the ledger, so that other data
+    /// centres may check them out.
     pub(crate) fn return_unplaced(&mut self, now: Instant) {
         if self.options.data_centres.len() < 2 || !self.log_reachable {
             return;
--- a/daisy-placement/src/control.rs
+++ b/daisy-placement/src/control.rs
@@ -1,4 +1,5 @@
-//! Reactions to usage reports: learning interference, throttling batch work, relieving services.
+//! Processes usage reports: learns interference, throttles batch work, and evicts it where
+//! throttling does not help the services.
 
 use std::time::Duration;
 
@@ -16,9 +17,10 @@
 
 /// The assumed delay of usage reports.
 const REPORT_LAG: Duration = Duration::from_secs(6);
-/// The interval between two reports of a worker that interference is learnt from.
+/// The minimum interval between two reports of one worker from which interference is learned.
 const LEARN_INTERVAL: Duration = Duration::from_secs(5);
-/// The slowdown from which a task counts as noisy for the services beside it, in thousandths.
+/// The minimum slowdown, in thousandths, with which a task is treated as noisy for the services
+/// beside it.
 pub(crate) const NOISY_SLOWDOWN: f32 = 40.0;
 /// The interval between two evictions for interference on one worker: the effect of the first
 /// one shows only after this time.
@@ -88,8 +90,8 @@
             }
         }
         let Some(worker) = self.roster.get(key) else { return };
-        // The report describes the neighbours at the time of measurement. Neighbours that came
-        // since would be blamed for the slowdown, and those that left since would not.
+        // The report describes the neighbours at the time of measurement. Otherwise the slowdown
+        // would be attributed to neighbours that arrived since, and not to those that left.
         let Some((at, weights)) = worker.load_history.front() else { return };
         if now < *at + REPORT_LAG {
             return;
@@ -158,7 +160,7 @@
     /// Orders a share for the tasks of a worker that may be delayed, or only for those of
     /// `only_families` if given; the others get their full share.
     ///
-    /// Throttling a neighbour that disturbs no service would cost its work and help nobody.
+    /// Throttling a neighbour that slows no service would delay its work without any benefit.
     fn set_share(
         &mut self,
         now: Instant,
@@ -244,7 +246,8 @@
     services.iter().map(|victim| interference.slowdown_of_one(*victim, family)).sum()
 }
 
-/// Returns the families beside one task of the family `own`.
+/// Returns the weights of the families beside one task of the family `own`, without that task
+/// itself.
 fn neighbours(weights: &[(JobFamily, f32)], own: JobFamily) -> Vec<(JobFamily, f32)> {
     let without_itself = |(family, weight): &(JobFamily, f32)| {
         let weight = if *family == own { (weight - 1.0).max(0.0) } else { *weight };
--- a/daisy-placement/src/evacuate.rs
+++ b/daisy-placement/src/evacuate.rs
@@ -13,9 +13,9 @@
 
 /// How long a replica gets no requests before it is stopped.
 ///
-/// The users require that a leaving backend server gets no new request after a few seconds;
-/// requests in flight then have the same time again to finish.
-const QUIET: Duration = Duration::from_secs(5);
+/// A leaving backend server must get no new request after a few seconds; requests in flight then
+/// have equally long to finish.
+const UNROUTED_DURATION: Duration = Duration::from_secs(5);
 
 impl Holder {
     /// Moves tasks off VMs that take no more work, as far as they may be moved.
@@ -65,13 +65,13 @@
         }
         let Some(size) = self.local(task).map(|local| local.ledger.size) else { return };
         let mut found = Vec::new();
-        self.roster.find(size, 1, &mut found);
+        self.roster.find_candidates(size, 1, &mut found);
         if found.is_empty() {
             return;
         }
         if let Some(allocation) = self.worker_mut(key).and_then(|it| it.allocations.get_mut(&task))
         {
-            allocation.removal = Removal::Unrouted { stop_at: now + QUIET };
+            allocation.removal = Removal::Unrouted { stop_at: now + UNROUTED_DURATION };
         }
     }
 
@@ -95,7 +95,7 @@
         self.checkpoint(key, task);
     }
 
-    /// Orders a task to be checkpointed and stopped; it resumes once that is recorded.
+    /// Orders a task to be checkpointed and stopped; it resumes once the ledger shows its end.
     pub(crate) fn checkpoint(&mut self, key: WorkerKey, task: TaskId) {
         self.order_removal(key, task, |incarnation| Order::Checkpoint { task, incarnation });
     }
--- a/daisy-placement/src/fault.rs
+++ b/daisy-placement/src/fault.rs
@@ -14,10 +14,10 @@
 const FAILURES_TO_QUARANTINE: u32 = 3;
 /// The duration of a worker's first quarantine; it doubles with each further one.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(10);
-/// The most doublings of the quarantine, which bound it to a little over ten minutes (640 s)
-/// before the random part.
+/// The maximum number of doublings of the quarantine, which bound it to 640 s before the random
+/// addition.
 const MAX_QUARANTINE_DOUBLINGS: u32 = 6;
-/// At most one in this many workers is quarantined. When more fail, the cause lies elsewhere,
+/// At most one in this many workers is quarantined. If more workers fail, they are not the cause,
 /// and quarantining all of them would stop all work.
 const QUARANTINE_DIVISOR: usize = 4;
 /// The run time of a task after which its worker is considered healthy.
@@ -123,15 +123,15 @@
     /// Clears the failures of a worker that has run a task for long enough.
     pub(crate) fn clear_suspect(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.roster.get(key).filter(|it| it.faults.is_suspect()) else { return };
-        let proof = worker.allocations.iter().find(|(_, allocation)| {
+        let long_run = worker.allocations.iter().find(|(_, allocation)| {
             allocation.state == AllocationState::Running
                 && now >= allocation.since + HEALTHY_RUN_TIME
         });
         // While a quarantined worker is probed, tasks that ran before prove nothing: only the
         // probe clears it.
-        let is_probe = worker.faults.probing;
-        if let Some((task, allocation)) = proof
-            && (!is_probe || now < allocation.since + 3 * HEALTHY_RUN_TIME)
+        let is_probing = worker.faults.probing;
+        if let Some((task, allocation)) = long_run
+            && (!is_probing || now < allocation.since + 3 * HEALTHY_RUN_TIME)
         {
             let job = task.job;
             self.note_success(key, job);
--- a/daisy-placement/src/holder.rs
+++ b/daisy-placement/src/holder.rs
@@ -49,7 +49,8 @@
         /// Whether the call may have reached the worker.
         sent: bool,
     },
-    /// Whether the log accepts appends; assumed to be so until the first such event.
+    /// Whether the log accepts appends; it is assumed to accept them until the first event of this
+    /// kind.
     Log {
         /// Whether the last append was answered.
         reachable: bool,
@@ -74,8 +75,8 @@
     },
 }
 
-/// The interval between checks of what changes slowly, such as leaving and lost VMs and tasks to
-/// return.
+/// The interval between checks of slowly changing state: for example leaving and lost VMs, and
+/// tasks to return.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long new work is packed after a task found no capacity.
@@ -95,7 +96,7 @@
     pub(crate) roster: Roster,
     /// Jobs with tasks that have not ended.
     pub(crate) jobs: SortedMap<JobId, JobView>,
-    /// The reasons of tasks whose jobs are over, oldest first.
+    /// The recorded reasons of tasks whose jobs are over, oldest first.
     pub(crate) retired: VecDeque<(TaskId, Notes)>,
     /// All jobs below this id have been added.
     pub(crate) next_job: JobId,
@@ -104,7 +105,7 @@
     pub(crate) outbox: Outbox,
     /// Whether capacity or work has changed since the last placement.
     pub(crate) placement_due: bool,
-    /// Jobs with waiting tasks, in the order in which they are served.
+    /// Jobs with waiting tasks, in the order in which their tasks are placed.
     pub(crate) queue: Vec<QueueEntry>,
     /// Tasks checked out under earlier epochs that may run on an unknown worker.
     pub(crate) inherited: Vec<TaskId>,
--- a/daisy-placement/src/index.rs
+++ b/daisy-placement/src/index.rs
@@ -18,7 +18,8 @@
 }
 
 impl FreeIndex {
-    /// Sets the free capacity of a slot. A slot with none is found only by searches for nothing.
+    /// Sets the free capacity of a slot. A slot without any is found only by a search for a size of
+    /// zero.
     pub(crate) fn set(&mut self, slot: usize, free: Resources) {
         if slot >= self.width {
             self.grow(slot + 1);
@@ -48,7 +49,7 @@
     }
 
     /// Whether some slot has free capacity for `size`.
-    pub(crate) fn has(&self, size: Resources) -> bool {
+    pub(crate) fn has_fitting(&self, size: Resources) -> bool {
         let mut found = Vec::new();
         self.find(size, 0, 1, &mut found);
         !found.is_empty()
--- a/daisy-placement/src/inherit.rs
+++ b/daisy-placement/src/inherit.rs
@@ -80,8 +80,8 @@
         let Phase::Inherited { .. } = local.phase else { return None };
         let is_restartable = self.jobs.get(&task.job).is_some_and(|job| job.spec.restartable);
         Some(match local.try_recorded_vm() {
-            // Such a start is recorded before it is ordered: without a record there was no
-            // start.
+            // A start of a task that is not restartable is recorded before it is ordered: without a
+            // record there was no start.
             None if !is_restartable => InheritedOutcome::NeverStarted,
             None if are_all_workers_known => InheritedOutcome::Unknown,
             None => InheritedOutcome::Blocked,
@@ -90,8 +90,8 @@
         })
     }
 
-    /// Whether a worker can no longer run a task that an earlier epoch started there unknown to
-    /// this holder.
+    /// Whether a worker can no longer run a task that an earlier epoch started on it and that this
+    /// holder does not know.
     fn is_accounted_for(&self, now: Instant, vm: VmId) -> bool {
         match self.roster.try_key(vm).and_then(|key| self.roster.get(key)) {
             Some(worker) if worker.has_answered => true,
@@ -118,8 +118,7 @@
         self.roster.vm_list_at().is_some_and(|at| at >= first_step_at + self.lost_vm_wait())
     }
 
-    /// Whether a VM has been missing from the list for longer than any lease it was given can
-    /// last.
+    /// Whether a VM has been missing from the list for longer than any lease that it was granted.
     ///
     /// Until then its tasks may still run, and starting them elsewhere would run them in two
     /// places. The lease is counted from the last call that may have reached the VM.
--- a/daisy-placement/src/interference.rs
+++ b/daisy-placement/src/interference.rs
@@ -6,16 +6,16 @@
 
 use crate::job_family::JobFamily;
 
-/// What is learnt about a pair of families.
+/// The learned slowdown of one family by another.
 #[derive(Debug, Clone, Copy)]
 struct Pair {
     /// The slowdown that one neighbour adds, in thousandths.
     added: f32,
-    /// The number of the last sample that this pair was learnt from.
+    /// The number of the last sample from which this pair was learned.
     last_sample: u32,
 }
 
-/// The learnt slowdowns by pair of families, bounded in number.
+/// The learned slowdowns by pair of families, bounded in number.
 ///
 /// A task's slowdown is modelled as the sum of what its neighbours add, and each sample's error
 /// is distributed over the neighbours present (normalised least mean squares). The real slowdown
@@ -27,7 +27,7 @@
 }
 
 impl Interference {
-    /// The maximum number of pairs; those not learnt from for longest are forgotten first.
+    /// The maximum number of pairs; those with the oldest last sample are removed first.
     pub const MAX_PAIRS: usize = 4_096;
     /// The learning rate when more slowdown is observed than expected.
     ///
@@ -36,8 +36,8 @@
     const RISE_RATE: f32 = 0.1;
     /// The learning rate when less slowdown is observed than expected.
     const FALL_RATE: f32 = 0.02;
-    /// Samples with less neighbour weight than this are ignored: strongly throttled neighbours
-    /// show nothing.
+    /// Samples with less neighbour weight than this are ignored: strongly throttled neighbours give
+    /// no information.
     const MIN_POWER: f32 = 0.05;
     /// The least slowdown of a pair: no neighbour makes a task faster.
     const MIN_SLOWDOWN: f32 = 0.0;
@@ -74,10 +74,10 @@
         }
     }
 
-    /// Reduces all learnt slowdowns for the time `elapsed` since the last call.
+    /// Reduces all learned slowdowns for the time `elapsed` since the last call.
     ///
-    /// Throttled work shows nothing new about itself. Without this, a family that was blamed
-    /// wrongly once would stay throttled for ever.
+    /// Throttled work gives no new information on its interference. Without the decay, a family
+    /// that was once treated as noisy by mistake would stay throttled for ever.
     pub fn decay(&mut self, elapsed: Duration) {
         let remaining = 0.5_f32.powf(elapsed.as_secs_f32() / Interference::HALF_LIFE_SECONDS);
         for (_, pair) in self.pairs.iter_mut() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The half-life of what was learnt, in seconds: longer than a burst of noise and the pause
+    /// The half-life of learned slowdowns, in seconds: longer than a burst of noise and the pause
     /// after it.
     const HALF_LIFE_SECONDS: f32 = 300.0;
 
@@ -117,7 +117,7 @@
         self.pairs.insert((victim, neighbour), Pair { added, last_sample });
     }
 
-    /// Forgets the older half of the pairs, so that one search serves many insertions.
+    /// Removes the older half of the pairs, so that one search makes space for many insertions.
     fn forget_oldest(&mut self) {
         let mut ages: Vec<u32> = self.pairs.iter().map(|(_, pair)| pair.last_sample).collect();
         ages.sort_unstable();
--- a/daisy-placement/src/job.rs
+++ b/daisy-placement/src/job.rs
@@ -73,7 +73,7 @@
             measured: MeasuredUsage::default(),
             known_since: now,
             wait_reason: None,
-            preferred: preferred(&job.spec.data_centres, options),
+            preferred: preferred_data_centres(&job.spec.data_centres, options),
         }
     }
 
@@ -81,7 +81,7 @@
     pub(crate) fn apply_change(&mut self, now: Instant, spec: &JobSpec, options: &Options) {
         self.known_since = now;
         self.spec = spec.clone();
-        self.preferred = preferred(&spec.data_centres, options);
+        self.preferred = preferred_data_centres(&spec.data_centres, options);
     }
 
     /// Returns the tasks that need an update for the ledger's newest state `job`.
@@ -129,14 +129,15 @@
     /// Returns the number of data centres that precede `dc` for a task, or `None` if `dc` may
     /// not run it.
     ///
-    /// The replicas of a service rotate over their data centres, so that a lost data centre
-    /// takes only its share of them. Batch work without declared data centres rotates as well.
+    /// The replicas of a service rotate over their data centres, so that the loss of one data
+    /// centre ends only its share of the replicas. Batch work without declared data centres rotates
+    /// as well.
     pub(crate) fn try_rank(&self, index: u32, dc: DcId) -> Option<u32> {
         let Some(preferred) = &self.preferred else { return Some(0) };
         let count = preferred.len();
         let position = preferred.iter().position(|it| *it == dc)?;
-        let in_turn = self.is_service() || self.spec.data_centres.is_empty();
-        let first = if in_turn { (index as usize + self.rotation()) % count } else { 0 };
+        let rotates = self.is_service() || self.spec.data_centres.is_empty();
+        let first = if rotates { (index as usize + self.rotation()) % count } else { 0 };
         Some(((position + count - first) % count) as u32)
     }
 
@@ -152,7 +153,7 @@
     }
 }
 
-fn preferred(names: &[Name], options: &Options) -> Option<Vec<DcId>> {
+fn preferred_data_centres(names: &[Name], options: &Options) -> Option<Vec<DcId>> {
     let all = &options.data_centres;
     if all.is_empty() {
         return None;
--- a/daisy-placement/src/job_family.rs
+++ b/daisy-placement/src/job_family.rs
@@ -1,7 +1,8 @@
 //! Families of jobs: jobs whose names differ only in their trailing number.
 //!
-//! `renders-20261203` and `renders-20261204` are one family, so that what was learnt about one
-//! applies to the next. Jobs come and go too fast to learn about each one alone.
+//! `renders-20261203` and `renders-20261204` are one family, so that the interference learned for
+//! one job applies to the next. Single jobs do not run long enough to learn from each of them
+//! alone.
 
 use daisy_model::{JobKind, JobSpec, SortedMap};
 
--- a/daisy-placement/src/lease_renewer.rs
+++ b/daisy-placement/src/lease_renewer.rs
@@ -37,20 +37,20 @@
 /// Renews the leases of a data centre's workers under its last known epoch, and does nothing
 /// else.
 ///
-/// An entry VM runs one while the holder of its data centre does not answer and nobody can claim
-/// the data centre because the log is down. Its calls carry no orders, so it decides nothing:
-/// running tasks go on, and none is started, stopped or moved.
+/// An entry VM runs a lease renewer while the holder of its data centre does not answer and nobody
+/// can claim the data centre because the log is down. Its calls carry no orders, so it decides
+/// nothing: running tasks go on, and none is started, stopped or moved.
 ///
 /// # Why renewals are not bounded in time
 ///
 /// A lease ends the work on an unreachable VM so that the work may start elsewhere. A renewal is
-/// therefore safe as long as nobody starts the work elsewhere only because time has passed.
-/// Nobody does: a new holder starts a task again only if its worker has answered the new epoch,
-/// which fences every earlier one, or if the platform's list has dropped the VM and a lease and
-/// a margin have passed since. So an old holder or a lease renewer may renew for as long as the
-/// log is unreachable: a shop that is cut off from the platform for an hour keeps its checkout.
-/// Bounded renewals were considered and rejected: at the bound all services of a data centre
-/// would end at once, at a time when nobody can start them again.
+/// therefore safe as long as nobody starts the work elsewhere only because time has passed. Nobody
+/// does: a new holder starts a task again only if its worker has answered the new epoch, which
+/// fences every earlier one, or if the platform's list has dropped the VM and a lease and a margin
+/// have passed since. So an old holder or a lease renewer may renew for as long as the log is
+/// unreachable: for example, a store that is cut off from the platform for an hour keeps its
+/// point-of-sale service. Bounded renewals were considered and rejected: at the bound all services
+/// of a data centre would end at once, at a time when nobody can start them again.
 ///
 /// One case remains: a VM that the list drops while it still runs, cut off together with an old
 /// holder or lease renewer that still renews its lease. The platform guarantees that a VM
@@ -85,7 +85,7 @@
             LeaseRenewerEvent::Vms(vms) => self.handle_vm_list(now, vms),
             LeaseRenewerEvent::Report { vm, epoch } => self.handle_report(now, vm, epoch),
             LeaseRenewerEvent::CallFailed { vm } => {
-                self.answered(vm, now + self.options.limits.retry_interval)
+                self.end_call(vm, now + self.options.limits.retry_interval)
             }
             LeaseRenewerEvent::Tick => {}
         }
@@ -96,8 +96,8 @@
 
     fn handle_vm_list(&mut self, now: Instant, vms: &[Vm]) {
         let dc = self.options.dc;
-        let ours = |vm: &&Vm| vm.role == VmRole::Worker && vm.dc == dc;
-        let mut listed: Vec<VmId> = vms.iter().filter(ours).map(|vm| vm.id).collect();
+        let is_ours = |vm: &&Vm| vm.role == VmRole::Worker && vm.dc == dc;
+        let mut listed: Vec<VmId> = vms.iter().filter(is_ours).map(|vm| vm.id).collect();
         listed.sort_unstable();
         self.workers.retain(|vm, _| listed.binary_search(vm).is_ok());
         for vm in listed {
@@ -110,10 +110,10 @@
         // A higher epoch belongs to a newer holder, which renews the leases itself; calls under
         // the old epoch would only be rejected.
         self.ended |= epoch > self.options.epoch;
-        self.answered(vm, now + self.period());
+        self.end_call(vm, now + self.renewal_interval());
     }
 
-    fn answered(&mut self, vm: VmId, next_call_at: Instant) {
+    fn end_call(&mut self, vm: VmId, next_call_at: Instant) {
         if let Some(renewal) = self.workers.get_mut(&vm) {
             *renewal = Renewal { next_call_at, is_outstanding: false };
         }
@@ -131,7 +131,7 @@
         }
     }
 
-    fn period(&self) -> Duration {
+    fn renewal_interval(&self) -> Duration {
         self.options.lease / LeaseRenewer::CALLS_PER_LEASE
     }
 }
--- a/daisy-placement/src/ledger_updates.rs
+++ b/daisy-placement/src/ledger_updates.rs
@@ -11,8 +11,8 @@
     worker::{Removal, WorkerKey},
 };
 
-/// The number of tasks of finished jobs whose reasons are kept: some minutes' worth at 62 ends a
-/// second (the users' size plan).
+/// The maximum number of tasks of finished jobs whose reasons are retained: those of about four
+/// minutes at the planned load of 62 ended tasks per second.
 const MAX_RETIRED_TASKS: usize = 16_384;
 
 impl Holder {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Removes a finished job and keeps the reasons of its tasks for a while.
+    /// Removes a finished job and retains the reasons of its tasks for a while.
     fn retire_job(&mut self, id: JobId) {
         let Some(view) = self.jobs.remove(&id) else { return };
         for (index, local) in (0_u32..).zip(view.tasks) {
@@ -257,7 +257,8 @@
         self.roster.mark_for_call(key);
     }
 
-    /// Stops a start that is on its way, or cancels it if no call has carried it yet.
+    /// Orders the stop of a task whose start was sent, or withdraws the start if no call has
+    /// carried it yet.
     fn cancel_start(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let Some(worker) = self.worker_mut(key) else { return };
         let is_unsent =
--- a/daisy-placement/src/lib.rs
+++ b/daisy-placement/src/lib.rs
@@ -5,9 +5,9 @@
 //! leases, and does nothing else, while a data centre has no holder that can act.
 //!
 //! A holder first calls each worker with only its epoch and reads what runs there. It checks
-//! pending tasks out through the log, starts them on the best of a few workers with free
-//! capacity, and records where they run and how they end. An exit report is acknowledged only
-//! after the ledger shows the end. A start that may have taken effect is treated as if it had
+//! pending tasks out through the log, starts them on the best of a few workers with free capacity,
+//! and records where they run and how they end. An exit report is acknowledged only after the
+//! ledger shows the end. A start whose outcome is unknown is treated as if it had taken effect
 //! until the worker reports otherwise.
 
 #![deny(missing_docs, unsafe_code)]
--- a/daisy-placement/src/options.rs
+++ b/daisy-placement/src/options.rs
@@ -55,7 +55,7 @@
     pub lost_vm_margin: Duration,
     /// The time, per rank of preference, before the next data centre checks a pending task out.
     pub fallback_delay: Duration,
-    /// The same for urgent and critical work, which must start within 3.5 s in total.
+    /// The `fallback_delay` of urgent and critical work, which must start within 3.5 s in total.
     pub urgent_fallback_delay: Duration,
     /// The time before a checked-out task that found no capacity is returned.
     pub return_after: Duration,
--- a/daisy-placement/src/place.rs
+++ b/daisy-placement/src/place.rs
@@ -18,13 +18,13 @@
 /// The share of a task that is not throttled, in thousandths.
 pub(crate) const FULL_SHARE: u32 = 1000;
 
-/// The longest that a task waits for a worker where it disturbs the services less.
+/// The maximum time that a task waits for a worker on which it slows services less.
 const MAX_INTERFERENCE_WAIT: Duration = Duration::from_secs(30);
 
 /// The interval between two attempts to place deferred work.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A position in the queue: urgent work first, then the older job.
+/// An entry of the queue: jobs of higher priority first, then older jobs.
 pub(crate) type QueueEntry = (Reverse<Priority>, JobId);
 
 impl Holder {
@@ -37,7 +37,7 @@
         for (_, id) in &queue {
             self.place_job(now, *id);
         }
-        // Jobs whose tasks came back to the queue meanwhile are in a new queue.
+        // Jobs whose tasks returned to the queue meanwhile are in the new `self.queue`.
         let added = std::mem::replace(&mut self.queue, queue);
         for queue_entry in added {
             if let Err(at) = self.queue.binary_search(&queue_entry) {
@@ -51,7 +51,7 @@
     fn place_job(&mut self, now: Instant, id: JobId) {
         while let Some(index) = self.try_next_task(now, id) {
             let task = TaskId { job: id, index };
-            match self.choose(now, task) {
+            match self.choose_worker(now, task) {
                 Some(key) => {
                     self.dequeue_front(id);
                     self.start(now, key, task, AllocationState::Queued);
@@ -92,10 +92,10 @@
     }
 
     /// Chooses the best of a few workers with free capacity.
-    fn choose(&mut self, now: Instant, task: TaskId) -> Option<WorkerKey> {
+    fn choose_worker(&mut self, now: Instant, task: TaskId) -> Option<WorkerKey> {
         let size = self.start_size(task)?;
         let mut found = Vec::new();
-        self.roster.find(size, self.options.limits.candidates, &mut found);
+        self.roster.find_candidates(size, self.options.limits.candidates, &mut found);
         let considered = found.len();
         let racks = self.replicas_per_rack(task.job);
         let job = self.jobs.get(&task.job)?;
@@ -109,10 +109,12 @@
         Some(best)
     }
 
-    /// Whether a task that may be delayed should leave its place to less noisy work for now.
+    /// Whether a task that may be delayed should leave the free capacity to less noisy work for
+    /// now.
     ///
-    /// On a full cluster capacity becomes free on one worker at a time, so the only choice is
-    /// which task takes it. Noisy work would gather wherever capacity happens to become free.
+    /// On a full cluster capacity becomes free on one worker at a time, so the only choice is which
+    /// task takes it. Without deferring, noisy work would gather wherever capacity happens to
+    /// become free.
     fn should_defer(&self, now: Instant, task: TaskId, key: WorkerKey) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let Some(worker) = self.roster.get(key) else { return false };
@@ -184,21 +186,22 @@
         self.roster.reindex(key);
     }
 
-    /// Orders a start whose placement the ledger now shows, or appends a lost record again.
+    /// Orders a start once the ledger shows its placement, or appends the record again if it was
+    /// lost.
     pub(crate) fn start_recorded(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let resend_after = self.options.limits.resend_after;
         let Some(local) = self.local(task) else { return };
         let is_lost = local.placement_recorded_at.is_some_and(|at| now >= at + resend_after);
         let incarnation = local.incarnation;
         let checkpoint = local.ledger.checkpoint;
-        let shown = (local.ledger.incarnation, local.ledger.vm);
+        let recorded = (local.ledger.incarnation, local.ledger.vm);
         let Some(worker) = self.roster.get_mut(key) else { return };
         let vm = worker.id;
         let Some(allocation) = worker.allocations.get_mut(&task) else { return };
         if allocation.state != AllocationState::AwaitingRecord {
             return;
         }
-        if shown != (incarnation, Some(vm)) {
+        if recorded != (incarnation, Some(vm)) {
             if is_lost {
                 self.record_start(now, task, incarnation, vm);
             }
@@ -276,7 +279,7 @@
     }
 }
 
-/// Returns what `available` is missing for `size`.
+/// Returns the resources that `available` lacks for `size`.
 fn missing_resources(size: Resources, available: Resources) -> Resources {
     Resources {
         cpu_milli: size.cpu_milli.saturating_sub(available.cpu_milli),
@@ -297,9 +300,9 @@
 ///
 /// Restartable work starts at once and is recorded afterwards. Work that must not run again when
 /// its outcome is unknown is recorded first: otherwise a new holder could not distinguish a task
-/// that never started from one that ran on a lost VM. An incarnation other than the one after
-/// the last ended incarnation is recorded first as well: a new holder assumes that only that one
-/// was started, and would use a later number a second time.
+/// that never started from one that ran on a lost VM. An incarnation other than the one after the
+/// last ended incarnation is recorded first as well: a new holder assumes that only the incarnation
+/// after the last ended one was started, and would use a later number a second time.
 fn must_record_first(local: &LocalTask, is_restartable: bool) -> bool {
     !is_restartable || local.next_incarnation() != local.ledger.next_incarnation()
 }
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -7,12 +7,12 @@
 /// The name of a VM, shared by all reasons that mention it.
 pub type VmLabel = Arc<str>;
 
-/// The worker that came closest to fitting a task, and what it was missing.
+/// The worker with the smallest shortfall for a task, and the resources that it lacks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shortfall {
     /// The worker.
     pub vm: VmLabel,
-    /// The resources that it was missing.
+    /// The resources that it lacks.
     pub missing: Resources,
 }
 
@@ -156,8 +156,8 @@
         /// How the task ended.
         exit: Exit,
     },
-    /// The task is stopped because its job no longer needs it, or because another copy is
-    /// recorded.
+    /// The task is stopped because its job no longer needs it, or because the ledger shows another
+    /// copy of it.
     Stopped {
         /// The worker.
         vm: VmLabel,
@@ -217,7 +217,7 @@
         match self {
             Reason::NotRunning(wait) => write!(f, "waits: {wait}"),
             Reason::CheckedOut => f.write_str("checked out by this data centre"),
-            Reason::Returned => f.write_str("given back: no room here for a while"),
+            Reason::Returned => f.write_str("returned: no free capacity here for a while"),
             Reason::Placed { vm, considered } => {
                 write!(f, "placed on {vm}, the best of {considered} workers with room")
             }
--- a/daisy-placement/src/records.rs
+++ b/daisy-placement/src/records.rs
@@ -10,7 +10,7 @@
 
 /// Records that the ledger does not show yet.
 ///
-/// Each list is bounded by the number of tasks that the holder has.
+/// The length of each list is at most the number of tasks that the holder has.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     pub placed: Vec<Placement>,
--- a/daisy-placement/src/reports.rs
+++ b/daisy-placement/src/reports.rs
@@ -16,7 +16,7 @@
     worker::{Allocation, AllocationState, Class, Removal, WorkerKey},
 };
 
-/// A task that ends with an error within this time may have failed because of its worker.
+/// If a task fails within this time after its start, its worker may be the cause.
 const EARLY_FAILURE_LIMIT: Duration = Duration::from_secs(10);
 
 impl Holder {
@@ -107,8 +107,8 @@
                 self.mark_confirmed(key, task);
             }
         } else if self.local(task).is_some() || task.job < self.next_job {
-            // The task runs where the ledger does not have it, because a start arrived late or a
-            // record was lost. One of the two copies must end, and the recorded one stays.
+            // The ledger does not show the task on this worker, because a start arrived late or a
+            // record was lost. Of the two possible copies, the one in the ledger stays.
             self.stop(key, task);
         }
     }
@@ -149,7 +149,7 @@
     ) {
         let Ended { task, incarnation, exit } = *ended;
         let Some(local) = self.local(task) else {
-            // An unknown job with a known id is over, and its end is recorded.
+            // A job below `next_job` that is not in `jobs` is over, and the ledger shows its end.
             if task.job < self.next_job {
                 self.acknowledge(Some(key), task, incarnation);
             }
@@ -170,7 +170,7 @@
         self.record_end(now, task);
     }
 
-    /// Learns from an exit whether the worker works, and how long the job's tasks run.
+    /// Updates from an exit whether the worker is healthy and how long the job's tasks run.
     fn learn_from_exit(
         &mut self,
         now: Instant,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Decides on the earlier allocations that the report does not show as running.
+    /// Handles the earlier allocations that the report does not show as running.
     fn resolve_unreported(
         &mut self,
         now: Instant,
@@ -219,7 +219,8 @@
         }
     }
 
-    /// Decides on a start by the result that the worker reported for it.
+    /// Handles a start that the report does not show as running, by the result that the worker
+    /// reported for it.
     fn resolve_start(
         &mut self,
         now: Instant,
@@ -244,8 +245,8 @@
             }
             (Some(result @ (OrderResult::NoRoom | OrderResult::Failed)), _) => {
                 self.note_rejected_start(now, key, task, result);
-                // A copy of the lost call may still arrive, so the incarnation must be stopped
-                // for good before the task may start elsewhere.
+                // The call that got no answer may still arrive late, so the incarnation must be
+                // stopped before the task may start elsewhere.
                 if let Some(worker) = self.worker_mut(key) {
                     worker.allocate(task, *allocation);
                 }
@@ -274,7 +275,8 @@
         }
     }
 
-    /// Ends a task that its worker neither runs nor has an exit report of, with unknown outcome.
+    /// Ends a task with an unknown outcome: its worker neither runs it nor has an exit report of
+    /// it.
     fn end_vanished(&mut self, now: Instant, key: WorkerKey, task: TaskId) {
         let Some(local) = self.local_mut(task) else { return };
         let is_present = matches!(local.phase,
--- a/daisy-placement/src/roster.rs
+++ b/daisy-placement/src/roster.rs
@@ -49,12 +49,12 @@
         self.vm_list_at
     }
 
-    /// Has a worker checked when the next calls are made.
+    /// Marks a worker to be checked when the next calls are made.
     pub(crate) fn mark_for_call(&mut self, key: WorkerKey) {
         self.marked_for_call.push(key);
     }
 
-    /// Has all workers checked when the next calls are made.
+    /// Marks all workers to be checked when the next calls are made.
     pub(crate) fn mark_all_for_call(&mut self) {
         self.marked_for_call = self.keys();
     }
@@ -96,12 +96,12 @@
 
     /// Whether some worker could fit `size` if nothing else ran there.
     pub(crate) fn can_ever_fit(&self, size: Resources) -> bool {
-        self.by_capacity.has(size)
+        self.by_capacity.has_fitting(size)
     }
 
     /// Whether some worker that takes new work has free capacity for `size`.
     pub(crate) fn has_free_capacity(&self, size: Resources) -> bool {
-        self.by_free.has(size)
+        self.by_free.has_fitting(size)
     }
 
     /// Returns the maximum of each resource over all workers' capacities.
@@ -126,8 +126,14 @@
 
     /// Finds up to `limit` workers with free capacity for `size`, starting at a random slot.
     ///
-    /// The random start spreads equal choices; the same seed gives the same choices.
-    pub(crate) fn find(&mut self, size: Resources, limit: usize, found: &mut Vec<WorkerKey>) {
+    /// The random start spreads the choice among equally suited workers; the same seed gives the
+    /// same choices.
+    pub(crate) fn find_candidates(
+        &mut self,
+        size: Resources,
+        limit: usize,
+        found: &mut Vec<WorkerKey>,
+    ) {
         let mut slots = Vec::with_capacity(limit);
         let start = self.rng.usize(..self.slots.len().max(1));
         self.by_free.find(size, start, limit, &mut slots);
--- a/daisy-placement/src/score.rs
+++ b/daisy-placement/src/score.rs
@@ -57,10 +57,11 @@
         cost
     }
 
-    /// Returns the interference of a start with services, in thousandths of slowdown squared.
+    /// Returns the interference of a start with services: the added squared slowdown, in
+    /// thousandths.
     ///
-    /// The square spreads noisy neighbours: a second one on a worker costs more than the first
-    /// one on another worker, since the tail latency is made where several meet.
+    /// The square spreads noisy neighbours: a second one on a worker costs more than the first one
+    /// on another worker, since workers with several noisy neighbours determine the tail latency.
     fn expected_interference(&self, job: &JobView, worker: &Worker) -> u64 {
         let square = |slowdown: u32| u64::from(slowdown) * u64::from(slowdown) / 1000;
         if job.is_service() {
@@ -117,7 +118,7 @@
     }
 }
 
-/// Returns what is left of a worker in thousandths, the mean of processors and memory.
+/// Returns the free fraction of a worker in thousandths, as the mean over processors and memory.
 fn free_fraction(rest: Resources, whole: Resources) -> u64 {
     let part = |rest: u32, whole: u32| u64::from(rest) * 500 / u64::from(whole.max(1));
     part(rest.cpu_milli, whole.cpu_milli) + part(rest.memory_mib, whole.memory_mib)
--- a/daisy-placement/src/task.rs
+++ b/daisy-placement/src/task.rs
@@ -18,9 +18,9 @@
     Inherited { since: Instant },
     /// Checked out and runs nowhere.
     Waiting { since: Instant },
-    /// Returned at `at`, which is not in the fold yet.
+    /// Returned by a record appended at `at`, which is not in the fold yet.
     Returned { at: Instant },
-    /// A start is on its way to a worker.
+    /// A start on a worker is ordered or about to be ordered.
     Starting { worker: WorkerKey },
     /// A worker reported the task as running.
     Running { worker: WorkerKey },
@@ -86,13 +86,13 @@
         if self.ledger.incarnation > self.ledger.ended { self.ledger.vm } else { None }
     }
 
-    /// Returns the incarnation of the next start, above all that may have started.
+    /// Returns the incarnation of the next start, higher than all that may have started.
     pub(crate) fn next_incarnation(&self) -> Incarnation {
         let last = self.incarnation.max(self.ledger.incarnation).max(self.ledger.ended);
         Incarnation(last.0.saturating_add(1))
     }
 
-    /// Returns the worker that runs the task or keeps an exit report of it.
+    /// Returns the worker on which the task starts or runs, or that has an exit report of it.
     pub(crate) fn try_worker(&self) -> Option<WorkerKey> {
         match self.phase {
             Phase::Starting { worker } | Phase::Running { worker } => Some(worker),
--- a/daisy-placement/src/throttle.rs
+++ b/daisy-placement/src/throttle.rs
@@ -30,9 +30,9 @@
 pub struct ThrottleControl {
     /// How the share follows the reports.
     pub rule: ThrottleRule,
-    /// Whether only the families known to be noisy are throttled, where there are any.
+    /// Whether only families known to be noisy are throttled, on workers that run any.
     pub interfering_only: bool,
-    /// The highest share of such families at any time.
+    /// The highest share of families known to be noisy.
     pub ceiling: Ceiling,
 }
 
@@ -95,7 +95,7 @@
     const BACKLOG_SCALE: f32 = 0.5;
 }
 
-/// What a worker reported, some seconds late.
+/// A worker's usage report, received some seconds after its measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UsageSignal {
     /// The slowdown of the worst service, in thousandths.
--- a/daisy-placement/src/usage.rs
+++ b/daisy-placement/src/usage.rs
@@ -15,7 +15,7 @@
 
 /// The number of samples before a declared size is corrected: a single report may describe a
 /// task's first second.
-const TRUSTED_SAMPLES: u32 = 3;
+const MIN_SAMPLES: u32 = 3;
 const CPU_SMOOTHING: f32 = 0.1;
 /// The margin above the highest measured memory, in percent: the next task may need a little
 /// more.
@@ -46,13 +46,12 @@
     /// measured.
     ///
     /// The size is never reduced. Memory that was not used yesterday may be used today, and a VM
-    /// that runs out of memory kills arbitrary processes. Overcommitted processors would be lent
-    /// to batch work at the cost of the services' tail latency when both need them. So a size
-    /// declared too large costs capacity, which the operator sees and corrects, and a size
-    /// declared too small is raised here. It is raised to `largest` at most, since otherwise the
-    /// task could never run.
+    /// that runs out of memory kills arbitrary processes. If processors were overcommitted to batch
+    /// work, services' tail latency would suffer whenever both need them. So a size declared too
+    /// large costs capacity, which the operator sees and corrects, and a size declared too small is
+    /// raised here. It is raised to `largest` at most, since otherwise the task could never run.
     pub(crate) fn corrected_size(&self, declared: Resources, largest: Resources) -> Resources {
-        if self.samples < TRUSTED_SAMPLES {
+        if self.samples < MIN_SAMPLES {
             return declared;
         }
         let peak = u64::from(self.memory_peak_mib) * (100 + MEMORY_MARGIN_PERCENT) / 100;
--- a/daisy-placement/src/view.rs
+++ b/daisy-placement/src/view.rs
@@ -15,7 +15,7 @@
 /// The state of a worker, as its holder sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// It takes new work.
+    /// It accepts new work.
     Open,
     /// It has not answered under this epoch.
     NeverAnswered,
@@ -55,13 +55,13 @@
 pub enum TaskStatus {
     /// It is checked out and runs nowhere yet.
     Waiting,
-    /// Its start is on the way.
+    /// Its start is ordered or about to be ordered.
     Starting,
     /// It runs.
     Running,
-    /// An earlier holder may have started it; it is blocked until that is known.
+    /// An earlier holder may have started it; it is not started until the outcome of that is known.
     Blocked,
-    /// It ended; the ledger does not show it yet.
+    /// It has ended, but the ledger does not show that yet.
     Ending,
 }
 
@@ -74,13 +74,14 @@
     pub status: TaskStatus,
     /// Its worker.
     pub vm: Option<VmId>,
-    /// Its incarnation, or that of the last start if it does not run.
+    /// Its incarnation, or the incarnation of its last start if it does not run.
     pub incarnation: Incarnation,
     /// Since when it waits or is blocked.
     pub since: Option<Instant>,
     /// Its share of its processors, in thousandths.
     pub share: u32,
-    /// The expected run time: measured on the job's tasks, or else as declared.
+    /// The expected run time: the mean measured on the job's tasks or, without measurements, the
+    /// declared one.
     pub run_time: Option<Duration>,
 }
 
@@ -93,7 +94,7 @@
     pub task: TaskId,
     /// Its worker.
     pub vm: VmId,
-    /// Whether it is about to stop: it should get no new requests.
+    /// Whether it is about to be stopped and must get no new requests.
     pub leaving: bool,
 }
 
@@ -151,8 +152,9 @@
         retired.map(|(_, notes)| notes.to_vec()).unwrap_or_default()
     }
 
-    /// Returns why jobs have tasks that no data centre has checked out: paused, over their
-    /// quota, another data centre first, or fitting on no worker, with the smallest shortfall.
+    /// Returns the jobs with tasks that no data centre has checked out, each with the reason: the
+    /// job is paused or over its team's quota, another data centre is preferred, or no worker fits
+    /// a task, in which case the smallest shortfall is included.
     pub fn waiting_jobs(&self) -> Vec<(JobId, TimedReason)> {
         let jobs = self.jobs.iter().filter(|(_, job)| !job.pending.is_empty());
         jobs.filter_map(|(id, job)| Some((*id, job.wait_reason.clone()?))).collect()
--- a/daisy-placement/src/worker.rs
+++ b/daisy-placement/src/worker.rs
@@ -13,7 +13,7 @@
     throttle::Throttle,
 };
 
-/// The slot of a worker.
+/// Index of a worker's slot in the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WorkerKey(u32);
 
@@ -62,13 +62,13 @@
     pub size: Resources,
     pub state: AllocationState,
     pub removal: Removal,
-    /// The share last ordered or reported, in thousandths.
+    /// The share of its processors that was last ordered or reported, in thousandths.
     pub share: u32,
     /// When the capacity was allocated.
     pub since: Instant,
     pub class: Class,
-    /// Whether the task was reported before and the ledger shows its placement, so that the next
-    /// report of it needs no check.
+    /// Whether the ledger shows the task's placement as the worker reported it, so that the next
+    /// report of the task needs no check.
     pub confirmed: bool,
 }
 
@@ -91,12 +91,12 @@
     NotPlanned,
     /// The task is out of the routes and is stopped at `stop_at`.
     Unrouted { stop_at: Instant },
-    /// A stop or checkpoint is ordered.
+    /// A stop or a checkpoint was ordered.
     Ordered,
 }
 
-/// What the job of a task allows, stored with the allocation so that a search for victims needs
-/// nothing else.
+/// The properties of a task's job that matter to placement, stored with the allocation so that a
+/// search for tasks to evict needs no look-up of jobs.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Class {
     pub family: JobFamily,
@@ -109,7 +109,8 @@
 }
 
 impl Class {
-    /// The class of a task whose job the ledger does not show any more: it must not be touched.
+    /// The class of a task whose job the ledger does not show any more: the task must be neither
+    /// throttled nor evicted.
     pub(crate) const UNKNOWN: Class = Class {
         family: JobFamily(0),
         priority: Priority::Critical,
@@ -145,7 +146,7 @@
     pub outstanding: Option<Outstanding>,
     /// Whether it has answered under this epoch.
     pub has_answered: bool,
-    /// Whether it answered the last call, which implies that it has answered under this epoch.
+    /// Whether it answered the last call under this epoch.
     pub is_responsive: bool,
     pub called_at: Option<Instant>,
     /// When it is called next, even without orders.
@@ -157,9 +158,10 @@
     pub families: Vec<(JobFamily, u32)>,
     /// No task is evicted for interference before this time.
     pub next_interference_eviction_at: Option<Instant>,
-    /// Nothing is learnt from usage reports before this time, since reports overlap.
+    /// Nothing is learned from usage reports before this time, since reports overlap.
     pub next_learn_at: Instant,
-    /// The weights of the families that ran here at the last reports, from the tasks' shares.
+    /// For recent reports, the weight of each family that ran on the worker: the sum of its tasks'
+    /// squared shares.
     pub load_history: VecDeque<(Instant, Vec<(JobFamily, f32)>)>,
 }
 
@@ -209,7 +211,7 @@
         self.notes.add(now, if is_live { Reason::Opened } else { Reason::Draining });
     }
 
-    /// Returns the free capacity; none if more is allocated than the worker has.
+    /// Returns the free capacity; zero if more is allocated than the worker has.
     pub(crate) fn free(&self) -> Resources {
         self.capacity.try_sub(self.allocated).unwrap_or(Resources::ZERO)
     }
@@ -218,10 +220,10 @@
     pub(crate) fn allocate(&mut self, task: TaskId, allocation: Allocation) {
         if let Some(old) = self.allocations.insert(task, allocation) {
             self.allocated = self.allocated.try_sub(old.size).unwrap_or(Resources::ZERO);
-            self.uncount(old.class.family);
+            self.remove_from_family(old.class.family);
         }
         self.allocated = saturating_add(self.allocated, allocation.size);
-        self.count(allocation.class.family);
+        self.add_to_family(allocation.class.family);
     }
 
     /// Resets the allocated sums before a report is applied.
@@ -230,7 +232,7 @@
         self.families.clear();
     }
 
-    /// Records the current load and drops entries older than `lag`, except the newest of them.
+    /// Records the current load and drops all entries older than `lag` but the newest of these.
     pub(crate) fn record_load(&mut self, now: Instant, lag: Duration) {
         let mut weights: Vec<(JobFamily, f32)> = Vec::with_capacity(self.families.len());
         for (_, allocation) in self
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Returns the allocated capacity without what is reserved until an eviction ends.
+    /// Returns the allocated capacity without that of tasks that await an eviction.
     pub(crate) fn allocated_without_awaiting(&self) -> Resources {
         let allocations = self
             .allocations
@@ -259,14 +261,14 @@
         allocations.map(|(_, allocation)| allocation.size).fold(Resources::ZERO, saturating_add)
     }
 
-    fn count(&mut self, family: JobFamily) {
+    fn add_to_family(&mut self, family: JobFamily) {
         match self.families.iter_mut().find(|(it, _)| *it == family) {
             Some((_, count)) => *count += 1,
             None => self.families.push((family, 1)),
         }
     }
 
-    fn uncount(&mut self, family: JobFamily) {
+    fn remove_from_family(&mut self, family: JobFamily) {
         let Some(at) = self.families.iter().position(|(it, _)| *it == family) else { return };
         self.families[at].1 -= 1;
         if self.families[at].1 == 0 {
@@ -278,7 +280,7 @@
     pub(crate) fn release(&mut self, task: TaskId) -> Option<Allocation> {
         let allocation = self.allocations.remove(&task)?;
         self.allocated = self.allocated.try_sub(allocation.size).unwrap_or(Resources::ZERO);
-        self.uncount(allocation.class.family);
+        self.remove_from_family(allocation.class.family);
         Some(allocation)
     }
 }
