--- a/daisy-measure/src/overload/drive.rs
+++ b/daisy-measure/src/overload/drive.rs
@@ -71,7 +71,7 @@
         let mut shards: Vec<Shard> = layout.all().map(|it| Shard::new(it, layout, rules)).collect();
         for (at, cores) in sizes.into_iter().enumerate() {
             let name = format!("worker-{at}");
-            let shard = usize::from(layout.of_worker(&name.as_str().into()).0);
+            let shard = usize::from(layout.shard_of_worker(&name.as_str().into()).0);
             shards[shard].workers.push(Worker::new(name, room(cores), rng.f64()));
         }
         let steps = arrivals
@@ -94,7 +94,7 @@
                 let id = JobId(it.id);
                 self.under_way.push((
                     self.now + APPEND,
-                    self.layout.of_job(id),
+                    self.layout.shard_of_job(id),
                     Record::Submitted(id, it.spec.clone()),
                 ));
                 next += 1;
@@ -119,7 +119,7 @@
         for it in &self.arrivals {
             if it.leaves.is_some_and(|at| at <= now && at > before) {
                 let id = JobId(it.id);
-                self.under_way.push((now, self.layout.of_job(id), Record::Cancelled(id)));
+                self.under_way.push((now, self.layout.shard_of_job(id), Record::Cancelled(id)));
             }
         }
     }
--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -47,7 +47,7 @@
     events: mpsc::UnboundedSender<Event>,
 ) {
     let layout = shared.lock().directory.layout();
-    let here = |id: &str| layout.is_some_and(|it| it.of_worker(&id.into()) == shard);
+    let here = |id: &str| layout.is_some_and(|it| it.shard_of_worker(&id.into()) == shard);
     let mut tail = Tail::new(store, Topic::Workers);
     let mut listed: SortedMap<String, Arc<WorkerListing>> = SortedMap::new();
     let mut unreadable = SortedMap::new();
--- a/daisy-node/src/shared.rs
+++ b/daisy-node/src/shared.rs
@@ -62,7 +62,7 @@
             self.accepted.insert(id, now);
         }
         let Some(layout) = self.directory.layout() else { return };
-        self.reached(layout.of_job(id), record);
+        self.reached(layout.shard_of_job(id), record);
     }
 
     /// A record of a job is in the log of `shard`.
--- a/daisy-node/src/submit.rs
+++ b/daisy-node/src/submit.rs
@@ -84,7 +84,7 @@
             }
         };
         let layout = self.shared.lock().directory.layout();
-        if layout.is_some_and(|it| self.appender.is_cut_off(it.of_job(id))) {
+        if layout.is_some_and(|it| self.appender.is_cut_off(it.shard_of_job(id))) {
             log::warn!("event=submitted id={id} outcome=rejected cause=\"the log is silent\"");
             return Answer::later_by(after_silence(id), "the platform's store does not answer");
         }
@@ -143,7 +143,7 @@
         let Some(layout) = self.shared.lock().directory.layout() else {
             return Answer::later("no layout of the workers was read yet");
         };
-        let shard = layout.of_job(id);
+        let shard = layout.shard_of_job(id);
         let (key, value) = encode(&record);
         let size = size(&record);
         let mut tries = 0;
--- a/daisy-workflow/src/directory.rs
+++ b/daisy-workflow/src/directory.rs
@@ -120,7 +120,8 @@
         /// The highest age of the last read: while owners are alive, something is read every 0.4 s.
         const READ_AGE_MAX: Duration = Duration::from_millis(900);
         let Some(layout) = self.layout else { return false };
-        let owner = self.heartbeats.get(&layout.of_job(id)).filter(|it| it.heartbeat.is_caught_up);
+        let owner =
+            self.heartbeats.get(&layout.shard_of_job(id)).filter(|it| it.heartbeat.is_caught_up);
         let alive = owner.is_some_and(|it| {
             now.since(it.at) < HEARTBEAT_AGE_MAX
                 && it.written_after.is_some_and(|at| now.since(at) < WRITE_AGE_MAX)
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -103,7 +103,7 @@
     /// When the job should be completed.
     pub objective: Instant,
     /// Estimated time from each step's start to the job's end, in milliseconds.
-    pub tails_ms: Vec<u64>,
+    pub times_to_end_ms: Vec<u64>,
     /// Steps for which it was already logged that they wait for capacity.
     pub logged_waiting: Vec<u16>,
 }
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -120,7 +120,8 @@
     /// Delegates a job to another shard that has more capacity, unless the job has begun or came
     /// from another shard.
     pub(super) fn try_delegate(&mut self, now: Instant, id: JobId) {
-        if self.settings.layout.shards < 2 || self.settings.layout.of_job(id) != self.settings.shard
+        if self.settings.layout.shards < 2
+            || self.settings.layout.shard_of_job(id) != self.settings.shard
         {
             return;
         }
--- a/daisy-workflow/src/owner/intake.rs
+++ b/daisy-workflow/src/owner/intake.rs
@@ -81,7 +81,7 @@
         let view = JobView {
             accepted_at,
             objective: accepted_at + Duration::from_millis(objective),
-            tails_ms: spec.tails_ms(),
+            times_to_end_ms: spec.times_to_end_ms(),
             logged_waiting: Vec::new(),
         };
         let cancelled = job.cancelled;
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -142,7 +142,7 @@
         reservations: &[Reservation],
     ) -> Option<Reservation> {
         let view = self.active.get(&ready.job)?;
-        let tail = view.tails_ms.get(usize::from(ready.step)).copied().unwrap_or_default();
+        let tail = view.times_to_end_ms.get(usize::from(ready.step)).copied().unwrap_or_default();
         let is_urgent = now + Duration::from_millis(tail) + RESERVATION_SLACK > view.objective;
         if step.best_effort || reservations.len() >= self.max_reservations() {
             return None;
@@ -202,7 +202,8 @@
         let Some(job) = self.ledger.job(id) else { return 0 };
         let is_open = |steps: &&Vec<Vec<TaskState>>| steps.iter().flatten().any(|it| !it.done);
         let Some(steps) = job.progress.occurrences.iter().find(is_open) else { return 0 };
-        let left = steps.iter().zip(&view.tails_ms).filter(|(it, _)| it.iter().any(|it| !it.done));
+        let left =
+            steps.iter().zip(&view.times_to_end_ms).filter(|(it, _)| it.iter().any(|it| !it.done));
         left.map(|(_, tail)| *tail).max().unwrap_or_default()
     }
 
--- a/daisy-workflow/src/shard.rs
+++ b/daisy-workflow/src/shard.rs
@@ -31,13 +31,13 @@
     }
 
     /// Returns the shard of a job, which runs it unless it delegates the job.
-    pub fn of_job(self, id: JobId) -> ShardId {
+    pub fn shard_of_job(self, id: JobId) -> ShardId {
         self.shard_of(&id.0.to_be_bytes())
     }
 
     /// Returns the shard of a worker. Each shard's workers are spread over all data centres and
     /// racks, so that the loss of one takes a part of each shard but no whole shard.
-    pub fn of_worker(self, id: &WorkerId) -> ShardId {
+    pub fn shard_of_worker(self, id: &WorkerId) -> ShardId {
         self.shard_of(id.0.as_bytes())
     }
 
--- a/daisy-workflow/src/spec.rs
+++ b/daisy-workflow/src/spec.rs
@@ -216,11 +216,11 @@
 
     /// Returns the estimated duration of the longest chain of steps, in milliseconds.
     pub fn chain_ms(&self) -> u64 {
-        self.tails_ms().into_iter().max().unwrap_or_default()
+        self.times_to_end_ms().into_iter().max().unwrap_or_default()
     }
 
     /// Returns for each step the estimated time from its start to the job's end, in milliseconds.
-    pub fn tails_ms(&self) -> Vec<u64> {
+    pub fn times_to_end_ms(&self) -> Vec<u64> {
         let mut tails: Vec<u64> = self.steps.iter().map(|it| u64::from(it.estimate_ms)).collect();
         for at in (0..self.steps.len()).rev() {
             for before in &self.steps[at].depends_on {
--- a/daisy-workflow/tests/cancel.rs
+++ b/daisy-workflow/tests/cancel.rs
@@ -211,7 +211,7 @@
 fn job_id() -> JobId {
     (1..)
         .map(JobId)
-        .find(|id| LAYOUT.of_job(*id) == ShardId(0))
+        .find(|id| LAYOUT.shard_of_job(*id) == ShardId(0))
         .expect("some job id belongs to each shard")
 }
 
--- a/daisy-workflow/tests/directory.rs
+++ b/daisy-workflow/tests/directory.rs
@@ -54,7 +54,7 @@
 fn a_heartbeat_of_unknown_age_does_not_show_that_the_owner_runs() {
     let mut directory = Directory::default();
     directory.set_layout(Layout { shards: 2 });
-    let of_shard = |id: &JobId| Layout { shards: 2 }.of_job(*id) == ShardId(1);
+    let of_shard = |id: &JobId| Layout { shards: 2 }.shard_of_job(*id) == ShardId(1);
     let id = (1..).map(JobId).find(of_shard).expect("some job id belongs to each shard");
     let mut complete = Vec::new();
     for read_at in [1_000, 1_400, 9_000, 9_400] {
--- a/daisy-workflow/tests/job_transfer.rs
+++ b/daisy-workflow/tests/job_transfer.rs
@@ -20,7 +20,7 @@
 
 /// Returns the ids of jobs that belong to a shard.
 fn ids(shard: ShardId) -> impl Iterator<Item = JobId> {
-    (1..).map(JobId).filter(move |id| LAYOUT.of_job(*id) == shard)
+    (1..).map(JobId).filter(move |id| LAYOUT.shard_of_job(*id) == shard)
 }
 
 fn id_of(shard: ShardId) -> JobId {
--- a/daisy-workflow/tests/records.rs
+++ b/daisy-workflow/tests/records.rs
@@ -253,5 +253,5 @@
     let spec = job(vec![step(1), step_after(&[0], step(1)), step(1), step_after(&[1, 2], step(1))]);
 
     assert_eq!(spec.chain_ms(), 3_000);
-    assert_eq!(spec.tails_ms(), [3_000, 2_000, 2_000, 1_000]);
+    assert_eq!(spec.times_to_end_ms(), [3_000, 2_000, 2_000, 1_000]);
 }
--- a/daisy-workflow/tests/reservation.rs
+++ b/daisy-workflow/tests/reservation.rs
@@ -37,7 +37,7 @@
         for shard in 0..shards {
             let id = u64::from(shard) * 100_000 + round * 100;
             // An id of another shard, so that the job is not transferred.
-            let id = (id..).map(JobId).find(|id| LAYOUT.of_job(*id) != ShardId(shard));
+            let id = (id..).map(JobId).find(|id| LAYOUT.shard_of_job(*id) != ShardId(shard));
             let id = id.expect("some job id belongs to each shard");
             let short_step = StepSpec { estimate_ms: 6_000, ..step(8) };
             sim.shards[usize::from(shard)].submit(id.0, job(vec![short_step]));
@@ -51,7 +51,8 @@
 fn wait_ms(shards: u16) -> u64 {
     let mut sim = full_of_short_tasks(shards);
     let layout = Layout { shards };
-    let id = (FIRST_LONG_RUNNING_JOB..).map(JobId).find(|id| layout.of_job(*id) == ShardId(0));
+    let id =
+        (FIRST_LONG_RUNNING_JOB..).map(JobId).find(|id| layout.shard_of_job(*id) == ShardId(0));
     let id = id.expect("some job id belongs to each shard");
     sim.shards[0].submit(id.0, tasks(1, 4));
     let mut waited = 0;
--- a/daisy-workflow/tests/shard.rs
+++ b/daisy-workflow/tests/shard.rs
@@ -21,8 +21,8 @@
 fn all_builds_assign_jobs_and_workers_alike() {
     let layout = Layout { shards: 5 };
 
-    let jobs = [1, 2, 0xdead_beef].map(|id| layout.of_job(JobId(id)).0);
-    let workers = ["i-1", "i-2", "w"].map(|id| layout.of_worker(&WorkerId::from(id)).0);
+    let jobs = [1, 2, 0xdead_beef].map(|id| layout.shard_of_job(JobId(id)).0);
+    let workers = ["i-1", "i-2", "w"].map(|id| layout.shard_of_worker(&WorkerId::from(id)).0);
 
     assert_eq!((jobs, workers), ([3, 4, 0], [1, 4, 0]));
 }
@@ -34,9 +34,9 @@
     let mut workers = [0u32; 5];
 
     for at in 0..10_000u64 {
-        jobs[usize::from(layout.of_job(JobId(at)).0)] += 1;
+        jobs[usize::from(layout.shard_of_job(JobId(at)).0)] += 1;
         let worker = WorkerId::from(format!("i-{at}").as_str());
-        workers[usize::from(layout.of_worker(&worker).0)] += 1;
+        workers[usize::from(layout.shard_of_worker(&worker).0)] += 1;
     }
 
     assert!(
--- a/daisy-workflow/tests/task_transfer.rs
+++ b/daisy-workflow/tests/task_transfer.rs
@@ -32,7 +32,7 @@
 fn job_id() -> JobId {
     (1..)
         .map(JobId)
-        .find(|id| LAYOUT.of_job(*id) == FULL_SHARD)
+        .find(|id| LAYOUT.shard_of_job(*id) == FULL_SHARD)
         .expect("some job id belongs to each shard")
 }
 
--- a/daisy-workflow/tests/transfer_paths.rs
+++ b/daisy-workflow/tests/transfer_paths.rs
@@ -214,7 +214,7 @@
 /// Returns the ids of two jobs of the first shard.
 fn two_jobs_of_the_first(sim: &ShardedSimulation) -> [JobId; 2] {
     let layout = daisy_workflow::Layout { shards: sim.shards.len() as u16 };
-    let mut ids = (1..).map(JobId).filter(|id| layout.of_job(*id) == FIRST);
+    let mut ids = (1..).map(JobId).filter(|id| layout.shard_of_job(*id) == FIRST);
     [
         ids.next().expect("some job id belongs to each shard"),
         ids.next().expect("some job id belongs to each shard"),
--- a/daisy-workflow/tests/transfer_schedules.rs
+++ b/daisy-workflow/tests/transfer_schedules.rs
@@ -47,7 +47,7 @@
         let at = self.submitted.len() as u64;
         // Most jobs belong to one shard, so that it has to transfer some.
         let own = if self.rng.u8(..3) > 0 { ShardId(0) } else { ShardId(self.rng.u16(..SHARDS)) };
-        let id = (at * 1_000..).map(JobId).find(|id| LAYOUT.of_job(*id) == own);
+        let id = (at * 1_000..).map(JobId).find(|id| LAYOUT.shard_of_job(*id) == own);
         let id = id.expect("some job id belongs to each shard");
         let (count, cores) = (self.rng.u32(1..5), self.rng.u32(1..4));
         let memory = if self.rng.bool() { 100 } else { 30_000 };
@@ -59,7 +59,7 @@
         let at = self.rng.usize(..self.submitted.len());
         let it = &mut self.submitted[at];
         it.cancelled = true;
-        let own = LAYOUT.of_job(it.id);
+        let own = LAYOUT.shard_of_job(it.id);
         self.sim.shards[usize::from(own.0)].write(Record::Cancelled(it.id));
     }
 
@@ -111,7 +111,7 @@
                 .rfind(|it| !it.cancelled)
                 .expect("a job is not cancelled");
             it.cancelled = true;
-            let own = LAYOUT.of_job(it.id);
+            let own = LAYOUT.shard_of_job(it.id);
             self.sim.shards[usize::from(own.0)].write(Record::Cancelled(it.id));
         }
     }
--- a/daisy-workflow/tests/util/sharded_simulation.rs
+++ b/daisy-workflow/tests/util/sharded_simulation.rs
@@ -44,7 +44,7 @@
         let layout = Layout { shards: self.shards.len() as u16 };
         (1..)
             .map(JobId)
-            .find(|id| layout.of_job(*id) == shard)
+            .find(|id| layout.shard_of_job(*id) == shard)
             .expect("some job id belongs to each shard")
     }
 
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -465,7 +465,7 @@
 
 /// Ids of `count` jobs of a shard, of a fleet with two.
 fn ids_of(shard: u16, count: usize) -> Vec<String> {
-    let of_shard = |it: &u64| Layout { shards: 2 }.of_job(JobId(*it)) == ShardId(shard);
+    let of_shard = |it: &u64| Layout { shards: 2 }.shard_of_job(JobId(*it)) == ShardId(shard);
     (0x1000..).filter(of_shard).take(count).map(|it| format!("{it:016x}")).collect()
 }
 
