--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -113,7 +113,10 @@
         };
         let mut silences = self.silences.lock().unwrap_or_else(PoisonError::into_inner);
         let silence = silences.get_or_insert_with(shard, LogHealth::default);
-        silence.other_partition_read(read.unwrap_or_default().min(now), recovered_at.min(now));
+        silence.other_partition_read_answered(
+            read.unwrap_or_default().min(now),
+            recovered_at.min(now),
+        );
         f(silence)
     }
 
@@ -143,7 +146,7 @@
                 let end = log.store.end(Topic::Jobs(shard.0), timeout).await;
                 if !matches!(end, Err(StoreError::Unknown(_))) {
                     let now = clock::now();
-                    log.silence(now, shard, |it| it.read(now));
+                    log.silence(now, shard, |it| it.read_answered(now));
                     log.freed.notify_one();
                 }
             });
@@ -153,7 +156,7 @@
     fn end(&self, shard: ShardId, began: Instant, outcome: &Result<(), StoreError>) {
         let now = clock::now();
         let answered = !matches!(outcome, Err(StoreError::Unknown(_)));
-        self.silence(now, shard, |it| it.end(now, began, answered));
+        self.silence(now, shard, |it| it.append_ended(now, began, answered));
         self.freed.notify_one();
     }
 }
--- a/daisy-node/src/states.rs
+++ b/daisy-node/src/states.rs
@@ -31,7 +31,7 @@
         };
         let pause = {
             let mut known = shared.lock();
-            known.reach.read(clock::now());
+            known.reach.read_answered(clock::now());
             if anew {
                 known.directory.restart_reading();
             }
--- a/daisy-workflow/src/log_health.rs
+++ b/daisy-workflow/src/log_health.rs
@@ -96,13 +96,13 @@
     ///
     /// The answer says nothing about an unanswered append to this partition, as only a part of the
     /// log may be unresponsive. But partitions that become unresponsive together recover together.
-    pub fn other_partition_read(&mut self, now: Instant, recovered_at: Instant) {
+    pub fn other_partition_read_answered(&mut self, now: Instant, recovered_at: Instant) {
         let is_idle = self.in_flight.is_empty() && self.unanswered.is_none();
-        self.read(if is_idle { now } else { recovered_at });
+        self.read_answered(if is_idle { now } else { recovered_at });
     }
 
     /// Records that a read of this partition was answered at `now`.
-    pub fn read(&mut self, now: Instant) {
+    pub fn read_answered(&mut self, now: Instant) {
         self.last_read_at = self.last_read_at.max(now);
         self.probes.take_if(|it| it.first < self.last_read_at);
     }
@@ -120,7 +120,7 @@
     }
 
     /// Records that the append that began at `began` has ended, with or without an answer.
-    pub fn end(&mut self, now: Instant, began: Instant, answered: bool) {
+    pub fn append_ended(&mut self, now: Instant, began: Instant, answered: bool) {
         if let Some(at) = self.in_flight.iter().position(|it| *it == began) {
             self.in_flight.swap_remove(at);
         }
--- a/daisy-workflow/src/reachability.rs
+++ b/daisy-workflow/src/reachability.rs
@@ -27,7 +27,7 @@
     }
 
     /// Records that a read was answered at `now`.
-    pub fn read(&mut self, now: Instant) {
+    pub fn read_answered(&mut self, now: Instant) {
         if std::mem::take(&mut self.has_failed_read) && now.since(self.read_at) > OUTAGE_MIN {
             self.recovered_at = now;
         }
--- a/daisy-workflow/tests/log_health.rs
+++ b/daisy-workflow/tests/log_health.rs
@@ -12,9 +12,9 @@
     let mut log = LogHealth::default();
     for began in [900, 940, 980] {
         log.begin_append(at(began));
-        log.end(at(began + 10), at(began), true);
+        log.append_ended(at(began + 10), at(began), true);
     }
-    log.read(at(1_000));
+    log.read_answered(at(1_000));
     log
 }
 
@@ -32,7 +32,7 @@
             log.begin_append(at(now));
         }
         if now == 1_500 {
-            log.end(at(now), at(1_000), false);
+            log.append_ended(at(now), at(1_000), false);
         }
     }
 
@@ -45,12 +45,12 @@
 fn an_unresponsive_log_is_reported_until_it_answers() {
     let mut log = responsive_log();
     log.begin_append(at(1_010));
-    log.end(at(1_510), at(1_010), false);
+    log.append_ended(at(1_510), at(1_010), false);
 
     let before = log.is_unresponsive(at(1_600));
     let unresponsive = log.is_unresponsive(at(1_800));
     let again = log.next_send(at(1_800));
-    log.read(at(5_000));
+    log.read_answered(at(5_000));
     let after = (log.is_unresponsive(at(5_000)), log.next_send(at(5_000)));
 
     assert!(!before && unresponsive);
@@ -78,7 +78,7 @@
         }
     }
     let unresponsive = log.is_unresponsive(at(2_200));
-    log.read(at(4_000));
+    log.read_answered(at(4_000));
 
     assert_eq!((sent, unresponsive), (0, true));
     assert_eq!(queried_at, [1_700, 2_700, 3_700]);
@@ -95,7 +95,7 @@
     let first = log.next_send(at(1_700));
     log.begin_probe(at(1_700));
     let waits = (log.next_send(at(1_720)), log.should_reject(at(1_720), at(1_690)));
-    log.read(at(1_730));
+    log.read_answered(at(1_730));
 
     assert!(matches!(first, SendDecision::Probe(_)));
     assert_eq!(waits, (SendDecision::Wait, false));
@@ -108,14 +108,14 @@
 fn a_log_that_answers_only_reads_is_probed_with_appends() {
     let mut log = responsive_log();
     log.begin_append(at(1_010));
-    log.end(at(1_510), at(1_010), false);
+    log.append_ended(at(1_510), at(1_010), false);
     let mut probes = 0;
 
     let mut in_flight: Option<u64> = None;
     for now in (1_520..7_500).step_by(20) {
-        log.read(at(now));
+        log.read_answered(at(now));
         if let Some(began) = in_flight.filter(|it| now >= it + 500) {
-            log.end(at(now), at(began), false);
+            log.append_ended(at(now), at(began), false);
             in_flight = None;
         }
         if in_flight.is_none() && matches!(log.next_send(at(now)), SendDecision::All(_)) {
@@ -145,9 +145,9 @@
     let mut sent: Vec<u64> = Vec::new();
 
     for now in (1_000..4_000).step_by(20) {
-        log.other_partition_read(at(now), at(0));
+        log.other_partition_read_answered(at(now), at(0));
         for began in sent.iter().filter(|it| now == **it + 500) {
-            log.end(at(now), at(*began), false);
+            log.append_ended(at(now), at(*began), false);
         }
         if let SendDecision::All(_) = log.next_send(at(now)) {
             sent.push(now);
@@ -155,7 +155,7 @@
         }
     }
     let unresponsive = log.is_unresponsive(at(4_000));
-    log.read(at(4_010));
+    log.read_answered(at(4_010));
 
     assert!(sent.len() <= 2 && unresponsive, "{sent:?}");
     assert!(!log.is_unresponsive(at(4_010)));
@@ -166,14 +166,14 @@
 fn a_lost_answer_of_an_append_rejects_no_request() {
     let mut log = responsive_log();
     log.begin_append(at(1_010));
-    log.end(at(1_510), at(1_010), false);
-    log.other_partition_read(at(1_500), at(0));
+    log.append_ended(at(1_510), at(1_010), false);
+    log.other_partition_read_answered(at(1_500), at(0));
 
     let query = log.try_probe(at(1_510));
     log.begin_probe(at(1_510));
     let again = log.try_probe(at(1_520));
-    log.read(at(1_520));
-    log.other_partition_read(at(8_980), at(0));
+    log.read_answered(at(1_520));
+    log.other_partition_read_answered(at(8_980), at(0));
 
     assert!(query.is_some() && again.is_none());
     assert!(!log.is_unresponsive(at(9_000)));
@@ -186,10 +186,10 @@
 fn partitions_that_became_unresponsive_together_recover_together() {
     let mut log = responsive_log();
     log.begin_append(at(1_010));
-    log.end(at(1_510), at(1_010), false);
+    log.append_ended(at(1_510), at(1_010), false);
 
     let unresponsive = log.is_unresponsive(at(4_990));
-    log.other_partition_read(at(5_000), at(5_000));
+    log.other_partition_read_answered(at(5_000), at(5_000));
 
     assert!(unresponsive && !log.is_unresponsive(at(5_000)));
     assert!(matches!(log.next_send(at(5_000)), SendDecision::All(_)));
--- a/daisy-workflow/tests/log_reachability.rs
+++ b/daisy-workflow/tests/log_reachability.rs
@@ -23,10 +23,10 @@
 fn an_owner_has_time_for_a_heartbeat_after_an_outage_of_the_log() {
     let (mut reachability, mut election) =
         (LogReachability::default(), Election::new(at(0), "b", 2));
-    reachability.read(at(1_000));
+    reachability.read_answered(at(1_000));
     election.heartbeat_received(at(1_000));
     reachability.read_failed();
-    reachability.read(at(5_000));
+    reachability.read_answered(at(5_000));
 
     election.heartbeat_received(reachability.recovered_at());
     let after_recovery = election.decision(at(5_010), Some(&owner()), RTT);
@@ -41,10 +41,10 @@
 #[test]
 fn a_lost_read_is_not_an_outage() {
     let mut reachability = LogReachability::default();
-    reachability.read(at(1_000));
+    reachability.read_answered(at(1_000));
     reachability.read_failed();
-    reachability.read(at(1_600));
-    reachability.read(at(2_900));
+    reachability.read_answered(at(1_600));
+    reachability.read_answered(at(2_900));
 
     assert_eq!(reachability.recovered_at(), Instant::default());
 }
@@ -53,12 +53,12 @@
 #[test]
 fn an_owner_is_treated_as_lost_only_while_the_log_answers() {
     let mut reachability = LogReachability::default();
-    reachability.read(at(1_000));
+    reachability.read_answered(at(1_000));
 
     let right_after = reachability.can_detect_lost_owner(at(1_100), at(0));
     let long_after = reachability.can_detect_lost_owner(at(2_900), at(0));
     let after_a_lost_call = reachability.can_detect_lost_owner(at(1_200), at(1_150));
-    reachability.read(at(1_300));
+    reachability.read_answered(at(1_300));
     let answered_again = reachability.can_detect_lost_owner(at(1_310), at(1_150));
 
     assert!(right_after && !long_after && !after_a_lost_call && answered_again);
