--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -141,7 +141,7 @@
     actions: Vec<Action>,
     /// States of jobs that are stored in the log and have to be published to callers.
     states: Vec<(JobId, JobState)>,
-    others: OtherShards,
+    other_shards: OtherShards,
     /// Tasks that are transferred to other shards, while the transfer is not recorded yet.
     transferring: Vec<TaskId>,
     /// Since when long-running tasks have waited for capacity in this shard.
@@ -175,7 +175,7 @@
 #[derive(Debug)]
 struct InFlightBatch {
     /// When the batch was created.
-    began: Instant,
+    created_at: Instant,
     starts: Vec<(WorkerKey, TaskId, u32)>,
     /// Ended runs that the batch records: worker, incarnation, number of the end.
     cursors: Vec<(WorkerKey, u64, u64)>,
@@ -220,7 +220,7 @@
             plan_due: true,
             actions: Vec::new(),
             states: Vec::new(),
-            others: OtherShards::default(),
+            other_shards: OtherShards::default(),
             transferring: Vec::new(),
             waiting_since: SortedMap::new(),
             rebalanced_at: now,
@@ -291,7 +291,7 @@
             }
             Event::Appended => self.batch_appended(now),
             Event::HeartbeatStored { sent_at } => self.heartbeat_stored(now, sent_at),
-            Event::Loads(loads) => self.others.update(loads),
+            Event::Loads(loads) => self.other_shards.update(loads),
             Event::InterferenceSums(seen) => {
                 seen.iter().for_each(|it| self.interference.add_interference_sums(now, it));
             }
@@ -315,7 +315,7 @@
         let nothing_unrecorded = self.unrecorded_jobs.is_empty()
             && self.delegating.is_empty()
             && self.unrecorded_starts.is_empty();
-        self.in_flight.is_none() && (!nothing_unrecorded || self.succession.has_record())
+        self.in_flight.is_none() && (!nothing_unrecorded || self.succession.has_witnesses_record())
     }
 
     /// Returns the records to append next, or `None` while a batch is being appended or if there
@@ -353,8 +353,14 @@
         let seen = self.workers.iter().filter(|(_, it)| it.cursor_seen > it.cursor_durable);
         let cursors = seen.map(|(key, it)| (key, it.started_at_ms, it.cursor_seen)).collect();
         let starts = std::mem::take(&mut self.unrecorded_starts);
-        self.in_flight =
-            Some(InFlightBatch { began: now, starts, cursors, states, delegated, transferring });
+        self.in_flight = Some(InFlightBatch {
+            created_at: now,
+            starts,
+            cursors,
+            states,
+            delegated,
+            transferring,
+        });
         Some(Batch { records })
     }
 
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -138,8 +138,8 @@
         if own.capacity == 0 && now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
-        let Some(to) = self.others.try_find_better_shard(now, own, demand) else { return };
-        self.others.add_transfer(now, to, demand);
+        let Some(to) = self.other_shards.try_find_better_shard(now, own, demand) else { return };
+        self.other_shards.add_transfer(now, to, demand);
         if let Some(job) = self.ledger.job_mut(id) {
             job.delegate(to);
         }
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -30,9 +30,9 @@
     /// runs.
     pub(super) fn batch_appended(&mut self, now: Instant) {
         let Some(it) = self.in_flight.take() else { return };
-        self.succession.append_accepted(it.began);
+        self.succession.append_accepted(it.created_at);
         self.succession.witnesses_recorded();
-        let InFlightBatch { began: _, starts, cursors, states, delegated, transferring } = it;
+        let InFlightBatch { created_at: _, starts, cursors, states, delegated, transferring } = it;
         self.states.extend(states);
         delegated.into_iter().for_each(|id| self.forward_job(id));
         transferring.into_iter().for_each(|task| self.forward_task(task));
--- a/daisy-workflow/src/owner/placement.rs
+++ b/daisy-workflow/src/owner/placement.rs
@@ -10,15 +10,18 @@
 };
 use crate::{Packing, StepSpec, TaskId};
 
-/// Costs of a placement, in thousandths of a worker's processors: how much more free capacity a
-/// worker needs to be chosen in spite of the cost. Only the order of their magnitudes matters.
+// Costs of a placement, in thousandths of a worker's processors: how much more free capacity a
+// worker needs to be chosen in spite of the cost. Only the order of their magnitudes matters.
+
+/// Cost if another run of the task is on the worker.
 const COST_OTHER_COPY_HERE: i64 = 100_000;
 const COST_RECENT_FAILURE: i64 = 1_500;
 const COST_FAR_FROM_DATA: i64 = 10_000;
+/// Cost for each unit of headroom that a serving task would lose to the worker's best-effort tasks.
 const COST_HEADROOM_LOST: f64 = 4_000.0;
 const COST_BELOW_FULL_PACE: f64 = 8_000.0;
-/// Costs for each unit of headroom that a placement takes, and for each unit that a serving task is
-/// then short of [`COMFORTABLE_HEADROOM`].
+/// Costs of a best-effort task for each unit of headroom that it takes from a serving task, and for
+/// each unit that the serving task is then short of [`COMFORTABLE_HEADROOM`].
 const COST_HEADROOM_TAKEN: f64 = 2_000.0;
 const COST_HEADROOM_SHORT: f64 = 2_500.0;
 /// Cost for each best-effort image that interferes little with the worker's serving tasks: tasks
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -125,7 +125,7 @@
     }
 
     /// Whether there are witnesses to record.
-    pub(super) fn has_record(&self) -> bool {
+    pub(super) fn has_witnesses_record(&self) -> bool {
         self.next_witnesses.is_some()
     }
 
--- a/daisy-workflow/src/owner/transfer.rs
+++ b/daisy-workflow/src/owner/transfer.rs
@@ -97,8 +97,10 @@
             return;
         }
         let Some(step) = job.spec.steps.get(usize::from(task.step)) else { return };
-        let Some(to) = self.others.try_find_capacity(now, own, step.allocation()) else { return };
-        self.others.add_transfer(now, to, Demand::of_long_running_task(step));
+        let Some(to) = self.other_shards.try_find_capacity(now, own, step.allocation()) else {
+            return;
+        };
+        self.other_shards.add_transfer(now, to, Demand::of_long_running_task(step));
         let number = job.transfers.get(&task).map_or(0, |it| it.number) + 1;
         job.add_transfer(task, OutgoingTransfer { number, to }.into());
         job.progress.has_started = true;
