--- a/daisy-measure/src/overload/simulation.rs
+++ b/daisy-measure/src/overload/simulation.rs
@@ -78,7 +78,7 @@
         let mut shards: Vec<Shard> = layout.all().map(|it| Shard::new(it, layout, rules)).collect();
         for (at, cores) in worker_cores.into_iter().enumerate() {
             let name = format!("worker-{at}");
-            let shard = usize::from(layout.of_worker(&name.as_str().into()).0);
+            let shard = usize::from(layout.shard_of_worker(&name.as_str().into()).0);
             shards[shard].workers.push(Worker::new(name, capacity_of(cores), rng.f64()));
         }
         let steps = arrivals
@@ -101,7 +101,7 @@
                 let id = JobId(it.id);
                 self.in_transit.push((
                     self.now + APPEND_DELAY,
-                    self.layout.of_job(id),
+                    self.layout.shard_of_job(id),
                     Record::Submitted(id, it.spec.clone()),
                 ));
                 next_arrival += 1;
@@ -127,7 +127,7 @@
         for it in &self.arrivals {
             if it.cancelled_at.is_some_and(|at| at <= now && at > before) {
                 let id = JobId(it.id);
-                self.in_transit.push((now, self.layout.of_job(id), Record::Cancelled(id)));
+                self.in_transit.push((now, self.layout.shard_of_job(id), Record::Cancelled(id)));
             }
         }
     }
@@ -142,7 +142,7 @@
         for (_, shard, record) in due {
             let shard = &mut self.shards[usize::from(shard.0)];
             shard.ledger.fold(record.clone());
-            shard.owner.step(now, Event::Record(record));
+            shard.owner.handle_event(now, Event::Record(record));
         }
     }
 
@@ -155,11 +155,11 @@
             self.shards.iter_mut().map(|it| it.owner.take_interference_sums()).collect();
         for (own_id, shard) in self.layout.all().zip(&mut self.shards) {
             let others = loads.iter().filter(|(id, _)| *id != own_id).copied();
-            shard.owner.step(now, Event::Loads(others.collect()));
-            shard.owner.step(now, Event::HeartbeatStored { sent_at: now });
+            shard.owner.handle_event(now, Event::Loads(others.collect()));
+            shard.owner.handle_event(now, Event::HeartbeatStored { sent_at: now });
             for (from, observed) in self.layout.all().zip(&observed) {
                 if from != own_id && !observed.is_empty() {
-                    shard.owner.step(now, Event::Observed(observed.clone()));
+                    shard.owner.handle_event(now, Event::InterferenceSums(observed.clone()));
                 }
             }
         }
@@ -171,20 +171,20 @@
         for worker in &mut shard.workers {
             worker.advance(now, TIME_STEP);
             if let Some((key, answer)) = worker.try_answer_renewal(now) {
-                shard.owner.step(now, Event::HoldAnswered(key, Some(answer)));
+                shard.owner.handle_event(now, Event::RenewalAnswered(key, Some(answer)));
             }
         }
         if steps_done.is_multiple_of(HEARTBEAT_STEPS) || steps_done == 1 {
             let listed = shard.workers.iter().map(Worker::listing).collect();
-            shard.owner.step(now, Event::Workers(listed));
+            shard.owner.handle_event(now, Event::Workers(listed));
         }
         let (due, later) =
             std::mem::take(&mut shard.events).into_iter().partition(|it| it.0 <= now);
         shard.events = later;
         let due: Vec<(Instant, Event)> = due;
-        due.into_iter().for_each(|(_, it)| shard.owner.step(now, it));
+        due.into_iter().for_each(|(_, it)| shard.owner.handle_event(now, it));
         if steps_done.is_multiple_of(TICK_STEPS) {
-            shard.owner.step(now, Event::Tick);
+            shard.owner.handle_event(now, Event::Tick);
         }
         self.carry_out_actions(at);
         let shard = &mut self.shards[at];
@@ -195,30 +195,33 @@
             batch.records.into_iter().for_each(|it| {
                 shard.ledger.fold(it);
             });
-            shard.owner.step(now, Event::Appended);
+            shard.owner.handle_event(now, Event::Appended);
             self.carry_out_actions(at);
         }
     }
 
     fn carry_out_actions(&mut self, at: usize) {
         let now = self.now;
-        for action in self.shards[at].owner.act(now) {
+        for action in self.shards[at].owner.take_actions(now) {
             let shard = &mut self.shards[at];
             match action {
-                Action::Hold { worker: key, cursor, wait, .. } => {
+                Action::Renew { worker: key, cursor, wait, .. } => {
                     let worker = shard.worker(key);
                     worker.hold(now, key, cursor, wait.max(TIME_STEP));
                 }
                 Action::Start(key, start) => self.start(at, key, start),
                 Action::Stop(key, task, run, _) => {
                     let reply = shard.worker(key).stop(now, task, run);
-                    shard.events.push((now + TIME_STEP, Event::Stopped(key, task, run, reply)));
+                    shard
+                        .events
+                        .push((now + TIME_STEP, Event::StopAnswered(key, task, run, reply)));
                 }
                 Action::Pace(key, task, run, percent) => {
                     let reply = shard.worker(key).set_pace(now, task, run, percent);
-                    shard
-                        .events
-                        .push((now + TIME_STEP, Event::Paced(key, task, run, percent, reply)));
+                    shard.events.push((
+                        now + TIME_STEP,
+                        Event::PaceAnswered(key, task, run, percent, reply),
+                    ));
                 }
                 Action::Forward(to, record) => {
                     self.in_transit.push((now + FORWARD_DELAY, to, record))
@@ -238,7 +241,9 @@
         let (Some(spec), shard) = (spec, &mut self.shards[at]) else { return };
         let reply = shard.worker(key).start(now, &start, spec, work_ms);
         self.report.note_start(self.now, job);
-        shard.events.push((now + TIME_STEP, Event::Started(key, start.task, start.run, reply)));
+        shard
+            .events
+            .push((now + TIME_STEP, Event::StartAnswered(key, start.task, start.run, reply)));
     }
 
     /// Samples waiting tasks, free capacity and tail latency twice a second.
@@ -287,7 +292,12 @@
             rules,
         };
         let now = Instant::from_millis(0);
-        let claimed = OwnershipStart { at: now, predecessors_ended: true, epoch: 1, after: 0 };
+        let claimed = OwnershipStart {
+            claim_sent_at: now,
+            predecessors_ended: true,
+            epoch: 1,
+            previous_epoch: 0,
+        };
         let owner = Owner::new(now, 0, settings, Ledger::default(), queue_config(), claimed);
         Shard {
             owner,
--- a/daisy-measure/src/overload/worker.rs
+++ b/daisy-measure/src/overload/worker.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::{Instant, Resources};
 use daisy_workflow::{
-    ActiveRun, EndedRun, HoldAnswer, OrderReply, Outcome, Refusal, Start, StepSpec, TaskId,
+    ActiveRun, EndedRun, OrderReply, Outcome, RejectReason, RenewalAnswer, Start, StepSpec, TaskId,
     WorkerKey, WorkerListing,
 };
 
@@ -163,7 +163,7 @@
         let clock_ms = now.0 / 1_000;
         let allocated = self.allocated().try_add(step.allocation());
         if allocated.is_none_or(|it| !it.fits(self.capacity)) {
-            return OrderReply::Refused(Refusal::DoesNotFit);
+            return OrderReply::Rejected(RejectReason::DoesNotFit);
         }
         let done_ms = start.checkpoint.parse().unwrap_or_default();
         self.runs.push(Run {
@@ -202,7 +202,7 @@
     }
 
     /// Returns the answer to the pending renewal, if it is due.
-    pub fn try_answer_renewal(&mut self, now: Instant) -> Option<(WorkerKey, HoldAnswer)> {
+    pub fn try_answer_renewal(&mut self, now: Instant) -> Option<(WorkerKey, RenewalAnswer)> {
         let hold = self.hold?;
         if now < hold.until && !self.ended_runs.iter().any(|it| it.number > hold.cursor) {
             return None;
@@ -210,7 +210,10 @@
         self.hold = None;
         let running = self.runs.iter().map(|it| self.active_run(now, it)).collect();
         let ended = self.ended_runs.clone();
-        Some((hold.key, HoldAnswer { clock_ms: now.0 / 1_000, started_at_ms: 1, running, ended }))
+        Some((
+            hold.key,
+            RenewalAnswer { clock_ms: now.0 / 1_000, started_at_ms: 1, running, ended },
+        ))
     }
 
     fn active_run(&self, now: Instant, it: &Run) -> ActiveRun {
--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -137,7 +137,10 @@
         };
         let mut partitions = self.partition_health.lock().unwrap_or_else(PoisonError::into_inner);
         let health = partitions.get_or_insert_with(shard, LogHealth::default);
-        health.other_partition_read(read_at.unwrap_or_default().min(now), recovered_at.min(now));
+        health.other_partition_read_answered(
+            read_at.unwrap_or_default().min(now),
+            recovered_at.min(now),
+        );
         f(health)
     }
 
@@ -167,7 +170,7 @@
                 let end = log.store.end(Topic::Jobs(shard.0), timeout).await;
                 if !matches!(end, Err(StoreError::OutcomeUnknown(_))) {
                     let now = clock::now();
-                    log.with_health(now, shard, |it| it.read(now));
+                    log.with_health(now, shard, |it| it.read_answered(now));
                     log.health_changed.notify_one();
                 }
             });
@@ -177,7 +180,7 @@
     fn append_ended(&self, shard: ShardId, began: Instant, outcome: &Result<(), StoreError>) {
         let now = clock::now();
         let answered = !matches!(outcome, Err(StoreError::OutcomeUnknown(_)));
-        self.with_health(now, shard, |it| it.end(now, began, answered));
+        self.with_health(now, shard, |it| it.append_ended(now, began, answered));
         self.health_changed.notify_one();
     }
 }
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -165,10 +165,10 @@
         let rules = PlacementRules::default();
         let settings = Settings { lease, lease_max, shard: self.shard, layout, rules };
         let ownership_start = OwnershipStart {
-            at: self.claimed_at,
+            claim_sent_at: self.claimed_at,
             predecessors_ended: self.claim.predecessors_expired,
             epoch: self.epoch,
-            after: self.previous_epoch,
+            previous_epoch: self.previous_epoch,
         };
         node.register_owner(self.shard, events.clone());
         let queues = node.queues.clone().unwrap_or_default();
@@ -230,15 +230,15 @@
                 _ = events.recv_many(&mut batch, MAX_EVENTS) => {
                     let now = clock::now();
                     for event in batch.drain(..) {
-                        self.owner.step(now, event);
+                        self.owner.handle_event(now, event);
                     }
                 }
                 _ = tick.tick() => {
                     let now = clock::now();
                     let loads =
                         self.ownership.context.shared.lock().directory.loads(self.ownership.shard);
-                    self.owner.step(now, Event::Loads(loads));
-                    self.owner.step(now, Event::Tick);
+                    self.owner.handle_event(now, Event::Loads(loads));
+                    self.owner.handle_event(now, Event::Tick);
                     if self.tick_delay.record_tick(now) {
                         return self.release(outcomes, EndCause::TooSlow).await;
                     }
@@ -262,14 +262,14 @@
     fn carry_out_actions(&mut self) -> bool {
         let now = clock::now();
         let mut step_down = false;
-        for action in self.owner.act(now) {
+        for action in self.owner.take_actions(now) {
             match action {
                 Action::StepDown => step_down = true,
                 Action::Note(note) => {
                     notes::write(&note, self.ownership.shard, &self.ownership.context.metrics);
                 }
                 Action::Forward(shard, record) => self.forward(shard, record),
-                Action::Hold { worker, .. }
+                Action::Renew { worker, .. }
                 | Action::Start(worker, _)
                 | Action::Stop(worker, ..)
                 | Action::Pace(worker, ..) => self.call_worker(worker, action),
@@ -301,7 +301,7 @@
             summary.runs,
             summary.workers,
             summary.usable,
-            summary.silent,
+            summary.unresponsive,
             summary.free_cpu,
             summary.unusable_cpu,
             summary.largest_free_cpu,
@@ -354,7 +354,7 @@
                 it.run,
                 self.ownership.shard.0,
                 it.worker,
-                it.left.as_millis(),
+                it.time_left.as_millis(),
                 it.cause.description()
             );
         }
@@ -398,7 +398,7 @@
         let now = clock::now();
         let heartbeat =
             self.state_publisher.is_heartbeat_due(now).then(|| self.heartbeat(now, false));
-        let Some(records) = self.state_publisher.try_records(now, heartbeat) else { return };
+        let Some(records) = self.state_publisher.take_due_records(now, heartbeat) else { return };
         self.append_states(records);
     }
 
@@ -416,7 +416,7 @@
         if sums.is_empty() || shards < 2 {
             return;
         }
-        let record = encode(&Record::Observed(*shard, sums));
+        let record = encode(&Record::InterferenceSums(*shard, sums));
         let store = context.store.clone();
         tokio::spawn(async move {
             let records = [record];
@@ -490,7 +490,7 @@
             }
             Some(AppendOutcome::Fenced) | None => return false,
         };
-        self.owner.step(clock::now(), event);
+        self.owner.handle_event(clock::now(), event);
         true
     }
 
@@ -535,7 +535,7 @@
             self.state_publisher.add(id, state);
         }
         let heartbeat = self.heartbeat(clock::now(), true);
-        let mut records = self.state_publisher.records();
+        let mut records = self.state_publisher.take_records();
         records.push(Record::OwnerHeartbeat(Box::new(heartbeat)));
         self.append_states(records);
         outcomes.recv().await;
--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -29,9 +29,9 @@
         sleep(SHARE_INTERVAL).await;
         let Some(read) = tail.try_read(Duration::ZERO).await else { continue };
         for record in decode_all("observed", &read.records) {
-            if let Record::Observed(from, sums) = record
+            if let Record::InterferenceSums(from, sums) = record
                 && from != shard
-                && events.send(Event::Observed(sums)).is_err()
+                && events.send(Event::InterferenceSums(sums)).is_err()
             {
                 return;
             }
@@ -48,7 +48,7 @@
     events: mpsc::UnboundedSender<Event>,
 ) {
     let layout = shared.lock().directory.layout();
-    let is_in_shard = |id: &str| layout.is_some_and(|it| it.of_worker(&id.into()) == shard);
+    let is_in_shard = |id: &str| layout.is_some_and(|it| it.shard_of_worker(&id.into()) == shard);
     let mut tail = Tail::new(store, Topic::Workers);
     let mut listings: SortedMap<String, Arc<WorkerListing>> = SortedMap::new();
     let mut unreadable = SortedMap::new();
--- a/daisy-node/src/shared.rs
+++ b/daisy-node/src/shared.rs
@@ -63,7 +63,7 @@
             self.accepted_jobs.insert(id, now);
         }
         let Some(layout) = self.directory.layout() else { return };
-        self.send_to_owner(layout.of_job(id), record);
+        self.send_to_owner(layout.shard_of_job(id), record);
     }
 
     /// Sends a record of a job in the log of `shard` to the shard's owner, if that is this process.
--- a/daisy-node/src/states.rs
+++ b/daisy-node/src/states.rs
@@ -33,7 +33,7 @@
         };
         let pause = {
             let mut node = shared.lock();
-            node.states_reachability.read(clock::now());
+            node.states_reachability.read_answered(clock::now());
             if is_first_read {
                 node.directory.restart_reading();
             }
--- a/daisy-node/src/submit.rs
+++ b/daisy-node/src/submit.rs
@@ -93,7 +93,7 @@
             }
         };
         let layout = self.shared.lock().directory.layout();
-        if layout.is_some_and(|it| self.appender.is_unresponsive(it.of_job(id))) {
+        if layout.is_some_and(|it| self.appender.is_unresponsive(it.shard_of_job(id))) {
             log::warn!(
                 "event=submitted id={id} outcome=rejected cause=\"the log does not answer\""
             );
@@ -156,7 +156,7 @@
         let Some(layout) = self.shared.lock().directory.layout() else {
             return Answer::retry_later("the layout of the shards has not been read yet");
         };
-        let shard = layout.of_job(id);
+        let shard = layout.shard_of_job(id);
         let (key, value) = encode(&record);
         let size_fields = size_fields(&record);
         let mut tries = 0;
--- a/daisy-workflow/src/owner.rs
+++ b/daisy-workflow/src/owner.rs
@@ -38,8 +38,8 @@
 };
 pub use self::{
     message::{
-        Action, ActiveRun, Batch, EndedRun, Event, HoldAnswer, Note, OrderReply, Outcome, Refusal,
-        Start, StopCause, WaitCause, WorkerListing,
+        Action, ActiveRun, Batch, EndedRun, Event, Note, OrderReply, Outcome, RejectReason,
+        RenewalAnswer, Start, StopCause, WaitCause, WorkerListing,
     },
     shortfall::PlacementShortfall,
     succession::{OwnershipStart, Witness, Witnesses},
@@ -95,7 +95,7 @@
     WorstFit,
 }
 
-/// What the owner holds about a job besides its record.
+/// What the owner knows about a job besides its record.
 #[derive(Debug, Clone)]
 pub(crate) struct JobView {
     /// When the job was accepted, on this process's clock.
@@ -103,7 +103,7 @@
     /// When the job should be completed.
     pub objective: Instant,
     /// Estimated time from each step's start to the job's end, in milliseconds.
-    pub tails_ms: Vec<u64>,
+    pub times_to_end_ms: Vec<u64>,
     /// Steps for which it was already logged that they wait for capacity.
     pub logged_waiting: Vec<u16>,
 }
@@ -126,7 +126,7 @@
     delegating: Vec<JobId>,
     /// Starts whose record is not in the log yet.
     unrecorded_starts: Vec<(WorkerKey, TaskId, u32)>,
-    in_flight: Option<InFlight>,
+    in_flight: Option<InFlightBatch>,
     interference: Interference,
     /// When the learned interference was last recorded.
     interference_recorded_at: Instant,
@@ -141,18 +141,19 @@
     actions: Vec<Action>,
     /// States of jobs that are stored in the log and have to be published to callers.
     states: Vec<(JobId, JobState)>,
-    others: OtherShards,
+    other_shards: OtherShards,
     /// Tasks that are transferred to other shards, while the transfer is not recorded yet.
     transferring: Vec<TaskId>,
     /// Since when long-running tasks have waited for capacity in this shard.
     waiting_since: SortedMap<TaskId, Instant>,
-    /// When waiting jobs and tasks were last checked for a better shard.
+    /// When it was last checked whether waiting jobs and tasks suit another shard better.
     rebalanced_at: Instant,
     /// When the last planning pass ran.
     planned_at: Instant,
-    /// Workers that this pass reserved for more urgent tasks.
+    /// Workers that the last planning pass reserved for tasks that could not be placed or are being
+    /// moved.
     reservations: Vec<Reservation>,
-    /// Sizes of tasks that the last pass could not place.
+    /// Sizes of tasks that the last planning pass could not place.
     unplaced_sizes: Vec<Resources>,
     /// Long-running tasks that are stopped on one worker to start on another.
     relocations: Vec<Relocation>,
@@ -162,7 +163,7 @@
     mean_task_cpu: u32,
 }
 
-/// A recorded run on a worker that this owner does not know.
+/// A recorded run on a worker that the platform's list has not named to this owner.
 #[derive(Debug, Clone)]
 struct Orphan {
     worker: WorkerId,
@@ -172,15 +173,15 @@
 
 /// A batch that is being appended to the log.
 #[derive(Debug)]
-struct InFlight {
+struct InFlightBatch {
     /// When the batch was created.
-    began: Instant,
+    created_at: Instant,
     starts: Vec<(WorkerKey, TaskId, u32)>,
     /// Ended runs that the batch records: worker, incarnation, number of the end.
     cursors: Vec<(WorkerKey, u64, u64)>,
-    /// States of jobs as the batch records them.
+    /// States of jobs in the batch, to be published once it is stored.
     states: Vec<(JobId, JobState)>,
-    /// Jobs and tasks to be written to other shards once the batch is stored.
+    /// Delegated jobs and transferred tasks to be written to other shards once the batch is stored.
     delegated: Vec<JobId>,
     transferring: Vec<TaskId>,
 }
@@ -219,7 +220,7 @@
             plan_due: true,
             actions: Vec::new(),
             states: Vec::new(),
-            others: OtherShards::default(),
+            other_shards: OtherShards::default(),
             transferring: Vec::new(),
             waiting_since: SortedMap::new(),
             rebalanced_at: now,
@@ -232,7 +233,7 @@
         };
         let own = owner.ledger.jobs().filter(|(_, it)| !it.belongs_to_other_shard());
         owner.states = own.map(|(id, job)| (id, job.state())).collect();
-        owner.forward_all();
+        owner.forward_all_jobs();
         owner.forward_all_tasks();
         owner.inherit(now);
         owner
@@ -256,14 +257,14 @@
         let copies = recorded_copies(id, job);
         for (worker, task, run) in copies {
             match self.by_id.get(&worker).copied() {
-                Some(key) => self.adopt(now, key, task, run, StartState::Inherited),
+                Some(key) => self.adopt_run(now, key, task, run, StartState::Inherited),
                 None => self.orphans.push(Orphan { worker, task, run }),
             }
         }
     }
 
     /// Processes an event.
-    pub fn step(&mut self, now: Instant, event: Event) {
+    pub fn handle_event(&mut self, now: Instant, event: Event) {
         match event {
             Event::Record(record) => self.process_record(now, record),
             Event::Workers(listed) => {
@@ -277,30 +278,30 @@
                     self.plan_due = true;
                 }
             }
-            Event::HoldAnswered(worker, answer) => self.hold_answered(now, worker, answer),
+            Event::RenewalAnswered(worker, answer) => self.renewal_answered(now, worker, answer),
             Event::Fenced(_) => self.actions.push(Action::StepDown),
-            Event::Started(worker, task, run, reply) => {
+            Event::StartAnswered(worker, task, run, reply) => {
                 self.start_answered(now, worker, task, run, reply);
             }
-            Event::Stopped(worker, task, run, reply) => {
+            Event::StopAnswered(worker, task, run, reply) => {
                 self.stop_answered(now, worker, task, run, reply);
             }
-            Event::Paced(worker, task, run, percent, reply) => {
+            Event::PaceAnswered(worker, task, run, percent, reply) => {
                 self.pace_answered(worker, task, run, percent, reply);
             }
             Event::Appended => self.batch_appended(now),
             Event::HeartbeatStored { sent_at } => self.heartbeat_stored(now, sent_at),
-            Event::Loads(loads) => self.others.update(loads),
-            Event::Observed(seen) => {
+            Event::Loads(loads) => self.other_shards.update(loads),
+            Event::InterferenceSums(seen) => {
                 seen.iter().for_each(|it| self.interference.add_interference_sums(now, it));
             }
             Event::Tick => self.tick(now),
         }
     }
 
-    /// Decides what starts now, at most every 20 ms, and returns all actions that
-    /// have accumulated.
-    pub fn act(&mut self, now: Instant) -> Vec<Action> {
+    /// Places waiting tasks, at most every 20 ms, and returns all actions requested since the last
+    /// call.
+    pub fn take_actions(&mut self, now: Instant) -> Vec<Action> {
         if self.plan_due && now.since(self.planned_at) >= PLAN_INTERVAL {
             self.plan_due = false;
             self.planned_at = now;
@@ -311,10 +312,10 @@
 
     /// Whether there are records to append and no batch is being appended.
     pub fn has_batch(&self) -> bool {
-        let nothing = self.unrecorded_jobs.is_empty()
+        let nothing_unrecorded = self.unrecorded_jobs.is_empty()
             && self.delegating.is_empty()
             && self.unrecorded_starts.is_empty();
-        self.in_flight.is_none() && (!nothing || self.succession.has_record())
+        self.in_flight.is_none() && (!nothing_unrecorded || self.succession.has_witnesses_record())
     }
 
     /// Returns the records to append next, or `None` while a batch is being appended or if there
@@ -330,12 +331,14 @@
         let mut records = Vec::with_capacity(changed.len());
         let mut states = Vec::with_capacity(changed.len());
         let delegated = std::mem::take(&mut self.delegating);
-        let to = |id: &JobId| ledger.job(*id).and_then(|it| it.delegated);
-        records.extend(delegated.iter().filter_map(|id| Some(Record::Delegated(*id, to(id)?))));
+        let receiver = |id: &JobId| ledger.job(*id).and_then(|it| it.delegated);
+        records
+            .extend(delegated.iter().filter_map(|id| Some(Record::Delegated(*id, receiver(id)?))));
         for id in changed {
             let Some(job) = ledger.job(id) else { continue };
             records.push(Record::Progress(id, job.progress.clone()));
-            // The state of a job's part in this shard is not the state of the job.
+            // This shard runs only some of the job's tasks; the job's own shard publishes its
+            // state.
             if !job.belongs_to_other_shard() {
                 states.push((id, job.state()));
             }
@@ -350,8 +353,14 @@
         let seen = self.workers.iter().filter(|(_, it)| it.cursor_seen > it.cursor_durable);
         let cursors = seen.map(|(key, it)| (key, it.started_at_ms, it.cursor_seen)).collect();
         let starts = std::mem::take(&mut self.unrecorded_starts);
-        self.in_flight =
-            Some(InFlight { began: now, starts, cursors, states, delegated, transferring });
+        self.in_flight = Some(InFlightBatch {
+            created_at: now,
+            starts,
+            cursors,
+            states,
+            delegated,
+            transferring,
+        });
         Some(Batch { records })
     }
 
@@ -381,7 +390,7 @@
         self.workers.get(key)
     }
 
-    /// Returns the state of a task to be changed, and marks its job to be recorded again.
+    /// Returns a task's state for a change, and marks its job to be recorded again.
     fn task_mut(&mut self, task: TaskId) -> Option<&mut crate::TaskState> {
         let job = self.ledger.job_mut(task.job)?;
         let steps = job.progress.occurrences.get_mut(task.occurrence as usize)?;
@@ -393,12 +402,12 @@
     fn note_worker(&mut self, key: WorkerKey, state: &'static str, cause: &'static str) {
         if let Some(worker) = self.workers.get(key) {
             let worker = worker.id.clone();
-            self.actions.push(Action::Note(Note::Worker { worker, state, cause }));
+            self.actions.push(Action::Note(Note::WorkerChanged { worker, state, cause }));
         }
     }
 }
 
-/// Lists the runs of a job that may be on a worker according to its record.
+/// Lists the runs that may be on a worker according to the job's record.
 fn recorded_copies(id: JobId, job: &Job) -> Vec<(WorkerId, TaskId, u32)> {
     let mut copies = Vec::new();
     for (occurrence, steps) in (0u32..).zip(&job.progress.occurrences) {
@@ -421,7 +430,7 @@
 /// continues.
 const INTERFERENCE_RECORD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Minimum interval between planning passes: each goes through all jobs and workers, and on a busy
+/// Minimum interval between planning passes: each pass visits all jobs and workers, and on a busy
 /// owner hundreds of events per second request one.
 const PLAN_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -429,17 +438,17 @@
 const INITIAL_HEADROOM: f64 = 2.7;
 
 /// Creates the assignment of a run that starts now.
-fn assignment(
+fn new_assignment(
     now: Instant,
-    learned_interference: &mut Interference,
+    interference: &mut Interference,
     task: TaskId,
     run: u32,
     step: &crate::StepSpec,
 ) -> Assignment {
     let image = match (&step.image, step.target_ms) {
         (None, _) => None,
-        (Some(it), 0) => Some(learned_interference.best_effort_key(it)),
-        (Some(it), _) => Some(learned_interference.serving_key(now, it)),
+        (Some(it), 0) => Some(interference.best_effort_key(it)),
+        (Some(it), _) => Some(interference.serving_key(now, it)),
     };
     Assignment {
         task,
--- a/daisy-workflow/src/owner/delegate.rs
+++ b/daisy-workflow/src/owner/delegate.rs
@@ -2,8 +2,8 @@
 //!
 //! The owner of a job's own shard decides, once, before any task of the job was started. It records
 //! the decision and only then writes the job to the other shard's submissions; from then on it
-//! never runs the job itself. Writing the job twice has no additional effect, so the next owner
-//! writes again all jobs for which the other shard has published no state.
+//! never runs the job itself. Writing a job twice has no additional effect, so the next owner
+//! writes all delegated jobs again.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 };
 use crate::{Demand, FREE_BLOCKS, Job, JobId, JobState, Load, Record, StepSpec, TaskId, TaskState};
 
-/// How long a new owner may take to learn its workers: the time to read the list from a slow
+/// How long a new owner may take to discover its workers: the time to read the list from a slow
 /// platform.
 pub(super) const WORKER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
 /// Interval between checks of waiting jobs that have not started.
@@ -40,8 +40,9 @@
         largest_first(blocks)
     }
 
-    /// Returns the capacity that is left on each worker for long-running tasks, after all finite
-    /// tasks have ended and this shard's waiting ones are placed; and the waiting tasks that fit.
+    /// Returns the capacity left on each worker for long-running tasks, after all finite tasks have
+    /// ended and this shard's waiting long-running tasks are placed, together with the waiting
+    /// tasks that fit.
     pub(super) fn eventual_free_capacity(
         &self,
         now: Instant,
@@ -78,7 +79,7 @@
     /// Returns the shard's capacity and the demand on it.
     fn demand(&self, now: Instant) -> Load {
         let mut load = Load::default();
-        let is_reachable = |it: &Worker| it.listed && it.ready && it.hold_failures == 0;
+        let is_reachable = |it: &Worker| it.listed && it.ready && it.renewal_failures == 0;
         for (_, worker) in self.workers.iter().filter(|(_, it)| is_reachable(it)) {
             load.capacity += u64::from(worker.capacity.cpu_milli);
         }
@@ -88,8 +89,8 @@
         load
     }
 
-    /// Adds a job's current demand: its running tasks, and the waiting ones of steps that are ready
-    /// or long-running.
+    /// Adds a job's current demand: its running tasks, and the waiting tasks of steps that are
+    /// ready or long-running.
     fn add_job(&self, now: Instant, id: JobId, load: &mut Load) {
         let Some(job) = self.ledger.job(id) else { return };
         if !matches!(job.state(), JobState::Queued | JobState::Running) {
@@ -98,14 +99,14 @@
         let ready = self.ready_steps(now, id);
         for (k, steps) in job.progress.occurrences.iter().enumerate() {
             for (s, (tasks, step)) in steps.iter().zip(&job.spec.steps).enumerate() {
-                let turn =
+                let is_ready =
                     ready.iter().any(|it| it.occurrence as usize == k && usize::from(it.step) == s);
-                let asks = |it: &&TaskState| {
+                let adds_demand = |it: &&TaskState| {
                     !it.done
                         && !it.on_other_shard
-                        && (turn || step.long_running || !it.copies.is_empty())
+                        && (is_ready || step.long_running || !it.copies.is_empty())
                 };
-                let count = tasks.iter().filter(asks).count() as u64;
+                let count = tasks.iter().filter(adds_demand).count() as u64;
                 let cpu = count * u64::from(step.need.cpu_milli);
                 match (step.long_running, step.best_effort) {
                     (true, _) => load.long_running += cpu,
@@ -119,7 +120,8 @@
     /// Delegates a job to another shard that has more capacity, unless the job has begun or came
     /// from another shard.
     pub(super) fn try_delegate(&mut self, now: Instant, id: JobId) {
-        if self.settings.layout.shards < 2 || self.settings.layout.of_job(id) != self.settings.shard
+        if self.settings.layout.shards < 2
+            || self.settings.layout.shard_of_job(id) != self.settings.shard
         {
             return;
         }
@@ -136,8 +138,8 @@
         if own.capacity == 0 && now.since(self.began_at) < WORKER_DISCOVERY_TIME {
             return;
         }
-        let Some(to) = self.others.try_find_better_shard(now, own, demand) else { return };
-        self.others.transferred(now, to, demand);
+        let Some(to) = self.other_shards.try_find_better_shard(now, own, demand) else { return };
+        self.other_shards.add_transfer(now, to, demand);
         if let Some(job) = self.ledger.job_mut(id) {
             job.delegate(to);
         }
@@ -166,7 +168,7 @@
     }
 
     /// Writes a job, and its cancellation if there is one, to the shard that it was delegated to.
-    pub(super) fn forward(&mut self, id: JobId) {
+    pub(super) fn forward_job(&mut self, id: JobId) {
         let Some(job) = self.ledger.job(id) else { return };
         let Some(to) = job.delegated else { return };
         let spec = (*job.spec).clone();
@@ -179,15 +181,15 @@
 
     /// Writes all delegated jobs again: a new owner does not know which ones its predecessor has
     /// written.
-    pub(super) fn forward_all(&mut self) {
+    pub(super) fn forward_all_jobs(&mut self) {
         let delegated = self.ledger.jobs().filter(|(_, it)| it.delegated.is_some());
         let ids: Vec<JobId> = delegated.map(|(id, _)| id).collect();
-        ids.into_iter().for_each(|id| self.forward(id));
+        ids.into_iter().for_each(|id| self.forward_job(id));
     }
 
     pub(super) fn forward_cancel(&mut self, id: JobId) {
         // While the delegation is not recorded, the job was not written to the other shard either;
-        // both are written once it is.
+        // the job and its cancellation are written once the delegation is recorded.
         if let Some(to) = self.ledger.job(id).and_then(|it| it.delegated)
             && !self.delegating.contains(&id)
             && self.in_flight.as_ref().is_none_or(|it| !it.delegated.contains(&id))
@@ -200,8 +202,8 @@
     }
 }
 
-/// Sorts free blocks by publishing order: the largest first, by the scarcer of processors and
-/// memory; some blocks with accelerators precede all others.
+/// Sorts free blocks in the order of publication: the largest first, by the scarcer of processors
+/// and memory; a few blocks with accelerators precede all others.
 fn largest_first(mut blocks: Vec<Resources>) -> Vec<Resources> {
     /// Maximum number of blocks with accelerators that precede all others.
     const WITH_ACCELERATORS: usize = FREE_BLOCKS / 4;
--- a/daisy-workflow/src/owner/interference.rs
+++ b/daisy-workflow/src/owner/interference.rs
@@ -76,7 +76,7 @@
     share_products: Vec<Vec<f64>>,
     loss_sums: Vec<f64>,
     weights: Vec<f64>,
-    /// Prior value of each weight, and the strength of that prior.
+    /// Initial value of each weight, and the strength with which it is preferred.
     priors: Vec<(f64, f64)>,
     /// Sums of this owner's reports that were not yet shared with other owners.
     unshared: Sums,
@@ -84,7 +84,7 @@
 }
 
 /// Sums over reports: for each pair of images the products of their usage, for each image the
-/// products of its usage and the headroom lost.
+/// products of its usage and the lost headroom.
 #[derive(Debug, Clone, Default)]
 struct Sums {
     share_products: SortedMap<(usize, usize), f64>,
@@ -128,10 +128,10 @@
     }
 
     fn decay(&mut self, now: Instant) {
-        let keep = 0.5f64.powf(now.since(self.at).as_secs_f64() / HALF_LIFE_S);
+        let remaining = 0.5f64.powf(now.since(self.at).as_secs_f64() / HALF_LIFE_S);
         self.at = now;
-        self.loss_sums.iter_mut().for_each(|it| *it *= keep);
-        self.share_products.iter_mut().flatten().for_each(|it| *it *= keep);
+        self.loss_sums.iter_mut().for_each(|it| *it *= remaining);
+        self.share_products.iter_mut().flatten().for_each(|it| *it *= remaining);
     }
 
     fn add(&mut self, x: &[(usize, f64)], y: f64) {
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Coordinate descent: sets each weight in turn to its best value that is not negative.
+    /// Fits the weights by coordinate descent: sets one weight after the other to its best value
+    /// that is not negative.
     fn solve(&mut self) {
         for _ in 0..SOLVER_PASSES {
             for i in 0..self.weights.len() {
@@ -206,18 +207,18 @@
 
     /// Creates an estimate that continues from what an earlier owner had learned.
     pub fn inherit(now: Instant, pairs: &[ImageInterference]) -> Interference {
-        let mut learnt = Interference::default();
+        let mut interference = Interference::default();
         for pair in pairs {
-            let at = learnt.best_effort.key(&pair.best_effort).index();
-            let key = learnt.serving_key(now, &pair.serving);
-            let len = learnt.best_effort.len();
-            let fit = &mut learnt.fits[key.index()];
+            let at = interference.best_effort.key(&pair.best_effort).index();
+            let key = interference.serving_key(now, &pair.serving);
+            let len = interference.best_effort.len();
+            let fit = &mut interference.fits[key.index()];
             fit.grow(len);
             let weight = f64::from(pair.permille) / 1_000.0;
             fit.weights[at] = weight;
             fit.priors[at] = (weight, INHERITED_STRENGTH);
         }
-        learnt
+        interference
     }
 
     /// Returns the factors of all pairs.
@@ -239,8 +240,8 @@
     }
 
     /// Processes a report: a serving task of `image` had `loss` less headroom than the mean of
-    /// earlier reports, while the best-effort images in `more` used that much more of the worker's
-    /// processors than in the mean.
+    /// earlier reports, while each best-effort image in `more` used the given share of the worker's
+    /// processors more than in the mean of earlier reports.
     pub fn learn(&mut self, now: Instant, image: ImageKey, loss: f64, more: &[(ImageKey, f64)]) {
         let x: Vec<(usize, f64)> = more.iter().map(|(it, share)| (it.index(), *share)).collect();
         let len = self.best_effort.len();
@@ -283,16 +284,16 @@
     /// A pair of images occurs on few workers of one shard. From its own reports alone, an owner of
     /// a fifth of the workers would have a fifth of the information on a pair, and interference
     /// changes within seconds.
-    pub fn add_interference_sums(&mut self, now: Instant, seen: &InterferenceSums) {
+    pub fn add_interference_sums(&mut self, now: Instant, sums_of_other: &InterferenceSums) {
         let mut sums = Sums::default();
-        for (image, it) in &seen.loss_sums {
+        for (image, it) in &sums_of_other.loss_sums {
             sums.loss_sums.insert(self.best_effort.key(image).index(), f64::from(*it));
         }
-        for (a, b, it) in &seen.share_products {
+        for (a, b, it) in &sums_of_other.share_products {
             let (a, b) = (self.best_effort.key(a).index(), self.best_effort.key(b).index());
             sums.share_products.insert((a.min(b), a.max(b)), f64::from(*it));
         }
-        let key = self.serving_key(now, &seen.serving);
+        let key = self.serving_key(now, &sums_of_other.serving);
         let len = self.best_effort.len();
         let fit = &mut self.fits[key.index()];
         fit.grow(len);
@@ -302,8 +303,8 @@
     }
 
     /// Returns the headroom that best-effort tasks of image `other`, using all of a worker's
-    /// processors, would take from a serving task of `image`; the prior for unknown pairs and tasks
-    /// without an image.
+    /// processors, would take from a serving task of `image`; [`PRIOR_WEIGHT`] for unknown pairs
+    /// and tasks without an image.
     pub fn weight(&self, image: Option<ImageKey>, other: Option<ImageKey>) -> f64 {
         let fit = image.and_then(|it| self.fits.get(it.index()));
         let known = fit.zip(other).and_then(|(fit, at)| fit.weights.get(at.index()));
--- a/daisy-workflow/src/owner/message.rs
+++ b/daisy-workflow/src/owner/message.rs
@@ -26,7 +26,7 @@
     pub labels: Vec<Arc<str>>,
     /// When this incarnation started, in milliseconds since 1970 by the worker's own clock.
     pub started_at_ms: u64,
-    /// How much longer the worker is slow after its start, in milliseconds.
+    /// Remaining time during which the worker is still slow after its start, in milliseconds.
     pub cold_ms: u64,
     /// The minimum time until the worker exits, in milliseconds, while it drains.
     pub min_remaining_ms: Option<u64>,
@@ -60,7 +60,7 @@
     /// The worker's lease ran out.
     LeaseExpired,
     /// Another member of the gang ended.
-    Broken,
+    GangMemberEnded,
     /// The run waited too long for the other members of its gang.
     GangIncomplete,
 }
@@ -82,7 +82,7 @@
 
 /// A worker's answer to a lease renewal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HoldAnswer {
+pub struct RenewalAnswer {
     /// The worker's clock in milliseconds.
     pub clock_ms: u64,
     /// Start time of the incarnation that answers, in milliseconds since 1970.
@@ -95,18 +95,18 @@
 
 /// Why a worker rejected an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// The worker has seen a higher epoch.
     Fenced,
     /// The run's number is not above that of a run of the task which was stopped or ended on the
     /// worker.
     StaleRun,
     /// The lease had expired when the order arrived.
-    Late,
+    LeaseExpired,
     /// The task does not fit into the worker's free capacity.
     DoesNotFit,
     /// The ticket is missing or has expired.
-    Ticket,
+    InvalidTicket,
     /// The worker is unhealthy and did not carry the order out.
     Unhealthy,
     /// Another incarnation answered.
@@ -118,13 +118,13 @@
 /// The answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// The order was carried out, now or earlier.
+    /// The order was carried out, by this call or by an earlier one.
     Done {
         /// The worker's clock in milliseconds.
         clock_ms: u64,
     },
     /// The worker rejected the order.
-    Refused(Refusal),
+    Rejected(RejectReason),
     /// The order was not sent.
     NotSent,
     /// No answer came: the order may have been carried out, or be carried out later.
@@ -157,16 +157,16 @@
     ListUnchanged,
     /// A new version of the queue configuration.
     QueueConfig(Arc<QueueConfig>),
-    /// The answer to [`Action::Hold`]; `None` if there was none.
-    HoldAnswered(WorkerKey, Option<HoldAnswer>),
+    /// The answer to [`Action::Renew`]; `None` if the call was not answered.
+    RenewalAnswered(WorkerKey, Option<RenewalAnswer>),
     /// A worker rejected a renewal because it has seen a higher epoch.
     Fenced(WorkerKey),
     /// The answer to [`Action::Start`].
-    Started(WorkerKey, TaskId, u32, OrderReply),
+    StartAnswered(WorkerKey, TaskId, u32, OrderReply),
     /// The answer to [`Action::Stop`].
-    Stopped(WorkerKey, TaskId, u32, OrderReply),
+    StopAnswered(WorkerKey, TaskId, u32, OrderReply),
     /// The answer to [`Action::Pace`].
-    Paced(WorkerKey, TaskId, u32, u8, OrderReply),
+    PaceAnswered(WorkerKey, TaskId, u32, u8, OrderReply),
     /// The last [`Batch`] was stored in the log.
     Appended,
     /// The log stored a heartbeat of this owner.
@@ -177,7 +177,7 @@
     /// The loads that the owners of other shards last published.
     Loads(SortedMap<ShardId, Load>),
     /// Interference sums from the owner of another shard.
-    Observed(Vec<InterferenceSums>),
+    InterferenceSums(Vec<InterferenceSums>),
     /// Time has passed.
     Tick,
 }
@@ -191,21 +191,21 @@
     Done,
     /// The run is throttled in favour of serving tasks on its worker, and could run at full pace
     /// elsewhere.
-    HeldBack {
-        /// The share of its processor time that the run has on this worker, in percent.
+    Throttled {
+        /// The pace of the run on this worker, in percent.
         percent: u8,
     },
     /// The task is started again elsewhere, so that another task fits on this worker.
     Moved,
-    /// The run makes no progress.
-    Stuck,
+    /// The run has made no progress for some time.
+    NoProgress,
     /// The worker exits before the run would end.
     Draining,
     /// The start order may still be carried out, after the worker rejected it once or restarted.
     PossiblyDelayed,
     /// The worker's lists do not contain the run, though it was started.
     Absent,
-    /// The run was not started by this owner, or was given up by it.
+    /// This owner did not start the run, or has given it up.
     Unknown,
 }
 
@@ -215,9 +215,9 @@
         match self {
             StopCause::JobOver => "its job is over",
             StopCause::Done => "another copy is done",
-            StopCause::HeldBack { .. } => "throttled here, can run at full pace elsewhere",
+            StopCause::Throttled { .. } => "throttled here, can run at full pace elsewhere",
             StopCause::Moved => "moved to make space for another task",
-            StopCause::Stuck => "no progress",
+            StopCause::NoProgress => "no progress",
             StopCause::Draining => "its worker drains",
             StopCause::PossiblyDelayed => "its order may be carried out late",
             StopCause::Absent => "its worker does not list it",
@@ -231,7 +231,7 @@
 pub enum WaitCause {
     /// No worker has enough free capacity for what the task reserves.
     Capacity,
-    /// On no worker could the task run at full pace beside the tasks that are there.
+    /// The task could not run at full pace on any worker beside that worker's tasks.
     Headroom,
 }
 
@@ -249,7 +249,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Renew a worker's lease, acknowledge ended runs, and read the worker's lists.
-    Hold {
+    Renew {
         /// The worker.
         worker: WorkerKey,
         /// The lease's end on the worker's clock, in milliseconds; `None` to only read the lists.
@@ -263,7 +263,7 @@
     Start(WorkerKey, Start),
     /// Stop a run.
     Stop(WorkerKey, TaskId, u32, StopCause),
-    /// Limit a run to this share of its processor time, in percent.
+    /// Set a run's pace: the share of its processor time that it may use, in percent.
     Pace(WorkerKey, TaskId, u32, u8),
     /// Append this record of a job to another shard's submissions; retried until the log has stored
     /// it.
@@ -296,7 +296,7 @@
         job: JobId,
         /// The step.
         step: u16,
-        /// Number of its tasks that wait.
+        /// Number of the step's tasks that wait.
         tasks: usize,
         /// Why they wait.
         cause: WaitCause,
@@ -314,8 +314,8 @@
     TaskTransferred {
         /// The task.
         task: TaskId,
-        /// Number of the transfer among those of this task.
-        hop: u32,
+        /// Number of the transfer; a task's transfers are counted from 1.
+        number: u32,
         /// The shard that runs it.
         to: ShardId,
     },
@@ -326,7 +326,7 @@
         task: TaskId,
         /// The worker that the task leaves.
         worker: WorkerId,
-        /// Processor time that will be free there, in thousandths of a core.
+        /// Processor time that will be free on that worker, in thousandths of a core.
         free_cpu: u32,
         /// Processor time that the waiting task reserves, in thousandths of a core.
         needed_cpu: u32,
@@ -356,7 +356,7 @@
         cause: &'static str,
     },
     /// The state of a worker, as the owner sees it, changed.
-    Worker {
+    WorkerChanged {
         /// The worker.
         worker: WorkerId,
         /// The new state.
--- a/daisy-workflow/src/owner/orders.rs
+++ b/daisy-workflow/src/owner/orders.rs
@@ -5,8 +5,8 @@
 use daisy_model::Instant;
 
 use super::{
-    InFlight, Owner,
-    message::{Action, OrderReply, Refusal, Start, StopCause},
+    InFlightBatch, Owner,
+    message::{Action, OrderReply, RejectReason, Start, StopCause},
     worker::{DelayedStart, StartState, StopState, WorkerKey},
 };
 use crate::{JobState, TaskId};
@@ -16,13 +16,12 @@
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval before an unanswered stop is sent again.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long after it was sent an order may still be carried out: the platform's contract allows 12
-/// s.
+/// How long after it was sent an order may still be carried out: the platform specifies up to 12 s.
 pub(super) const MAX_ORDER_DELAY: Duration = Duration::from_secs(13);
 /// How long a worker gets no new tasks after it left an order unanswered.
 const EXCLUSION_NO_ANSWER: Duration = Duration::from_millis(700);
 /// How long a worker gets no new tasks after it rejected an order.
-const EXCLUSION_REFUSED: Duration = Duration::from_millis(500);
+const EXCLUSION_REJECTED: Duration = Duration::from_millis(500);
 /// How long a worker gets no new tasks after it rejected an order because it is unhealthy.
 const EXCLUSION_UNHEALTHY: Duration = Duration::from_secs(2);
 
@@ -31,11 +30,11 @@
     /// runs.
     pub(super) fn batch_appended(&mut self, now: Instant) {
         let Some(it) = self.in_flight.take() else { return };
-        self.succession.append_accepted(it.began);
+        self.succession.append_accepted(it.created_at);
         self.succession.witnesses_recorded();
-        let InFlight { began: _, starts, cursors, states, delegated, transferring } = it;
+        let InFlightBatch { created_at: _, starts, cursors, states, delegated, transferring } = it;
         self.states.extend(states);
-        delegated.into_iter().for_each(|id| self.forward(id));
+        delegated.into_iter().for_each(|id| self.forward_job(id));
         transferring.into_iter().for_each(|task| self.forward_task(task));
         for (key, started_at_ms, number) in cursors {
             if let Some(worker) = self.workers.get_mut(key)
@@ -63,10 +62,10 @@
         let Some(worker) = self.workers.get_mut(key) else { return };
         let Some(start_state) = worker.find(task, run).map(|it| it.start_state) else { return };
         // The worker may have changed while the record was being stored.
-        let answers = worker.fenced && worker.hold_failures == 0;
-        let takes = answers && worker.used.fits(worker.capacity);
-        let can = takes || start_state != StartState::Recording;
-        let lease_end = if wanted && can { worker.lease_end(now, lease) } else { None };
+        let is_reachable = worker.fenced && worker.renewal_failures == 0;
+        let has_capacity = is_reachable && worker.used.fits(worker.capacity);
+        let may_send = has_capacity || start_state != StartState::Recording;
+        let lease_end = if wanted && may_send { worker.lease_end(now, lease) } else { None };
         let Some(it) = worker.find(task, run) else { return };
         let Some(deadline_ms) = lease_end else {
             // The task is not wanted any more, does not fit, or its worker is unreachable or has
@@ -97,7 +96,7 @@
         if let Some(worker) = self.workers.get_mut(key) {
             worker.remove(task, run);
         }
-        self.drop_copy(task, run, "");
+        self.remove_copy(task, run, "");
     }
 
     pub(super) fn start_answered(
@@ -113,7 +112,8 @@
             && worker.fenced
         {
             match worker.is_clock_reset(clock_ms) {
-                // The next list identifies the new incarnation; until then it gets no new tasks.
+                // The answer to the next renewal identifies the new incarnation; until then the
+                // worker gets no new tasks.
                 true => worker.fenced = false,
                 false => worker.clock = Some((clock_ms, now)),
             }
@@ -146,31 +146,32 @@
                 self.exclude(now, key, EXCLUSION_NO_ANSWER);
                 self.unassign(key, task, run);
             }
-            OrderReply::Refused(Refusal::Fenced) => self.actions.push(Action::StepDown),
-            // An earlier attempt was carried out and the run has ended: the list will say how.
-            OrderReply::Refused(Refusal::StaleRun) if it.may_be_delayed => {
+            OrderReply::Rejected(RejectReason::Fenced) => self.actions.push(Action::StepDown),
+            // An earlier attempt was carried out and the run has ended: the worker's list of ended
+            // runs will say how.
+            OrderReply::Rejected(RejectReason::StaleRun) if it.may_be_delayed => {
                 it.start_state = StartState::Confirmed(now)
             }
-            OrderReply::Refused(cause) => self.start_refused(now, key, task, run, cause),
+            OrderReply::Rejected(cause) => self.start_rejected(now, key, task, run, cause),
         }
     }
 
-    fn start_refused(
+    fn start_rejected(
         &mut self,
         now: Instant,
         key: WorkerKey,
         task: TaskId,
         run: u32,
-        cause: Refusal,
+        cause: RejectReason,
     ) {
         let pause = match cause {
-            Refusal::Unhealthy => EXCLUSION_UNHEALTHY,
-            _ => EXCLUSION_REFUSED,
+            RejectReason::Unhealthy => EXCLUSION_UNHEALTHY,
+            _ => EXCLUSION_REJECTED,
         };
         self.exclude(now, key, pause);
-        self.note_worker(key, "shunned", refusal_cause(cause));
+        self.note_worker(key, "shunned", reject_cause(cause));
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
-        // An earlier attempt may still be carried out; a stop that is answered rules that out.
+        // An earlier attempt may still be carried out; only an answered stop rules that out.
         match it.may_be_delayed {
             true => {
                 it.start_state = StartState::Unanswered(now + START_RETRY_INTERVAL);
@@ -214,12 +215,14 @@
         let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run)) else { return };
         it.stop_state = match reply {
             OrderReply::Done { .. } => StopState::Done(now),
-            OrderReply::Refused(Refusal::StaleRun | Refusal::Late) => StopState::Done(now),
-            OrderReply::Refused(Refusal::Fenced) => {
+            OrderReply::Rejected(RejectReason::StaleRun | RejectReason::LeaseExpired) => {
+                StopState::Done(now)
+            }
+            OrderReply::Rejected(RejectReason::Fenced) => {
                 self.actions.push(Action::StepDown);
                 return;
             }
-            OrderReply::Refused(_) | OrderReply::NotSent | OrderReply::Unknown => {
+            OrderReply::Rejected(_) | OrderReply::NotSent | OrderReply::Unknown => {
                 StopState::Due(now + STOP_RETRY_INTERVAL)
             }
         };
@@ -241,7 +244,7 @@
                 .map(|it| (it.task, it.run))
                 .collect();
             // No lease is granted while a worker does not answer, so that its leases expire.
-            if worker.hold_failures > 0 || worker.clock.is_none() {
+            if worker.renewal_failures > 0 || worker.clock.is_none() {
                 continue;
             }
             for (task, run) in due {
@@ -251,15 +254,15 @@
     }
 }
 
-fn refusal_cause(cause: Refusal) -> &'static str {
+fn reject_cause(cause: RejectReason) -> &'static str {
     match cause {
-        Refusal::Fenced => "it has seen a higher epoch",
-        Refusal::StaleRun => "it has ended a later run of a task",
-        Refusal::Late => "a start arrived after its lease had expired",
-        Refusal::DoesNotFit => "a start did not fit",
-        Refusal::Ticket => "a start had no valid ticket",
-        Refusal::Unhealthy => "it reports that it is unhealthy",
-        Refusal::OtherIncarnation => "another incarnation answered",
-        Refusal::Malformed => "it does not understand a start",
+        RejectReason::Fenced => "it has seen a higher epoch",
+        RejectReason::StaleRun => "it has ended a later run of a task",
+        RejectReason::LeaseExpired => "a start arrived after its lease had expired",
+        RejectReason::DoesNotFit => "a start did not fit",
+        RejectReason::InvalidTicket => "a start had no valid ticket",
+        RejectReason::Unhealthy => "it reports that it is unhealthy",
+        RejectReason::OtherIncarnation => "another incarnation answered",
+        RejectReason::Malformed => "it does not understand a start",
     }
 }
--- a/daisy-workflow/src/owner/pace.rs
+++ b/daisy-workflow/src/owner/pace.rs
@@ -11,7 +11,7 @@
         headroom_cost,
     },
     interference::{ImageKey, Interference},
-    message::{Action, OrderReply, Refusal, StopCause},
+    message::{Action, OrderReply, RejectReason, StopCause},
     placement::PlacementOptions,
     worker::{Assignment, StartState, StopState, Worker, WorkerKey},
 };
@@ -35,13 +35,13 @@
 /// milliseconds.
 const HEADROOM_MAX: f64 = 6.0;
 /// Minimum interval between reports that are used: workers report figures of the last half second,
-/// so earlier ones repeat them.
+/// so more frequent reports repeat them.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// The smallest change of a share that is ordered, in percent.
+/// The smallest change of a pace that is ordered, in percent.
 const MIN_PACE_CHANGE: u8 = 10;
-/// Delay after a change of a task's share before the share may be raised.
+/// Delay after a change of a task's pace before the pace may be raised.
 const PACE_RAISE_DELAY: Duration = Duration::from_millis(900);
-/// A task that was limited to less than this share, in percent, for this long is started again
+/// A task whose pace was below this value, in percent, for this long is stopped to be started
 /// elsewhere.
 const STARVED_PACE: u8 = 40;
 const STARVED_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -57,7 +57,7 @@
 }
 
 impl Owner {
-    /// Learns from a worker's report and sets the shares of its best-effort tasks.
+    /// Learns from a worker's report and sets the paces of its best-effort tasks.
     pub(super) fn pace(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if !worker.tasks.iter().any(|it| it.target_ms > 0) {
@@ -75,7 +75,7 @@
         if !worker.is_interference_current {
             worker.update_interference(&self.interference);
         }
-        let learnt = &self.interference;
+        let interference = &self.interference;
         let mut limits: Vec<PaceLimit> = Vec::new();
         let mut halt = false;
         for (serving, it) in worker.tasks.iter().enumerate() {
@@ -89,14 +89,14 @@
             let loads = worker.interference_loads.iter().find(|of| of.image == it.image);
             limits.extend(loads.and_then(|of| PaceLimit::new(serving, it, of)));
         }
-        let shares = shares(learnt, worker, &limits, halt);
+        let shares = shares(interference, worker, &limits, halt);
         order_paces(now, worker, key, |at| shares[at], &mut self.actions);
-        self.move_starved(now, key);
+        self.stop_starved(now, key);
     }
 
-    /// Stops a best-effort task that has been throttled for long if another worker would not
-    /// throttle it.
-    fn move_starved(&mut self, now: Instant, key: WorkerKey) {
+    /// Stops a best-effort task that has been throttled for [`STARVED_TIMEOUT`] if another worker
+    /// would not throttle it.
+    fn stop_starved(&mut self, now: Instant, key: WorkerKey) {
         let Some(worker) = self.workers.get(key) else { return };
         let starved = |it: &Assignment| {
             it.best_effort_cpu > 0
@@ -125,7 +125,7 @@
             && let Some(it) = self.workers.get_mut(key).and_then(|it| it.find(task, run))
         {
             let percent = it.pace.unwrap_or_default();
-            it.request_stop(now, StopCause::HeldBack { percent });
+            it.request_stop(now, StopCause::Throttled { percent });
         }
     }
 
@@ -137,7 +137,7 @@
         percent: u8,
         reply: OrderReply,
     ) {
-        if reply == OrderReply::Refused(Refusal::Fenced) {
+        if reply == OrderReply::Rejected(RejectReason::Fenced) {
             self.actions.push(Action::StepDown);
             return;
         }
@@ -154,26 +154,26 @@
 struct PaceLimit {
     /// Index of the serving task among the worker's tasks.
     serving: usize,
-    /// Maximum share of tasks with high interference.
+    /// Maximum pace of tasks with high interference, from 0 to 1.
     high: f64,
-    /// Maximum share of tasks with low interference.
+    /// Maximum pace of tasks with low interference, from 0 to 1.
     low: f64,
 }
 
 impl PaceLimit {
-    /// Limits tasks with high interference first. Those with low interference, which are many, are
-    /// limited only where the target itself is close.
+    /// Limits tasks with high interference first. Tasks with low interference are many; they are
+    /// limited only if the serving task would otherwise come close to its target.
     fn new(serving: usize, it: &Assignment, on_image: &InterferenceLoad) -> Option<PaceLimit> {
         let InterferenceLoad { high, low, .. } = *on_image;
-        let part = |spare: f64, wanted: f64| match wanted > spare {
+        let fitting_share = |spare: f64, wanted: f64| match wanted > spare {
             true => (spare / wanted).max(0.0),
             false => 1.0,
         };
-        let share_high = part(it.own_headroom - low - HEADROOM_MIN, high);
+        let share_high = fitting_share(it.own_headroom - low - HEADROOM_MIN, high);
         let left = it.own_headroom - high * share_high;
         let share_low = match it.own_headroom < HEADROOM_UNRECOVERABLE {
             true => 1.0,
-            false => part(left - HEADROOM_MIN_LOW_INTERFERENCE, low),
+            false => fitting_share(left - HEADROOM_MIN_LOW_INTERFERENCE, low),
         };
         let is_limited = share_high < 1.0 || share_low < 1.0;
         is_limited.then_some(PaceLimit { serving, high: share_high, low: share_low })
@@ -189,7 +189,7 @@
 }
 
 /// Learns interference from a worker's report.
-fn learn(now: Instant, learnt: &mut Interference, worker: &mut Worker) {
+fn learn(now: Instant, interference: &mut Interference, worker: &mut Worker) {
     let capacity = f64::from(worker.capacity.cpu_milli.max(1));
     let mut used: Vec<(ImageKey, f64)> = Vec::new();
     for it in worker.tasks.iter().filter(|it| it.best_effort_cpu > 0 && is_confirmed_running(it)) {
@@ -208,18 +208,18 @@
             false => None,
         };
         let Some(image) = it.image else { continue };
-        let taken = |used: &[(ImageKey, f64)], learnt: &Interference| -> f64 {
+        let headroom_loss = |used: &[(ImageKey, f64)], interference: &Interference| -> f64 {
             let each = used.iter();
-            each.map(|(other, share)| learnt.weight(Some(image), Some(*other)) * share).sum()
+            each.map(|(other, share)| interference.weight(Some(image), Some(*other)) * share).sum()
         };
-        let lost = taken(&used, learnt);
-        let own = headroom + lost;
+        let current_loss = headroom_loss(&used, interference);
+        let own = headroom + current_loss;
         match it.mean_headroom {
             Some(mean) => {
-                let expected = taken(&more, learnt);
+                let expected = headroom_loss(&more, interference);
                 // With a full queue, the report only shows a lower bound of the lost headroom.
                 if headroom >= SATURATED_HEADROOM || mean - headroom > expected {
-                    learnt.learn(now, image, mean - headroom, &more);
+                    interference.learn(now, image, mean - headroom, &more);
                 }
                 it.mean_headroom = Some(mean + (headroom - mean) * SMOOTHING);
                 it.own_headroom = match headroom >= SATURATED_HEADROOM {
@@ -255,9 +255,14 @@
     more
 }
 
-/// Returns the share in percent for each task of a worker. `limits` come from the serving tasks
-/// with too little headroom.
-fn shares(learnt: &Interference, worker: &Worker, limits: &[PaceLimit], halt: bool) -> Vec<u8> {
+/// Returns the pace in percent for each task of a worker. `limits` come from the serving tasks with
+/// too little headroom.
+fn shares(
+    interference: &Interference,
+    worker: &Worker,
+    limits: &[PaceLimit],
+    halt: bool,
+) -> Vec<u8> {
     let share = |it: &Assignment| {
         if it.best_effort_cpu == 0 {
             return 100;
@@ -265,7 +270,7 @@
         let mut share = 1.0f64;
         for limit in limits {
             let image = worker.tasks[limit.serving].image;
-            let high = headroom_cost(learnt, worker, image, it) >= HIGH_INTERFERENCE_MIN;
+            let high = headroom_cost(interference, worker, image, it) >= HIGH_INTERFERENCE_MIN;
             share = share.min(if high { limit.high } else { limit.low });
         }
         let percent = (share * 100.0) as u8;
@@ -274,7 +279,7 @@
     worker.tasks.iter().map(share).collect()
 }
 
-/// Orders the shares that differ enough from the last ones.
+/// Orders the paces that differ enough from the last confirmed ones.
 fn order_paces(
     now: Instant,
     worker: &mut Worker,
--- a/daisy-workflow/src/owner/placement.rs
+++ b/daisy-workflow/src/owner/placement.rs
@@ -10,31 +10,34 @@
 };
 use crate::{Packing, StepSpec, TaskId};
 
-/// Costs of a placement, in thousandths of a worker's processors: how much more free capacity a
-/// worker needs to be chosen in spite of the cost. Only the order of their magnitudes matters.
-const COST_FAILED_HERE: i64 = 100_000;
+// Costs of a placement, in thousandths of a worker's processors: how much more free capacity a
+// worker needs to be chosen in spite of the cost. Only the order of their magnitudes matters.
+
+/// Cost if another run of the task is on the worker.
+const COST_OTHER_COPY_HERE: i64 = 100_000;
 const COST_RECENT_FAILURE: i64 = 1_500;
 const COST_FAR_FROM_DATA: i64 = 10_000;
-const COST_HEADROOM: f64 = 4_000.0;
+/// Cost for each unit of headroom that a serving task would lose to the worker's best-effort tasks.
+const COST_HEADROOM_LOST: f64 = 4_000.0;
 const COST_BELOW_FULL_PACE: f64 = 8_000.0;
-/// Costs for each unit of headroom that a placement takes, and for each unit that a serving task is
-/// then short of [`COMFORTABLE_HEADROOM`].
+/// Costs of a best-effort task for each unit of headroom that it takes from a serving task, and for
+/// each unit that the serving task is then short of [`COMFORTABLE_HEADROOM`].
 const COST_HEADROOM_TAKEN: f64 = 2_000.0;
 const COST_HEADROOM_SHORT: f64 = 2_500.0;
-/// Cost for each image that could run on the worker without harm: tasks that can run anywhere leave
-/// such workers to those that cannot.
+/// Cost for each best-effort image that interferes little with the worker's serving tasks: tasks
+/// that can run on any worker leave these workers to tasks that cannot.
 const COST_HARMLESS_IMAGE: i64 = 120;
 /// Headroom below which fluctuations of a serving task's own load soon reach its target.
 const COMFORTABLE_HEADROOM: f64 = 1.7;
-/// Cost for each serving task of another image: a worker that serves few images can take more kinds
-/// of best-effort tasks.
+/// Cost for each serving task of another image: more kinds of best-effort tasks can run on a worker
+/// that serves few images.
 const COST_OTHER_IMAGE: i64 = 1_000;
 /// Cost for each thousandth of a worker's processors that best-effort tasks would be short of.
 const COST_CPU_SHORTAGE: i64 = 4;
 const COST_SLOW_START: i64 = 3_000;
 const COST_SUSPECTED: i64 = 1_000_000;
 
-/// Constraints on a placement besides those of the step.
+/// Constraints on a placement in addition to those of the step.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlacementOptions<'a> {
     /// The rack that the worker must be in.
@@ -47,7 +50,8 @@
     pub reservations: &'a [Reservation],
 }
 
-/// A worker that is reserved for a task until the runs that end there free enough capacity for it.
+/// A worker that is reserved for a waiting task until enough of the worker's runs have ended for
+/// the task to fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Reservation {
     pub worker: WorkerKey,
@@ -69,12 +73,12 @@
         let image = step.image.as_ref().and_then(|it| self.interference.try_best_effort(it));
         let mut best: Option<(i64, WorkerKey)> = None;
         for (key, it) in self.workers.iter() {
-            let takes = match step.long_running {
+            let accepts = match step.long_running {
                 true => self.accepts_long_running(now, it),
                 false => self.is_usable(now, it),
             };
-            let can = &*it.service == service
-                && takes
+            let is_candidate = &*it.service == service
+                && accepts
                 && step.required_label.as_ref().is_none_or(|label| it.has_label(label))
                 && rack.is_none_or(|rack| it.has_label(rack))
                 && reservations.iter().all(|reservation| {
@@ -82,7 +86,7 @@
                 })
                 && fits(now, step, it, key, tentative)
                 && !is_at_step_limit_with(step, it, key, task, tentative);
-            if !can {
+            if !is_candidate {
                 continue;
             }
             let mut cost = cost(now, step, it, task) + self.cost_packing(step, it);
@@ -102,8 +106,8 @@
         best.map(|(_, key)| key)
     }
 
-    /// Returns the cost of the capacity that a task with a reservation takes from other waiting
-    /// tasks.
+    /// Returns the cost of the free capacity that a task's reservation takes from other waiting
+    /// tasks, according to the packing rule.
     fn cost_packing(&self, step: &StepSpec, worker: &Worker) -> i64 {
         let used = permille(worker, worker.used.cpu_milli);
         match self.settings.rules.packing {
@@ -124,11 +128,11 @@
         pace: f64,
     ) -> i64 {
         let asked = worker.best_effort_cpu() + step.need.cpu_milli;
-        let lacking = asked.saturating_sub(idle_cpu(worker));
+        let cpu_shortage = asked.saturating_sub(idle_cpu(worker));
         ((1.0 - pace) * COST_BELOW_FULL_PACE) as i64
             + self.cost_interference(step, worker, image)
             + i64::from(worker.harmless_images) * COST_HARMLESS_IMAGE
-            + permille(worker, lacking) * COST_CPU_SHORTAGE
+            + permille(worker, cpu_shortage) * COST_CPU_SHORTAGE
             + permille(worker, worker.best_effort_cpu())
     }
 
@@ -154,9 +158,9 @@
         let other = |it: &&Assignment| it.target_ms > 0 && it.image != image;
         let others = worker.tasks.iter().filter(other).count() as i64;
         let best_effort = worker.tasks.iter().filter(|it| it.best_effort_cpu > 0);
-        let total: f64 =
+        let lost: f64 =
             best_effort.map(|it| headroom_cost(&self.interference, worker, image, it)).sum();
-        others * COST_OTHER_IMAGE + (total.min(4.0) * COST_HEADROOM) as i64
+        others * COST_OTHER_IMAGE + (lost.min(4.0) * COST_HEADROOM_LOST) as i64
     }
 }
 
@@ -179,8 +183,8 @@
     need.fits(worker.free())
 }
 
-/// Whether a task of `step` leaves a reserved worker the capacity it is reserved for: best-effort
-/// tasks take memory, but no reserved processor time.
+/// Whether a reserved worker still has the capacity `need` after a task of `step` is placed on it:
+/// best-effort tasks take memory, but no reserved processor time.
 fn leaves_reservation(step: &StepSpec, worker: &Worker, need: Resources) -> bool {
     let both = Resources { cpu_milli: 0, ..need }.try_add(step.allocation());
     step.best_effort && both.is_some_and(|it| it.fits(worker.free()))
@@ -217,7 +221,7 @@
         cost += COST_RECENT_FAILURE * i64::from(worker.failures);
     }
     if worker.tasks.iter().any(|it| it.task == task) {
-        cost += COST_FAILED_HERE;
+        cost += COST_OTHER_COPY_HERE;
     }
     if step.data_rack.as_ref().is_some_and(|it| !worker.has_label(it)) {
         cost += COST_FAR_FROM_DATA;
@@ -231,7 +235,7 @@
     cost
 }
 
-/// Returns a part of a worker's processors in thousandths.
+/// Converts processor time to thousandths of a worker's processors.
 fn permille(worker: &Worker, cpu_milli: u32) -> i64 {
     i64::from(cpu_milli) * 1_000 / i64::from(worker.capacity.cpu_milli.max(1))
 }
--- a/daisy-workflow/src/owner/plan.rs
+++ b/daisy-workflow/src/owner/plan.rs
@@ -10,7 +10,7 @@
     placement::{PlacementOptions, Reservation, is_at_step_limit},
     worker::WorkerKey,
 };
-use crate::{Copy, Job, JobId, JobKind, JobSpec, JobState, StepSpec, TaskId, TaskState};
+use crate::{Job, JobId, JobKind, JobSpec, JobState, StepSpec, TaskCopy, TaskId, TaskState};
 
 /// Maximum number of copies of one task at a time, where its step allows copies.
 const MAX_COPIES: usize = 2;
@@ -18,9 +18,9 @@
 /// A finite job may reserve a worker if it has less spare time than this before its objective.
 const RESERVATION_SLACK: Duration = Duration::from_millis(1_000);
 
-/// How long a new long-running job on a full fleet leaves capacity to jobs that can still be in
-/// time. Its tasks run for minutes, but must not wait longer than this while tasks of about a
-/// second come and go.
+/// How long a new long-running job yields capacity to finite jobs when the fleet is full. Its tasks
+/// run for minutes, so a short wait matters little, but they must not wait longer than this while
+/// tasks of about a second come and go.
 const LONG_RUNNING_YIELD: Duration = Duration::from_millis(1_500);
 
 /// Urgency of a job; the first variant is placed first.
@@ -43,8 +43,7 @@
 /// does not delay those that can: under overload, earliest deadline first would make all of them
 /// slightly late.
 fn urgency(now: Instant, view: &JobView, chain_ms: u64) -> Urgency {
-    /// Results are of use up to three times the objective, according to the contract with
-    /// operators.
+    /// Operators regard results as useful up to three times the objective.
     const USEFUL_FACTOR: u32 = 3;
     let allowed = view.objective.since(view.accepted_at);
     match now + Duration::from_millis(chain_ms) {
@@ -54,7 +53,7 @@
     }
 }
 
-/// Whether a long-running job still leaves capacity to others. Tasks that came from another shard
+/// Whether a long-running job still yields capacity to others. Tasks that came from another shard
 /// have waited there already.
 fn yields(now: Instant, view: &JobView, job: &Job) -> bool {
     now.since(view.accepted_at) < LONG_RUNNING_YIELD && !job.belongs_to_other_shard()
@@ -68,8 +67,8 @@
     unplaceable: Vec<UnplaceableTask>,
 }
 
-/// Best-effort tasks of one image that could not be placed; those that need as much or more cannot
-/// be placed either.
+/// A best-effort task that could not be placed; tasks of the same image that need at least the same
+/// resources cannot be placed either.
 #[derive(Debug)]
 struct UnplaceableTask {
     service: Arc<str>,
@@ -143,7 +142,7 @@
         reservations: &[Reservation],
     ) -> Option<Reservation> {
         let view = self.active.get(&ready.job)?;
-        let tail = view.tails_ms.get(usize::from(ready.step)).copied().unwrap_or_default();
+        let tail = view.times_to_end_ms.get(usize::from(ready.step)).copied().unwrap_or_default();
         let is_urgent = now + Duration::from_millis(tail) + RESERVATION_SLACK > view.objective;
         if step.best_effort || reservations.len() >= self.max_reservations() {
             return None;
@@ -165,7 +164,7 @@
     }
 
     /// Returns the jobs that have not ended by urgency: first long-running jobs, since each moment
-    /// without their tasks matters; then jobs that can be in time, by priority and by the part of
+    /// without their tasks matters; then jobs that can be in time, by priority and by the share of
     /// their work that is left. Work on a job is of no use until its last task has ended, so under
     /// overload jobs that are nearly done go before new ones.
     fn by_urgency(&self, now: Instant) -> Vec<JobId> {
@@ -203,7 +202,8 @@
         let Some(job) = self.ledger.job(id) else { return 0 };
         let is_open = |steps: &&Vec<Vec<TaskState>>| steps.iter().flatten().any(|it| !it.done);
         let Some(steps) = job.progress.occurrences.iter().find(is_open) else { return 0 };
-        let left = steps.iter().zip(&view.tails_ms).filter(|(it, _)| it.iter().any(|it| !it.done));
+        let left =
+            steps.iter().zip(&view.times_to_end_ms).filter(|(it, _)| it.iter().any(|it| !it.done));
         left.map(|(_, tail)| *tail).max().unwrap_or_default()
     }
 
@@ -237,8 +237,8 @@
         self.began_wall_ms + passed >= spec.due_ms(k)
     }
 
-    /// Whether a copy of a task is to be started: there is none, or the step allows copies and the
-    /// only one is on a worker that does not answer.
+    /// Whether a copy of a task is to be started: it has none, or its step allows several and its
+    /// only copy is on an unreachable worker.
     fn wants_copy(&self, step: &StepSpec, state: &TaskState) -> bool {
         if state.done || state.on_other_shard {
             return false;
@@ -252,9 +252,9 @@
             && state.copies.iter().all(|it| self.is_unreachable(it))
     }
 
-    fn is_unreachable(&self, copy: &Copy) -> bool {
+    fn is_unreachable(&self, copy: &TaskCopy) -> bool {
         let worker = self.by_id.get(&copy.worker).and_then(|key| self.workers.get(*key));
-        worker.is_none_or(|it| it.hold_failures > 0 || !it.listed)
+        worker.is_none_or(|it| it.renewal_failures > 0 || !it.listed)
     }
 
     fn place_step(&mut self, now: Instant, ready: ReadyStep, pass: &mut PlanPass) {
@@ -358,15 +358,15 @@
         rack: Option<&str>,
         reservations: &[Reservation],
     ) -> Option<Vec<WorkerKey>> {
-        let mut taken: Vec<(WorkerKey, Resources)> = Vec::new();
+        let mut placed: Vec<(WorkerKey, Resources)> = Vec::new();
         for index in 0..step.count {
             let task = task_id(ready, index);
             let options =
-                PlacementOptions { rack, tentative: &taken, allow_throttled: true, reservations };
+                PlacementOptions { rack, tentative: &placed, allow_throttled: true, reservations };
             let key = self.try_place(now, service, step, task, options)?;
-            taken.push((key, step.allocation()));
+            placed.push((key, step.allocation()));
         }
-        Some(taken.into_iter().map(|(key, _)| key).collect())
+        Some(placed.into_iter().map(|(key, _)| key).collect())
     }
 
     fn racks(&self, service: &str) -> Vec<Arc<str>> {
@@ -392,14 +392,14 @@
 
     /// Assigns a task to a worker; the order is sent when its record is in the log.
     fn assign(&mut self, now: Instant, key: WorkerKey, task: TaskId, run: u32, step: &StepSpec) {
-        let it = super::assignment(now, &mut self.interference, task, run, step);
+        let it = super::new_assignment(now, &mut self.interference, task, run, step);
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.add(it);
         worker.update_interference(&self.interference);
         let id = worker.id.clone();
         let Some(state) = self.task_mut(task) else { return };
         state.runs = run;
-        state.copies.push(Copy { run, worker: id });
+        state.copies.push(TaskCopy { run, worker: id });
         if let Some(job) = self.ledger.job_mut(task.job) {
             job.progress.has_started = true;
         }
--- a/daisy-workflow/src/owner/succession.rs
+++ b/daisy-workflow/src/owner/succession.rs
@@ -15,7 +15,7 @@
 
 /// How long an owner whose appends the log does not store continues to renew leases.
 ///
-/// An outage of the platform must not end running work: according to the contract it lasts up to 9
+/// An outage of the platform must not end running work. The platform specifies outages of up to 9
 /// s.
 const MAX_RENEWAL_WITHOUT_LOG: Duration = Duration::from_secs(10);
 /// How long an answer of the log, or of a witness, is valid, counted from when its request was
@@ -31,8 +31,9 @@
 /// The workers that have to answer an owner which cannot reach the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Witnesses {
-    /// The epoch of the last owner that complies with these witnesses, as do all owners between it
-    /// and the one that named them. Owners of a build without witnesses are not among them.
+    /// The epoch of the last owner that is known to comply with these witnesses. All owners from
+    /// the one that named the witnesses up to this epoch comply; an owner of a build without
+    /// witnesses does not.
     pub accepted_by_epoch: u64,
     /// The workers, sorted by id.
     pub workers: Vec<Witness>,
@@ -51,14 +52,14 @@
 /// The claim with which an owner started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnershipStart {
-    /// A time before the claim was sent.
-    pub at: Instant,
+    /// When the claim was sent, or a time shortly before.
+    pub claim_sent_at: Instant,
     /// Whether no earlier owner can renew leases any more.
     pub predecessors_ended: bool,
     /// The owner's epoch.
     pub epoch: u64,
     /// The epoch of the previous claim.
-    pub after: u64,
+    pub previous_epoch: u64,
 }
 
 /// What an owner knows of earlier and later owners.
@@ -73,7 +74,7 @@
     witness_quorum_at: Option<Instant>,
     /// From when on no earlier owner renews leases, once that is known.
     predecessors_ended_at: Option<Instant>,
-    /// Witnesses in the log with which all earlier owners comply as well.
+    /// Witnesses whose record is in the log and with which all earlier owners comply.
     witnesses: Vec<Witness>,
     /// Witnesses that have to be recorded.
     next_witnesses: Option<Vec<Witness>>,
@@ -86,12 +87,12 @@
 impl Succession {
     pub(super) fn new(now: Instant, ownership: OwnershipStart, known: &Witnesses) -> Succession {
         // Unless all earlier owners comply with the witnesses, their answers prove nothing.
-        let is_accepted = known.accepted_by_epoch == ownership.after;
+        let is_accepted = known.accepted_by_epoch == ownership.previous_epoch;
         let witnesses = if is_accepted { known.workers.clone() } else { Vec::new() };
         let next_witnesses = (!witnesses.is_empty()).then(|| witnesses.clone());
         Succession {
             epoch: ownership.epoch,
-            last_append_sent_at: ownership.at,
+            last_append_sent_at: ownership.claim_sent_at,
             fenced_at: None,
             witness_quorum_at: None,
             predecessors_ended_at: ownership.predecessors_ended.then_some(now),
@@ -123,12 +124,12 @@
         at.is_ok_and(|at| self.witnesses[at].started_at_ms < worker.started_at_ms)
     }
 
-    /// Whether witnesses have to be recorded.
-    pub(super) fn has_record(&self) -> bool {
+    /// Whether there are witnesses to record.
+    pub(super) fn has_witnesses_record(&self) -> bool {
         self.next_witnesses.is_some()
     }
 
-    /// Returns the record of the witnesses, if they have to be recorded.
+    /// Takes the record of the witnesses to append, if there is one.
     pub(super) fn take_witnesses_record(&mut self) -> Option<Record> {
         let next_witnesses = self.next_witnesses.take()?;
         self.recording_witnesses = Some(next_witnesses.clone());
@@ -161,7 +162,7 @@
         if since_append < ANSWER_VALIDITY {
             return true;
         }
-        // Where no witnesses are recorded, the next owner waits for the whole time.
+        // Without recorded witnesses, the next owner waits for all of `MAX_RENEWAL_WITHOUT_LOG`.
         let witnessed = it.witnesses.is_empty() || self.majority_answered(&it.witnesses, now);
         since_append <= MAX_RENEWAL_WITHOUT_LOG
             && witnessed
@@ -172,16 +173,16 @@
     fn majority_answered(&self, witnesses: &[Witness], now: Instant) -> bool {
         let answers = self.count_answered(witnesses, |worker, it| {
             worker.started_at_ms == it.started_at_ms
-                && now.since(worker.answered_hold_sent_at) < ANSWER_VALIDITY
+                && now.since(worker.answered_renewal_sent_at) < ANSWER_VALIDITY
         });
         answers * 2 > witnesses.len()
     }
 
-    /// Whether so many witnesses have answered this owner that no earlier one can have more than
-    /// half of them.
+    /// Whether at least half of the witnesses have answered this owner, so that an earlier owner
+    /// can no longer get answers from more than half of them.
     fn has_witness_quorum(&self) -> bool {
         let witnesses = &self.succession.witnesses;
-        // The answer of a later incarnation is as good: the earlier one has ended.
+        // An answer of a later incarnation also counts: the earlier incarnation has ended.
         let answered = self.count_answered(witnesses, |_, _| true);
         !witnesses.is_empty() && answered * 2 >= witnesses.len()
     }
@@ -211,12 +212,12 @@
         if has_quorum {
             it.witness_quorum_at.get_or_insert(now);
         }
-        let over = match it.witness_quorum_at {
+        let ended_at = match it.witness_quorum_at {
             Some(at) => at + ANSWER_VALIDITY,
             None => fenced_at + MAX_RENEWAL_WITHOUT_LOG,
         };
-        if now >= over {
-            it.predecessors_ended_at = Some(over);
+        if now >= ended_at {
+            it.predecessors_ended_at = Some(ended_at);
         }
     }
 
@@ -227,8 +228,8 @@
         self.succession.predecessors_ended_at.map(|it| it + lease + lease / 20)
     }
 
-    /// Returns when these leases have expired at the latest, provided that the log continues to
-    /// answer.
+    /// Returns the latest time at which all leases of earlier owners have expired, provided that
+    /// the log continues to answer.
     pub(super) fn latest_inherited_leases_end(&self, now: Instant) -> Instant {
         let it = &self.succession;
         let lease = self.settings.lease;
@@ -239,11 +240,11 @@
             + lease / 20
     }
 
-    /// Whether no earlier owner can renew leases, and those that they renewed have expired by any
-    /// worker's clock.
+    /// Whether no earlier owner can renew leases any more, and all leases that earlier owners
+    /// renewed have expired on every worker, however its clock drifts.
     pub fn are_predecessor_leases_over(&self, now: Instant) -> bool {
-        let longest = self.settings.lease_max + self.settings.lease_max / 10;
-        self.succession.predecessors_ended_at.is_some_and(|it| now >= it + longest)
+        let max_lease = self.settings.lease_max + self.settings.lease_max / 10;
+        self.succession.predecessors_ended_at.is_some_and(|it| now >= it + max_lease)
     }
 
     /// Names new witnesses if those in the log no longer match the workers.
--- a/daisy-workflow/src/owner/summary.rs
+++ b/daisy-workflow/src/owner/summary.rs
@@ -24,16 +24,16 @@
     pub workers: usize,
     /// Workers that accept new tasks.
     pub usable: usize,
-    /// Workers that do not answer and may still run tasks.
-    pub silent: usize,
+    /// Workers that do not answer and may still be running tasks.
+    pub unresponsive: usize,
     /// Runs of long-running tasks whose outcome is unknown.
     pub unconfirmed_runs: usize,
-    /// Time until the last of these runs can be treated as ended.
+    /// Time until the last of the `unconfirmed_runs` can be treated as ended.
     pub unconfirmed_for: Duration,
     /// Free processor time on usable workers, in thousandths of a core.
     pub free_cpu: u64,
-    /// The part of the free processor time on workers with less than a finite task reserves on
-    /// average.
+    /// The part of `free_cpu` on workers with less free processor time than a finite task reserves
+    /// on average.
     pub unusable_cpu: u64,
     /// The most free processor time on one usable worker, in thousandths of a core.
     pub largest_free_cpu: u32,
@@ -54,7 +54,8 @@
         for (_, worker) in self.workers.iter() {
             sum.runs += worker.tasks.len();
             sum.workers += usize::from(worker.listed);
-            sum.silent += usize::from(worker.hold_failures > 0 && !worker.tasks.is_empty());
+            sum.unresponsive +=
+                usize::from(worker.renewal_failures > 0 && !worker.tasks.is_empty());
             if self.is_usable(now, worker) {
                 sum.usable += 1;
                 let free = worker.free().cpu_milli;
@@ -94,7 +95,8 @@
         }
         let unconfirmed_runs = self.unconfirmed_runs(now);
         sum.unconfirmed_runs = unconfirmed_runs.len();
-        sum.unconfirmed_for = unconfirmed_runs.iter().map(|it| it.left).max().unwrap_or_default();
+        sum.unconfirmed_for =
+            unconfirmed_runs.iter().map(|it| it.time_left).max().unwrap_or_default();
         let waits = self.waiting_since.iter().map(|(_, since)| now.since(*since));
         sum.longest_wait = waits.max().unwrap_or_default();
         sum
--- a/daisy-workflow/src/owner/unconfirmed_runs.rs
+++ b/daisy-workflow/src/owner/unconfirmed_runs.rs
@@ -39,8 +39,7 @@
     }
 }
 
-/// A run that is known neither to be running nor to have ended, so that its task cannot be started
-/// elsewhere.
+/// A run that may be running or have ended, so that its task cannot be started elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnconfirmedRun {
     /// The task.
@@ -52,7 +51,7 @@
     /// Why its outcome is unknown.
     pub cause: UnconfirmedCause,
     /// Time until the run can be treated as ended.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 impl Owner {
@@ -63,7 +62,7 @@
             let Some(cause) = unconfirmed_cause(worker) else { continue };
             let over_at =
                 self.runs_over_at(worker).unwrap_or_else(|| self.latest_inherited_leases_end(now));
-            let left = over_at.since(now);
+            let time_left = over_at.since(now);
             let long_running = worker
                 .tasks
                 .iter()
@@ -73,17 +72,17 @@
                 run: it.run,
                 worker: worker.id.clone(),
                 cause,
-                left,
+                time_left,
             }));
         }
-        let left = self.latest_inherited_leases_end(now).since(now);
+        let time_left = self.latest_inherited_leases_end(now).since(now);
         let long_running = self.orphans.iter().filter(|it| self.is_long_running(it.task));
         found.extend(long_running.map(|it| UnconfirmedRun {
             task: it.task,
             run: it.run,
             worker: it.worker.clone(),
             cause: UnconfirmedCause::NotListed,
-            left,
+            time_left,
         }));
         found
     }
@@ -98,8 +97,8 @@
     /// worker which has not answered since it restarted: these orders name times far ahead of its
     /// clock.
     fn delayed_starts_over_at(&self, worker: &Worker) -> Option<Instant> {
-        let longest = self.settings.lease_max + self.settings.lease_max / 10;
-        worker.restarted_at.map(|it| it + MAX_ORDER_DELAY + longest)
+        let max_lease = self.settings.lease_max + self.settings.lease_max / 10;
+        worker.restarted_at.map(|it| it + MAX_ORDER_DELAY + max_lease)
     }
 
     fn is_long_running(&self, task: TaskId) -> bool {
@@ -111,7 +110,7 @@
 
 /// Returns why it is unknown what runs on a worker, if it is.
 fn unconfirmed_cause(worker: &Worker) -> Option<UnconfirmedCause> {
-    match (worker.clock, worker.hold_failures > 0 || !worker.listed) {
+    match (worker.clock, worker.renewal_failures > 0 || !worker.listed) {
         (None, _) => Some(UnconfirmedCause::NeverAnswered),
         (Some(_), true) => Some(UnconfirmedCause::Unresponsive),
         (Some(_), false) => None,
--- a/daisy-workflow/src/record.rs
+++ b/daisy-workflow/src/record.rs
@@ -42,7 +42,7 @@
     pub epoch: u64,
     /// Whether the owner releases its workers, so that any VM may claim them at once.
     pub released: bool,
-    /// Whether no earlier owner can renew anything any more.
+    /// Whether no earlier owner can renew leases any more.
     pub predecessors_expired: bool,
 }
 
@@ -82,8 +82,8 @@
     OwnerHeartbeat(Box<OwnerHeartbeat>),
     /// How jobs and workers are divided among shards.
     Layout(Layout),
-    /// What a shard's owner has observed about interference since its last such record.
-    Observed(ShardId, Vec<InterferenceSums>),
+    /// Interference sums that a shard's owner has collected since its last record of this kind.
+    InterferenceSums(ShardId, Vec<InterferenceSums>),
 }
 
 /// How much best-effort tasks of one image interfere with serving tasks of another.
@@ -98,16 +98,16 @@
     pub permille: u32,
 }
 
-/// What an owner has observed within about a second of the best-effort tasks beside a serving
-/// image: weighted sums, to which those of other owners can be added.
+/// Weighted sums of an owner's observations, within about a second, of the best-effort tasks beside
+/// one serving image. Sums of several owners can be added.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InterferenceSums {
     /// The image of the serving tasks.
     pub serving: Arc<str>,
-    /// By image of best-effort tasks, the sum of the share of a worker's processors times the
-    /// headroom lost.
+    /// By best-effort image, the sum of the used share of a worker's processors times the lost
+    /// headroom.
     pub loss_sums: Vec<(Arc<str>, f32)>,
-    /// By pair of such images, the sum of share times share.
+    /// By pair of best-effort images, the sum of the products of their used shares.
     pub share_products: Vec<(Arc<str>, Arc<str>, f32)>,
 }
 
@@ -147,7 +147,7 @@
         // The log keeps only the newest record of each key, and a transfer may be written again
         // after a later one to the same shard, so each transfer has its own key.
         Record::TaskTransferredIn(id, it) => {
-            (format!("task-{id}.{}", it.hop), encode_framed(TransferWire::from(&**it)))
+            (format!("task-{id}.{}", it.number), encode_framed(TransferWire::from(&**it)))
         }
         Record::State(id, published) => (
             format!("state-{id}"),
@@ -157,7 +157,7 @@
             format!("sign-{}", heartbeat.shard.0),
             encode_framed((HeartbeatWire::from(&**heartbeat), FreeBlocksWire::from(&**heartbeat))),
         ),
-        Record::Observed(shard, sums) => {
+        Record::InterferenceSums(shard, sums) => {
             (format!("observed-{}", shard.0), encode_framed(InterferenceSumsWire::from(&sums[..])))
         }
         Record::Layout(layout) => (LAYOUT_KEY.to_owned(), encode_framed(layout.shards)),
@@ -203,7 +203,7 @@
     if kind == "observed" {
         let shard = ShardId(id.parse().map_err(|_| unknown())?);
         let wire: InterferenceSumsWire = decode_framed(value)?;
-        return Ok(Record::Observed(shard, wire.try_into()?));
+        return Ok(Record::InterferenceSums(shard, wire.try_into()?));
     }
     if kind == "handed" {
         let id: TaskId = id.parse().map_err(|_| unknown())?;
@@ -212,10 +212,10 @@
         });
     }
     if kind == "task" {
-        let (id, hop) = id.rsplit_once('.').ok_or_else(unknown)?;
+        let (id, number) = id.rsplit_once('.').ok_or_else(unknown)?;
         let id: TaskId = id.parse().map_err(|_| unknown())?;
-        let hop: u32 = hop.parse().map_err(|_| unknown())?;
-        let transfer = decode_framed::<TransferWire>(value)?.into_transfer(id, hop)?;
+        let number: u32 = number.parse().map_err(|_| unknown())?;
+        let transfer = decode_framed::<TransferWire>(value)?.into_transfer(id, number)?;
         return Ok(Record::TaskTransferredIn(id, Box::new(transfer)));
     }
     let id: JobId = id.parse().map_err(|_| unknown())?;
--- a/daisy-workflow/src/shard.rs
+++ b/daisy-workflow/src/shard.rs
@@ -2,7 +2,8 @@
 
 use crate::{JobId, WorkerId};
 
-/// The most workers in a shard: as many as the smallest entry VM has processor time to manage.
+/// The maximum number of workers in a shard: the smallest entry VM has processor time to manage
+/// this many.
 const WORKERS_PER_SHARD_MAX: usize = 100;
 
 /// A shard's number.
@@ -30,13 +31,13 @@
     }
 
     /// Returns the shard of a job, which runs it unless it delegates the job.
-    pub fn of_job(self, id: JobId) -> ShardId {
+    pub fn shard_of_job(self, id: JobId) -> ShardId {
         self.shard_of(&id.0.to_be_bytes())
     }
 
     /// Returns the shard of a worker. Each shard's workers are spread over all data centres and
     /// racks, so that the loss of one takes a part of each shard but no whole shard.
-    pub fn of_worker(self, id: &WorkerId) -> ShardId {
+    pub fn shard_of_worker(self, id: &WorkerId) -> ShardId {
         self.shard_of(id.0.as_bytes())
     }
 
--- a/daisy-workflow/src/spec.rs
+++ b/daisy-workflow/src/spec.rs
@@ -11,7 +11,8 @@
 /// A job's progress is one record, rewritten at each change; 20,000 tasks of about 10 bytes stay
 /// below the platform's limit of 256 KiB for a record.
 const TASKS_MAX: u64 = 20_000;
-/// The most bytes of the text that a job passes to its tasks, set by the platform's contract.
+/// The maximum length in bytes of the text that a job passes to its tasks, as the platform
+/// specifies.
 const TEXT_MAX: usize = 4_000;
 
 /// Why a submission is invalid.
@@ -215,11 +216,11 @@
 
     /// Returns the estimated duration of the longest chain of steps, in milliseconds.
     pub fn chain_ms(&self) -> u64 {
-        self.tails_ms().into_iter().max().unwrap_or_default()
+        self.times_to_end_ms().into_iter().max().unwrap_or_default()
     }
 
     /// Returns for each step the estimated time from its start to the job's end, in milliseconds.
-    pub fn tails_ms(&self) -> Vec<u64> {
+    pub fn times_to_end_ms(&self) -> Vec<u64> {
         let mut tails: Vec<u64> = self.steps.iter().map(|it| u64::from(it.estimate_ms)).collect();
         for at in (0..self.steps.len()).rev() {
             for before in &self.steps[at].depends_on {
--- a/daisy-workflow/tests/task_transfer.rs
+++ b/daisy-workflow/tests/task_transfer.rs
@@ -4,8 +4,8 @@
 
 use daisy_model::{Instant, Resources, SortedMap};
 use daisy_workflow::{
-    Copy, Event, FoldEffect, IncomingTransfer, JobId, JobSpec, Layout, Ledger, Load, OtherShards,
-    OutgoingTransfer, Progress, Record, ShardId, StepSpec, TaskId,
+    Event, FoldEffect, IncomingTransfer, JobId, JobSpec, Layout, Ledger, Load, OtherShards,
+    OutgoingTransfer, Progress, Record, ShardId, StepSpec, TaskCopy, TaskId,
 };
 use util::{CORE, FakeWorker, ShardedSimulation, job, long_running_step, task};
 
@@ -32,7 +32,7 @@
 fn job_id() -> JobId {
     (1..)
         .map(JobId)
-        .find(|id| LAYOUT.of_job(*id) == FULL_SHARD)
+        .find(|id| LAYOUT.shard_of_job(*id) == FULL_SHARD)
         .expect("some job id belongs to each shard")
 }
 
@@ -46,9 +46,14 @@
     job(vec![StepSpec { need, ..long_running_step(2) }])
 }
 
-fn task_received(hop: u32, runs: u32) -> Record {
-    let it =
-        IncomingTransfer { hop, spec: large_job(), runs, failures: 0, checkpoint: String::new() };
+fn task_received(number: u32, runs: u32) -> Record {
+    let it = IncomingTransfer {
+        number,
+        spec: large_job(),
+        runs,
+        failures: 0,
+        checkpoint: String::new(),
+    };
     Record::TaskTransferredIn(task_of_job(0), Box::new(it))
 }
 
@@ -155,7 +160,7 @@
     let now = sim.shards[0].now;
     sim.shards[0]
         .owner
-        .step(now, Event::Loads(SortedMap::from_iter([(SHARD_WITH_CAPACITY, full)])));
+        .handle_event(now, Event::Loads(SortedMap::from_iter([(SHARD_WITH_CAPACITY, full)])));
 
     sim.run_ms(4_500);
 
@@ -189,7 +194,10 @@
     let fold = ledger.fold(task_received(2, 6));
     let second_fold = ledger.fold(task_received(2, 6));
 
-    assert_eq!((fold, second_fold), (FoldEffect::Task(task_of_job(0)), FoldEffect::Nothing));
+    assert_eq!(
+        (fold, second_fold),
+        (FoldEffect::TaskReceived(task_of_job(0)), FoldEffect::Nothing)
+    );
     assert!(is_waiting_here(&ledger));
 }
 
@@ -199,7 +207,7 @@
 #[test]
 fn older_progress_does_not_lower_the_run_number() {
     let mut progress = Progress::new(&large_job());
-    progress.occurrences[0][0][1].copies = vec![Copy { run: 1, worker: "w".into() }];
+    progress.occurrences[0][0][1].copies = vec![TaskCopy { run: 1, worker: "w".into() }];
     let mut ledger = Ledger::default();
     ledger.fold(task_received(1, 4));
 
@@ -230,7 +238,7 @@
     let mut transferred = 0;
 
     while let Some(to) = others.try_find_capacity(Instant::default(), FULL_SHARD, need) {
-        others.transferred(
+        others.add_transfer(
             Instant::default(),
             to,
             daisy_workflow::Demand::of_long_running_task(&large_job().steps[0]),
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -484,7 +484,7 @@
 
 /// Returns `count` job ids that belong to this shard of a fleet with two shards.
 fn job_ids_of_shard(shard: u16, count: usize) -> Vec<String> {
-    let is_of_shard = |it: &u64| Layout { shards: 2 }.of_job(JobId(*it)) == ShardId(shard);
+    let is_of_shard = |it: &u64| Layout { shards: 2 }.shard_of_job(JobId(*it)) == ShardId(shard);
     (0x1000..).filter(is_of_shard).take(count).map(|it| format!("{it:016x}")).collect()
 }
 
