--- a/daisy-ledger/src/checkout.rs
+++ b/daisy-ledger/src/checkout.rs
@@ -1,6 +1,6 @@
 //! Applies claims of data centres, and checkouts, returns, placements and exits of tasks.
 
-use daisy_model::{DcId, Ended, Epoch, Exit, JobId, JobKind, Offset, Resources, TaskId, VmId};
+use daisy_model::{DcId, Epoch, Exit, ExitReport, JobId, JobKind, Offset, Resources, TaskId, VmId};
 
 use crate::{
     HolderClaim, Outcome, Owner, Placement, State, Task, TaskState, exit, quota::QuotaHeadroom,
@@ -121,7 +121,7 @@
         Some(())
     }
 
-    pub(crate) fn ended(&mut self, dc: DcId, epoch: Epoch, exits: &[Ended]) -> Outcome {
+    pub(crate) fn ended(&mut self, dc: DcId, epoch: Epoch, exits: &[ExitReport]) -> Outcome {
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
@@ -129,7 +129,7 @@
         self.took_effect(effective_count, exits.len())
     }
 
-    fn try_end(&mut self, dc: DcId, ended: &Ended) -> Option<()> {
+    fn try_end(&mut self, dc: DcId, ended: &ExitReport) -> Option<()> {
         let id = ended.task;
         let mut task = *self.checked_out_mut(dc, id)?;
         // A worker keeps an exit report until it is acknowledged, so two successive holders may
--- a/daisy-ledger/src/record.rs
+++ b/daisy-ledger/src/record.rs
@@ -1,6 +1,6 @@
 //! The records that are appended to the platform's log.
 
-use daisy_model::{Change, DcId, Ended, Epoch, Incarnation, Offset, TaskId, VmId};
+use daisy_model::{Change, DcId, Epoch, ExitReport, Incarnation, Offset, TaskId, VmId};
 
 /// Identifies one append of one process, so that a repeated append is applied once.
 ///
@@ -78,7 +78,7 @@
         /// The holder's epoch.
         epoch: Epoch,
         /// The exits.
-        exits: Vec<Ended>,
+        exits: Vec<ExitReport>,
     },
     /// A non-idempotent request is about to run; the first intent for a key wins.
     Intent {
--- a/daisy-ledger/tests/common/mod.rs
+++ b/daisy-ledger/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use daisy_ledger::{AppendId, Applied, Batch, Outcome, Record, State};
 use daisy_model::{
-    Change, Command, Condition, DcId, Ended, Epoch, Exit, Generation, Incarnation, JobId, JobKind,
-    JobSpec, Name, Priority, Resources, TaskId, Tolerance, VmId, WallTime,
+    Change, Command, Condition, DcId, Epoch, Exit, ExitReport, Generation, Incarnation, JobId,
+    JobKind, JobSpec, Name, Priority, Resources, TaskId, Tolerance, VmId, WallTime,
 };
 
 pub const DC: DcId = DcId(0);
@@ -71,7 +71,7 @@
         incarnation: u32,
         exit: Exit,
     ) -> Outcome {
-        let ended = Ended { task, incarnation: Incarnation(incarnation), exit };
+        let ended = ExitReport { task, incarnation: Incarnation(incarnation), exit };
         self.record(Record::Ended { dc, epoch, exits: vec![ended] })
     }
 }
--- a/daisy-ledger/tests/common/script.rs
+++ b/daisy-ledger/tests/common/script.rs
@@ -1,6 +1,7 @@
 use daisy_ledger::{Job, Placement, Record, State, TaskState};
 use daisy_model::{
-    Command, DcId, Ended, Epoch, Exit, Incarnation, Priority, Resources, TaskId, VmId, WorkClass,
+    Command, DcId, Epoch, Exit, ExitReport, Incarnation, Priority, Resources, TaskId, VmId,
+    WorkClass,
 };
 
 use super::{batch_job, cancel, change, name, quota, service, size, task};
@@ -58,13 +59,13 @@
     Placement { task, incarnation: incarnation(state, task, a), vm: VmId(u32::from(a)) }
 }
 
-fn ended(state: &State, a: u8, b: u8, token: u64) -> Ended {
+fn ended(state: &State, a: u8, b: u8, token: u64) -> ExitReport {
     let task = tasks(b)[0];
     let exit = match EXITS[usize::from(a / 2) % EXITS.len()] {
         Exit::Checkpointed(_) => Exit::Checkpointed(token),
         exit => exit,
     };
-    Ended { task, incarnation: incarnation(state, task, b), exit }
+    ExitReport { task, incarnation: incarnation(state, task, b), exit }
 }
 
 fn command(a: u8, b: u8) -> Command {
--- a/daisy-ledger/tests/fold.rs
+++ b/daisy-ledger/tests/fold.rs
@@ -4,7 +4,7 @@
 
 use daisy_ledger::{AppendId, Batch, EntryStatus, Placement, Record, State};
 use daisy_model::{
-    Command, DcId, Ended, Epoch, Exit, Incarnation, JobKind, JobSpec, Offset, PolicyChange,
+    Command, DcId, Epoch, Exit, ExitReport, Incarnation, JobKind, JobSpec, Offset, PolicyChange,
     Resources, VmId,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -114,7 +114,7 @@
                 Record::Placed { dc, epoch, placements: vec![placement; 2] }
             }
             5 => {
-                let ended = Ended { task: id, incarnation, exit: Exit::Stopped };
+                let ended = ExitReport { task: id, incarnation, exit: Exit::Stopped };
                 Record::Ended { dc, epoch, exits: vec![ended; 2] }
             }
             6 => Record::Snapshot {
--- a/daisy-measure/src/fleet/worker.rs
+++ b/daisy-measure/src/fleet/worker.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use daisy_model::{
-    Ended, Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, Running,
-    SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
+    Epoch, Exit, ExitReport, Incarnation, Instant, JobId, Order, OrderResult, Resources,
+    RunningTask, SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
 };
 use hdrhistogram::Histogram;
 
@@ -43,7 +43,7 @@
 struct Worker {
     capacity: Resources,
     tasks: Vec<Task>,
-    ended: Vec<Ended>,
+    ended: Vec<ExitReport>,
     samples: VecDeque<(Instant, Vec<Usage>)>,
     sampled: Instant,
     lease_end: Instant,
@@ -183,7 +183,7 @@
         }
         for index in done.into_iter().rev() {
             let Task { task, incarnation, .. } = worker.tasks.swap_remove(index);
-            worker.ended.push(Ended { task, incarnation, exit: Exit::Done });
+            worker.ended.push(ExitReport { task, incarnation, exit: Exit::Done });
             self.finished += 1;
         }
     }
@@ -234,7 +234,7 @@
             results = call.orders.iter().map(|order| self.carry_out(at, order)).collect();
         }
         let worker = &self.workers[at];
-        let running = worker.tasks.iter().map(|it| Running {
+        let running = worker.tasks.iter().map(|it| RunningTask {
             task: it.task,
             incarnation: it.incarnation,
             size: it.size,
@@ -289,7 +289,7 @@
     ) -> OrderResult {
         if !size.fits(self.free(at)) {
             self.no_room += 1;
-            return OrderResult::NoRoom;
+            return OrderResult::NoCapacity;
         }
         let Some(nature) = self.natures.get(&task.job).copied() else {
             return OrderResult::Failed;
@@ -307,7 +307,7 @@
             return OrderResult::Unknown;
         };
         let Task { incarnation, .. } = worker.tasks.swap_remove(index);
-        worker.ended.push(Ended { task, incarnation, exit });
+        worker.ended.push(ExitReport { task, incarnation, exit });
         OrderResult::Done
     }
 }
--- a/daisy-measure/src/ledger/fleet.rs
+++ b/daisy-measure/src/ledger/fleet.rs
@@ -7,7 +7,7 @@
     append::{Action, Event, Options, Queue},
 };
 use daisy_model::{
-    Change, Command, DcId, Ended, Epoch, Exit, Instant, JobId, JobKind, JobSpec, Name, Offset,
+    Change, Command, DcId, Epoch, Exit, ExitReport, Instant, JobId, JobKind, JobSpec, Name, Offset,
     Priority, Resources, TaskId, Tolerance, VmId, WallTime, WorkClass,
 };
 use hdrhistogram::Histogram;
@@ -53,7 +53,7 @@
     asked: Vec<(TaskId, Instant)>,
     running: VecDeque<(TaskId, u32)>,
     placements: Vec<Placement>,
-    exits: Vec<Ended>,
+    exits: Vec<ExitReport>,
 }
 
 /// All holders, the log and its fold.
@@ -204,7 +204,7 @@
         let holder = &mut self.holders[index];
         if let Some((task, incarnation)) = holder.running.pop_front() {
             let incarnation = daisy_model::Incarnation(incarnation);
-            holder.exits.push(Ended { task, incarnation, exit: Exit::Done });
+            holder.exits.push(ExitReport { task, incarnation, exit: Exit::Done });
         }
         let Some(task) = self.next_pending() else { return };
         self.holders[index].asked.push((task, self.now));
--- a/daisy-model/src/lib.rs
+++ b/daisy-model/src/lib.rs
@@ -31,5 +31,5 @@
     sorted::SortedMap,
     time::{Instant, WallTime},
     vm::{Vm, VmRole, VmStatus},
-    worker::{Ended, Order, OrderResult, Running, Usage, WorkerCall, WorkerReport},
+    worker::{ExitReport, Order, OrderResult, RunningTask, Usage, WorkerCall, WorkerReport},
 };
--- a/daisy-model/src/worker.rs
+++ b/daisy-model/src/worker.rs
@@ -69,7 +69,7 @@
     /// The order was carried out, now or earlier.
     Done,
     /// The worker has no capacity for the task; nothing was started.
-    NoRoom,
+    NoCapacity,
     /// The worker does not know the incarnation.
     Unknown,
     /// The worker could not start the task; nothing runs.
@@ -78,7 +78,7 @@
 
 /// A running task in the report of its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Running {
+pub struct RunningTask {
     /// The task.
     pub task: TaskId,
     /// Its incarnation.
@@ -91,7 +91,7 @@
 
 /// An exit report, which the worker keeps until it is acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ended {
+pub struct ExitReport {
     /// The task.
     pub task: TaskId,
     /// Its incarnation.
@@ -123,9 +123,9 @@
     /// The results of the orders, in the order of the call.
     pub results: Vec<OrderResult>,
     /// All tasks that run after the orders were carried out.
-    pub running: Vec<Running>,
+    pub running: Vec<RunningTask>,
     /// All exit reports that have not been acknowledged.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<ExitReport>,
     /// The measured resource use of tasks, some seconds old.
     pub usage: Vec<Usage>,
 }
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -226,7 +226,7 @@
             }
             Reason::StartRejected { vm, result } => {
                 let what = match result {
-                    OrderResult::NoRoom => "had no room",
+                    OrderResult::NoCapacity => "had no room",
                     _ => "could not start it",
                 };
                 write!(f, "{vm} {what}")
--- a/daisy-placement/src/records.rs
+++ b/daisy-placement/src/records.rs
@@ -1,7 +1,7 @@
 //! Batches of records to append to the log.
 
 use daisy_ledger::{Placement, Record};
-use daisy_model::{Ended, Instant, TaskId};
+use daisy_model::{ExitReport, Instant, TaskId};
 
 use crate::{
     holder::{Action, Holder},
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     pub placed: Vec<Placement>,
-    pub ended: Vec<Ended>,
+    pub ended: Vec<ExitReport>,
     pub checkouts: Vec<TaskId>,
     pub returns: Vec<TaskId>,
     flushed_at: Option<Instant>,
@@ -89,7 +89,7 @@
         }
         *recorded_at = Some(now);
         let exit = *exit;
-        self.outbox.ended.push(Ended { task, incarnation, exit });
+        self.outbox.ended.push(ExitReport { task, incarnation, exit });
     }
 }
 
--- a/daisy-placement/src/reports.rs
+++ b/daisy-placement/src/reports.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use daisy_model::{
-    Ended, Exit, Incarnation, Instant, Order, OrderResult, Running, SortedMap, TaskId, VmId,
-    WorkerReport,
+    Exit, ExitReport, Incarnation, Instant, Order, OrderResult, RunningTask, SortedMap, TaskId,
+    VmId, WorkerReport,
 };
 
 use crate::{
@@ -67,7 +67,7 @@
         &mut self,
         now: Instant,
         key: WorkerKey,
-        it: &Running,
+        it: &RunningTask,
         old: Option<Allocation>,
     ) {
         // Most of a report repeats the previous one. Checking the job of each task would take
@@ -80,7 +80,7 @@
         }
         let class = self.jobs.get(&it.task.job).map_or(Class::UNKNOWN, JobView::class);
         let Some(worker) = self.worker_mut(key) else { return };
-        let Running { task, incarnation, size, share } = *it;
+        let RunningTask { task, incarnation, size, share } = *it;
         let removal = old.map_or(Removal::NotPlanned, |old| old.removal);
         let since = old.map_or(now, |old| old.since);
         let state = AllocationState::Running;
@@ -144,10 +144,10 @@
         &mut self,
         now: Instant,
         key: WorkerKey,
-        ended: &Ended,
+        ended: &ExitReport,
         since: Option<Instant>,
     ) {
-        let Ended { task, incarnation, exit } = *ended;
+        let ExitReport { task, incarnation, exit } = *ended;
         let Some(local) = self.local(task) else {
             // An unknown job with a known id is over, and its end is recorded.
             if task.job < self.next_job {
@@ -175,7 +175,7 @@
         &mut self,
         now: Instant,
         key: WorkerKey,
-        ended: &Ended,
+        ended: &ExitReport,
         since: Option<Instant>,
     ) {
         let job = ended.task.job;
@@ -238,11 +238,14 @@
             return;
         }
         match (results.try_start(task), allocation.state) {
-            (Some(result @ (OrderResult::NoRoom | OrderResult::Failed)), AllocationState::Sent) => {
+            (
+                Some(result @ (OrderResult::NoCapacity | OrderResult::Failed)),
+                AllocationState::Sent,
+            ) => {
                 self.note_rejected_start(now, key, task, result);
                 self.undo_start(now, task);
             }
-            (Some(result @ (OrderResult::NoRoom | OrderResult::Failed)), _) => {
+            (Some(result @ (OrderResult::NoCapacity | OrderResult::Failed)), _) => {
                 self.note_rejected_start(now, key, task, result);
                 // A copy of the lost call may still arrive, so the incarnation must be stopped
                 // for good before the task may start elsewhere.
--- a/daisy-placement/tests/lease_renewer.rs
+++ b/daisy-placement/tests/lease_renewer.rs
@@ -18,7 +18,7 @@
 fn services_keep_running_without_a_holder_and_the_log() {
     let mut worker = FakeWorker::new(size(8, 32));
     worker.call(Instant(0), &util::empty_call(Epoch(4)));
-    worker.running = vec![daisy_model::Running {
+    worker.running = vec![daisy_model::RunningTask {
         task: util::task(0, 0),
         incarnation: daisy_model::Incarnation(1),
         size: size(1, 1),
--- a/daisy-placement/tests/util/worker.rs
+++ b/daisy-placement/tests/util/worker.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use daisy_model::{
-    Ended, Epoch, Exit, Incarnation, Instant, Order, OrderResult, Resources, Running, SortedMap,
-    TaskId, Usage, WorkerCall, WorkerReport,
+    Epoch, Exit, ExitReport, Incarnation, Instant, Order, OrderResult, Resources, RunningTask,
+    SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
 };
 
 /// A start that took effect.
@@ -22,8 +22,8 @@
 pub struct FakeWorker {
     pub capacity: Resources,
     pub epoch: Epoch,
-    pub running: Vec<Running>,
-    pub ended: Vec<Ended>,
+    pub running: Vec<RunningTask>,
+    pub ended: Vec<ExitReport>,
     pub started: Vec<Started>,
     /// The number of starts rejected for lack of capacity.
     pub rejected_starts: usize,
@@ -83,8 +83,8 @@
         }
         self.lapsed_tasks += self.running.len();
         for it in std::mem::take(&mut self.running) {
-            let Running { task, incarnation, .. } = it;
-            self.ended.push(Ended { task, incarnation, exit: Exit::LeaseLapsed });
+            let RunningTask { task, incarnation, .. } = it;
+            self.ended.push(ExitReport { task, incarnation, exit: Exit::LeaseLapsed });
         }
     }
 
@@ -113,8 +113,8 @@
 
     pub fn finish(&mut self, task: TaskId, exit: Exit) {
         let Some(at) = self.running.iter().position(|it| it.task == task) else { return };
-        let Running { task, incarnation, .. } = self.running.remove(at);
-        self.ended.push(Ended { task, incarnation, exit });
+        let RunningTask { task, incarnation, .. } = self.running.remove(at);
+        self.ended.push(ExitReport { task, incarnation, exit });
     }
 
     pub fn taken(&self) -> Resources {
@@ -174,20 +174,20 @@
         let taken = self.taken().try_add(size);
         if !taken.is_some_and(|taken| taken.fits(self.capacity)) {
             self.rejected_starts += 1;
-            return OrderResult::NoRoom;
+            return OrderResult::NoCapacity;
         }
         self.used_incarnations.insert(task, incarnation);
         self.started.push(started);
-        self.running.push(Running { task, incarnation, size, share: 1000 });
+        self.running.push(RunningTask { task, incarnation, size, share: 1000 });
         OrderResult::Done
     }
 
     fn end(&mut self, task: TaskId, incarnation: Incarnation, exit: Exit) -> OrderResult {
-        let is_match = |it: &Running| (it.task, it.incarnation) == (task, incarnation);
+        let is_match = |it: &RunningTask| (it.task, it.incarnation) == (task, incarnation);
         if let Some(at) = self.running.iter().position(is_match) {
             self.running.remove(at);
             self.ended_by_order += 1;
-            self.ended.push(Ended { task, incarnation, exit });
+            self.ended.push(ExitReport { task, incarnation, exit });
             return OrderResult::Done;
         }
         // The incarnation is stopped for good: a copy of a lost call must not start it later.
--- a/daisy-query/tests/why.rs
+++ b/daisy-query/tests/why.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use daisy_ledger::Record;
-use daisy_model::{DcId, Ended, Exit, Incarnation, VmId, WallTime};
+use daisy_model::{DcId, Exit, ExitReport, Incarnation, VmId, WallTime};
 use daisy_query::{Error, Reason, Subject, WorkerState, run};
 
 use crate::common::{Fixture, assert_contains, parse_one, render_task};
@@ -62,7 +62,7 @@
     let epoch = fixture.claim(0, 2);
     let taken_over = fixture.query("why task renders/0");
     let exit = Exit::Checkpointed(77);
-    let ended = Ended { task: render_task(0), incarnation: Incarnation(1), exit };
+    let ended = ExitReport { task: render_task(0), incarnation: Incarnation(1), exit };
     fixture.append(Record::Ended { dc: DcId(0), epoch, exits: vec![ended] });
     let evicted = fixture.query("why task renders/0");
     assert_contains(&taken_over, &["entry-2 took braga over under epoch 7"]);
@@ -88,7 +88,8 @@
 fn a_task_with_an_unknown_outcome_is_not_run_again() {
     let mut fixture = Fixture::with_running_task();
     let epoch = fixture.claim(0, 1);
-    let ended = Ended { task: render_task(0), incarnation: Incarnation(1), exit: Exit::Unknown };
+    let ended =
+        ExitReport { task: render_task(0), incarnation: Incarnation(1), exit: Exit::Unknown };
     fixture.append(Record::Ended { dc: DcId(0), epoch, exits: vec![ended] });
     let table = fixture.query("why task renders/0");
     assert_contains(
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -6,8 +6,8 @@
 
 use daisy_history::{EventKind, Run, RunEnd, Size};
 use daisy_model::{
-    Ended, Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, Running,
-    SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
+    Epoch, Exit, ExitReport, Incarnation, Instant, JobId, Order, OrderResult, Resources,
+    RunningTask, SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
 };
 use daisy_wire::worker::{ReportJson, ReportVersionJson};
 use serde::{Deserialize, Serialize};
@@ -99,7 +99,7 @@
     /// When the lease ends by this worker's own clock.
     lease_end: Instant,
     running: SortedMap<(TaskId, Incarnation), Task>,
-    ended: Vec<Ended>,
+    ended: Vec<ExitReport>,
     /// Every incarnation that was ever started or stopped here, none of which may start again.
     started_or_stopped: SortedMap<(TaskId, Incarnation), ()>,
     /// Number of checkpoints made so far.
@@ -269,7 +269,7 @@
             return OrderResult::Done;
         }
         if !faults.overcommit && !self.has_capacity_for(size) {
-            return OrderResult::NoRoom;
+            return OrderResult::NoCapacity;
         }
         if faults.fail_everything {
             return OrderResult::Failed;
@@ -310,7 +310,7 @@
             let is_known = self.started_or_stopped.contains_key(&key);
             return if is_known { OrderResult::Done } else { OrderResult::Unknown };
         }
-        self.ended.push(Ended { task: key.0, incarnation: key.1, exit });
+        self.ended.push(ExitReport { task: key.0, incarnation: key.1, exit });
         self.journal.record_end(key);
         if let Some(end) = history_end(exit) {
             self.record(EventKind::TaskEnded { run: history_run(key), end });
@@ -379,8 +379,8 @@
     (token & u64::from(u32::MAX)) * 1000
 }
 
-fn running_report((key, task): (&(TaskId, Incarnation), &Task)) -> Running {
-    Running { task: key.0, incarnation: key.1, size: task.size, share: task.share }
+fn running_report((key, task): (&(TaskId, Incarnation), &Task)) -> RunningTask {
+    RunningTask { task: key.0, incarnation: key.1, size: task.size, share: task.share }
 }
 
 fn history_run((task, incarnation): (TaskId, Incarnation)) -> Run {
--- a/daisy-standin/tests/worker.rs
+++ b/daisy-standin/tests/worker.rs
@@ -79,7 +79,7 @@
     let order = Order::Start { task: TASK, incarnation: FIRST, size, checkpoint: None };
     let report = worker.call(at(0), call(1, vec![order]), NO_FAULTS);
 
-    assert_eq!(report.results, [OrderResult::NoRoom]);
+    assert_eq!(report.results, [OrderResult::NoCapacity]);
     assert!(report.running.is_empty());
 }
 
--- a/daisy-wire/src/log/record.rs
+++ b/daisy-wire/src/log/record.rs
@@ -2,7 +2,9 @@
 
 use bincode::{Decode, Encode};
 use daisy_ledger::{AppendId, Batch, Placement, Record};
-use daisy_model::{Change, DcId, Ended, Epoch, Exit, Incarnation, JobId, Offset, TaskId, VmId};
+use daisy_model::{
+    Change, DcId, Epoch, Exit, ExitReport, Incarnation, JobId, Offset, TaskId, VmId,
+};
 
 use crate::{WireError, log::ChangeWire};
 
@@ -68,7 +70,7 @@
 
 /// A task, its incarnation, and how that ended.
 #[derive(Debug, Encode, Decode)]
-struct EndedWire(TaskWire, u32, ExitWire);
+struct ExitReportWire(TaskWire, u32, ExitWire);
 
 #[derive(Debug, Encode, Decode)]
 enum RecordWire {
@@ -78,7 +80,7 @@
     Checkout { dc: u16, epoch: u64, tasks: Vec<TaskWire> },
     Return { dc: u16, epoch: u64, tasks: Vec<TaskWire> },
     Placed { dc: u16, epoch: u64, placements: Vec<PlacementWire> },
-    Ended { dc: u16, epoch: u64, exits: Vec<EndedWire> },
+    Ended { dc: u16, epoch: u64, exits: Vec<ExitReportWire> },
     Intent { key: u128, entry: u32 },
     Snapshot { through: u64, part: u32, parts: u32, bytes: Vec<u8> },
 }
@@ -204,14 +206,14 @@
     }
 }
 
-impl From<Ended> for EndedWire {
-    fn from(it: Ended) -> EndedWire {
-        EndedWire(it.task.into(), it.incarnation.0, it.exit.into())
+impl From<ExitReport> for ExitReportWire {
+    fn from(it: ExitReport) -> ExitReportWire {
+        ExitReportWire(it.task.into(), it.incarnation.0, it.exit.into())
     }
 }
 
-impl From<EndedWire> for Ended {
-    fn from(it: EndedWire) -> Ended {
-        Ended { task: it.0.into(), incarnation: Incarnation(it.1), exit: it.2.into() }
+impl From<ExitReportWire> for ExitReport {
+    fn from(it: ExitReportWire) -> ExitReport {
+        ExitReport { task: it.0.into(), incarnation: Incarnation(it.1), exit: it.2.into() }
     }
 }
--- a/daisy-wire/src/report_merger.rs
+++ b/daisy-wire/src/report_merger.rs
@@ -6,7 +6,8 @@
 //! [`ReportMerger`] creates.
 
 use daisy_model::{
-    Ended, Incarnation, Order, OrderResult, Resources, Running, SortedMap, TaskId, WorkerReport,
+    ExitReport, Incarnation, Order, OrderResult, Resources, RunningTask, SortedMap, TaskId,
+    WorkerReport,
 };
 
 use crate::worker::{ReportJson, ReportVersionJson};
@@ -16,8 +17,8 @@
 pub struct ReportMerger {
     seen: Option<ReportVersionJson>,
     capacity: Resources,
-    running: SortedMap<(TaskId, Incarnation), Running>,
-    ended: SortedMap<(TaskId, Incarnation), Ended>,
+    running: SortedMap<(TaskId, Incarnation), RunningTask>,
+    ended: SortedMap<(TaskId, Incarnation), ExitReport>,
 }
 
 impl ReportMerger {
--- a/daisy-wire/src/worker.rs
+++ b/daisy-wire/src/worker.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use daisy_model::{
-    Ended, Epoch, Exit, Incarnation, JobId, Order, OrderResult, Running, TaskId, Usage, WorkerCall,
-    WorkerReport,
+    Epoch, Exit, ExitReport, Incarnation, JobId, Order, OrderResult, RunningTask, TaskId, Usage,
+    WorkerCall, WorkerReport,
 };
 use serde::{Deserialize, Serialize};
 
@@ -187,7 +187,8 @@
     /// Carried out.
     Done,
     /// Not enough free capacity; nothing was started.
-    NoRoom,
+    #[serde(rename = "no-room")]
+    NoCapacity,
     /// The worker does not know the incarnation.
     Unknown,
     /// The task could not be started.
@@ -244,7 +245,7 @@
 
 /// A running task.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct RunningJson {
+pub struct RunningTaskJson {
     /// The task and its incarnation.
     #[serde(flatten)]
     pub task: TaskJson,
@@ -256,7 +257,7 @@
 
 /// An exit report.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct EndedJson {
+pub struct ExitReportJson {
     /// The task and its incarnation.
     #[serde(flatten)]
     pub task: TaskJson,
@@ -299,10 +300,10 @@
     pub results: Vec<OrderResultJson>,
     /// The running tasks, or those that have changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub running: Vec<RunningJson>,
+    pub running: Vec<RunningTaskJson>,
     /// The exit reports that are not acknowledged yet, or the new ones.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub ended: Vec<EndedJson>,
+    pub ended: Vec<ExitReportJson>,
     /// The measured usage of tasks, or those values that have changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub usage: Vec<UsageJson>,
@@ -341,7 +342,7 @@
 fn result_to_json(it: OrderResult) -> OrderResultJson {
     match it {
         OrderResult::Done => OrderResultJson::Done,
-        OrderResult::NoRoom => OrderResultJson::NoRoom,
+        OrderResult::NoCapacity => OrderResultJson::NoCapacity,
         OrderResult::Unknown => OrderResultJson::Unknown,
         OrderResult::Failed => OrderResultJson::Failed,
     }
@@ -350,30 +351,30 @@
 fn result_from_json(it: OrderResultJson) -> OrderResult {
     match it {
         OrderResultJson::Done => OrderResult::Done,
-        OrderResultJson::NoRoom => OrderResult::NoRoom,
+        OrderResultJson::NoCapacity => OrderResult::NoCapacity,
         OrderResultJson::Unknown => OrderResult::Unknown,
         OrderResultJson::Failed => OrderResult::Failed,
     }
 }
 
-fn running_to_json(it: Running) -> RunningJson {
-    let Running { task, incarnation, size, share } = it;
-    RunningJson { task: TaskJson::new(task, incarnation), size: size.into(), share }
+fn running_to_json(it: RunningTask) -> RunningTaskJson {
+    let RunningTask { task, incarnation, size, share } = it;
+    RunningTaskJson { task: TaskJson::new(task, incarnation), size: size.into(), share }
 }
 
-fn running_from_json(it: RunningJson) -> Running {
-    let RunningJson { task, size, share } = it;
-    Running { task: task.task(), incarnation: task.incarnation(), size: size.into(), share }
+fn running_from_json(it: RunningTaskJson) -> RunningTask {
+    let RunningTaskJson { task, size, share } = it;
+    RunningTask { task: task.task(), incarnation: task.incarnation(), size: size.into(), share }
 }
 
-fn ended_to_json(it: Ended) -> EndedJson {
-    let Ended { task, incarnation, exit } = it;
-    EndedJson { task: TaskJson::new(task, incarnation), exit: exit.into() }
+fn ended_to_json(it: ExitReport) -> ExitReportJson {
+    let ExitReport { task, incarnation, exit } = it;
+    ExitReportJson { task: TaskJson::new(task, incarnation), exit: exit.into() }
 }
 
-fn ended_from_json(it: EndedJson) -> Ended {
-    let EndedJson { task, exit } = it;
-    Ended { task: task.task(), incarnation: task.incarnation(), exit: exit.into() }
+fn ended_from_json(it: ExitReportJson) -> ExitReport {
+    let ExitReportJson { task, exit } = it;
+    ExitReport { task: task.task(), incarnation: task.incarnation(), exit: exit.into() }
 }
 
 fn usage_to_json(it: Usage) -> UsageJson {
--- a/daisy-wire/tests/log.rs
+++ b/daisy-wire/tests/log.rs
@@ -2,9 +2,9 @@
 
 use daisy_ledger::{AppendId, Batch, Placement, Record};
 use daisy_model::{
-    Change, Command, Condition, DcId, Ended, Epoch, Exit, Generation, Incarnation, JobId, JobKind,
-    JobSpec, Name, Offset, PolicyChange, Priority, Resources, TaskId, Tolerance, VmId, WallTime,
-    WorkClass,
+    Change, Command, Condition, DcId, Epoch, Exit, ExitReport, Generation, Incarnation, JobId,
+    JobKind, JobSpec, Name, Offset, PolicyChange, Priority, Resources, TaskId, Tolerance, VmId,
+    WallTime, WorkClass,
 };
 use daisy_wire::{
     WireError,
@@ -44,7 +44,7 @@
     let task = TaskId { job: JobId(3), index: 4 };
     let incarnation = Incarnation(2);
     let size = Resources { cpu_milli: 1, memory_mib: 2, accelerators: 3 };
-    let ended = |exit| Ended { task, incarnation, exit };
+    let ended = |exit| ExitReport { task, incarnation, exit };
     let job = name("render");
     let kind = JobKind::Batch;
     let records = vec![
--- a/daisy-wire/tests/report_merger.rs
+++ b/daisy-wire/tests/report_merger.rs
@@ -1,8 +1,8 @@
 //! A worker's incremental reports are merged into its full report.
 
 use daisy_model::{
-    Ended, Epoch, Exit, Incarnation, JobId, Order, OrderResult, Resources, Running, TaskId,
-    WorkerReport,
+    Epoch, Exit, ExitReport, Incarnation, JobId, Order, OrderResult, Resources, RunningTask,
+    TaskId, WorkerReport,
 };
 use daisy_wire::{
     report_merger::ReportMerger,
@@ -15,12 +15,12 @@
     TaskId { job: JobId(0), index }
 }
 
-fn running(index: u32) -> Running {
-    Running { task: task(index), incarnation: FIRST, size: Resources::ZERO, share: 1000 }
+fn running(index: u32) -> RunningTask {
+    RunningTask { task: task(index), incarnation: FIRST, size: Resources::ZERO, share: 1000 }
 }
 
-fn ended(index: u32) -> Ended {
-    Ended { task: task(index), incarnation: FIRST, exit: Exit::Done }
+fn ended(index: u32) -> ExitReport {
+    ExitReport { task: task(index), incarnation: FIRST, exit: Exit::Done }
 }
 
 fn report(boot: u64, since: Option<u64>, version: u64) -> ReportJson {
@@ -38,7 +38,7 @@
     ReportJson { now, since, capacity, ..ReportJson::from(full) }
 }
 
-fn with_tasks(report: ReportJson, running: Vec<Running>, ended: Vec<Ended>) -> ReportJson {
+fn with_tasks(report: ReportJson, running: Vec<RunningTask>, ended: Vec<ExitReport>) -> ReportJson {
     let lists = WorkerReport { running, ended, ..WorkerReport::from(report.clone()) };
     let ReportJson { running, ended, .. } = ReportJson::from(lists);
     ReportJson { running, ended, ..report }
