--- a/daisy-entry/src/append_calls.rs
+++ b/daisy-entry/src/append_calls.rs
@@ -28,7 +28,7 @@
 /// Appends `batch` once and sends the result to the control task.
 pub(crate) fn spawn(platform: Platform, clock: Clock, batch: Batch, control: mpsc::Sender<Input>) {
     tokio::spawn(async move {
-        let asked = clock.now();
+        let sent_at = clock.now();
         let id = batch.id;
         let outcome = match daisy_wire::log::encode(&batch) {
             Ok(bytes) => outcome(platform.append(id, Bytes::from(bytes)).await),
@@ -37,7 +37,7 @@
                 AppendOutcome::Rejected
             }
         };
-        let _ = control.send(Input::Appended(Appended { id, asked, outcome })).await;
+        let _ = control.send(Input::Appended(Appended { id, sent_at, outcome })).await;
     });
 }
 
--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -170,8 +170,9 @@
 
     /// Returns the time until the append queue must be checked again.
     fn time_until_wake(&self) -> Duration {
-        let wake = self.appends.wake();
-        wake.map_or(MAX_WAKE_INTERVAL, |at| at.since(self.clock.now()).min(MAX_WAKE_INTERVAL))
+        let next_step_at = self.appends.next_step_at();
+        next_step_at
+            .map_or(MAX_WAKE_INTERVAL, |at| at.since(self.clock.now()).min(MAX_WAKE_INTERVAL))
     }
 
     fn handle_input(&mut self, input: Input) {
@@ -199,9 +200,9 @@
             Input::PeerVms(listing) if listing.version <= self.vms_version => {}
             Input::PeerVms(listing) => self.update_vm_list(now, listing),
             Input::VmsUnchanged => self.confirm_vm_list(now),
-            Input::Heartbeat { beat, in_flight } => {
-                self.requests.peer_in_flight(beat.vm, in_flight);
-                self.step_membership(now, Event::Heartbeat(beat));
+            Input::Heartbeat { heartbeat, in_flight } => {
+                self.requests.peer_in_flight(heartbeat.vm, in_flight);
+                self.step_membership(now, Event::Heartbeat(heartbeat));
             }
             Input::Replicas(replicas) => self.handle_replicas(replicas),
             Input::WorkerCallEnded { issuer, epoch, vm, outcome } => {
@@ -364,7 +365,7 @@
         let options = self.membership.options();
         let alive = self.membership.peers().iter();
         let alive =
-            alive.filter(|(vm, _)| self.membership.peers().alive(options, now, *vm)).count();
+            alive.filter(|(vm, _)| self.membership.peers().is_alive(options, now, *vm)).count();
         let metrics = &self.out.metrics;
         metrics.next_offset.set(self.state.next.0 as i64);
         metrics.generation.set(self.state.generation.0 as i64);
--- a/daisy-entry/src/control/append.rs
+++ b/daisy-entry/src/control/append.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_ledger::{
-    AppendId, Batch, Outcome, Record,
+    AppendId, Batch, Record, RecordOutcome,
     append::{Action, Event, Options, Queue},
 };
 use daisy_membership::Event as MembershipEvent;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum SubmitOutcome {
     /// The fold has processed the record.
-    Folded(Outcome),
+    Folded(RecordOutcome),
     /// The record is not in the log and will not be appended.
     NotAppended(&'static str),
 }
@@ -40,7 +40,7 @@
     /// The ID of the append.
     pub id: AppendId,
     /// When it was sent.
-    pub asked: Instant,
+    pub sent_at: Instant,
     /// The outcome of the attempt.
     pub outcome: AppendOutcome,
 }
@@ -81,8 +81,8 @@
     }
 
     /// Returns when the queue must be checked next.
-    pub fn wake(&self) -> Option<Instant> {
-        self.queue.wake()
+    pub fn next_step_at(&self) -> Option<Instant> {
+        self.queue.next_step_at()
     }
 }
 
@@ -128,10 +128,10 @@
 
     /// Handles the result of an append attempt.
     pub(super) fn handle_append_result(&mut self, now: Instant, appended: Appended) {
-        let Appended { id, asked, outcome } = appended;
+        let Appended { id, sent_at, outcome } = appended;
         self.out.metrics.append(matches!(outcome, AppendOutcome::Stored(_)));
         if matches!(outcome, AppendOutcome::Stored(_)) {
-            self.step_membership(now, MembershipEvent::Log { asked, end: None });
+            self.step_membership(now, MembershipEvent::Log { sent_at, end: None });
         }
         if id.sender == self.appends.last_claim.sender {
             self.step_membership(now, MembershipEvent::ClaimEnded);
@@ -147,7 +147,7 @@
     }
 
     /// Handles an append that the fold has reached; it may be one of this process.
-    pub(super) fn append_folded(&mut self, now: Instant, id: AppendId, outcomes: &[Outcome]) {
+    pub(super) fn append_folded(&mut self, now: Instant, id: AppendId, outcomes: &[RecordOutcome]) {
         self.step_queue(now, Event::Folded { id }, Some(outcomes));
     }
 
@@ -166,7 +166,7 @@
         self.appends.flushing.push(waiter);
     }
 
-    fn step_queue(&mut self, now: Instant, event: Event, outcomes: Option<&[Outcome]>) {
+    fn step_queue(&mut self, now: Instant, event: Event, outcomes: Option<&[RecordOutcome]>) {
         let mut actions = Vec::new();
         self.appends.queue.step(now, event, &mut actions);
         // Appends are folded in order: of those that are done, the last is the one that the fold
--- a/daisy-entry/src/control/fold.rs
+++ b/daisy-entry/src/control/fold.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use daisy_ledger::{Applied, Batch, Outcome, Record};
+use daisy_ledger::{Applied, Batch, Record, RecordOutcome};
 use daisy_membership::{Event, HolderClaim};
 use daisy_model::{DcId, Epoch, Instant, Offset};
 use daisy_routing::{KeyAnswer, KeyQuery};
@@ -30,7 +30,7 @@
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
     /// Handles a page of records, and returns the offset from which to read on.
     pub(super) fn handle_page(&mut self, now: Instant, page: Page) -> Offset {
-        let Page { asked, bounds, records } = page;
+        let Page { sent_at, bounds, records } = page;
         let end = bounds.map(|(_, end)| end);
         if let Some((first, _)) = bounds {
             self.snapshots.set_first_retained(first);
@@ -40,7 +40,7 @@
             None => self.fold_page(now, &records),
         };
         if end.is_some() {
-            self.step_membership(now, Event::Log { asked, end });
+            self.step_membership(now, Event::Log { sent_at, end });
         }
         next
     }
@@ -110,7 +110,7 @@
     fn process_outcomes(&mut self, now: Instant, batch: &Batch, applied: Applied) {
         self.append_folded(now, batch.id, &applied.outcomes);
         for (record, outcome) in batch.records.iter().zip(&applied.outcomes) {
-            if let (Record::Change(change), Outcome::Refused(refusal)) = (record, outcome) {
+            if let (Record::Change(change), RecordOutcome::Refused(refusal)) = (record, outcome) {
                 log::info!("event=change_refused who={} cause=\"{refusal}\"", change.who);
             }
             if let Some((dc, epoch)) = epoch_of(record)
--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -159,7 +159,7 @@
         answer: WorkerAnswer,
     ) -> Result<WorkerReport, CallFailure> {
         let report_merger = self.driver.report_mergers.get_or_insert_with(vm, ReportMerger::new);
-        report_merger.take(&answer.orders, answer.report).ok_or(CallFailure { sent: true })
+        report_merger.merge(&answer.orders, answer.report).ok_or(CallFailure { sent: true })
     }
 
     /// Starts a wait for a worker's next update, unless one is pending.
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -50,7 +50,7 @@
     /// A peer's heartbeat.
     Heartbeat {
         /// The heartbeat.
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         /// The requests that the peer has in flight, by backend server.
         in_flight: Vec<(VmId, u32)>,
     },
@@ -118,7 +118,7 @@
 #[derive(Debug)]
 pub(crate) struct Page {
     /// When the read was sent.
-    pub asked: Instant,
+    pub sent_at: Instant,
     /// The first and the end offset of the whole log, if the log itself answered.
     pub bounds: Option<(Offset, Offset)>,
     /// Offsets and bytes.
--- a/daisy-entry/src/control/publish.rs
+++ b/daisy-entry/src/control/publish.rs
@@ -27,7 +27,7 @@
         };
         in_flight.sort_unstable();
         let update = PeerUpdate {
-            beat: self.membership.heartbeat(now),
+            heartbeat: self.membership.heartbeat(now),
             in_flight: Arc::new(in_flight),
             replicas: self.replicas_for(now, is_same_dc),
         };
@@ -41,7 +41,7 @@
     /// such a peer is reset every few seconds.
     fn reset_if_unresponsive(&mut self, now: Instant, vm: VmId) {
         let options = self.membership.options();
-        if self.membership.peers().alive(options, now, vm) {
+        if self.membership.peers().is_alive(options, now, vm) {
             self.last_resets.insert(vm, now);
             return;
         }
@@ -143,9 +143,9 @@
             vm: vm.0,
             dc: peer.dc.0,
             listed: peer.listed,
-            alive: peers.alive(options, now, vm),
-            next: peer.last.map(|last| last.next.0),
-            generation: peer.last.map(|last| last.generation),
+            alive: peers.is_alive(options, now, vm),
+            next: peer.last_heartbeat.map(|last| last.next.0),
+            generation: peer.last_heartbeat.map(|last| last.generation),
         };
         peers.iter().map(peer).collect()
     }
--- a/daisy-entry/src/control/query_data.rs
+++ b/daisy-entry/src/control/query_data.rs
@@ -87,7 +87,7 @@
             WorkerStatus::Open => WorkerState::Ready,
             WorkerStatus::Draining | WorkerStatus::Unlisted => WorkerState::Leaving,
             WorkerStatus::Quarantined => WorkerState::Quarantined,
-            WorkerStatus::NeverAnswered | WorkerStatus::Silent => WorkerState::Silent,
+            WorkerStatus::NeverAnswered | WorkerStatus::Unresponsive => WorkerState::Unresponsive,
         };
         let known = LiveWorker {
             capacity: worker.capacity,
--- a/daisy-entry/src/control/routes.rs
+++ b/daisy-entry/src/control/routes.rs
@@ -49,7 +49,7 @@
     let options = membership.options();
     let peers = membership.peers();
     let is_counted = |(vm, peer): &(VmId, &daisy_membership::Peer)| {
-        if peer.dc == dc { peers.alive(options, now, *vm) } else { peer.listed }
+        if peer.dc == dc { peers.is_alive(options, now, *vm) } else { peer.listed }
     };
     let mut entries: Vec<(DcId, VmId)> =
         peers.iter().filter(is_counted).map(|(vm, peer)| (peer.dc, vm)).collect();
@@ -78,7 +78,7 @@
         let service = Service {
             job: id,
             priority: job.spec.priority,
-            refuse: job.spec.tolerance.refuse,
+            may_reject: job.spec.tolerance.refuse,
             backends: Vec::new(),
         };
         services.insert(job.spec.name.clone(), service);
--- a/daisy-entry/src/entry.rs
+++ b/daisy-entry/src/entry.rs
@@ -78,7 +78,7 @@
     tasks.spawn(parts.reader(follow_plan).run());
     tasks.spawn(parts.server(&proxy).run(listeners.peers));
     tasks.spawn(operators::serve(Arc::new(parts.operators(metrics)), listeners.operators));
-    let period = parts.settings.timing.vm_list;
+    let period = parts.settings.timing.vm_list_interval;
     tasks.spawn(vm_list::run(parts.platform, parts.links, period, control.clone()));
     let serving = tokio::spawn(serve_callers(proxy.clone(), listeners.callers, health));
     log::info!("event=started vm={} callers={}", parts.settings.vm, addresses.callers);
@@ -95,9 +95,9 @@
 impl Listeners {
     async fn open(settings: &Settings) -> anyhow::Result<Listeners> {
         Ok(Listeners {
-            callers: listen(settings.callers).await?,
-            peers: listen(settings.peers).await?,
-            operators: listen(settings.operators).await?,
+            callers: listen(settings.callers_address).await?,
+            peers: listen(settings.peers_address).await?,
+            operators: listen(settings.operators_address).await?,
         })
     }
 
@@ -256,7 +256,7 @@
     Options {
         vm: settings.vm,
         dc: settings.data_centre,
-        heartbeat: settings.timing.heartbeat,
+        heartbeat_interval: settings.timing.heartbeat_interval,
         holder_timeout: settings.timing.holder_timeout,
     }
 }
--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_language::{LocatedStatement, Statement};
-use daisy_ledger::{Outcome, Record};
+use daisy_ledger::{Record, RecordOutcome};
 use daisy_model::{Change, Command, Condition, Name};
 use daisy_wire::operator::StatementResultJson;
 use http::StatusCode;
@@ -70,14 +70,14 @@
     let record = Record::Change(change);
     port.control.send(Input::Submit { record, reply }).await.ok()?;
     let result = match timeout(OUTCOME_TIMEOUT, outcome).await {
-        Ok(Ok(SubmitOutcome::Folded(Outcome::Accepted(generation)))) => {
+        Ok(Ok(SubmitOutcome::Folded(RecordOutcome::Accepted(generation)))) => {
             let notes = match created {
                 Some(spec) => capacity_notes(port, &spec).await?,
                 None => Vec::new(),
             };
             StatementResultJson::Accepted { generation: generation.0, notes }
         }
-        Ok(Ok(SubmitOutcome::Folded(Outcome::Refused(refusal)))) => {
+        Ok(Ok(SubmitOutcome::Folded(RecordOutcome::Refused(refusal)))) => {
             StatementResultJson::Refused { cause: refusal.to_string() }
         }
         Ok(Ok(SubmitOutcome::NotAppended(cause))) => {
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -44,7 +44,7 @@
 /// The state that is sent to a peer at a time.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerUpdate {
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
     /// Requests in flight by backend server, sorted.
     pub in_flight: Arc<Vec<(VmId, u32)>>,
     /// Replicas of services, by data centre.
@@ -225,7 +225,8 @@
         let full = self.in_flight.is_none();
         let known = self.in_flight.as_deref().map_or(&[][..], Vec::as_slice);
         let in_flight = changed_counts(known, &update.in_flight);
-        let notice = NoticeWire::from(&Notice::Heartbeat { beat: update.beat, full, in_flight });
+        let notice =
+            NoticeWire::from(&Notice::Heartbeat { heartbeat: update.heartbeat, full, in_flight });
         self.notices.send(&notice, false).await?;
         self.in_flight = Some(update.in_flight);
         Ok(())
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use daisy_ledger::{Outcome, Record};
+use daisy_ledger::{Record, RecordOutcome};
 use daisy_model::{Offset, SortedMap, VmId};
 use daisy_routing::{KeyAnswer, KeyQuery};
 use daisy_wire::peer::{PeerAnswer, PeerQuery};
@@ -146,8 +146,8 @@
             return Intent::Unavailable;
         }
         match timeout(limit, outcome).await {
-            Ok(Ok(SubmitOutcome::Folded(Outcome::Announced))) => Intent::Won,
-            Ok(Ok(SubmitOutcome::Folded(Outcome::AlreadyAnnounced(_)))) => Intent::Lost,
+            Ok(Ok(SubmitOutcome::Folded(RecordOutcome::Announced))) => Intent::Won,
+            Ok(Ok(SubmitOutcome::Folded(RecordOutcome::AlreadyAnnounced(_)))) => Intent::Lost,
             // Without the fold's outcome the record may still reach the log.
             _ => Intent::Unavailable,
         }
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -176,13 +176,13 @@
                 }
             };
             let input = match notice {
-                Notice::Heartbeat { beat, .. } if beat.vm != from => {
+                Notice::Heartbeat { heartbeat, .. } if heartbeat.vm != from => {
                     reject(&mut respond, StatusCode::BAD_REQUEST)?;
-                    anyhow::bail!("heartbeat of {} on the stream of {from}", beat.vm);
+                    anyhow::bail!("heartbeat of {} on the stream of {from}", heartbeat.vm);
                 }
-                Notice::Heartbeat { beat, full, in_flight } => {
+                Notice::Heartbeat { heartbeat, full, in_flight } => {
                     let in_flight = notice_state.in_flight(full, in_flight);
-                    Input::Heartbeat { beat, in_flight }
+                    Input::Heartbeat { heartbeat, in_flight }
                 }
                 Notice::Replicas(change) => Input::Replicas(notice_state.replicas(change)),
             };
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -89,14 +89,14 @@
                     return Ok(ClaimResult::Replay(answer));
                 }
                 KeyStep::QueryOtherDcs => KeyDenial::Unknown,
-                KeyStep::Stop(denial) | KeyStep::Wait(denial) if is_granted => {
+                KeyStep::Deny(denial) | KeyStep::Wait(denial) if is_granted => {
                     self.finish(claim, ClaimEnd::NotRun).await;
                     // A `Finish` message may overtake the next claim with the same ID and release
                     // it.
                     claim = Claim { id: ClaimId(self.core.random_id()), home: None };
                     denial
                 }
-                KeyStep::Stop(denial) | KeyStep::Wait(denial) => denial,
+                KeyStep::Deny(denial) | KeyStep::Wait(denial) => denial,
             };
             if !self.may_retry_claim(denial, started_at, pause) {
                 if denial == KeyDenial::Unreachable {
@@ -171,8 +171,8 @@
             self.peers.announce_intent(intent_key(&self.id), left.min(INTENT_TIMEOUT)).await;
         match intent {
             Intent::Won => KeyStep::Run,
-            Intent::Lost => KeyStep::Stop(KeyDenial::Unknown),
-            Intent::Unavailable => KeyStep::Stop(KeyDenial::Unreachable),
+            Intent::Lost => KeyStep::Deny(KeyDenial::Unknown),
+            Intent::Unavailable => KeyStep::Deny(KeyDenial::Unreachable),
         }
     }
 
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -70,11 +70,11 @@
 
     /// Reads the platform's log once; returns `false` if the read failed.
     async fn poll(&mut self, next: &mut Offset, wait: Duration) -> Result<bool, ControlStopped> {
-        let asked = self.clock.now();
+        let sent_at = self.clock.now();
         match self.platform.read(*next, wait).await {
             Ok(Read::Page(page)) => {
                 let bounds = Some((page.first, page.end));
-                let page = Page { asked, bounds, records: page.records };
+                let page = Page { sent_at, bounds, records: page.records };
                 self.deliver(next, |ack| Input::Page(page, ack)).await?;
                 Ok(true)
             }
@@ -106,12 +106,12 @@
                 pushed = stream.next() => pushed,
                 Ok(()) = self.plan.changed() => return Ok(true),
             };
-            let asked = self.clock.now();
+            let sent_at = self.clock.now();
             match pushed {
                 Some(RecordStreamMessage::Records { first, bodies }) => {
                     let offsets = (first.0..).map(Offset);
                     let records = offsets.zip(bodies.into_iter().map(Into::into)).collect();
-                    let page = Page { asked, bounds: None, records };
+                    let page = Page { sent_at, bounds: None, records };
                     self.deliver(next, |ack| Input::Page(page, ack)).await?;
                 }
                 Some(RecordStreamMessage::Snapshot { bytes, .. }) => {
--- a/daisy-entry/src/worker_calls.rs
+++ b/daisy-entry/src/worker_calls.rs
@@ -112,7 +112,7 @@
     let reply = http
         .call(req, CALL_TIMEOUT, ANSWER_LIMIT)
         .await
-        .map_err(|e| CallFailure { sent: e.sent() })?;
+        .map_err(|e| CallFailure { sent: e.may_have_been_sent() })?;
     if !reply.status.is_success() {
         return Err(CallFailure { sent: true });
     }
--- a/daisy-entry/tests/control/peers.rs
+++ b/daisy-entry/tests/control/peers.rs
@@ -21,7 +21,7 @@
 use crate::cluster::{TEST_TIMEOUT, cluster, settings};
 
 fn heartbeat_frame(vm: u32) -> Vec<u8> {
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         vm: VmId(vm),
         dc: DcId(0),
         seq: 1,
@@ -31,7 +31,7 @@
         reads_log: false,
         evidence: None,
     };
-    frame(&NoticeWire::from(&Notice::Heartbeat { beat, full: true, in_flight: Vec::new() }))
+    frame(&NoticeWire::from(&Notice::Heartbeat { heartbeat, full: true, in_flight: Vec::new() }))
 }
 
 /// Sends `body` as the entry VM `from` and returns the status of the answer, if one arrives before
--- a/daisy-entry/tests/proxy/fixture.rs
+++ b/daisy-entry/tests/proxy/fixture.rs
@@ -130,7 +130,8 @@
             leaving: false,
         })
         .collect();
-    let service = Service { job: JobId(0), priority: Priority::Critical, refuse: false, backends };
+    let service =
+        Service { job: JobId(0), priority: Priority::Critical, may_reject: false, backends };
     let entries = vec![(DcId(0), VmId(1))];
     Routes {
         version: 1,
--- a/daisy-http/src/client.rs
+++ b/daisy-http/src/client.rs
@@ -55,7 +55,7 @@
 
 impl HttpError {
     /// Returns whether the request may have reached the server.
-    pub fn sent(&self) -> bool {
+    pub fn may_have_been_sent(&self) -> bool {
         !matches!(self, HttpError::Connect(_))
     }
 }
--- a/daisy-ledger/src/append.rs
+++ b/daisy-ledger/src/append.rs
@@ -174,7 +174,7 @@
     }
 
     /// Returns when to call [`Queue::step`] next if no other event occurs.
-    pub fn wake(&self) -> Option<Instant> {
+    pub fn next_step_at(&self) -> Option<Instant> {
         match &self.outstanding {
             Some(outstanding) => Some(outstanding.deadline),
             None if self.can_batch() => Some(self.next_send_at),
--- a/daisy-ledger/src/change.rs
+++ b/daisy-ledger/src/change.rs
@@ -6,8 +6,8 @@
 };
 
 use crate::{
-    AuditEntry, AuditStart, ChangeOutcome, Job, Outcome, Refusal, State, Subject, Task, TaskState,
-    Team,
+    AuditEntry, AuditStart, ChangeOutcome, Job, RecordOutcome, Refusal, State, Subject, Task,
+    TaskState, Team,
 };
 
 impl State {
@@ -30,18 +30,18 @@
     /// The number of entries removed at a time, so that trimming costs little per change.
     const AUDIT_TRIM_COUNT: usize = 1_000;
 
-    pub(crate) fn change(&mut self, offset: Offset, change: &Change) -> Outcome {
+    pub(crate) fn change(&mut self, offset: Offset, change: &Change) -> RecordOutcome {
         let generation = Generation(offset.0 + 1);
         let result = self.try_change(generation, change);
         let (verdict, outcome) = match result {
             Ok(()) => {
                 self.generation = generation;
-                (ChangeOutcome::Accepted(generation), Outcome::Accepted(generation))
+                (ChangeOutcome::Accepted(generation), RecordOutcome::Accepted(generation))
             }
             Err(refusal) => {
                 self.counts.refused += 1;
                 let cause = refusal.to_string().into_boxed_str();
-                (ChangeOutcome::Refused(cause), Outcome::Refused(refusal))
+                (ChangeOutcome::Refused(cause), RecordOutcome::Refused(refusal))
             }
         };
         let mut change = change.clone();
--- a/daisy-ledger/src/checkout.rs
+++ b/daisy-ledger/src/checkout.rs
@@ -3,13 +3,14 @@
 use daisy_model::{DcId, Epoch, Exit, ExitReport, JobId, JobKind, Offset, Resources, TaskId, VmId};
 
 use crate::{
-    HolderClaim, Outcome, Owner, Placement, State, Task, TaskState, exit, quota::QuotaHeadroom,
+    HolderClaim, Owner, Placement, RecordOutcome, State, Task, TaskState, exit,
+    quota::QuotaHeadroom,
 };
 
 impl State {
     /// Applies a claim. Its epoch is its offset plus one, so that a later claim always fences an
     /// earlier one.
-    pub(crate) fn claim(&mut self, offset: Offset, dc: DcId, holder: VmId) -> Outcome {
+    pub(crate) fn claim(&mut self, offset: Offset, dc: DcId, holder: VmId) -> RecordOutcome {
         let epoch = Epoch(offset.0 + 1);
         // Two claims in one append would have the same epoch, and fencing could not distinguish
         // them: only the first takes effect.
@@ -17,21 +18,21 @@
             return self.stale();
         }
         self.holders.insert(dc, HolderClaim { holder, epoch, released: false });
-        Outcome::Claimed(epoch)
+        RecordOutcome::Claimed(epoch)
     }
 
-    pub(crate) fn release(&mut self, dc: DcId, epoch: Epoch) -> Outcome {
+    pub(crate) fn release(&mut self, dc: DcId, epoch: Epoch) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
         if let Some(holding) = self.holders.get_mut(&dc) {
             holding.released = true;
         }
-        Outcome::Released
+        RecordOutcome::Released
     }
 
     /// Grants the tasks that are still pending, may run and fit the quota of their team.
-    pub(crate) fn checkout(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> Outcome {
+    pub(crate) fn checkout(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
@@ -44,7 +45,7 @@
         }
         granted.sort_unstable();
         self.jobs.dequeue(&granted);
-        Outcome::Granted(granted)
+        RecordOutcome::Granted(granted)
     }
 
     fn try_grant(
@@ -76,7 +77,12 @@
         Some(())
     }
 
-    pub(crate) fn return_tasks(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> Outcome {
+    pub(crate) fn return_tasks(
+        &mut self,
+        dc: DcId,
+        epoch: Epoch,
+        tasks: &[TaskId],
+    ) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
@@ -100,7 +106,12 @@
         Some(())
     }
 
-    pub(crate) fn placed(&mut self, dc: DcId, epoch: Epoch, placements: &[Placement]) -> Outcome {
+    pub(crate) fn placed(
+        &mut self,
+        dc: DcId,
+        epoch: Epoch,
+        placements: &[Placement],
+    ) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
@@ -121,7 +132,7 @@
         Some(())
     }
 
-    pub(crate) fn ended(&mut self, dc: DcId, epoch: Epoch, exits: &[ExitReport]) -> Outcome {
+    pub(crate) fn ended(&mut self, dc: DcId, epoch: Epoch, exits: &[ExitReport]) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
             return self.stale();
         }
@@ -178,13 +189,13 @@
         }
     }
 
-    fn stale(&mut self) -> Outcome {
+    fn stale(&mut self) -> RecordOutcome {
         self.counts.stale += 1;
-        Outcome::Stale
+        RecordOutcome::Stale
     }
 
-    fn took_effect(&mut self, effective_count: usize, of: usize) -> Outcome {
+    fn took_effect(&mut self, effective_count: usize, of: usize) -> RecordOutcome {
         self.counts.ignored += (of - effective_count) as u64;
-        Outcome::TookEffect(effective_count)
+        RecordOutcome::TookEffect(effective_count)
     }
 }
--- a/daisy-ledger/src/fold.rs
+++ b/daisy-ledger/src/fold.rs
@@ -22,7 +22,7 @@
 
 /// The result of applying one record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RecordOutcome {
     /// The change is in force from the generation on.
     Accepted(Generation),
     /// The change was refused.
@@ -51,7 +51,7 @@
     /// Whether the entry was folded.
     pub status: EntryStatus,
     /// One outcome for each record; empty if the entry was not folded.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<RecordOutcome>,
 }
 
 /// The position of a record in the log, and its sender.
@@ -108,7 +108,7 @@
         }
     }
 
-    fn apply_record(&mut self, location: RecordLocation, record: &Record) -> Outcome {
+    fn apply_record(&mut self, location: RecordLocation, record: &Record) -> RecordOutcome {
         let RecordLocation { offset, position, sender } = location;
         match record {
             Record::Change(change) => self.change(offset, change),
@@ -121,8 +121,8 @@
             Record::Intent { key, entry } => {
                 let intent = Intent { offset, position, entry: *entry };
                 match self.intents.announce(*key, intent) {
-                    Ok(()) => Outcome::Announced,
-                    Err(first) => Outcome::AlreadyAnnounced(first),
+                    Ok(()) => RecordOutcome::Announced,
+                    Err(first) => RecordOutcome::AlreadyAnnounced(first),
                 }
             }
             Record::Snapshot { through, part, parts, .. } => {
@@ -133,12 +133,12 @@
     }
 
     /// Records a snapshot part, so that every process knows when the next snapshot is due.
-    fn record_snapshot_part(&mut self, offset: Offset, part: Part) -> Outcome {
+    fn record_snapshot_part(&mut self, offset: Offset, part: Part) -> RecordOutcome {
         let whole = self.snapshots.push(part, ()).is_some();
         let newer = self.snapshot.is_none_or(|mark| mark.through < part.through);
         if whole && newer {
             self.snapshot = Some(CompleteSnapshot { through: part.through, last: offset });
         }
-        Outcome::SnapshotPartRecorded
+        RecordOutcome::SnapshotPartRecorded
     }
 }
--- a/daisy-ledger/src/lib.rs
+++ b/daisy-ledger/src/lib.rs
@@ -21,7 +21,7 @@
 mod subject;
 
 pub use crate::{
-    fold::{Applied, EntryStatus, Outcome},
+    fold::{Applied, EntryStatus, RecordOutcome},
     intents::{Intent, Intents},
     jobs::Jobs,
     record::{AppendId, Batch, Placement, Record},
--- a/daisy-ledger/tests/append.rs
+++ b/daisy-ledger/tests/append.rs
@@ -89,7 +89,7 @@
     step(&mut queue, 11, Event::Unanswered { id });
 
     assert!(queue.is_reachable(), "no later append could make the log reachable again");
-    assert_eq!(queue.wake(), None);
+    assert_eq!(queue.next_step_at(), None);
 }
 
 /// An answer is lost before the append is folded. Until it is folded, the outcome is unknown.
--- a/daisy-ledger/tests/change.rs
+++ b/daisy-ledger/tests/change.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
-use daisy_ledger::{ChangeOutcome, Outcome, Refusal, State, TaskState};
+use daisy_ledger::{ChangeOutcome, RecordOutcome, Refusal, State, TaskState};
 use daisy_model::{
     Command, Exit, Generation, JobKind, JobSpec, PolicyChange, Priority, Resources, WorkClass,
 };
 
 use crate::common::{DC, Log, batch_job, cancel, name, quota, service, size, task};
 
-fn refusal(outcome: Outcome) -> Refusal {
+fn refusal(outcome: RecordOutcome) -> Refusal {
     match outcome {
-        Outcome::Refused(refusal) => refusal,
+        RecordOutcome::Refused(refusal) => refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -97,7 +97,7 @@
     let lost = log.change_if("rui", Command::Undrain { vm: name("vm-1") }, seen);
     let other = log.change_if("rui", change_tasks("render", 3), seen);
 
-    assert_eq!(won, Outcome::Accepted(Generation(3)));
+    assert_eq!(won, RecordOutcome::Accepted(Generation(3)));
     let expected = Refusal::Conflict {
         subject: "vm vm-1".into(),
         seen,
@@ -105,8 +105,8 @@
         text: format!("{drain:?}").into(),
         generation: Generation(3),
     };
-    assert_eq!(lost, Outcome::Refused(expected));
-    assert_eq!(other, Outcome::Accepted(Generation(5)));
+    assert_eq!(lost, RecordOutcome::Refused(expected));
+    assert_eq!(other, RecordOutcome::Accepted(Generation(5)));
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let mut log = Log::with_team();
     let outcome = log.change_if("ana", Command::Pause(WorkClass::Batch), Generation(99));
     let expected = Refusal::GenerationNotReached { seen: Generation(99), newest: Generation(1) };
-    assert_eq!(outcome, Outcome::Refused(expected));
+    assert_eq!(outcome, RecordOutcome::Refused(expected));
 }
 
 /// The audit trail is full and its oldest entries are removed. A condition on an older generation
@@ -132,7 +132,7 @@
     let oldest = Generation(1_000);
     assert_eq!(
         outcome,
-        Outcome::Refused(Refusal::GenerationTooOld { seen: Generation(1), oldest })
+        RecordOutcome::Refused(Refusal::GenerationTooOld { seen: Generation(1), oldest })
     );
 }
 
@@ -153,8 +153,8 @@
     let job = log.change_if("rui", create, Generation(1));
 
     assert!(matches!(log.state.audit[1].change.command, Command::Drain { .. }));
-    assert!(matches!(outcome, Outcome::Refused(Refusal::Conflict { .. })));
-    assert!(matches!(job, Outcome::Refused(Refusal::GenerationTooOld { .. })));
+    assert!(matches!(outcome, RecordOutcome::Refused(Refusal::Conflict { .. })));
+    assert!(matches!(job, RecordOutcome::Refused(Refusal::GenerationTooOld { .. })));
 }
 
 #[test]
@@ -203,7 +203,7 @@
 
     let again = log.change(Command::Create(batch_job("render", 1)));
 
-    assert!(matches!(again, Outcome::Accepted(_)));
+    assert!(matches!(again, RecordOutcome::Accepted(_)));
     let (id, _) = log.state.jobs.by_name(&name("render")).expect("a job");
     assert_eq!(id, daisy_model::JobId(1));
 }
--- a/daisy-ledger/tests/checkout.rs
+++ b/daisy-ledger/tests/checkout.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use daisy_ledger::{AppendId, Batch, Outcome, Owner, Placement, Record, TaskState};
+use daisy_ledger::{AppendId, Batch, Owner, Placement, Record, RecordOutcome, TaskState};
 use daisy_model::{Command, DcId, Epoch, Exit, Incarnation, JobKind, JobSpec, VmId, WorkClass};
 use quickcheck::{Gen, QuickCheck};
 
@@ -60,7 +60,7 @@
     ];
 
     assert!(new > old);
-    assert!(outcomes.iter().all(|it| *it == Outcome::Stale));
+    assert!(outcomes.iter().all(|it| *it == RecordOutcome::Stale));
     assert_eq!(log.state.jobs, before);
     assert_eq!(log.state.counts.stale, 5);
     assert!(log.state.is_epoch_in_force(DC, new));
@@ -76,7 +76,7 @@
 
     let applied = log.append(Batch { id, records: vec![claim(1), claim(2)] });
 
-    assert_eq!(applied.outcomes, [Outcome::Claimed(Epoch(1)), Outcome::Stale]);
+    assert_eq!(applied.outcomes, [RecordOutcome::Claimed(Epoch(1)), RecordOutcome::Stale]);
     assert_eq!(log.state.holders.get(&DC).expect("held").holder, VmId(1));
 }
 
@@ -97,7 +97,7 @@
 
     assert_eq!(evicted.state, TaskState::Pending);
     assert_eq!((evicted.checkpoint, evicted.next_incarnation()), (Some(77), Incarnation(2)));
-    assert_eq!(doubled, Outcome::TookEffect(0));
+    assert_eq!(doubled, RecordOutcome::TookEffect(0));
     assert_eq!(owner(&log, 0), Some(DC));
     log.end(DC, next, task(0, 0), 2, Exit::Done);
     assert_eq!(state_of(&log, 0), TaskState::Ended(Exit::Done));
@@ -175,7 +175,7 @@
     let tasks = vec![task(0, 0), task(0, 1)];
     let outcome = log.record(Record::Return { dc: DC, epoch, tasks });
 
-    assert_eq!(outcome, Outcome::TookEffect(1));
+    assert_eq!(outcome, RecordOutcome::TookEffect(1));
     assert_eq!(owner(&log, 0), Some(DC));
     assert_eq!(state_of(&log, 1), TaskState::Pending);
 }
@@ -259,8 +259,8 @@
     let won = log.record(intent(1));
     let lost = log.record(intent(2));
 
-    assert_eq!(won, Outcome::Announced);
-    let Outcome::AlreadyAnnounced(first) = lost else { panic!("{lost:?}") };
+    assert_eq!(won, RecordOutcome::Announced);
+    let RecordOutcome::AlreadyAnnounced(first) = lost else { panic!("{lost:?}") };
     assert_eq!((first.entry, first.offset.0, first.position), (VmId(1), 0, 0));
 }
 
--- a/daisy-ledger/tests/common/mod.rs
+++ b/daisy-ledger/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod script;
 
-use daisy_ledger::{AppendId, Applied, Batch, Outcome, Record, State};
+use daisy_ledger::{AppendId, Applied, Batch, Record, RecordOutcome, State};
 use daisy_model::{
     Change, Command, Condition, DcId, Epoch, Exit, ExitReport, Generation, Incarnation, JobId,
     JobKind, JobSpec, Name, Priority, Resources, TaskId, Tolerance, VmId, WallTime,
@@ -35,30 +35,35 @@
         applied
     }
 
-    pub fn record(&mut self, record: Record) -> Outcome {
+    pub fn record(&mut self, record: Record) -> RecordOutcome {
         let id = AppendId { sender: 1, seq: self.entries.len() as u64 + 1 };
         self.append(Batch { id, records: vec![record] }).outcomes.remove(0)
     }
 
-    pub fn change(&mut self, command: Command) -> Outcome {
+    pub fn change(&mut self, command: Command) -> RecordOutcome {
         self.record(Record::Change(change("ana", command)))
     }
 
-    pub fn change_if(&mut self, who: &str, command: Command, generation: Generation) -> Outcome {
+    pub fn change_if(
+        &mut self,
+        who: &str,
+        command: Command,
+        generation: Generation,
+    ) -> RecordOutcome {
         let condition = Some(Condition { generation });
         self.record(Record::Change(Change { condition, ..change(who, command) }))
     }
 
     pub fn claim(&mut self, dc: DcId, holder: u32) -> Epoch {
         match self.record(Record::Claim { dc, holder: VmId(holder) }) {
-            Outcome::Claimed(epoch) => epoch,
+            RecordOutcome::Claimed(epoch) => epoch,
             other => panic!("not claimed: {other:?}"),
         }
     }
 
     pub fn checkout(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> Vec<TaskId> {
         match self.record(Record::Checkout { dc, epoch, tasks: tasks.to_vec() }) {
-            Outcome::Granted(tasks) => tasks,
+            RecordOutcome::Granted(tasks) => tasks,
             _ => Vec::new(),
         }
     }
@@ -70,7 +75,7 @@
         task: TaskId,
         incarnation: u32,
         exit: Exit,
-    ) -> Outcome {
+    ) -> RecordOutcome {
         let ended = ExitReport { task, incarnation: Incarnation(incarnation), exit };
         self.record(Record::Ended { dc, epoch, exits: vec![ended] })
     }
--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -58,7 +58,7 @@
 /// What travels.
 #[derive(Debug)]
 enum Message {
-    Heartbeat { to: usize, beat: Heartbeat },
+    Heartbeat { to: usize, heartbeat: Heartbeat },
     Appended { from: usize, record: Record },
     Call { from: usize, vm: VmId, call: WorkerCall },
     NoAnswer { from: usize, vm: VmId },
@@ -138,7 +138,7 @@
         let options = |at: u32| daisy_membership::Options {
             vm: VmId(FIRST_ENTRY + at),
             dc: DcId(0),
-            heartbeat: HEARTBEAT,
+            heartbeat_interval: HEARTBEAT,
             holder_timeout: HOLDER_TIMEOUT,
         };
         let entry =
@@ -244,12 +244,12 @@
         });
         let next = self.state.next;
         let generation = self.state.generation.0;
-        let asked = self.now - LOG_DELAY;
+        let sent_at = self.now - LOG_DELAY;
         let vms = self.vms.clone();
         for event in [
             daisy_membership::Event::Vms(&vms),
             daisy_membership::Event::Folded { next, generation, holder_claim },
-            daisy_membership::Event::Log { asked, end: Some(next) },
+            daisy_membership::Event::Log { sent_at, end: Some(next) },
             daisy_membership::Event::Tick,
         ] {
             self.step_membership(at, event);
@@ -268,7 +268,7 @@
         self.entries[at].membership.step(self.now, event, &mut actions);
         for action in actions {
             match action {
-                daisy_membership::Action::Heartbeat(to) => self.beat(at, to),
+                daisy_membership::Action::Heartbeat(to) => self.send_heartbeat(at, to),
                 daisy_membership::Action::Claim => {
                     let holder = VmId(FIRST_ENTRY + at as u32);
                     let record = Record::Claim { dc: DcId(0), holder };
@@ -290,10 +290,10 @@
         self.entries[at].holder = Some(Holder::new(Options::new(DcId(0), epoch, LEASE, 1)));
     }
 
-    fn beat(&mut self, at: usize, to: VmId) {
-        let beat = self.entries[at].membership.heartbeat(self.now);
+    fn send_heartbeat(&mut self, at: usize, to: VmId) {
+        let heartbeat = self.entries[at].membership.heartbeat(self.now);
         let to = (to.0 - FIRST_ENTRY) as usize;
-        self.flying.push_back((self.now + PEER_DELAY, Message::Heartbeat { to, beat }));
+        self.flying.push_back((self.now + PEER_DELAY, Message::Heartbeat { to, heartbeat }));
     }
 
     fn append(&mut self, from: usize, record: Record) {
@@ -320,8 +320,8 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Heartbeat { to, beat } if self.entries[to].alive => {
-                self.step_membership(to, daisy_membership::Event::Heartbeat(beat));
+            Message::Heartbeat { to, heartbeat } if self.entries[to].alive => {
+                self.step_membership(to, daisy_membership::Event::Heartbeat(heartbeat));
             }
             Message::Heartbeat { .. } => {}
             // An append that is on its way takes effect though its sender is dead.
--- a/daisy-measure/src/choose/policy.rs
+++ b/daisy-measure/src/choose/policy.rs
@@ -239,7 +239,7 @@
             leaving: false,
         })
         .collect();
-    let state = Service { job: JobId(0), priority: Priority::Critical, refuse: true, backends };
+    let state = Service { job: JobId(0), priority: Priority::Critical, may_reject: true, backends };
     Routes {
         version: 1,
         dc: DcId(0),
--- a/daisy-measure/src/ledger/fleet.rs
+++ b/daisy-measure/src/ledger/fleet.rs
@@ -3,7 +3,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use daisy_ledger::{
-    AppendId, Batch, Intents, Jobs, Outcome, Placement, Record, State, TaskState,
+    AppendId, Batch, Intents, Jobs, Placement, Record, RecordOutcome, State, TaskState,
     append::{Action, Event, Options, Queue},
 };
 use daisy_model::{
@@ -125,7 +125,7 @@
         }
         for index in 0..self.holders.len() {
             let (dc, holder) = (self.holders[index].dc, VmId(index as u32));
-            if let Some(Outcome::Claimed(epoch)) = self.append(Record::Claim { dc, holder }) {
+            if let Some(RecordOutcome::Claimed(epoch)) = self.append(Record::Claim { dc, holder }) {
                 self.holders[index].epoch = epoch;
             }
         }
@@ -140,7 +140,7 @@
         for (tasks, index) in pending.chunks(500).zip((0..self.holders.len()).cycle()) {
             let Holder { dc, epoch, .. } = self.holders[index];
             let taken = match self.append(Record::Checkout { dc, epoch, tasks: tasks.to_vec() }) {
-                Some(Outcome::Granted(tasks)) => tasks,
+                Some(RecordOutcome::Granted(tasks)) => tasks,
                 _ => continue,
             };
             let placements: Vec<Placement> =
@@ -246,7 +246,7 @@
             }
             let id = batch.id;
             for outcome in self.fold(batch) {
-                if let Outcome::Granted(tasks) = outcome {
+                if let RecordOutcome::Granted(tasks) = outcome {
                     self.granted(index, &tasks);
                 }
             }
@@ -330,13 +330,13 @@
     }
 
     /// Appends a record of an entry VM that is no holder.
-    fn append(&mut self, record: Record) -> Option<Outcome> {
+    fn append(&mut self, record: Record) -> Option<RecordOutcome> {
         self.seq += 1;
         let id = AppendId { sender: 99, seq: self.seq };
         self.fold(Batch { id, records: vec![record] }).pop()
     }
 
-    fn fold(&mut self, batch: Batch) -> Vec<Outcome> {
+    fn fold(&mut self, batch: Batch) -> Vec<RecordOutcome> {
         let offset = self.state.next;
         let bytes = daisy_wire::log::encode(&batch).expect("shorter than the longest entry");
         self.entries.push((offset, bytes));
--- a/daisy-measure/src/proxy.rs
+++ b/daisy-measure/src/proxy.rs
@@ -158,7 +158,7 @@
     let state = Service {
         job: JobId(0),
         priority: Priority::Critical,
-        refuse: false,
+        may_reject: false,
         backends: vec![backend],
     };
     let entries = vec![(DcId(0), VmId(1))];
--- a/daisy-membership/src/heartbeat_targets.rs
+++ b/daisy-membership/src/heartbeat_targets.rs
@@ -11,7 +11,7 @@
         let own = self.options.vm;
         match self.holder_state.holder_claim {
             Some(it) if it.holder == own => true,
-            Some(it) if !it.released && self.peers.alive(&self.options, now, it.holder) => false,
+            Some(it) if !it.released && self.peers.is_alive(&self.options, now, it.holder) => false,
             _ => self.rank(now) == 0,
         }
     }
@@ -48,7 +48,7 @@
             return;
         }
         self.seq = self.seq.wrapping_add(1);
-        self.next_heartbeat_at = now + self.options.heartbeat;
+        self.next_heartbeat_at = now + self.options.heartbeat_interval;
         let due_targets = self.due_targets(now);
         if !due_targets.is_empty() {
             self.holder_state.record_sent(now, self.seq);
@@ -68,7 +68,7 @@
         let remote = if self.represents_dc(now) { self.remote_targets() } else { Vec::new() };
         // A tick may come a little early or late; half a heartbeat interval of slack keeps the
         // rate.
-        let slack = self.options.heartbeat / 2;
+        let slack = self.options.heartbeat_interval / 2;
         let is_due = |(vm, peer): &(VmId, &Peer)| {
             let local = peer.dc == self.options.dc;
             let is_target = match local {
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -28,7 +28,7 @@
     /// The platform's log has answered a read or an append.
     Log {
         /// When the read was sent.
-        asked: Instant,
+        sent_at: Instant,
         /// The end of the log, if the answer contained it.
         end: Option<Offset>,
     },
@@ -180,7 +180,7 @@
                 self.generation = generation;
                 self.holder_state.update_claim(now, holder_claim);
             }
-            Event::Log { asked, end } => self.handle_log_answer(asked, end),
+            Event::Log { sent_at, end } => self.handle_log_answer(sent_at, end),
             Event::LogFailed => self.log_answered = None,
             Event::HolderRecordRead(epoch) => {
                 if self.holder_state.holder_claim.is_some_and(|it| it.epoch == epoch) {
@@ -193,7 +193,7 @@
             }
             Event::ClaimEnded => {
                 self.holder_state.claiming = false;
-                self.holder_state.claim_after = now + self.options.heartbeat;
+                self.holder_state.claim_after = now + self.options.heartbeat_interval;
             }
             Event::SourceFailed(vm) => self.source_selector.exclude(now, &self.options, vm),
             Event::Tick => {}
@@ -214,7 +214,7 @@
     fn detect_pause(&mut self, now: Instant) {
         let pause = now.since(self.last_step_at);
         self.last_step_at = now;
-        if pause > self.options.heartbeat * 2 {
+        if pause > self.options.heartbeat_interval * 2 {
             self.holder_state.holder_seen_at = now;
             self.peers.restart_timeouts(now);
         }
@@ -236,13 +236,13 @@
         }
     }
 
-    fn handle_log_answer(&mut self, asked: Instant, end: Option<Offset>) {
-        self.log_answered = self.log_answered.max(Some(asked));
+    fn handle_log_answer(&mut self, sent_at: Instant, end: Option<Offset>) {
+        self.log_answered = self.log_answered.max(Some(sent_at));
         let Some(end) = end else { return };
         self.readiness.log_end.get_or_insert(end);
         if self.next >= end {
             self.holder_state.confirmed_by_log_at =
-                self.holder_state.confirmed_by_log_at.max(Some(asked));
+                self.holder_state.confirmed_by_log_at.max(Some(sent_at));
         }
     }
 
@@ -276,7 +276,7 @@
             now.since(self.started) < self.options.peer_timeout(self.peers.local_count());
         let is_live_candidate = |vm: VmId, peer: &Peer| {
             let not_yet_received = still_discovering && peer.listed && peer.last_received.is_none();
-            not_yet_received || (self.peers.alive(&self.options, now, vm) && !peer.is_leaving())
+            not_yet_received || (self.peers.is_alive(&self.options, now, vm) && !peer.is_leaving())
         };
         let local = self.peers.iter().filter(|(_, peer)| peer.dc == self.options.dc);
         let candidates_before = local
--- a/daisy-membership/src/options.rs
+++ b/daisy-membership/src/options.rs
@@ -12,7 +12,7 @@
     /// Its data centre.
     pub dc: DcId,
     /// The interval between heartbeats of a holder to the peers of its data centre.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The time without a heartbeat after which a holder is replaced.
     pub holder_timeout: Duration,
 }
@@ -32,17 +32,17 @@
     /// centre; `holder` is whether the sender is the holder or needs the rate of one.
     pub fn local_period(&self, holder: bool, peers: usize) -> Duration {
         if holder {
-            return self.heartbeat;
+            return self.heartbeat_interval;
         }
         let peers = u32::try_from(peers).unwrap_or(u32::MAX);
-        self.heartbeat
+        self.heartbeat_interval
             * Options::FOLLOWER_PERIOD_FACTOR
             * peers.div_ceil(Options::FULL_RATE_PEERS).max(1)
     }
 
     /// Returns the interval between heartbeats to the representative of another data centre.
     pub fn remote_period(&self) -> Duration {
-        self.heartbeat * Options::REMOTE_PERIOD_FACTOR
+        self.heartbeat_interval * Options::REMOTE_PERIOD_FACTOR
     }
 
     /// Returns the time without a heartbeat after which a peer of the own data centre that is not
@@ -61,7 +61,7 @@
     /// Returns how long a process that has just started waits for heartbeats of its peers before
     /// it acts on what it knows of them.
     pub fn discovery_time(&self) -> Duration {
-        self.heartbeat * 2
+        self.heartbeat_interval * 2
     }
 
     /// Returns by how much each further candidate claims later than the one before it.
@@ -70,7 +70,7 @@
     /// link (12 ms one way), and with eight candidates the last one still waits less than two
     /// seconds.
     pub fn claim_stagger(&self) -> Duration {
-        self.heartbeat / 2
+        self.heartbeat_interval / 2
     }
 
     /// Returns the time without an answer after which the log is treated as unreachable.
--- a/daisy-membership/src/peers.rs
+++ b/daisy-membership/src/peers.rs
@@ -17,19 +17,19 @@
     /// When its last heartbeat was received.
     pub last_received: Option<Instant>,
     /// Its last heartbeat.
-    pub last: Option<Heartbeat>,
+    pub last_heartbeat: Option<Heartbeat>,
     /// When this process last sent it a heartbeat; `None` makes one due at once.
     pub(crate) last_sent: Option<Instant>,
 }
 
 impl Peer {
     fn new(dc: DcId) -> Peer {
-        Peer { dc, listed: false, last_received: None, last: None, last_sent: None }
+        Peer { dc, listed: false, last_received: None, last_heartbeat: None, last_sent: None }
     }
 
     /// Returns whether its last heartbeat announced a planned stop.
     pub fn is_leaving(&self) -> bool {
-        self.last.is_some_and(|last| last.status == Status::Leaving)
+        self.last_heartbeat.is_some_and(|last| last.status == Status::Leaving)
     }
 }
 
@@ -68,14 +68,14 @@
         let peer = self.peers.get_or_insert_with(heartbeat.vm, || Peer::new(heartbeat.dc));
         // A restarted process counts from zero again, so only a slightly lower number is treated
         // as reordered.
-        let reordered = peer.last.is_some_and(|last| {
+        let reordered = peer.last_heartbeat.is_some_and(|last| {
             heartbeat.seq < last.seq && last.seq - heartbeat.seq < REORDER_WINDOW
         });
         if reordered {
             return false;
         }
         peer.last_received = Some(now);
-        peer.last = Some(heartbeat);
+        peer.last_heartbeat = Some(heartbeat);
         self.recount_local(options);
         true
     }
@@ -109,7 +109,7 @@
     }
 
     /// Returns whether a heartbeat of `vm` was received within its timeout.
-    pub fn alive(&self, options: &Options, now: Instant, vm: VmId) -> bool {
+    pub fn is_alive(&self, options: &Options, now: Instant, vm: VmId) -> bool {
         let Some(peer) = self.peers.get(&vm) else { return false };
         let timeout = match peer.dc == options.dc {
             true => options.peer_timeout(self.local_count),
@@ -124,7 +124,8 @@
         options: &'a Options,
         now: Instant,
     ) -> impl Iterator<Item = (VmId, &'a Peer)> {
-        self.iter().filter(move |(vm, peer)| peer.dc == options.dc && self.alive(options, now, *vm))
+        self.iter()
+            .filter(move |(vm, peer)| peer.dc == options.dc && self.is_alive(options, now, *vm))
     }
 
     fn recount_local(&mut self, options: &Options) {
--- a/daisy-membership/src/readiness.rs
+++ b/daisy-membership/src/readiness.rs
@@ -33,7 +33,7 @@
         }
         let newest_ready_offset = peers
             .live_local_peers(options, now)
-            .filter_map(|(_, peer)| peer.last)
+            .filter_map(|(_, peer)| peer.last_heartbeat)
             .filter(|last| last.status == Status::Ready)
             .map(|last| last.next)
             .max();
--- a/daisy-membership/src/source.rs
+++ b/daisy-membership/src/source.rs
@@ -86,7 +86,7 @@
             return;
         };
         let mut local = inputs.peers.live_local_peers(inputs.options, now);
-        if !local.any(|(_, peer)| peer.last.is_some_and(|last| last.next > inputs.next)) {
+        if !local.any(|(_, peer)| peer.last_heartbeat.is_some_and(|last| last.next > inputs.next)) {
             self.behind = None;
             return;
         }
@@ -118,7 +118,7 @@
         .peers
         .live_local_peers(inputs.options, now)
         .filter(|(vm, peer)| !peer.is_leaving() && Some(*vm) != excluded)
-        .filter_map(|(vm, peer)| peer.last.map(|last| (vm, last)))
+        .filter_map(|(vm, peer)| peer.last_heartbeat.map(|last| (vm, last)))
         .collect();
     let own_reading =
         if inputs.log_answers { RecordSource::Log } else { most_advanced(inputs, &candidates) };
--- a/daisy-membership/tests/membership/fleet.rs
+++ b/daisy-membership/tests/membership/fleet.rs
@@ -53,7 +53,7 @@
     Options {
         vm: VmId(vm),
         dc: DcId(dc),
-        heartbeat: Duration::from_millis(500),
+        heartbeat_interval: Duration::from_millis(500),
         holder_timeout: Duration::from_secs(2),
     }
 }
@@ -168,8 +168,8 @@
             if !self.nodes[at].alive || self.nodes[at].is_paused {
                 continue;
             }
-            for beat in self.due(at) {
-                self.event(at, Event::Heartbeat(beat));
+            for heartbeat in self.due(at) {
+                self.event(at, Event::Heartbeat(heartbeat));
             }
             self.event(at, Event::Tick);
             if !self.nodes[at].is_reading_stuck {
@@ -183,7 +183,7 @@
         let inbox = std::mem::take(&mut self.nodes[at].inbox);
         let (due, later): (Vec<_>, Vec<_>) = inbox.into_iter().partition(|it| it.0 <= now);
         self.nodes[at].inbox = later;
-        due.into_iter().map(|(_, beat)| beat).collect()
+        due.into_iter().map(|(_, heartbeat)| heartbeat).collect()
     }
 
     fn read(&mut self, at: usize) {
@@ -191,8 +191,8 @@
         match self.nodes[at].membership.source() {
             RecordSource::Log if self.is_log_up && self.nodes[at].can_reach_log => {
                 self.fold(at, end);
-                let asked = self.now;
-                self.event(at, Event::Log { asked, end: Some(end) });
+                let sent_at = self.now;
+                self.event(at, Event::Log { sent_at, end: Some(end) });
             }
             RecordSource::Log => self.event(at, Event::LogFailed),
             RecordSource::Peer(vm) => self.read_from_peer(at, vm),
@@ -250,8 +250,8 @@
     }
 
     fn send(&mut self, from: usize, to: VmId) {
-        let beat = self.nodes[from].membership.heartbeat(self.now);
-        if self.is_cut(beat.vm, to) || self.random(1_000) < self.loss {
+        let heartbeat = self.nodes[from].membership.heartbeat(self.now);
+        if self.is_cut(heartbeat.vm, to) || self.random(1_000) < self.loss {
             return;
         }
         let Some(to) = self.nodes.iter().rposition(|it| it.membership.options().vm == to) else {
@@ -259,7 +259,7 @@
         };
         let micros = u32::try_from(self.delay.as_micros()).expect("short delays");
         let delivery_delay = Duration::from_micros(u64::from(self.random(micros.max(1))));
-        self.nodes[to].inbox.push((self.now + delivery_delay, beat));
+        self.nodes[to].inbox.push((self.now + delivery_delay, heartbeat));
     }
 
     fn is_cut(&self, a: VmId, b: VmId) -> bool {
--- a/daisy-placement/src/view.rs
+++ b/daisy-placement/src/view.rs
@@ -20,7 +20,7 @@
     /// It has not answered under this epoch.
     NeverAnswered,
     /// It did not answer the last call.
-    Silent,
+    Unresponsive,
     /// It is leaving or drained.
     Draining,
     /// It is missing from the VM list.
@@ -197,7 +197,7 @@
     let status = match worker.availability {
         Availability::Unlisted { .. } => WorkerStatus::Unlisted,
         _ if !worker.has_answered => WorkerStatus::NeverAnswered,
-        _ if !worker.is_responsive => WorkerStatus::Silent,
+        _ if !worker.is_responsive => WorkerStatus::Unresponsive,
         Availability::Draining => WorkerStatus::Draining,
         _ if worker.faults.is_quarantined() => WorkerStatus::Quarantined,
         Availability::Live => WorkerStatus::Open,
--- a/daisy-query/src/explain.rs
+++ b/daisy-query/src/explain.rs
@@ -3,7 +3,7 @@
 mod capacity;
 mod effect;
 
-use daisy_ledger::{AppendId, Batch, Outcome, Record, State};
+use daisy_ledger::{AppendId, Batch, Record, RecordOutcome, State};
 use daisy_model::{Change, Command, Condition, Name, WallTime};
 
 pub use self::capacity::describe_misfit;
@@ -23,11 +23,11 @@
     let mut after = state.clone();
     let outcome = fold_change(&mut after, command, condition);
     match outcome {
-        Some(Outcome::Accepted(_)) => {
+        Some(RecordOutcome::Accepted(_)) => {
             let now = state.generation;
             table.add_line("verdict", format!("would be accepted; the generation is {now} now"));
         }
-        Some(Outcome::Refused(refusal)) => {
+        Some(RecordOutcome::Refused(refusal)) => {
             table.add_line("verdict", format!("would be refused: {refusal}"));
             return table;
         }
@@ -45,7 +45,7 @@
     state: &mut State,
     command: &Command,
     condition: Option<Condition>,
-) -> Option<Outcome> {
+) -> Option<RecordOutcome> {
     let who = Name::new("explain").ok()?;
     let at = WallTime::default();
     let change = Change { who, at, text: "".into(), command: command.clone(), condition };
--- a/daisy-query/src/live.rs
+++ b/daisy-query/src/live.rs
@@ -58,7 +58,7 @@
     /// It is excluded, because it fails the tasks that it starts; it is tried again later.
     Quarantined,
     /// It does not answer. The tasks that it may still run are blocked until it does.
-    Silent,
+    Unresponsive,
 }
 
 /// The subject of a decision.
@@ -104,8 +104,8 @@
 
     /// Returns whether a worker does not answer, so that the tasks that it may still run cannot be
     /// started elsewhere.
-    pub(crate) fn is_silent(&self, vm: VmId) -> bool {
-        self.workers.get(&vm).is_some_and(|it| it.state == WorkerState::Silent)
+    pub(crate) fn is_unresponsive(&self, vm: VmId) -> bool {
+        self.workers.get(&vm).is_some_and(|it| it.state == WorkerState::Unresponsive)
     }
 
     /// Returns the VM with the name `name`.
--- a/daisy-query/src/show/fleet.rs
+++ b/daisy-query/src/show/fleet.rs
@@ -51,7 +51,7 @@
         Some(WorkerState::Ready) => "ready",
         Some(WorkerState::Leaving) => "leaving",
         Some(WorkerState::Quarantined) => "put-aside",
-        Some(WorkerState::Silent) => "silent",
+        Some(WorkerState::Unresponsive) => "silent",
         None => "not-seen",
     }
 }
--- a/daisy-query/src/show/work.rs
+++ b/daisy-query/src/show/work.rs
@@ -81,7 +81,7 @@
         match (self.task.state, self.vm()) {
             (TaskState::Pending, _) if state.is_paused(spec.kind, spec.priority) => "paused",
             (TaskState::Pending, _) => "pending",
-            (TaskState::CheckedOut(_), Some(vm)) if live.is_silent(vm) => "blocked",
+            (TaskState::CheckedOut(_), Some(vm)) if live.is_unresponsive(vm) => "blocked",
             (TaskState::CheckedOut(_), Some(_)) => "running",
             (TaskState::CheckedOut(_), None) => "starting",
             (TaskState::Ended(exit), _) => text::exit(exit),
--- a/daisy-query/src/why/fleet.rs
+++ b/daisy-query/src/why/fleet.rs
@@ -70,7 +70,7 @@
         WorkerState::Ready => "takes new tasks",
         WorkerState::Leaving => "takes nothing new, since it is leaving",
         WorkerState::Quarantined => "put aside, since it fails what it starts; tried again later",
-        WorkerState::Silent => "does not answer; what it may run is blocked until it does",
+        WorkerState::Unresponsive => "does not answer; what it may run is blocked until it does",
     };
     table.add_line("live", line);
 }
--- a/daisy-query/src/why/task.rs
+++ b/daisy-query/src/why/task.rs
@@ -157,7 +157,7 @@
     }
     let recorded = if task.incarnation > task.ended { task.vm } else { None };
     if let Some(vm) = running.map(|it| it.vm).or(recorded)
-        && live.is_silent(vm)
+        && live.is_unresponsive(vm)
     {
         let vm = live.vm(vm);
         let line = format!(
--- a/daisy-query/tests/common/mod.rs
+++ b/daisy-query/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_language::{Statement, parse};
-use daisy_ledger::{AppendId, Batch, Outcome, Placement, Record, State};
+use daisy_ledger::{AppendId, Batch, Placement, Record, RecordOutcome, State};
 use daisy_model::{
     Change, Command, Condition, DcId, Epoch, Incarnation, JobId, Name, Resources, TaskId, Vm, VmId,
     VmRole, VmStatus, WallTime,
@@ -50,13 +50,18 @@
         fixture
     }
 
-    pub fn append(&mut self, record: Record) -> Outcome {
+    pub fn append(&mut self, record: Record) -> RecordOutcome {
         let id = AppendId { sender: 1, seq: self.state.next.0 + 1 };
         let batch = Batch { id, records: vec![record] };
         self.state.apply(self.state.next, &batch).outcomes.remove(0)
     }
 
-    pub fn change(&mut self, who: &str, command: Command, condition: Option<Condition>) -> Outcome {
+    pub fn change(
+        &mut self,
+        who: &str,
+        command: Command,
+        condition: Option<Condition>,
+    ) -> RecordOutcome {
         let text = Statement::Change { command: command.clone(), condition }.to_string().into();
         // 2026-12-03, with one minute between entries.
         let at = WallTime(1_796_256_000_000 + self.state.next.0 * 60_000);
@@ -64,7 +69,7 @@
     }
 
     /// Parses `source`, which must be a change, and appends it as a change by `who`.
-    pub fn execute(&mut self, who: &str, source: &str) -> Outcome {
+    pub fn execute(&mut self, who: &str, source: &str) -> RecordOutcome {
         match parse_one(source) {
             Statement::Change { command, condition } => self.change(who, command, condition),
             other => panic!("not a change: {other}"),
@@ -78,7 +83,7 @@
 
     pub fn claim(&mut self, dc: u16, holder: u32) -> Epoch {
         match self.append(Record::Claim { dc: DcId(dc), holder: VmId(holder) }) {
-            Outcome::Claimed(epoch) => epoch,
+            RecordOutcome::Claimed(epoch) => epoch,
             other => panic!("{other:?}"),
         }
     }
--- a/daisy-query/tests/language.rs
+++ b/daisy-query/tests/language.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use daisy_language::{Statement, parse};
-use daisy_ledger::Outcome;
+use daisy_ledger::RecordOutcome;
 use daisy_query::run;
 
 use crate::common::Fixture;
@@ -50,7 +50,10 @@
             match &statement {
                 Statement::Change { command, condition } => {
                     let outcome = fixture.change("ana", command.clone(), *condition);
-                    assert!(matches!(outcome, Outcome::Accepted(_)), "{statement}: {outcome:?}");
+                    assert!(
+                        matches!(outcome, RecordOutcome::Accepted(_)),
+                        "{statement}: {outcome:?}"
+                    );
                 }
                 _ => {
                     let table = run(&fixture.state, &fixture.live, &statement);
--- a/daisy-query/tests/why.rs
+++ b/daisy-query/tests/why.rs
@@ -75,7 +75,7 @@
 fn a_task_on_a_worker_that_does_not_answer_is_blocked() {
     let mut fixture = Fixture::with_running_task();
     fixture.live.tasks.remove(&render_task(0));
-    fixture.live.workers.get_mut(&VmId(12)).expect("a worker").state = WorkerState::Silent;
+    fixture.live.workers.get_mut(&VmId(12)).expect("a worker").state = WorkerState::Unresponsive;
     let blocked = fixture.query("show tasks where state = blocked");
     assert_eq!(blocked.rows.len(), 1);
     assert_contains(
@@ -107,7 +107,7 @@
     fixture.execute("ana", "drain vm worker-12");
     fixture.execute("ana", "publish policy retry-budget=50");
     let silent = fixture.live.workers.get_mut(&VmId(12)).expect("a worker");
-    silent.state = WorkerState::Silent;
+    silent.state = WorkerState::Unresponsive;
     add_decision(
         &mut fixture,
         Subject::RequestClass("stock/keyed".into()),
--- a/daisy-routing/src/key_step.rs
+++ b/daisy-routing/src/key_step.rs
@@ -14,7 +14,7 @@
     /// Another attempt is running, or a home is not available yet: query again after a short delay.
     Wait(KeyDenial),
     /// The request must not run.
-    Stop(KeyDenial),
+    Deny(KeyDenial),
 }
 
 /// Why a keyed request does not run in this attempt.
@@ -58,15 +58,15 @@
         Some(KeyAnswer::Granted) => KeyStep::Run,
         Some(KeyAnswer::Answered(answer)) => KeyStep::Replay(answer),
         Some(KeyAnswer::Running) => KeyStep::Wait(KeyDenial::Running),
-        Some(KeyAnswer::Mismatch) => KeyStep::Stop(KeyDenial::Mismatch),
-        Some(KeyAnswer::Full) => KeyStep::Stop(KeyDenial::Full),
+        Some(KeyAnswer::Mismatch) => KeyStep::Deny(KeyDenial::Mismatch),
+        Some(KeyAnswer::Full) => KeyStep::Deny(KeyDenial::Full),
         Some(KeyAnswer::Settling | KeyAnswer::NotHome) => KeyStep::Wait(KeyDenial::Settling),
         Some(
             KeyAnswer::Unknown
             | KeyAnswer::Fenced
             | KeyAnswer::AlreadyFenced
             | KeyAnswer::Acknowledged,
-        ) => KeyStep::Stop(KeyDenial::Unknown),
+        ) => KeyStep::Deny(KeyDenial::Unknown),
         None => KeyStep::Wait(KeyDenial::Unreachable),
     }
 }
@@ -84,7 +84,7 @@
 /// either.
 pub fn next_step_after_other_dcs(answers: Vec<Option<KeyAnswer>>, repeated: bool) -> KeyStep {
     if answers.is_empty() && !repeated {
-        return KeyStep::Stop(KeyDenial::Unknown);
+        return KeyStep::Deny(KeyDenial::Unknown);
     }
     let mut step = KeyStep::Run;
     for answer in answers {
@@ -93,10 +93,10 @@
             Some(KeyAnswer::AlreadyFenced) if repeated => KeyStep::Run,
             Some(KeyAnswer::Answered(answer)) => return KeyStep::Replay(answer),
             Some(KeyAnswer::Running) => KeyStep::Wait(KeyDenial::Running),
-            Some(KeyAnswer::Mismatch) => KeyStep::Stop(KeyDenial::Mismatch),
-            _ => KeyStep::Stop(KeyDenial::Unknown),
+            Some(KeyAnswer::Mismatch) => KeyStep::Deny(KeyDenial::Mismatch),
+            _ => KeyStep::Deny(KeyDenial::Unknown),
         };
-        if step == KeyStep::Run || matches!(next, KeyStep::Stop(_)) {
+        if step == KeyStep::Run || matches!(next, KeyStep::Deny(_)) {
             step = if next == KeyStep::Run { step } else { next };
         }
     }
--- a/daisy-routing/src/keys.rs
+++ b/daisy-routing/src/keys.rs
@@ -149,7 +149,7 @@
     }
 
     /// Stops acting as a home; returns the handover messages with their recipients.
-    pub fn leave(&mut self, now: Instant) -> Vec<(VmId, KeyQuery)> {
+    pub fn start_handover(&mut self, now: Instant) -> Vec<(VmId, KeyQuery)> {
         self.leaving = true;
         self.membership.set_departed(self.me, true);
         let peers = self.membership.peers(self.me);
--- a/daisy-routing/src/routes.rs
+++ b/daisy-routing/src/routes.rs
@@ -30,7 +30,7 @@
     /// The declared priority of the service.
     pub priority: Priority,
     /// Whether operators allow requests of the service to be rejected under overload.
-    pub refuse: bool,
+    pub may_reject: bool,
     /// The backend servers of the service, sorted by VM.
     pub backends: Vec<Backend>,
 }
--- a/daisy-routing/tests/keys/simulation.rs
+++ b/daisy-routing/tests/keys/simulation.rs
@@ -168,7 +168,7 @@
         let now = self.now;
         let node = self.node(vm);
         node.leaving = true;
-        let handovers = node.table.leave(now);
+        let handovers = node.table.start_handover(now);
         self.send_all(vm, handovers);
     }
 
@@ -458,7 +458,7 @@
     let service = Service {
         job: JobId(0),
         priority: Priority::Critical,
-        refuse: false,
+        may_reject: false,
         backends: vec![backend],
     };
     Routes {
--- a/daisy-routing/tests/keys/single_fault.rs
+++ b/daisy-routing/tests/keys/single_fault.rs
@@ -201,7 +201,7 @@
     };
     let table = &mut sim.node(home).table;
 
-    table.leave(now);
+    table.start_handover(now);
 
     assert_eq!(table.handle(now, home, claim(1, false)), KeyAnswer::NotHome);
     assert_eq!(table.handle(now, home, claim(2, true)), KeyAnswer::NotHome);
@@ -362,7 +362,7 @@
     from_old.into_iter().for_each(|(_, query)| drop(new_table.handle(now, old, query)));
     let key = (0..20).map(key).find(|key| old_table.candidate_homes(DC_A, key)[0] == old).unwrap();
     assert_eq!(old_table.handle(now, old, first(&key, 1)), KeyAnswer::Granted);
-    for (_, query) in old_table.leave(now) {
+    for (_, query) in old_table.start_handover(now) {
         new_table.handle(now, old, query);
     }
     (old_table, new_table, key)
@@ -406,7 +406,7 @@
 
     home.handle(now, VmId(1), finish.clone());
     let answer = old.handle(now, VmId(1), finish);
-    for (_, query) in old.leave(now) {
+    for (_, query) in old.start_handover(now) {
         home.handle(now, VmId(2), query);
     }
 
--- a/daisy-settings/src/read.rs
+++ b/daisy-settings/src/read.rs
@@ -92,9 +92,9 @@
         vm: VmId(vm?.value),
         data_centre: data_centre?,
         data_centres,
-        callers: callers?.value,
-        peers: peers?.value,
-        operators: operators?.value,
+        callers_address: callers?.value,
+        peers_address: peers?.value,
+        operators_address: operators?.value,
         platform: platform?.value,
         operator_tokens,
         allowed_peers,
@@ -188,11 +188,11 @@
     let Some(node) = fields.try_node("timing", findings) else { return timing };
     let position = Position::from(&node);
     let mut item = Fields::new(node, "timing", findings);
-    item.millis("heartbeat_ms", &mut timing.heartbeat, findings);
+    item.millis("heartbeat_ms", &mut timing.heartbeat_interval, findings);
     item.millis("holder_timeout_ms", &mut timing.holder_timeout, findings);
     item.millis("worker_lease_ms", &mut timing.worker_lease, findings);
     item.millis("balancer_ms", &mut timing.balancer_delay, findings);
-    item.millis("vm_list_ms", &mut timing.vm_list, findings);
+    item.millis("vm_list_ms", &mut timing.vm_list_interval, findings);
     item.millis("log_retention_ms", &mut timing.log_retention, findings);
     item.finish(TIMING_FIELDS, findings);
     check_timing(&timing, position, findings);
@@ -203,7 +203,7 @@
 /// lost packet would change the holder; and that a new holder takes over long before the workers'
 /// leases expire, since otherwise a change of holder would stop services.
 fn check_timing(timing: &Timing, position: Position, findings: &mut Findings) {
-    if timing.holder_timeout < 2 * timing.heartbeat {
+    if timing.holder_timeout < 2 * timing.heartbeat_interval {
         let message = "holder_timeout_ms: must be at least twice heartbeat_ms".to_owned();
         findings.add(position, message);
     }
--- a/daisy-settings/src/settings.rs
+++ b/daisy-settings/src/settings.rs
@@ -20,11 +20,11 @@
     pub data_centres: Vec<DataCentre>,
     /// The address to listen on for callers' HTTP requests, and for `/healthz`, `/readyz` and
     /// `/metrics`.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// The address to listen on for HTTP/2 connections of other entry VMs.
-    pub peers: SocketAddr,
+    pub peers_address: SocketAddr,
     /// The address to listen on for operators' HTTP requests.
-    pub operators: SocketAddr,
+    pub operators_address: SocketAddr,
     /// The address of the platform's log and VM list.
     pub platform: SocketAddr,
     /// The operators and their tokens; if empty, no operator is allowed.
@@ -110,7 +110,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
     /// The interval between heartbeats to peers in the same data centre.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The time without a heartbeat after which a holder is replaced.
     pub holder_timeout: Duration,
     /// The duration of a worker's lease; longer than a change of holder takes.
@@ -119,7 +119,7 @@
     /// which the balancer notices.
     pub balancer_delay: Duration,
     /// The interval between reads of the VM list.
-    pub vm_list: Duration,
+    pub vm_list_interval: Duration,
     /// The time for which the platform's log is guaranteed to keep a record; snapshots are written
     /// well before it has passed.
     pub log_retention: Duration,
@@ -128,11 +128,11 @@
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
-            heartbeat: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_millis(500),
             holder_timeout: Duration::from_secs(2),
             worker_lease: Duration::from_secs(30),
             balancer_delay: Duration::from_secs(2),
-            vm_list: Duration::from_secs(1),
+            vm_list_interval: Duration::from_secs(1),
             log_retention: Duration::from_secs(6 * 3_600),
         }
     }
--- a/daisy-settings/tests/read.rs
+++ b/daisy-settings/tests/read.rs
@@ -42,7 +42,7 @@
     assert_eq!(settings.log_level, LogLevel::Debug);
     assert_eq!(settings.limits.body_bytes, 4096);
     assert_eq!(settings.limits.connections, 4096);
-    assert_eq!(settings.timing.heartbeat, Duration::from_millis(100));
+    assert_eq!(settings.timing.heartbeat_interval, Duration::from_millis(100));
     assert_eq!(&*settings.operator_tokens[0].token, "0123456789abcdef");
 }
 
--- a/daisy-wire/src/peer/live.rs
+++ b/daisy-wire/src/peer/live.rs
@@ -49,8 +49,8 @@
     Leaving,
     /// See [`WorkerState::Quarantined`].
     Quarantined,
-    /// See [`WorkerState::Silent`].
-    Silent,
+    /// See [`WorkerState::Unresponsive`].
+    Unresponsive,
 }
 
 /// See [`Subject`].
@@ -125,7 +125,7 @@
             WorkerState::Ready => WorkerStateWire::Ready,
             WorkerState::Leaving => WorkerStateWire::Leaving,
             WorkerState::Quarantined => WorkerStateWire::Quarantined,
-            WorkerState::Silent => WorkerStateWire::Silent,
+            WorkerState::Unresponsive => WorkerStateWire::Unresponsive,
         }
     }
 }
@@ -136,7 +136,7 @@
             WorkerStateWire::Ready => WorkerState::Ready,
             WorkerStateWire::Leaving => WorkerState::Leaving,
             WorkerStateWire::Quarantined => WorkerState::Quarantined,
-            WorkerStateWire::Silent => WorkerState::Silent,
+            WorkerStateWire::Unresponsive => WorkerState::Unresponsive,
         }
     }
 }
--- a/daisy-wire/src/peer/notice.rs
+++ b/daisy-wire/src/peer/notice.rs
@@ -41,7 +41,7 @@
     /// The sender's heartbeat.
     Heartbeat {
         /// The heartbeat.
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         /// Whether `in_flight` is the full list rather than the changes only.
         full: bool,
         /// The number of the sender's requests in flight by backend server; zero removes the
@@ -85,7 +85,7 @@
     /// See [`Notice::Heartbeat`].
     Heartbeat {
         /// The heartbeat.
-        beat: HeartbeatWire,
+        heartbeat: HeartbeatWire,
         /// Whether `in_flight` is the full list.
         full: bool,
         /// The number of requests in flight by backend server.
@@ -98,8 +98,8 @@
 impl From<&Notice> for NoticeWire {
     fn from(notice: &Notice) -> NoticeWire {
         match notice {
-            Notice::Heartbeat { beat, full, in_flight } => NoticeWire::Heartbeat {
-                beat: heartbeat_to_wire(*beat),
+            Notice::Heartbeat { heartbeat, full, in_flight } => NoticeWire::Heartbeat {
+                heartbeat: heartbeat_to_wire(*heartbeat),
                 full: *full,
                 in_flight: in_flight.iter().map(|(vm, count)| (vm.0, *count)).collect(),
             },
@@ -120,8 +120,8 @@
 
     fn try_from(notice: NoticeWire) -> Result<Notice, WireError> {
         Ok(match notice {
-            NoticeWire::Heartbeat { beat, full, in_flight } => Notice::Heartbeat {
-                beat: heartbeat_from_wire(beat)?,
+            NoticeWire::Heartbeat { heartbeat, full, in_flight } => Notice::Heartbeat {
+                heartbeat: heartbeat_from_wire(heartbeat)?,
                 full,
                 in_flight: in_flight.into_iter().map(|(vm, count)| (VmId(vm), count)).collect(),
             },
@@ -137,25 +137,25 @@
     }
 }
 
-fn heartbeat_to_wire(beat: Heartbeat) -> HeartbeatWire {
+fn heartbeat_to_wire(heartbeat: Heartbeat) -> HeartbeatWire {
     HeartbeatWire {
-        vm: beat.vm.0,
-        dc: beat.dc.0,
-        seq: beat.seq,
-        next: beat.next.0,
-        generation: beat.generation,
-        status: match beat.status {
+        vm: heartbeat.vm.0,
+        dc: heartbeat.dc.0,
+        seq: heartbeat.seq,
+        next: heartbeat.next.0,
+        generation: heartbeat.generation,
+        status: match heartbeat.status {
             Status::Starting => 0,
             Status::Ready => 1,
             Status::Leaving => 2,
         },
-        reads_log: beat.reads_log,
-        evidence: beat.evidence.map(|it| (it.epoch.0, it.seq)),
+        reads_log: heartbeat.reads_log,
+        evidence: heartbeat.evidence.map(|it| (it.epoch.0, it.seq)),
     }
 }
 
-fn heartbeat_from_wire(beat: HeartbeatWire) -> Result<Heartbeat, WireError> {
-    let status = match beat.status {
+fn heartbeat_from_wire(heartbeat: HeartbeatWire) -> Result<Heartbeat, WireError> {
+    let status = match heartbeat.status {
         0 => Status::Starting,
         1 => Status::Ready,
         2 => Status::Leaving,
@@ -165,14 +165,14 @@
         }
     };
     Ok(Heartbeat {
-        vm: VmId(beat.vm),
-        dc: DcId(beat.dc),
-        seq: beat.seq,
-        next: Offset(beat.next),
-        generation: beat.generation,
+        vm: VmId(heartbeat.vm),
+        dc: DcId(heartbeat.dc),
+        seq: heartbeat.seq,
+        next: Offset(heartbeat.next),
+        generation: heartbeat.generation,
         status,
-        reads_log: beat.reads_log,
-        evidence: beat.evidence.map(|(epoch, seq)| Evidence { epoch: Epoch(epoch), seq }),
+        reads_log: heartbeat.reads_log,
+        evidence: heartbeat.evidence.map(|(epoch, seq)| Evidence { epoch: Epoch(epoch), seq }),
     })
 }
 
--- a/daisy-wire/src/report_merger.rs
+++ b/daisy-wire/src/report_merger.rs
@@ -36,7 +36,7 @@
     ///
     /// Returns `None` if the report's changes do not follow the last version seen, for example
     /// because the worker's agent has restarted. The next call then requests a full report.
-    pub fn take(&mut self, orders: &[Order], report: ReportJson) -> Option<WorkerReport> {
+    pub fn merge(&mut self, orders: &[Order], report: ReportJson) -> Option<WorkerReport> {
         let (now, since) = (report.now, report.since);
         let report = WorkerReport::from(report);
         if !report.accepted {
--- a/daisy-wire/tests/peer.rs
+++ b/daisy-wire/tests/peer.rs
@@ -17,7 +17,7 @@
 const LIMIT: usize = 1 << 20;
 
 fn heartbeat() -> Notice {
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         vm: VmId(7),
         dc: DcId(2),
         seq: 90,
@@ -27,7 +27,7 @@
         reads_log: true,
         evidence: Some(Evidence { epoch: Epoch(11), seq: 3 }),
     };
-    Notice::Heartbeat { beat, full: false, in_flight: vec![(VmId(101), 8), (VmId(102), 0)] }
+    Notice::Heartbeat { heartbeat, full: false, in_flight: vec![(VmId(101), 8), (VmId(102), 0)] }
 }
 
 fn replicas(added: Vec<Replica>) -> Notice {
--- a/daisy-wire/tests/report_merger.rs
+++ b/daisy-wire/tests/report_merger.rs
@@ -53,10 +53,10 @@
 #[test]
 fn changes_are_merged_into_the_full_report() {
     let mut report_merger = ReportMerger::new();
-    report_merger.take(&[], with_tasks(report(7, None, 3), vec![running(0), running(1)], vec![]));
+    report_merger.merge(&[], with_tasks(report(7, None, 3), vec![running(0), running(1)], vec![]));
 
     let changes = with_tasks(report(7, Some(3), 5), vec![running(2)], vec![ended(0)]);
-    let full = report_merger.take(&[], changes).expect("the changes follow");
+    let full = report_merger.merge(&[], changes).expect("the changes follow");
 
     assert_eq!(indices(&full), (vec![1, 2], vec![0]));
     assert_eq!(full.capacity.cpu_milli, 1000);
@@ -66,7 +66,7 @@
 #[test]
 fn an_acknowledged_exit_report_is_removed() {
     let mut report_merger = ReportMerger::new();
-    report_merger.take(&[], with_tasks(report(7, None, 3), vec![], vec![ended(0), ended(1)]));
+    report_merger.merge(&[], with_tasks(report(7, None, 3), vec![], vec![ended(0), ended(1)]));
     let order = Order::Acknowledge { task: task(0), incarnation: FIRST };
 
     let lists = WorkerReport {
@@ -74,7 +74,7 @@
         ..WorkerReport::from(report(7, Some(3), 4))
     };
     let answer = ReportJson { results: ReportJson::from(lists).results, ..report(7, Some(3), 4) };
-    let full = report_merger.take(&[order], answer).expect("the changes follow");
+    let full = report_merger.merge(&[order], answer).expect("the changes follow");
 
     assert_eq!(indices(&full), (vec![], vec![1]));
 }
@@ -86,14 +86,14 @@
 #[test]
 fn changes_of_a_restarted_agent_are_rejected_until_it_sends_a_full_report() {
     let mut report_merger = ReportMerger::new();
-    report_merger.take(&[], with_tasks(report(7, None, 3), vec![running(0)], vec![]));
+    report_merger.merge(&[], with_tasks(report(7, None, 3), vec![running(0)], vec![]));
 
     let rejected =
-        report_merger.take(&[], with_tasks(report(8, Some(3), 4), vec![running(1)], vec![]));
+        report_merger.merge(&[], with_tasks(report(8, Some(3), 4), vec![running(1)], vec![]));
 
     assert_eq!(rejected, None);
     assert_eq!(report_merger.seen(), None);
-    let full = report_merger.take(&[], with_tasks(report(8, None, 5), vec![running(1)], vec![]));
+    let full = report_merger.merge(&[], with_tasks(report(8, None, 5), vec![running(1)], vec![]));
     assert_eq!(indices(&full.expect("a full report")), (vec![1], vec![]));
 }
 
@@ -102,11 +102,11 @@
 #[test]
 fn an_older_report_does_not_bring_back_an_ended_task() {
     let mut report_merger = ReportMerger::new();
-    report_merger.take(&[], with_tasks(report(7, None, 3), vec![running(0)], vec![]));
-    report_merger.take(&[], with_tasks(report(7, Some(3), 6), vec![], vec![ended(0)]));
+    report_merger.merge(&[], with_tasks(report(7, None, 3), vec![running(0)], vec![]));
+    report_merger.merge(&[], with_tasks(report(7, Some(3), 6), vec![], vec![ended(0)]));
 
     let rejected =
-        report_merger.take(&[], with_tasks(report(7, Some(3), 5), vec![running(0)], vec![]));
+        report_merger.merge(&[], with_tasks(report(7, Some(3), 5), vec![running(0)], vec![]));
 
     assert_eq!(rejected, None);
 }
