--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -334,8 +334,8 @@
 
     /// Returns whether an entry VM has become reachable or unreachable since routes were published.
     fn have_entries_changed(&self, now: Instant) -> bool {
-        let entries = routes::entries(now, self.identity.dc, &self.membership);
-        entries != self.out.routes.borrow().entries
+        let entries = routes::live_entries(now, self.identity.dc, &self.membership);
+        entries != self.out.routes.borrow().live_entries
     }
 
     fn publish_routes(&mut self, now: Instant) {
--- a/daisy-entry/src/control/append.rs
+++ b/daisy-entry/src/control/append.rs
@@ -131,7 +131,7 @@
         let Appended { id, sent_at, outcome } = appended;
         self.out.metrics.append(matches!(outcome, AppendOutcome::Stored(_)));
         if matches!(outcome, AppendOutcome::Stored(_)) {
-            self.step_membership(now, MembershipEvent::Log { sent_at, end: None });
+            self.step_membership(now, MembershipEvent::LogAnswered { sent_at, end: None });
         }
         if id.sender == self.appends.last_claim.sender {
             self.step_membership(now, MembershipEvent::ClaimEnded);
--- a/daisy-entry/src/control/fold.rs
+++ b/daisy-entry/src/control/fold.rs
@@ -40,7 +40,7 @@
             None => self.fold_page(now, &records),
         };
         if end.is_some() {
-            self.step_membership(now, Event::Log { sent_at, end });
+            self.step_membership(now, Event::LogAnswered { sent_at, end });
         }
         next
     }
--- a/daisy-entry/src/control/restore.rs
+++ b/daisy-entry/src/control/restore.rs
@@ -67,7 +67,7 @@
     ///
     /// The platform does not publish its retention. If the log drops records sooner than the
     /// settings say, snapshots are written sooner as well.
-    fn due(&self, now: Instant, state: &State, rank: u32, retention: Duration) -> bool {
+    fn is_due(&self, now: Instant, state: &State, rank: u32, retention: Duration) -> bool {
         if self.last_written_end.is_some_and(|it| self.through.is_none_or(|through| through < it)) {
             // The snapshot of this process is being appended.
             return false;
@@ -81,7 +81,7 @@
         let retained = state.next.0.saturating_sub(self.first.0);
         let expiring = self.first > Offset(0) && entries * 3 >= retained * (3 - FALLBACK_THIRDS);
         let is_own_turn = rank == 0 || entries * 3 >= retained * FALLBACK_THIRDS;
-        entries > 0 && (snapshot::due(&options, &since, rank) || (expiring && is_own_turn))
+        entries > 0 && (snapshot::is_due(&options, &since, rank) || (expiring && is_own_turn))
     }
 }
 
@@ -162,7 +162,7 @@
             return;
         }
         let rank = u32::from(self.identity.dc.0);
-        if !self.snapshots.due(now, &self.state, rank, self.identity.log_retention) {
+        if !self.snapshots.is_due(now, &self.state, rank, self.identity.log_retention) {
             return;
         }
         match daisy_wire::snapshot::write(&self.state, PART_BYTES) {
--- a/daisy-entry/src/control/routes.rs
+++ b/daisy-entry/src/control/routes.rs
@@ -33,8 +33,8 @@
         version,
         dc: parts.dc,
         regions: parts.regions.to_vec(),
-        entries: entries(parts.now, parts.dc, parts.membership),
-        listed: listed(parts),
+        live_entries: live_entries(parts.now, parts.dc, parts.membership),
+        listed_entries: listed_entries(parts),
         services: services(parts),
         policy: parts.state.policy.1.clone(),
     }
@@ -45,7 +45,7 @@
 /// Starting and stopping ones are included: they have connections to backend servers, and keys.
 /// This entry VM does not receive heartbeats from every entry VM of other data centres; those are
 /// included if the platform lists them.
-pub(crate) fn entries(now: Instant, dc: DcId, membership: &Membership) -> Vec<(DcId, VmId)> {
+pub(crate) fn live_entries(now: Instant, dc: DcId, membership: &Membership) -> Vec<(DcId, VmId)> {
     let options = membership.options();
     let peers = membership.peers();
     let is_counted = |(vm, peer): &(VmId, &daisy_membership::Peer)| {
@@ -59,7 +59,7 @@
 }
 
 /// Returns the entry VMs in the platform's list, and this one.
-fn listed(parts: &RouteSources<'_>) -> Vec<(DcId, VmId)> {
+fn listed_entries(parts: &RouteSources<'_>) -> Vec<(DcId, VmId)> {
     let options = parts.membership.options();
     let entries = parts.vms.iter().filter(|vm| vm.role == VmRole::Entry);
     let mut listed: Vec<(DcId, VmId)> = entries.map(|vm| (vm.dc, vm.id)).collect();
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -110,11 +110,11 @@
     }
 
     /// Requests a backend server from the router.
-    pub(super) fn offer(&self, call: &Call) -> AdmissionResult<'_> {
+    pub(super) fn admit(&self, call: &Call) -> AdmissionResult<'_> {
         let now = self.clock.now();
         let mut router_state = lock(&self.router_state);
         let RouterState { router, rng, waiters } = &mut *router_state;
-        match router.offer(now, call, rng) {
+        match router.admit(now, call, rng) {
             Admission::Send(target) => AdmissionResult::Send(target),
             Admission::Reject(rejection) => AdmissionResult::Reject(rejection),
             Admission::Wait(ticket) => {
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -137,19 +137,20 @@
     let (lease, response) = match result {
         Ok(answered) => answered,
         Err(err) => {
-            let end = match err {
+            let outcome = match err {
                 TryError::NotSent => TryOutcome::NotSent,
                 TryError::NoConnection => TryOutcome::Refused,
                 _ => TryOutcome::Broken,
             };
-            guard.end(TryReport::without_answer(end));
+            guard.end(TryReport::without_answer(outcome));
             return Err(err);
         }
     };
     let report = read_report(response.headers());
     if let Err(err) = validate_answer(&response, &forwarded.id) {
-        let end = if err == TryError::Refused { TryOutcome::Refused } else { TryOutcome::Broken };
-        guard.end(TryReport { end, ..report });
+        let outcome =
+            if err == TryError::Refused { TryOutcome::Refused } else { TryOutcome::Broken };
+        guard.end(TryReport { outcome, ..report });
         return Err(err);
     }
     Ok(forward_answer(response, AnswerGuard::new(guard, lease, report, forwarded.deadline)))
@@ -193,7 +194,7 @@
 fn read_report(map: &HeaderMap) -> TryReport {
     let text = |name| map.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
     TryReport {
-        end: TryOutcome::Answered,
+        outcome: TryOutcome::Answered,
         in_flight: text(headers::IN_FLIGHT).and_then(|text| text.parse().ok()),
         leaving: text(headers::LEAVING) == Some("1"),
         bytes: 0,
--- a/daisy-entry/src/proxy/guard.rs
+++ b/daisy-entry/src/proxy/guard.rs
@@ -83,7 +83,7 @@
     /// of it reaches a later request.
     pub(super) fn broken(&mut self) {
         self.lease = None;
-        self.guard.end(TryReport { end: TryOutcome::Broken, ..self.report });
+        self.guard.end(TryReport { outcome: TryOutcome::Broken, ..self.report });
     }
 
     /// Ready when the request's deadline has passed.
--- a/daisy-entry/src/proxy/request.rs
+++ b/daisy-entry/src/proxy/request.rs
@@ -172,7 +172,7 @@
 }
 
 async fn find_target(core: &Core, call: &Call) -> Result<Target, Failure> {
-    match core.offer(call) {
+    match core.admit(call) {
         AdmissionResult::Send(target) => Ok(target),
         AdmissionResult::Reject(rejection) => Err(rejection.into()),
         AdmissionResult::Wait(waiting) => match waiting.decision().await {
--- a/daisy-entry/tests/proxy/fixture.rs
+++ b/daisy-entry/tests/proxy/fixture.rs
@@ -85,7 +85,8 @@
 /// Starts such entry VMs that do not reach each other yet.
 pub async fn unconnected_pair(peers: &Peers, backends: &[SocketAddr]) -> [Entry<Peers>; 2] {
     let entries = vec![(DcId(0), VmId(1)), (DcId(0), VmId(2))];
-    let routes = Routes { entries: entries.clone(), listed: entries, ..routes_to(backends) };
+    let routes =
+        Routes { live_entries: entries.clone(), listed_entries: entries, ..routes_to(backends) };
     let first = serve(options(), routes.clone(), peers.for_entry(VmId(1))).await;
     let other = Options { vm: VmId(2), seed: 8, ..options() };
     let second = serve(other, routes, peers.for_entry(VmId(2))).await;
@@ -137,8 +138,8 @@
         version: 1,
         dc: DcId(0),
         regions: vec![0],
-        entries: entries.clone(),
-        listed: entries,
+        live_entries: entries.clone(),
+        listed_entries: entries,
         services: SortedMap::from_iter([(Name::new("quote").unwrap(), service)]),
         ..Routes::default()
     }
--- a/daisy-history/src/event.rs
+++ b/daisy-history/src/event.rs
@@ -50,7 +50,8 @@
     /// Its holder stopped it.
     Stopped,
     /// Its lease expired.
-    LeaseLapsed,
+    #[serde(rename = "lease-lapsed")]
+    LeaseExpired,
 }
 
 /// How an attempt of a call ended for its caller.
--- a/daisy-history/src/resume.rs
+++ b/daisy-history/src/resume.rs
@@ -83,7 +83,7 @@
                 self.resumed = None;
             }
             // The work since the checkpoint is lost, so the checkpoint may be resumed once more.
-            RunEnd::Failed | RunEnd::Stopped | RunEnd::LeaseLapsed => {
+            RunEnd::Failed | RunEnd::Stopped | RunEnd::LeaseExpired => {
                 if self.resumed.is_some_and(|(it, _)| it == run) {
                     self.resumed = None;
                 }
--- a/daisy-ledger/src/append.rs
+++ b/daisy-ledger/src/append.rs
@@ -163,11 +163,11 @@
     /// Handles `event` at `now` and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Answered { id, .. } => self.answered(id),
+            Event::Answered { id, .. } => self.handle_answered(id),
             Event::Unanswered { id } => self.schedule_retry(now, id, true),
             Event::Busy { id } => self.schedule_retry(now, id, false),
-            Event::Rejected { id } => self.rejected(id, actions),
-            Event::Folded { id } => self.folded(id, actions),
+            Event::Rejected { id } => self.handle_rejected(id, actions),
+            Event::Folded { id } => self.handle_folded(id, actions),
             Event::Tick => self.expire_attempt(now),
         }
         self.send(now, actions);
@@ -206,7 +206,7 @@
         self.outstanding.take_if(|it| it.batch.id == id)
     }
 
-    fn answered(&mut self, id: AppendId) {
+    fn handle_answered(&mut self, id: AppendId) {
         if let Some(done) = self.take_outstanding(id) {
             self.unfolded.push_back((id.seq, done.tickets));
         }
@@ -226,18 +226,18 @@
         outstanding.backoff = (outstanding.backoff * 2).min(max_backoff);
     }
 
-    fn rejected(&mut self, id: AppendId, actions: &mut Vec<Action>) {
+    fn handle_rejected(&mut self, id: AppendId, actions: &mut Vec<Action>) {
         if let Some(rejected) = self.take_outstanding(id) {
             actions.push(Action::Dropped(rejected.tickets));
         }
     }
 
     /// Handles a folded append. It also counts as answered, because its answer may have been lost.
-    fn folded(&mut self, id: AppendId, actions: &mut Vec<Action>) {
+    fn handle_folded(&mut self, id: AppendId, actions: &mut Vec<Action>) {
         if id.sender != self.options.sender {
             return;
         }
-        self.answered(id);
+        self.handle_answered(id);
         let done = self.unfolded.partition_point(|(seq, _)| *seq <= id.seq);
         actions.extend(self.unfolded.drain(..done).map(|(_, tickets)| Action::Done(tickets)));
     }
--- a/daisy-ledger/src/change.rs
+++ b/daisy-ledger/src/change.rs
@@ -33,7 +33,7 @@
     pub(crate) fn change(&mut self, offset: Offset, change: &Change) -> RecordOutcome {
         let generation = Generation(offset.0 + 1);
         let result = self.try_change(generation, change);
-        let (verdict, outcome) = match result {
+        let (change_outcome, outcome) = match result {
             Ok(()) => {
                 self.generation = generation;
                 (ChangeOutcome::Accepted(generation), RecordOutcome::Accepted(generation))
@@ -48,7 +48,7 @@
         if change.text.len() > State::MAX_STATEMENT_BYTES {
             change.text = "(too long)".into();
         }
-        self.audit(AuditEntry { offset, change, verdict });
+        self.audit(AuditEntry { offset, change, outcome: change_outcome });
         outcome
     }
 
@@ -124,7 +124,7 @@
         let subject = Subject::of(command);
         let newer = self.audit.iter().rev().take_while(|it| it.offset.0 + 1 > seen.0);
         for entry in newer {
-            let ChangeOutcome::Accepted(generation) = entry.verdict else { continue };
+            let ChangeOutcome::Accepted(generation) = entry.outcome else { continue };
             if Subject::of(&entry.change.command) == subject {
                 return Err(Refusal::Conflict {
                     subject: subject.to_string().into(),
--- a/daisy-ledger/src/checkout.rs
+++ b/daisy-ledger/src/checkout.rs
@@ -15,7 +15,7 @@
         // Two claims in one append would have the same epoch, and fencing could not distinguish
         // them: only the first takes effect.
         if self.holders.get(&dc).is_some_and(|it| it.epoch >= epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         self.holders.insert(dc, HolderClaim { holder, epoch, released: false });
         RecordOutcome::Claimed(epoch)
@@ -23,10 +23,10 @@
 
     pub(crate) fn release(&mut self, dc: DcId, epoch: Epoch) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
-        if let Some(holding) = self.holders.get_mut(&dc) {
-            holding.released = true;
+        if let Some(holder_claim) = self.holders.get_mut(&dc) {
+            holder_claim.released = true;
         }
         RecordOutcome::Released
     }
@@ -34,7 +34,7 @@
     /// Grants the tasks that are still pending, may run and fit the quota of their team.
     pub(crate) fn checkout(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         let mut granted = Vec::new();
         let mut quota_headroom = QuotaHeadroom::default();
@@ -84,11 +84,11 @@
         tasks: &[TaskId],
     ) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         let effective_count =
             tasks.iter().filter(|&&task| self.try_return(dc, task).is_some()).count();
-        self.took_effect(effective_count, tasks.len())
+        self.count_ignored(effective_count, tasks.len())
     }
 
     fn try_return(&mut self, dc: DcId, id: TaskId) -> Option<()> {
@@ -106,18 +106,18 @@
         Some(())
     }
 
-    pub(crate) fn placed(
+    pub(crate) fn record_placements(
         &mut self,
         dc: DcId,
         epoch: Epoch,
         placements: &[Placement],
     ) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         let effective_count =
             placements.iter().filter(|&it| self.try_place(dc, it).is_some()).count();
-        self.took_effect(effective_count, placements.len())
+        self.count_ignored(effective_count, placements.len())
     }
 
     fn try_place(&mut self, dc: DcId, placement: &Placement) -> Option<()> {
@@ -132,12 +132,17 @@
         Some(())
     }
 
-    pub(crate) fn ended(&mut self, dc: DcId, epoch: Epoch, exits: &[ExitReport]) -> RecordOutcome {
+    pub(crate) fn record_exits(
+        &mut self,
+        dc: DcId,
+        epoch: Epoch,
+        exits: &[ExitReport],
+    ) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         let effective_count = exits.iter().filter(|&it| self.try_end(dc, it).is_some()).count();
-        self.took_effect(effective_count, exits.len())
+        self.count_ignored(effective_count, exits.len())
     }
 
     fn try_end(&mut self, dc: DcId, ended: &ExitReport) -> Option<()> {
@@ -189,13 +194,13 @@
         }
     }
 
-    fn stale(&mut self) -> RecordOutcome {
+    fn ignore_stale(&mut self) -> RecordOutcome {
         self.counts.stale += 1;
         RecordOutcome::Stale
     }
 
-    fn took_effect(&mut self, effective_count: usize, of: usize) -> RecordOutcome {
-        self.counts.ignored += (of - effective_count) as u64;
+    fn count_ignored(&mut self, effective_count: usize, total: usize) -> RecordOutcome {
+        self.counts.ignored += (total - effective_count) as u64;
         RecordOutcome::TookEffect(effective_count)
     }
 }
--- a/daisy-ledger/src/exit.rs
+++ b/daisy-ledger/src/exit.rs
@@ -33,7 +33,7 @@
         Exit::Failed => service || (job.spec.restartable && task.failures < MAX_FAILURES),
         // The task no longer runs, but part of its work was done. Only a service, whose work
         // never ends, or a job declared restartable may start again from the beginning.
-        Exit::Stopped | Exit::LeaseLapsed => service || job.spec.restartable,
+        Exit::Stopped | Exit::LeaseExpired => service || job.spec.restartable,
         Exit::Refused => false,
         // The work may have been completed: only a job declared restartable runs again.
         Exit::Unknown => job.spec.restartable,
--- a/daisy-ledger/src/fold.rs
+++ b/daisy-ledger/src/fold.rs
@@ -116,8 +116,10 @@
             Record::Release { dc, epoch } => self.release(*dc, *epoch),
             Record::Checkout { dc, epoch, tasks } => self.checkout(*dc, *epoch, tasks),
             Record::Return { dc, epoch, tasks } => self.return_tasks(*dc, *epoch, tasks),
-            Record::Placed { dc, epoch, placements } => self.placed(*dc, *epoch, placements),
-            Record::Ended { dc, epoch, exits } => self.ended(*dc, *epoch, exits),
+            Record::Placed { dc, epoch, placements } => {
+                self.record_placements(*dc, *epoch, placements)
+            }
+            Record::Ended { dc, epoch, exits } => self.record_exits(*dc, *epoch, exits),
             Record::Intent { key, entry } => {
                 let intent = Intent { offset, position, entry: *entry };
                 match self.intents.announce(*key, intent) {
--- a/daisy-ledger/src/senders.rs
+++ b/daisy-ledger/src/senders.rs
@@ -10,7 +10,7 @@
 /// is answered, so a sequence number that is not higher than the last one is a repetition.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Senders {
-    last: SortedMap<u64, (u64, Offset)>,
+    last_appends: SortedMap<u64, (u64, Offset)>,
 }
 
 impl Senders {
@@ -22,36 +22,37 @@
 
     /// Records the append `id` at `offset`; returns false if it has been folded before.
     pub fn register(&mut self, id: AppendId, offset: Offset) -> bool {
-        if let Some((seq, at)) = self.last.get_mut(&id.sender) {
+        if let Some((seq, at)) = self.last_appends.get_mut(&id.sender) {
             if id.seq <= *seq {
                 return false;
             }
             (*seq, *at) = (id.seq, offset);
             return true;
         }
-        if self.last.len() >= Senders::MAX_SENDERS {
+        if self.last_appends.len() >= Senders::MAX_SENDERS {
             self.remove_oldest();
         }
-        self.last.insert(id.sender, (id.seq, offset));
+        self.last_appends.insert(id.sender, (id.seq, offset));
         true
     }
 
     /// Iterates over the last append of each sender and its offset, sorted by sender.
     pub fn iter(&self) -> impl Iterator<Item = (AppendId, Offset)> {
-        self.last.iter().map(|(&sender, &(seq, offset))| (AppendId { sender, seq }, offset))
+        self.last_appends.iter().map(|(&sender, &(seq, offset))| (AppendId { sender, seq }, offset))
     }
 
     fn remove_oldest(&mut self) {
-        let oldest = self.last.iter().min_by_key(|(_, (_, at))| *at).map(|(&sender, _)| sender);
+        let oldest =
+            self.last_appends.iter().min_by_key(|(_, (_, at))| *at).map(|(&sender, _)| sender);
         if let Some(sender) = oldest {
-            self.last.remove(&sender);
+            self.last_appends.remove(&sender);
         }
     }
 }
 
 impl FromIterator<(AppendId, Offset)> for Senders {
     fn from_iter<I: IntoIterator<Item = (AppendId, Offset)>>(iter: I) -> Senders {
-        let last = iter.into_iter().map(|(id, at)| (id.sender, (id.seq, at))).collect();
-        Senders { last }
+        let last_appends = iter.into_iter().map(|(id, at)| (id.sender, (id.seq, at))).collect();
+        Senders { last_appends }
     }
 }
--- a/daisy-ledger/src/snapshot.rs
+++ b/daisy-ledger/src/snapshot.rs
@@ -103,7 +103,7 @@
 /// The limits after which a snapshot is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// The number of log entries after which a new snapshot is due, so that a process that starts
+    /// The number of log entries after which a new snapshot is is_due, so that a process that starts
     /// has few entries to fold after the snapshot.
     pub entries: u64,
     /// The number of bytes after which a new snapshot is due.
@@ -140,7 +140,7 @@
 /// Each process waits an eighth longer than the one before it, so that usually only one writes,
 /// and another one does if the first is lost. Two snapshots at the same time do no harm: both are
 /// complete.
-pub fn due(options: &Options, since: &SinceSnapshot, rank: u32) -> bool {
+pub fn is_due(options: &Options, since: &SinceSnapshot, rank: u32) -> bool {
     let eighths = u64::from(8 + rank.min(MAX_RANK));
     let entries = options.entries.saturating_mul(eighths) / 8;
     let bytes = options.bytes.saturating_mul(eighths) / 8;
--- a/daisy-ledger/src/state.rs
+++ b/daisy-ledger/src/state.rs
@@ -129,7 +129,7 @@
     /// The change, with its operator, time and statement.
     pub change: Change,
     /// The outcome of the change.
-    pub verdict: ChangeOutcome,
+    pub outcome: ChangeOutcome,
 }
 
 /// The generations up to which changes may be missing from the audit trail.
--- a/daisy-ledger/tests/change.rs
+++ b/daisy-ledger/tests/change.rs
@@ -76,7 +76,7 @@
 
         assert!(refusal.starts_with(cause), "{refusal}");
         let last = log.state.audit.last().expect("audited");
-        assert_eq!(last.verdict, ChangeOutcome::Refused(refusal.into()));
+        assert_eq!(last.outcome, ChangeOutcome::Refused(refusal.into()));
         let State { next, audit, senders, counts, .. } = log.state.clone();
         let after = State { next, audit, senders, counts, ..before };
         assert_eq!(log.state, after);
--- a/daisy-ledger/tests/checkout.rs
+++ b/daisy-ledger/tests/checkout.rs
@@ -112,7 +112,7 @@
     log.end(DC, epoch, task(0, 0), 1, Exit::Checkpointed(77));
     log.checkout(DC, epoch, &[task(0, 0)]);
 
-    log.end(DC, epoch, task(0, 0), 2, Exit::LeaseLapsed);
+    log.end(DC, epoch, task(0, 0), 2, Exit::LeaseExpired);
 
     assert_eq!(state_of(&log, 0), TaskState::Pending);
     assert_eq!(log.state.task(task(0, 0)).expect("a task").checkpoint, None);
@@ -132,7 +132,7 @@
         (Exit::Failed, ended(Exit::Failed), pending, pending),
         (Exit::Checkpointed(1), pending, pending, pending),
         (Exit::Stopped, ended(Exit::Stopped), pending, pending),
-        (Exit::LeaseLapsed, ended(Exit::LeaseLapsed), pending, pending),
+        (Exit::LeaseExpired, ended(Exit::LeaseExpired), pending, pending),
         (Exit::Unknown, ended(Exit::Unknown), pending, pending),
     ];
     for (exit, batch_state, restartable_state, service_state) in cases {
@@ -226,7 +226,7 @@
     log.change(Command::Create(batch_job("render", 4)));
     let epoch = log.claim(DC, 1);
     log.checkout(DC, epoch, &[task(0, 0), task(0, 1)]);
-    log.end(DC, epoch, task(0, 0), 1, Exit::LeaseLapsed);
+    log.end(DC, epoch, task(0, 0), 1, Exit::LeaseExpired);
 
     let all = [0, 1, 2, 3].map(|index| task(1, index));
     let batch = log.checkout(DC, epoch, &all);
--- a/daisy-ledger/tests/common/script.rs
+++ b/daisy-ledger/tests/common/script.rs
@@ -15,7 +15,7 @@
     Exit::Failed,
     Exit::Checkpointed(0),
     Exit::Stopped,
-    Exit::LeaseLapsed,
+    Exit::LeaseExpired,
     Exit::Unknown,
 ];
 
--- a/daisy-ledger/tests/snapshot.rs
+++ b/daisy-ledger/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! When snapshots are due, and which parts form a complete one.
+//! When snapshots are is_due, and which parts form a complete one.
 
 mod common;
 
@@ -6,7 +6,7 @@
 
 use daisy_ledger::{
     AppendId, Batch, Record,
-    snapshot::{Collector, CompleteSnapshot, Options, Part, SinceSnapshot, due},
+    snapshot::{Collector, CompleteSnapshot, Options, Part, SinceSnapshot, is_due},
 };
 use daisy_model::Offset;
 
@@ -25,18 +25,18 @@
 #[test]
 fn a_snapshot_is_due_by_entries_bytes_or_age_well_within_the_retention() {
     let options = Options::for_retention(RETENTION);
-    assert!(!due(&options, &since(1_000, 1_000, 1_199), 0));
-    assert!(due(&options, &since(0, 0, 1_200), 0));
-    assert!(due(&options, &since(500_000, 0, 0), 0));
-    assert!(due(&options, &since(0, 64 << 20, 0), 0));
+    assert!(!is_due(&options, &since(1_000, 1_000, 1_199), 0));
+    assert!(is_due(&options, &since(0, 0, 1_200), 0));
+    assert!(is_due(&options, &since(500_000, 0, 0), 0));
+    assert!(is_due(&options, &since(0, 64 << 20, 0), 0));
 }
 
 #[test]
 fn higher_ranks_wait_longer_up_to_a_limit() {
     let options = Options::for_retention(RETENTION);
-    assert!(!due(&options, &since(0, 0, 1_200), 1));
-    assert!(due(&options, &since(0, 0, 1_350), 1));
-    assert!(due(&options, &since(0, 0, 2_250), 1_000));
+    assert!(!is_due(&options, &since(0, 0, 1_200), 1));
+    assert!(is_due(&options, &since(0, 0, 1_350), 1));
+    assert!(is_due(&options, &since(0, 0, 2_250), 1_000));
 }
 
 /// Two processes write snapshots at the same time, so that their parts are interleaved, and a third
--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -249,7 +249,7 @@
         for event in [
             daisy_membership::Event::Vms(&vms),
             daisy_membership::Event::Folded { next, generation, holder_claim },
-            daisy_membership::Event::Log { sent_at, end: Some(next) },
+            daisy_membership::Event::LogAnswered { sent_at, end: Some(next) },
             daisy_membership::Event::Tick,
         ] {
             self.step_membership(at, event);
--- a/daisy-measure/src/choose/policy.rs
+++ b/daisy-measure/src/choose/policy.rs
@@ -183,7 +183,7 @@
             idempotent: false,
             bytes: 200,
         };
-        match self.router.offer(now, &call, &mut self.rng) {
+        match self.router.admit(now, &call, &mut self.rng) {
             Admission::Send(target) => {
                 self.tries.insert(request, target.try_id);
                 Said::Send(target.vm.0)
@@ -199,7 +199,7 @@
     fn answered(&mut self, now: Instant, request: u32, in_flight: u32) -> Vec<Later> {
         let Some(try_id) = self.tries.remove(&request) else { return Vec::new() };
         let report = TryReport {
-            end: TryOutcome::Answered,
+            outcome: TryOutcome::Answered,
             in_flight: Some(in_flight),
             leaving: false,
             bytes: 200,
@@ -244,8 +244,8 @@
         version: 1,
         dc: DcId(0),
         regions: vec![0],
-        entries: entries.clone(),
-        listed: entries,
+        live_entries: entries.clone(),
+        listed_entries: entries,
         services: SortedMap::from_iter([(service.clone(), state)]),
         ..Routes::default()
     }
--- a/daisy-measure/src/proxy.rs
+++ b/daisy-measure/src/proxy.rs
@@ -166,8 +166,8 @@
         version: 1,
         dc: DcId(0),
         regions: vec![0],
-        entries: entries.clone(),
-        listed: entries,
+        live_entries: entries.clone(),
+        listed_entries: entries,
         services: SortedMap::from_iter([(Name::new("quote").expect("a name"), state)]),
         ..Routes::default()
     }
--- a/daisy-measure/src/retries.rs
+++ b/daisy-measure/src/retries.rs
@@ -178,7 +178,7 @@
             return self.send(request, least, None);
         }
         let call = self.call(request);
-        match self.router.offer(self.now, &call, &mut self.rng) {
+        match self.router.admit(self.now, &call, &mut self.rng) {
             Admission::Send(target) => self.send_to(request, target),
             Admission::Wait(ticket) => {
                 self.waiting.insert(ticket, request);
@@ -353,8 +353,8 @@
         version: 1,
         dc: DcId(0),
         regions: vec![0],
-        entries: entries.clone(),
-        listed: entries,
+        live_entries: entries.clone(),
+        listed_entries: entries,
         services: SortedMap::from_iter([(service(), state)]),
         ..Routes::default()
     }
--- a/daisy-membership/src/heartbeat.rs
+++ b/daisy-membership/src/heartbeat.rs
@@ -16,7 +16,7 @@
 /// The newest heartbeat of a holder that the sender knows of, received directly or reported by
 /// another peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Evidence {
+pub struct HolderEvidence {
     /// The holder's epoch.
     pub epoch: Epoch,
     /// The sequence number of the holder's heartbeat.
@@ -44,5 +44,5 @@
     ///
     /// Heartbeats carry sequence numbers instead of times: an epoch and number newer than what
     /// the receiver knew prove that the holder was alive after that, independent of clocks.
-    pub evidence: Option<Evidence>,
+    pub evidence: Option<HolderEvidence>,
 }
--- a/daisy-membership/src/heartbeat_targets.rs
+++ b/daisy-membership/src/heartbeat_targets.rs
@@ -19,7 +19,7 @@
     /// Returns the entry VM that represents another data centre: its holder if that is known and
     /// listed, else the listed entry VM with the lowest id.
     pub fn remote_representative(&self, dc: DcId) -> Option<VmId> {
-        let known = self.remote.iter().find(|(it, _)| *it == dc).map(|(_, vm)| *vm);
+        let known = self.remote_holders.iter().find(|(it, _)| *it == dc).map(|(_, vm)| *vm);
         let listed =
             || self.peers.iter().find(|(_, peer)| peer.dc == dc && peer.listed).map(|(vm, _)| vm);
         known.filter(|vm| self.peers.get(*vm).is_some_and(|peer| peer.listed)).or_else(listed)
--- a/daisy-membership/src/holder.rs
+++ b/daisy-membership/src/holder.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::{Epoch, Instant, Offset, VmId};
 
-use crate::{Evidence, Options, Peers};
+use crate::{HolderEvidence, Options, Peers};
 
 /// The newest claim of a data centre in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,18 +39,19 @@
 pub(crate) struct HolderState {
     pub holder_claim: Option<HolderClaim>,
     /// The newest known heartbeat of the holder.
-    pub evidence: Option<Evidence>,
+    pub evidence: Option<HolderEvidence>,
     /// When this process last learned that the holder was alive.
     pub holder_seen_at: Instant,
     /// The offset of the next record to fold when this process first claimed.
     first_claim_offset: Option<Offset>,
     /// Whether a claim is being appended.
-    pub claiming: bool,
+    pub is_claiming: bool,
     /// No further claim is made before this time.
     pub claim_after: Instant,
     /// When the latest read was sent by which this process was at the end of the log.
     pub confirmed_by_log_at: Option<Instant>,
-    sent: VecDeque<(u32, Instant)>,
+    /// The sequence numbers of recent heartbeats of this process, and when they were sent.
+    sent_heartbeats: VecDeque<(u32, Instant)>,
     confirmed_by_peer_at: Option<Instant>,
 }
 
@@ -96,7 +97,7 @@
     }
 
     /// Records evidence that the holder is alive; evidence that is not newer is ignored.
-    pub fn record_evidence(&mut self, now: Instant, evidence: Evidence) {
+    pub fn record_evidence(&mut self, now: Instant, evidence: HolderEvidence) {
         if Some(evidence.epoch) != self.holder_claim.map(|it| it.epoch) {
             return;
         }
@@ -108,15 +109,15 @@
 
     /// Records that the heartbeats numbered `seq` were sent at `now`.
     pub fn record_sent(&mut self, now: Instant, seq: u32) {
-        if self.sent.len() == MAX_REMEMBERED_HEARTBEATS {
-            self.sent.pop_front();
+        if self.sent_heartbeats.len() == MAX_REMEMBERED_HEARTBEATS {
+            self.sent_heartbeats.pop_front();
         }
-        self.sent.push_back((seq, now));
+        self.sent_heartbeats.push_back((seq, now));
     }
 
     /// Records that a peer has received this process's heartbeat `seq`.
     pub fn record_echo(&mut self, seq: u32) {
-        let sent = self.sent.iter().find(|(it, _)| *it == seq).map(|(_, at)| *at);
+        let sent = self.sent_heartbeats.iter().find(|(it, _)| *it == seq).map(|(_, at)| *at);
         self.confirmed_by_peer_at = self.confirmed_by_peer_at.max(sent);
     }
 
@@ -160,7 +161,7 @@
 
     /// Records that a claim is sent while `next` is the offset of the next record to fold.
     pub fn claim(&mut self, next: Offset) {
-        self.claiming = true;
+        self.is_claiming = true;
         self.first_claim_offset.get_or_insert(next);
     }
 }
--- a/daisy-membership/src/lib.rs
+++ b/daisy-membership/src/lib.rs
@@ -17,7 +17,7 @@
 mod source;
 
 pub use crate::{
-    heartbeat::{Evidence, Heartbeat, Status},
+    heartbeat::{Heartbeat, HolderEvidence, Status},
     holder::{HolderClaim, Role},
     membership::{Action, Event, Membership},
     options::Options,
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -3,7 +3,7 @@
 use daisy_model::{DcId, Epoch, Instant, Offset, Vm, VmId};
 
 use crate::{
-    Evidence, Heartbeat, HolderClaim, Options, Peer, Peers, RecordSource, Role, Status,
+    Heartbeat, HolderClaim, HolderEvidence, Options, Peer, Peers, RecordSource, Role, Status,
     holder::HolderState,
     readiness::Readiness,
     source::{SourceInputs, SourceSelector},
@@ -26,7 +26,7 @@
         holder_claim: Option<HolderClaim>,
     },
     /// The platform's log has answered a read or an append.
-    Log {
+    LogAnswered {
         /// When the read was sent.
         sent_at: Instant,
         /// The end of the log, if the answer contained it.
@@ -77,15 +77,15 @@
     pub(crate) peers: Peers,
     pub(crate) holder_state: HolderState,
     pub(crate) readiness: Readiness,
-    pub(crate) remote: Vec<(DcId, VmId)>,
-    pub(crate) started: Instant,
+    pub(crate) remote_holders: Vec<(DcId, VmId)>,
+    pub(crate) started_at: Instant,
     pub(crate) last_step_at: Instant,
     pub(crate) seq: u32,
     pub(crate) next_heartbeat_at: Instant,
     pub(crate) next: Offset,
     pub(crate) generation: u64,
     pub(crate) status: Status,
-    pub(crate) log_answered: Option<Instant>,
+    pub(crate) log_answered_at: Option<Instant>,
     pub(crate) source_selector: SourceSelector,
     pub(crate) role: Role,
 }
@@ -98,15 +98,15 @@
             options,
             peers: Peers::default(),
             readiness: Readiness::default(),
-            remote: Vec::new(),
-            started: now,
+            remote_holders: Vec::new(),
+            started_at: now,
             last_step_at: now,
             seq: 0,
             next_heartbeat_at: now,
             next: Offset(0),
             generation: 0,
             status: Status::Starting,
-            log_answered: None,
+            log_answered_at: None,
             source_selector: SourceSelector::new(),
             role: Role::Idle,
         }
@@ -144,14 +144,14 @@
 
     /// Returns whether the log has answered within the [timeout](Options::log_timeout).
     pub fn log_answers(&self, now: Instant) -> bool {
-        self.log_answered.is_some_and(|at| now.since(at) < self.options.log_timeout())
+        self.log_answered_at.is_some_and(|at| now.since(at) < self.options.log_timeout())
     }
 
     /// Returns the heartbeat to send at `now`.
     pub fn heartbeat(&self, now: Instant) -> Heartbeat {
         let own = self.holder_state.own_epoch(&self.options);
         let evidence = match own {
-            Some(epoch) => Some(Evidence { epoch, seq: self.seq }),
+            Some(epoch) => Some(HolderEvidence { epoch, seq: self.seq }),
             None => self.holder_state.evidence,
         };
         Heartbeat {
@@ -180,19 +180,19 @@
                 self.generation = generation;
                 self.holder_state.update_claim(now, holder_claim);
             }
-            Event::Log { sent_at, end } => self.handle_log_answer(sent_at, end),
-            Event::LogFailed => self.log_answered = None,
+            Event::LogAnswered { sent_at, end } => self.handle_log_answer(sent_at, end),
+            Event::LogFailed => self.log_answered_at = None,
             Event::HolderRecordRead(epoch) => {
                 if self.holder_state.holder_claim.is_some_and(|it| it.epoch == epoch) {
                     self.holder_state.holder_seen_at = now;
                 }
             }
             Event::RemoteHolder { dc, holder } => {
-                self.remote.retain(|(it, _)| *it != dc);
-                self.remote.push((dc, holder));
+                self.remote_holders.retain(|(it, _)| *it != dc);
+                self.remote_holders.push((dc, holder));
             }
             Event::ClaimEnded => {
-                self.holder_state.claiming = false;
+                self.holder_state.is_claiming = false;
                 self.holder_state.claim_after = now + self.options.heartbeat_interval;
             }
             Event::SourceFailed(vm) => self.source_selector.exclude(now, &self.options, vm),
@@ -237,7 +237,7 @@
     }
 
     fn handle_log_answer(&mut self, sent_at: Instant, end: Option<Offset>) {
-        self.log_answered = self.log_answered.max(Some(sent_at));
+        self.log_answered_at = self.log_answered_at.max(Some(sent_at));
         let Some(end) = end else { return };
         self.readiness.log_end.get_or_insert(end);
         if self.next >= end {
@@ -273,7 +273,7 @@
         // peers count as alive until they had time to send one, so that processes that start at
         // the same time do not claim at the same time.
         let still_discovering =
-            now.since(self.started) < self.options.peer_timeout(self.peers.local_count());
+            now.since(self.started_at) < self.options.peer_timeout(self.peers.local_count());
         let is_live_candidate = |vm: VmId, peer: &Peer| {
             let not_yet_received = still_discovering && peer.listed && peer.last_received.is_none();
             not_yet_received || (self.peers.is_alive(&self.options, now, vm) && !peer.is_leaving())
@@ -291,7 +291,7 @@
             && self.readiness.log_end.is_some_and(|end| self.next >= end)
             && self.log_answers(now);
         if !may_claim
-            || self.holder_state.claiming
+            || self.holder_state.is_claiming
             || !self.holder_state.is_vacant(&self.options, now)
         {
             return;
@@ -349,7 +349,13 @@
 
     fn choose_readiness(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let has_caught_up = || {
-            self.readiness.has_caught_up(&self.options, &self.peers, now, self.started, self.next)
+            self.readiness.has_caught_up(
+                &self.options,
+                &self.peers,
+                now,
+                self.started_at,
+                self.next,
+            )
         };
         if self.status == Status::Starting && has_caught_up() {
             self.status = Status::Ready;
--- a/daisy-membership/src/options.rs
+++ b/daisy-membership/src/options.rs
@@ -29,9 +29,9 @@
     const FULL_RATE_PEERS: u32 = 8;
 
     /// Returns the interval between heartbeats to each of the `peers` peers of the own data
-    /// centre; `holder` is whether the sender is the holder or needs the rate of one.
-    pub fn local_period(&self, holder: bool, peers: usize) -> Duration {
-        if holder {
+    /// centre. The holder and a VM that has just started send at the full rate.
+    pub fn local_period(&self, at_full_rate: bool, peers: usize) -> Duration {
+        if at_full_rate {
             return self.heartbeat_interval;
         }
         let peers = u32::try_from(peers).unwrap_or(u32::MAX);
--- a/daisy-membership/src/readiness.rs
+++ b/daisy-membership/src/readiness.rs
@@ -25,10 +25,10 @@
         options: &Options,
         peers: &Peers,
         now: Instant,
-        started: Instant,
+        started_at: Instant,
         next: Offset,
     ) -> bool {
-        if !self.has_vm_list || now.since(started) < options.discovery_time() {
+        if !self.has_vm_list || now.since(started_at) < options.discovery_time() {
             return false;
         }
         let newest_ready_offset = peers
--- a/daisy-membership/src/source.rs
+++ b/daisy-membership/src/source.rs
@@ -46,13 +46,13 @@
     /// A peer that made no progress, and until when it is not selected.
     excluded: Option<(VmId, Instant)>,
     /// Since when a live peer has been ahead of this process, and the own offset at that time.
-    behind: Option<(Instant, Offset)>,
+    behind_since: Option<(Instant, Offset)>,
 }
 
 impl SourceSelector {
     /// Returns the initial state, which reads from the log.
     pub fn new() -> SourceSelector {
-        SourceSelector { source: RecordSource::Log, excluded: None, behind: None }
+        SourceSelector { source: RecordSource::Log, excluded: None, behind_since: None }
     }
 
     /// Returns where records are read from.
@@ -82,22 +82,22 @@
     /// makes no progress for the holder timeout while a live peer is ahead changes its source.
     fn detect_stall(&mut self, now: Instant, inputs: &SourceInputs<'_>) {
         let RecordSource::Peer(parent) = self.source else {
-            self.behind = None;
+            self.behind_since = None;
             return;
         };
         let mut local = inputs.peers.live_local_peers(inputs.options, now);
         if !local.any(|(_, peer)| peer.last_heartbeat.is_some_and(|last| last.next > inputs.next)) {
-            self.behind = None;
+            self.behind_since = None;
             return;
         }
-        match self.behind {
+        match self.behind_since {
             Some((since, at)) if at == inputs.next => {
                 if now.since(since) >= inputs.options.holder_timeout {
-                    self.behind = None;
+                    self.behind_since = None;
                     self.exclude(now, inputs.options, parent);
                 }
             }
-            _ => self.behind = Some((now, inputs.next)),
+            _ => self.behind_since = Some((now, inputs.next)),
         }
     }
 }
--- a/daisy-membership/tests/membership/fleet.rs
+++ b/daisy-membership/tests/membership/fleet.rs
@@ -192,7 +192,7 @@
             RecordSource::Log if self.is_log_up && self.nodes[at].can_reach_log => {
                 self.fold(at, end);
                 let sent_at = self.now;
-                self.event(at, Event::Log { sent_at, end: Some(end) });
+                self.event(at, Event::LogAnswered { sent_at, end: Some(end) });
             }
             RecordSource::Log => self.event(at, Event::LogFailed),
             RecordSource::Peer(vm) => self.read_from_peer(at, vm),
--- a/daisy-membership/tests/membership/readiness.rs
+++ b/daisy-membership/tests/membership/readiness.rs
@@ -43,7 +43,7 @@
 fn a_new_vm_is_not_ready_before_it_reaches_the_end_of_the_log() {
     let mut membership = new_membership();
     let sent_at = Instant::from_millis(1_990);
-    let end = Event::Log { sent_at, end: Some(Offset(40)) };
+    let end = Event::LogAnswered { sent_at, end: Some(Offset(40)) };
 
     assert_eq!(status_after(&mut membership, &[end, folded(39)]), Status::Starting);
     assert_eq!(status_after(&mut membership, &[folded(40)]), Status::Ready);
@@ -73,7 +73,7 @@
 #[test]
 fn a_new_vm_is_not_ready_without_a_vm_list() {
     let mut membership = Membership::new(Instant::from_millis(0), options(2, 0));
-    let end = Event::Log { sent_at: Instant::from_millis(1_990), end: Some(Offset(0)) };
+    let end = Event::LogAnswered { sent_at: Instant::from_millis(1_990), end: Some(Offset(0)) };
 
     assert_eq!(status_after(&mut membership, &[end, Event::Tick]), Status::Starting);
 }
--- a/daisy-model/src/exit.rs
+++ b/daisy-model/src/exit.rs
@@ -12,7 +12,7 @@
     /// The task was stopped without a checkpoint.
     Stopped,
     /// The worker stopped the task because its lease had expired.
-    LeaseLapsed,
+    LeaseExpired,
     /// The task never ran: no worker had capacity for it for a long time, and its job allows
     /// refusal. Recorded by the holder, not reported by a worker.
     Refused,
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -277,7 +277,7 @@
             Exit::Failed => "an error of its own",
             Exit::Checkpointed(_) => "checkpointed, to be resumed",
             Exit::Stopped => "stopped",
-            Exit::LeaseLapsed => "its worker's lease lapsed",
+            Exit::LeaseExpired => "its worker's lease lapsed",
             Exit::Refused => "refused, for want of room",
             Exit::Unknown => "unknown, its worker is gone or lost it",
         })
--- a/daisy-placement/tests/util/worker.rs
+++ b/daisy-placement/tests/util/worker.rs
@@ -84,7 +84,7 @@
         self.lapsed_tasks += self.running.len();
         for it in std::mem::take(&mut self.running) {
             let RunningTask { task, incarnation, .. } = it;
-            self.ended.push(ExitReport { task, incarnation, exit: Exit::LeaseLapsed });
+            self.ended.push(ExitReport { task, incarnation, exit: Exit::LeaseExpired });
         }
     }
 
--- a/daisy-query/src/show/work.rs
+++ b/daisy-query/src/show/work.rs
@@ -233,7 +233,7 @@
 
 fn change_cell(entry: &AuditEntry, column: &str) -> String {
     let change = &entry.change;
-    match (column, &entry.verdict) {
+    match (column, &entry.outcome) {
         ("generation", ChangeOutcome::Accepted(generation)) => generation.to_string(),
         ("result", ChangeOutcome::Accepted(_)) => "accepted".to_owned(),
         ("result", ChangeOutcome::Refused(_)) => "refused".to_owned(),
--- a/daisy-query/src/text.rs
+++ b/daisy-query/src/text.rs
@@ -26,7 +26,7 @@
         Exit::Failed => "failed",
         Exit::Checkpointed(_) => "checkpointed",
         Exit::Stopped => "stopped",
-        Exit::LeaseLapsed => "lease-lapsed",
+        Exit::LeaseExpired => "lease-lapsed",
         Exit::Unknown => "unknown",
         Exit::Refused => "refused",
     }
@@ -39,7 +39,7 @@
         Exit::Failed => "it ended with an error of its own",
         Exit::Checkpointed(_) => "it was checkpointed and stopped, and its job is over",
         Exit::Stopped => "it was stopped without a checkpoint",
-        Exit::LeaseLapsed => "its worker ended it because the lease lapsed",
+        Exit::LeaseExpired => "its worker ended it because the lease lapsed",
         Exit::Refused => {
             "it found no room for long and was refused, as its job allows; it never ran"
         }
@@ -84,7 +84,7 @@
 pub(crate) fn describe_generation(state: &State, generation: Generation) -> String {
     let at = state.audit.partition_point(|it| it.offset.0 + 1 < generation.0);
     let entries = state.audit[at..].iter().take_while(|it| it.offset.0 + 1 == generation.0);
-    match entries.filter(|it| matches!(it.verdict, ChangeOutcome::Accepted(_))).last() {
+    match entries.filter(|it| matches!(it.outcome, ChangeOutcome::Accepted(_))).last() {
         Some(entry) => format!("generation {generation}, {}", describe_change(entry)),
         None => format!("generation {generation}, which the audit trail no longer holds"),
     }
@@ -101,7 +101,7 @@
     state: &State,
     is_match: impl Fn(&daisy_model::Command) -> bool,
 ) -> Option<&AuditEntry> {
-    let accepted = |it: &&AuditEntry| matches!(it.verdict, ChangeOutcome::Accepted(_));
+    let accepted = |it: &&AuditEntry| matches!(it.outcome, ChangeOutcome::Accepted(_));
     state.audit.iter().rev().filter(accepted).find(|it| is_match(&it.change.command))
 }
 
--- a/daisy-routing/src/choose.rs
+++ b/daisy-routing/src/choose.rs
@@ -80,7 +80,7 @@
     if server.health.is_quarantined() {
         // A due probe takes precedence over all else: without it the backend server never returns
         // from quarantine.
-        return (server.distance == Distance::Own || server.own_in_flight == 0).then_some((
+        return (server.distance == Distance::SameDc || server.own_in_flight == 0).then_some((
             server.distance,
             -1.0,
             rng.u32(..),
@@ -99,7 +99,7 @@
 /// be.
 fn has_free_slot(server: &Server, in_flight: u32, requirements: &Requirements<'_>) -> bool {
     let reserved = if requirements.may_wait { HEADROOM_SLOTS } else { 0 };
-    if server.distance > Distance::Own {
+    if server.distance > Distance::SameDc {
         return in_flight + REMOTE_FREE_SLOTS + reserved <= server.slots;
     }
     let own = server.own_in_flight + reserved < server.own_slots;
--- a/daisy-routing/src/keys.rs
+++ b/daisy-routing/src/keys.rs
@@ -250,8 +250,8 @@
     }
 
     fn merge_transferred(&mut self, now: Instant, keys: Vec<TransferredKey>) {
-        for handed in keys {
-            let TransferredKey { key, request_digest, state, remaining_retention } = handed;
+        for transferred in keys {
+            let TransferredKey { key, request_digest, state, remaining_retention } = transferred;
             let stored = StoredKey {
                 request_digest,
                 stored_state: StoredState::from(state),
--- a/daisy-routing/src/keys/membership.rs
+++ b/daisy-routing/src/keys/membership.rs
@@ -36,8 +36,8 @@
     /// Applies `routes`; returns the entry VMs of the local data centre that are new.
     pub(super) fn update(&mut self, now: Instant, me: VmId, routes: &Routes) -> Vec<VmId> {
         self.dc = routes.dc;
-        self.live = routes.entries.clone();
-        self.listed = routes.listed.clone();
+        self.live = routes.live_entries.clone();
+        self.listed = routes.listed_entries.clone();
         let (live, listed) = (&self.live, &self.listed);
         self.departed.retain(|vm| live.iter().chain(listed).any(|(_, known)| known == vm));
         // Backend servers are known only from the VM list.
--- a/daisy-routing/src/outcome.rs
+++ b/daisy-routing/src/outcome.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TryReport {
     /// How the try ended.
-    pub end: TryOutcome,
+    pub outcome: TryOutcome,
     /// Requests in progress on the backend server after this one, as reported in its answer.
     pub in_flight: Option<u32>,
     /// Whether the answer reported that the backend server is leaving.
@@ -46,8 +46,8 @@
 
 impl TryReport {
     /// Returns the report of a try that ended without an answer.
-    pub fn without_answer(end: TryOutcome) -> TryReport {
-        TryReport { end, in_flight: None, leaving: false, bytes: 0 }
+    pub fn without_answer(outcome: TryOutcome) -> TryReport {
+        TryReport { outcome, in_flight: None, leaving: false, bytes: 0 }
     }
 }
 
@@ -66,7 +66,7 @@
             self.region.spend(report.bytes.saturating_sub(ESTIMATED_ANSWER_BYTES));
         }
         let latency = now.since(ended.started_at);
-        self.record_for_service(now, ended.service, report.end, latency);
+        self.record_for_service(now, ended.service, report.outcome, latency);
         self.record_for_server(now, &ended, report, latency);
         self.dispatch(now, rng)
     }
@@ -75,15 +75,15 @@
         &mut self,
         now: Instant,
         key: ServiceKey,
-        end: TryOutcome,
+        outcome: TryOutcome,
         latency: Duration,
     ) {
         let share = self.routes.policy.retry_budget;
         let Some(service) = self.services.get_mut(key) else { return };
         service.in_flight = service.in_flight.saturating_sub(1);
         service.completions.add(now);
-        service.failure_share.add(matches!(end, TryOutcome::NotSent | TryOutcome::Broken));
-        if end == TryOutcome::Answered {
+        service.failure_share.add(matches!(outcome, TryOutcome::NotSent | TryOutcome::Broken));
+        if outcome == TryOutcome::Answered {
             service.retry_budget.earn(share);
             service.latencies.add(latency);
             service.typical_latency.add(latency);
@@ -112,7 +112,9 @@
         if report.leaving {
             server.reported_leaving_at = Some(now);
         }
-        let Some(verdict) = judge(server, report.end, latency, median_log_latency) else { return };
+        let Some(verdict) = judge(server, report.outcome, latency, median_log_latency) else {
+            return;
+        };
         let before = server.health;
         server.health = before.after_try(verdict, condition, now);
         if server.health.is_quarantined() && !before.is_quarantined() {
@@ -155,11 +157,11 @@
 
 fn judge(
     server: &mut Server,
-    end: TryOutcome,
+    outcome: TryOutcome,
     latency: Duration,
     median_log_latency: Option<f64>,
 ) -> Option<Verdict> {
-    match end {
+    match outcome {
         TryOutcome::Answered => {
             server.adapt_limit(false);
             Some(server.judge(latency, median_log_latency))
--- a/daisy-routing/src/retry.rs
+++ b/daisy-routing/src/retry.rs
@@ -51,7 +51,7 @@
             return None;
         }
         let key = self.find_service(&call.service)?;
-        let max_distance = Distance::Near;
+        let max_distance = Distance::SameRegion;
         self.try_again(
             now,
             PendingSend { key, call, ticket: None, max_distance, exclude: tried },
--- a/daisy-routing/src/router.rs
+++ b/daisy-routing/src/router.rs
@@ -69,13 +69,13 @@
     }
 
     /// Decides whether a new request is sent, queued or rejected.
-    pub fn offer(&mut self, now: Instant, call: &Call, rng: &mut fastrand::Rng) -> Admission {
+    pub fn admit(&mut self, now: Instant, call: &Call, rng: &mut fastrand::Rng) -> Admission {
         let Some(key) = self.find_service(&call.service) else {
             return reject(RejectReason::UnknownService, DEFAULT_RETRY_AFTER);
         };
         let max_distance = self.max_distance(now, key, call);
         if let Some(service) = self.services.get_mut(key) {
-            service.offers.add(now);
+            service.arrivals.add(now);
         }
         let Some(service) = self.services.get(key) else {
             return reject(RejectReason::UnknownService, DEFAULT_RETRY_AFTER);
@@ -199,7 +199,7 @@
                     &mut counts.last_mut().expect("pushed above").1
                 }
             };
-            match self.give_up_reason(now, waiting, *ahead) {
+            match self.overdue_reason(now, waiting, *ahead) {
                 Some(reason) => {
                     let waiting = self.queue.remove(index);
                     let retry_after = self.retry_after_of(now, key, rng);
@@ -216,7 +216,7 @@
         }
     }
 
-    fn give_up_reason(
+    fn overdue_reason(
         &self,
         now: Instant,
         waiting: &QueuedRequest,
@@ -262,7 +262,7 @@
         let ticket = ticket.unwrap_or_else(|| self.tickets.draw());
         let server = &mut self.servers[position as usize];
         server.own_in_flight += 1;
-        let crosses_region = server.distance == Distance::Far;
+        let crosses_region = server.distance == Distance::OtherRegion;
         if crosses_region {
             self.region.spend(call.bytes + ESTIMATED_ANSWER_BYTES);
         }
@@ -287,9 +287,9 @@
             self.services.get(key).map_or(DEFAULT_RETRY_AFTER, ServiceState::typical_latency);
         let in_time = call.deadline.since(now) > typical_latency + REGION_ROUND_TRIP;
         if in_time && self.region.allows(call.bytes + ESTIMATED_ANSWER_BYTES, now) {
-            Distance::Far
+            Distance::OtherRegion
         } else {
-            Distance::Near
+            Distance::SameRegion
         }
     }
 
--- a/daisy-routing/src/routes.rs
+++ b/daisy-routing/src/routes.rs
@@ -46,12 +46,12 @@
     /// near.
     pub regions: Vec<u16>,
     /// Live entry VMs of all data centres, among which connections are divided; sorted.
-    pub entries: Vec<(DcId, VmId)>,
+    pub live_entries: Vec<(DcId, VmId)>,
     /// Entry VMs in the platform's VM list, whether they can be reached or not; sorted.
     ///
-    /// An entry VM that is listed but not among `entries` may still be serving requests behind a
+    /// An entry VM that is listed but not among `live_entries` may still be serving requests behind a
     /// partition, so that homes of keys treat their history as incomplete while there is one.
-    pub listed: Vec<(DcId, VmId)>,
+    pub listed_entries: Vec<(DcId, VmId)>,
     /// Services by name.
     pub services: SortedMap<Name, Service>,
     /// The policy in force.
--- a/daisy-routing/src/server.rs
+++ b/daisy-routing/src/server.rs
@@ -23,11 +23,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     /// In the local data centre.
-    Own,
+    SameDc,
     /// In another data centre of the local region: 1 ms one way in the users' networks.
-    Near,
+    SameRegion,
     /// In another region: 12 ms one way, over the narrow region link.
-    Far,
+    OtherRegion,
 }
 
 /// A backend server as the router sees it.
@@ -61,8 +61,9 @@
 impl Server {
     /// Returns whether the backend server is leaving and gets no new requests.
     pub(crate) fn is_leaving(&self, now: Instant) -> bool {
-        let said = self.reported_leaving_at.is_some_and(|at| now.since(at) < LEAVING_REPORT_TTL);
-        self.leaving_in_routes || said
+        let reported_leaving =
+            self.reported_leaving_at.is_some_and(|at| now.since(at) < LEAVING_REPORT_TTL);
+        self.leaving_in_routes || reported_leaving
     }
 
     /// Returns the probable number of requests in flight from other entry VMs.
--- a/daisy-routing/src/service.rs
+++ b/daisy-routing/src/service.rs
@@ -53,7 +53,7 @@
     pub(crate) latencies: LatencyQuantiles,
     pub(crate) typical_latency: LogMean,
     /// Rate of requests, including rejected ones.
-    pub(crate) offers: Rate,
+    pub(crate) arrivals: Rate,
     /// Rate of tries that ended and freed their slot.
     pub(crate) completions: Rate,
     pub(crate) in_flight: u32,
@@ -73,7 +73,7 @@
             retry_budget: RetryBudget::new(),
             latencies: LatencyQuantiles::new(),
             typical_latency: LogMean::default(),
-            offers: Rate::default(),
+            arrivals: Rate::default(),
             completions: Rate::default(),
             in_flight: 0,
             failure_share: MovingShare::default(),
@@ -109,7 +109,7 @@
     /// together.
     pub(crate) fn retry_after(&self, now: Instant, rng: &mut fastrand::Rng) -> Duration {
         let completions = self.completions.per_second(now).max(1.0);
-        let excess = (self.offers.per_second(now) / completions - 1.0).clamp(0.0, 10.0);
+        let excess = (self.arrivals.per_second(now) / completions - 1.0).clamp(0.0, 10.0);
         let base = self.max_queue_wait().as_secs_f64() + excess * OVERLOAD_RECOVERY_SECS;
         let spread = 1.0 + rng.f64() * (RETRY_AFTER_SPREAD - 1.0);
         Duration::from_secs_f64(base * spread).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
--- a/daisy-routing/src/update.rs
+++ b/daisy-routing/src/update.rs
@@ -27,7 +27,7 @@
         self.set_region_budget(now);
         self.set_servers(now, is_first);
         self.set_services();
-        let live: Vec<VmId> = routes.entries.iter().map(|(_, vm)| *vm).collect();
+        let live: Vec<VmId> = routes.live_entries.iter().map(|(_, vm)| *vm).collect();
         self.peers.retain(|peer, _| live.contains(peer));
         self.update_peer_counts();
         self.refresh_medians();
@@ -52,7 +52,7 @@
     fn set_region_budget(&mut self, now: Instant) {
         let mine = region(&self.routes, self.routes.dc);
         let sharers =
-            self.routes.entries.iter().filter(|(dc, _)| region(&self.routes, *dc) == mine);
+            self.routes.live_entries.iter().filter(|(dc, _)| region(&self.routes, *dc) == mine);
         let sharers = sharers.count().max(1) as u64;
         self.region.set_rate(self.routes.policy.region_bytes / sharers, now);
     }
@@ -79,7 +79,8 @@
     /// Returns `server` with the attributes that the current routes give it.
     fn with_route(&self, server: Server, backend: &Backend) -> Server {
         let entries = |dc: Option<DcId>| -> Vec<VmId> {
-            let of = self.routes.entries.iter().filter(|(at, _)| dc.is_none_or(|dc| dc == *at));
+            let of =
+                self.routes.live_entries.iter().filter(|(at, _)| dc.is_none_or(|dc| dc == *at));
             of.map(|(_, vm)| *vm).collect()
         };
         let count = entries(None).len() as u32;
@@ -155,7 +156,7 @@
     };
     Server {
         vm: backend.vm,
-        distance: Distance::Own,
+        distance: Distance::SameDc,
         address: backend.address,
         slots: backend.slots,
         connections: 1,
@@ -173,11 +174,11 @@
 
 fn distance(routes: &Routes, dc: DcId) -> Distance {
     if dc == routes.dc {
-        Distance::Own
+        Distance::SameDc
     } else if region(routes, dc) == region(routes, routes.dc) {
-        Distance::Near
+        Distance::SameRegion
     } else {
-        Distance::Far
+        Distance::OtherRegion
     }
 }
 
--- a/daisy-routing/tests/choose.rs
+++ b/daisy-routing/tests/choose.rs
@@ -19,7 +19,7 @@
 fn the_local_data_centre_is_preferred_and_the_local_region_is_second() {
     let mut rng = rng();
     let mut routes = routes(vec![backend(100), backend_in_dc(200, 1), backend_in_dc(300, 2)]);
-    routes.entries = vec![(DcId(0), fixture::ME)];
+    routes.live_entries = vec![(DcId(0), fixture::ME)];
     let mut router = router(&routes);
     let now = millis(1_000);
 
@@ -39,14 +39,14 @@
 fn no_request_crosses_the_region_link_beyond_its_budget() {
     let mut rng = rng();
     let mut routes = routes(vec![backend_in_dc(300, 2)]);
-    routes.entries = vec![(DcId(0), fixture::ME)];
+    routes.live_entries = vec![(DcId(0), fixture::ME)];
     routes.policy = Policy { region_bytes: 20_000, ..Policy::default() };
     let mut router = router(&routes);
 
     let sent_count = (0..8)
         .filter(|_| {
             matches!(
-                router.offer(millis(1_000), &call(millis(1_000)), &mut rng),
+                router.admit(millis(1_000), &call(millis(1_000)), &mut rng),
                 Admission::Send(_)
             )
         })
@@ -64,7 +64,7 @@
     let mut call = call(now);
     call.deadline = now + Duration::from_millis(30);
 
-    let offer = router.offer(now, &call, &mut rng);
+    let offer = router.admit(now, &call, &mut rng);
 
     assert!(
         matches!(offer, Admission::Reject(rejection) if rejection.reason == RejectReason::NoBackend)
@@ -81,7 +81,7 @@
     let mut now = millis(0);
     let mut failed = 0;
     for _ in 0..200 {
-        let target = expect_sent(router.offer(now, &call(now), &mut rng));
+        let target = expect_sent(router.admit(now, &call(now), &mut rng));
         now = now + Duration::from_millis(1);
         let bad = target.vm == VmId(100);
         failed += u32::from(bad);
@@ -107,7 +107,7 @@
     let mut router = router(&routes((100..110).map(backend).collect()));
     let mut now = millis(0);
     for _ in 0..500 {
-        let target = expect_sent(router.offer(now, &call(now), &mut rng));
+        let target = expect_sent(router.admit(now, &call(now), &mut rng));
         now = now + Duration::from_micros(100);
         router.finish(now, target.try_id, report_without_answer(TryOutcome::NotSent), &mut rng);
     }
@@ -126,7 +126,7 @@
     let mut router = router(&routes((100..110).map(backend).collect()));
     let mut now = millis(0);
     for _ in 0..1_000 {
-        let target = expect_sent(router.offer(now, &call(now), &mut rng));
+        let target = expect_sent(router.admit(now, &call(now), &mut rng));
         now = now + Duration::from_millis(1);
         let report = if rng.bool() {
             report_without_answer(TryOutcome::Broken)
@@ -154,7 +154,7 @@
     let mut now = millis(0);
     let mut rounds_at_slow = Vec::new();
     for round in 0..1_000 {
-        let target = expect_sent(router.offer(now, &call(now), &mut rng));
+        let target = expect_sent(router.admit(now, &call(now), &mut rng));
         let slow = target.vm == VmId(100);
         now = now + Duration::from_millis(if slow { 80 } else { 20 });
         if slow {
@@ -168,7 +168,7 @@
     assert!(late <= 6, "rounds at the slow server: {rounds_at_slow:?}");
     // Even when all other servers are full, it gets no more than a probe.
     let mut chosen = Vec::new();
-    while let Admission::Send(target) = router.offer(now, &call(now), &mut rng) {
+    while let Admission::Send(target) = router.admit(now, &call(now), &mut rng) {
         chosen.push(target.vm);
     }
     assert!(
@@ -181,10 +181,10 @@
 fn the_limit_of_a_new_server_grows_gradually() {
     let mut rng = rng();
     let mut before = routes(vec![backend(100)]);
-    before.entries = vec![(DcId(0), fixture::ME)];
+    before.live_entries = vec![(DcId(0), fixture::ME)];
     let mut router = router(&before);
     let mut after = routes(vec![backend(100), backend(101)]);
-    after.entries = before.entries.clone();
+    after.live_entries = before.live_entries.clone();
     after.version = 2;
     router.set_routes(millis(0), &after, &mut rng);
 
@@ -203,7 +203,7 @@
 fn a_server_that_reports_that_it_is_leaving_gets_no_new_requests() {
     let mut rng = rng();
     let mut router = router(&routes(vec![backend(100), backend(101)]));
-    let target = expect_sent(router.offer(millis(0), &call(millis(0)), &mut rng));
+    let target = expect_sent(router.admit(millis(0), &call(millis(0)), &mut rng));
     let mut report = report_with_answer(0);
     report.leaving = true;
     router.finish(millis(1), target.try_id, report, &mut rng);
--- a/daisy-routing/tests/keys/simulation.rs
+++ b/daisy-routing/tests/keys/simulation.rs
@@ -465,8 +465,8 @@
         version: 1,
         dc,
         regions: vec![0, 0, 1],
-        entries,
-        listed,
+        live_entries: entries,
+        listed_entries: listed,
         services: SortedMap::from_iter([(Name::new("quote").unwrap(), service)]),
         policy: Policy { retry_window: WINDOW, ..Policy::default() },
     }
--- a/daisy-routing/tests/queue.rs
+++ b/daisy-routing/tests/queue.rs
@@ -47,7 +47,7 @@
 fn a_queued_request_is_sent_when_a_slot_becomes_free() {
     let mut rng = rng();
     let (mut router, now, targets) = busy_router(&mut rng);
-    let ticket = expect_waiting(router.offer(now, &call(now), &mut rng));
+    let ticket = expect_waiting(router.admit(now, &call(now), &mut rng));
 
     let decisions = router.finish(now, targets[0].try_id, report_with_answer(7), &mut rng);
 
@@ -63,7 +63,7 @@
     let mut call = call(now);
     call.deadline = now + Duration::from_millis(60);
 
-    let offer = router.offer(now, &call, &mut rng);
+    let offer = router.admit(now, &call, &mut rng);
 
     let Admission::Reject(rejection) = offer else { panic!("request was not rejected: {offer:?}") };
     assert_eq!(rejection.reason, RejectReason::Deadline);
@@ -77,7 +77,7 @@
 
     let waiting_count = (0..200)
         .filter(|caller| {
-            matches!(router.offer(now, &call_from(*caller, now), &mut rng), Admission::Wait(_))
+            matches!(router.admit(now, &call_from(*caller, now), &mut rng), Admission::Wait(_))
         })
         .count();
 
@@ -91,7 +91,7 @@
     let mut last_retry_after = |count: u32| {
         let mut retry_after = Duration::ZERO;
         for _ in 0..count {
-            if let Admission::Reject(rejection) = router.offer(now, &call(now), &mut rng) {
+            if let Admission::Reject(rejection) = router.admit(now, &call(now), &mut rng) {
                 retry_after = rejection.retry_after;
             }
         }
@@ -124,13 +124,13 @@
     let now = answer_requests(&mut router, millis(0), 100, Duration::from_millis(100), &mut rng);
     let render = Call { service: name("render"), ..call(now) };
     let mut in_flight = Vec::new();
-    while let Admission::Send(target) = router.offer(now, &render, &mut rng) {
+    while let Admission::Send(target) = router.admit(now, &render, &mut rng) {
         in_flight.push(target);
     }
 
     // Renders leave a slot free on each server, so the first critical requests do not wait.
     let critical = send_requests(&mut router, now, 2, &mut rng);
-    let ticket = expect_waiting(router.offer(now, &call(now), &mut rng));
+    let ticket = expect_waiting(router.admit(now, &call(now), &mut rng));
     let decisions = router.finish(now, in_flight[0].try_id, report_with_answer(7), &mut rng);
 
     assert_eq!(critical.len(), 2);
@@ -144,10 +144,10 @@
     let mut rng = rng();
     let (mut router, now, targets) = busy_router(&mut rng);
     for _ in 0..1_000 {
-        router.offer(now, &call_from(1, now), &mut rng);
+        router.admit(now, &call_from(1, now), &mut rng);
     }
 
-    let other_caller = expect_waiting(router.offer(now, &call_from(2, now), &mut rng));
+    let other_caller = expect_waiting(router.admit(now, &call_from(2, now), &mut rng));
     let first = router.finish(now, targets[0].try_id, report_with_answer(7), &mut rng);
     let second = router.finish(now, targets[1].try_id, report_with_answer(7), &mut rng);
 
@@ -163,8 +163,8 @@
     let (mut router, now, targets) = busy_router(&mut rng);
     let low = Call { urgency: Urgency::Low, ..call_from(1, now) };
     let urgent = Call { urgency: Urgency::Critical, ..call_from(2, now) };
-    expect_waiting(router.offer(now, &low, &mut rng));
-    let second = expect_waiting(router.offer(now, &urgent, &mut rng));
+    expect_waiting(router.admit(now, &low, &mut rng));
+    let second = expect_waiting(router.admit(now, &urgent, &mut rng));
 
     let decisions = router.finish(now, targets[0].try_id, report_with_answer(7), &mut rng);
 
@@ -175,7 +175,7 @@
 fn a_queued_request_that_cannot_be_served_in_time_is_rejected_before_its_deadline() {
     let mut rng = rng();
     let (mut router, now, _) = busy_router(&mut rng);
-    let ticket = expect_waiting(router.offer(now, &call(now), &mut rng));
+    let ticket = expect_waiting(router.admit(now, &call(now), &mut rng));
 
     let decisions = router.tick(now + Duration::from_millis(1_000), &mut rng);
 
@@ -186,7 +186,7 @@
 fn a_cancelled_request_is_removed_from_the_queue() {
     let mut rng = rng();
     let (mut router, now, targets) = busy_router(&mut rng);
-    let ticket = expect_waiting(router.offer(now, &call(now), &mut rng));
+    let ticket = expect_waiting(router.admit(now, &call(now), &mut rng));
 
     router.cancel_waiting(ticket);
     let decisions = router.finish(now, targets[0].try_id, report_with_answer(7), &mut rng);
--- a/daisy-routing/tests/retry.rs
+++ b/daisy-routing/tests/retry.rs
@@ -20,7 +20,7 @@
     let now = answer_requests(&mut router, millis(0), 500, Duration::from_millis(1), &mut rng);
     let mut retries = 0;
     for _ in 0..1_000 {
-        let first = expect_sent(router.offer(now, &call(now), &mut rng));
+        let first = expect_sent(router.admit(now, &call(now), &mut rng));
         router.finish(now, first.try_id, report_without_answer(TryOutcome::Cancelled), &mut rng);
         if let Some(second) = router.retry(now, &call(now), &[first.vm], &mut rng) {
             retries += 1;
@@ -57,13 +57,13 @@
     let mut router = router(&routes(vec![backend(100)]));
     let now = answer_requests(&mut router, millis(0), 100, Duration::from_millis(100), &mut rng);
     let low = Call { urgency: Urgency::Low, ..call(now) };
-    while let Admission::Send(_) = router.offer(now, &low, &mut rng) {}
+    while let Admission::Send(_) = router.admit(now, &low, &mut rng) {}
 
     let retried = router.retry(now, &call(now), &[], &mut rng);
 
     assert!(retried.is_none());
     // The slot was free.
-    expect_sent(router.offer(now, &call(now), &mut rng));
+    expect_sent(router.admit(now, &call(now), &mut rng));
 }
 
 #[test]
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -194,7 +194,7 @@
         if now >= self.lease_end {
             // No work was done after the lease's end, even if the end is noticed much later.
             self.now = self.lease_end;
-            self.end_all(Exit::LeaseLapsed);
+            self.end_all(Exit::LeaseExpired);
             self.now = now;
         }
         self.sample(now);
@@ -398,7 +398,7 @@
         Exit::Failed => Some(RunEnd::Failed),
         Exit::Checkpointed(token) => Some(RunEnd::Checkpointed(token)),
         Exit::Stopped => Some(RunEnd::Stopped),
-        Exit::LeaseLapsed => Some(RunEnd::LeaseLapsed),
+        Exit::LeaseExpired => Some(RunEnd::LeaseExpired),
         Exit::Refused | Exit::Unknown => None,
     }
 }
--- a/daisy-standin/tests/worker.rs
+++ b/daisy-standin/tests/worker.rs
@@ -92,7 +92,7 @@
     let report = worker.call(at(30_000), call(1, vec![]), NO_FAULTS);
 
     assert!(report.running.is_empty());
-    assert_eq!(report.ended[0].exit, Exit::LeaseLapsed);
+    assert_eq!(report.ended[0].exit, Exit::LeaseExpired);
     let events = worker.take_events();
     let ended =
         events.iter().find(|(_, kind)| matches!(kind, EventKind::TaskEnded { .. })).unwrap();
--- a/daisy-wire/src/log/record.rs
+++ b/daisy-wire/src/log/record.rs
@@ -15,7 +15,7 @@
     Failed,
     Checkpointed(u64),
     Stopped,
-    LeaseLapsed,
+    LeaseExpired,
     Unknown,
     Refused,
 }
@@ -27,7 +27,7 @@
             Exit::Failed => ExitWire::Failed,
             Exit::Checkpointed(token) => ExitWire::Checkpointed(token),
             Exit::Stopped => ExitWire::Stopped,
-            Exit::LeaseLapsed => ExitWire::LeaseLapsed,
+            Exit::LeaseExpired => ExitWire::LeaseExpired,
             Exit::Unknown => ExitWire::Unknown,
             Exit::Refused => ExitWire::Refused,
         }
@@ -41,7 +41,7 @@
             ExitWire::Failed => Exit::Failed,
             ExitWire::Checkpointed(token) => Exit::Checkpointed(token),
             ExitWire::Stopped => Exit::Stopped,
-            ExitWire::LeaseLapsed => Exit::LeaseLapsed,
+            ExitWire::LeaseExpired => Exit::LeaseExpired,
             ExitWire::Unknown => Exit::Unknown,
             ExitWire::Refused => Exit::Refused,
         }
--- a/daisy-wire/src/peer/notice.rs
+++ b/daisy-wire/src/peer/notice.rs
@@ -2,7 +2,7 @@
 //! services run.
 
 use bincode::{Decode, Encode};
-use daisy_membership::{Evidence, Heartbeat, Status};
+use daisy_membership::{Heartbeat, HolderEvidence, Status};
 use daisy_model::{DcId, Epoch, JobId, Offset, VmId};
 
 use crate::WireError;
@@ -172,7 +172,9 @@
         generation: heartbeat.generation,
         status,
         reads_log: heartbeat.reads_log,
-        evidence: heartbeat.evidence.map(|(epoch, seq)| Evidence { epoch: Epoch(epoch), seq }),
+        evidence: heartbeat
+            .evidence
+            .map(|(epoch, seq)| HolderEvidence { epoch: Epoch(epoch), seq }),
     })
 }
 
--- a/daisy-wire/src/snapshot/state.rs
+++ b/daisy-wire/src/snapshot/state.rs
@@ -87,11 +87,11 @@
 struct AuditWire {
     offset: u64,
     change: ChangeWire,
-    verdict: VerdictWire,
+    outcome: ChangeOutcomeWire,
 }
 
 #[derive(Debug, Encode, Decode)]
-enum VerdictWire {
+enum ChangeOutcomeWire {
     Accepted(u64),
     Refused(String),
 }
@@ -330,9 +330,9 @@
         AuditWire {
             offset: it.offset.0,
             change: (&it.change).into(),
-            verdict: match &it.verdict {
-                ChangeOutcome::Accepted(generation) => VerdictWire::Accepted(generation.0),
-                ChangeOutcome::Refused(cause) => VerdictWire::Refused(cause.to_string()),
+            outcome: match &it.outcome {
+                ChangeOutcome::Accepted(generation) => ChangeOutcomeWire::Accepted(generation.0),
+                ChangeOutcome::Refused(cause) => ChangeOutcomeWire::Refused(cause.to_string()),
             },
         }
     }
@@ -345,11 +345,11 @@
         Ok(AuditEntry {
             offset: Offset(it.offset),
             change: Change::try_from(it.change)?,
-            verdict: match it.verdict {
-                VerdictWire::Accepted(generation) => {
+            outcome: match it.outcome {
+                ChangeOutcomeWire::Accepted(generation) => {
                     ChangeOutcome::Accepted(Generation(generation))
                 }
-                VerdictWire::Refused(cause) => ChangeOutcome::Refused(cause.into()),
+                ChangeOutcomeWire::Refused(cause) => ChangeOutcome::Refused(cause.into()),
             },
         })
     }
--- a/daisy-wire/src/worker.rs
+++ b/daisy-wire/src/worker.rs
@@ -208,7 +208,8 @@
     /// The task was stopped without a checkpoint.
     Stopped,
     /// The worker ended the task because its lease expired.
-    LeaseLapsed,
+    #[serde(rename = "lease-lapsed")]
+    LeaseExpired,
     /// It is not known how the task ended.
     Unknown,
     /// The task never ran. Only holders record this; workers do not report it.
@@ -222,7 +223,7 @@
             Exit::Failed => ExitJson::Failed,
             Exit::Checkpointed(token) => ExitJson::Checkpointed(token),
             Exit::Stopped => ExitJson::Stopped,
-            Exit::LeaseLapsed => ExitJson::LeaseLapsed,
+            Exit::LeaseExpired => ExitJson::LeaseExpired,
             Exit::Unknown => ExitJson::Unknown,
             Exit::Refused => ExitJson::Refused,
         }
@@ -236,7 +237,7 @@
             ExitJson::Failed => Exit::Failed,
             ExitJson::Checkpointed(token) => Exit::Checkpointed(token),
             ExitJson::Stopped => Exit::Stopped,
-            ExitJson::LeaseLapsed => Exit::LeaseLapsed,
+            ExitJson::LeaseExpired => Exit::LeaseExpired,
             ExitJson::Unknown => Exit::Unknown,
             ExitJson::Refused => Exit::Refused,
         }
--- a/daisy-wire/tests/peer.rs
+++ b/daisy-wire/tests/peer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_membership::{Evidence, Heartbeat, Status};
+use daisy_membership::{Heartbeat, HolderEvidence, Status};
 use daisy_model::{DcId, Epoch, JobId, Name, Offset, VmId};
 use daisy_routing::{ClaimId, KeyId, KeyQuery};
 use daisy_wire::{
@@ -25,7 +25,7 @@
         generation: 12,
         status: Status::Leaving,
         reads_log: true,
-        evidence: Some(Evidence { epoch: Epoch(11), seq: 3 }),
+        evidence: Some(HolderEvidence { epoch: Epoch(11), seq: 3 }),
     };
     Notice::Heartbeat { heartbeat, full: false, in_flight: vec![(VmId(101), 8), (VmId(102), 0)] }
 }
