--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -211,8 +211,8 @@
             Input::WorkerUpdate { epoch, vm, update } => {
                 self.handle_worker_update(now, epoch, vm, update)
             }
-            Input::PeerQuery { question, reply } => {
-                let _ = reply.send(self.answer_peer(now, question));
+            Input::PeerQuery { query, reply } => {
+                let _ = reply.send(self.answer_peer(now, query));
             }
             Input::EncodeState { reply } => {
                 let _ = reply.send(self.encode());
@@ -319,8 +319,8 @@
         self.drive_lease_renewer(now, LeaseRenewerEvent::Vms(&vms));
     }
 
-    fn answer_peer(&mut self, now: Instant, question: PeerQuery) -> PeerAnswer {
-        match question {
+    fn answer_peer(&mut self, now: Instant, query: PeerQuery) -> PeerAnswer {
+        match query {
             PeerQuery::Vms { known } if !self.vms.is_empty() && known < Some(self.vms_version) => {
                 PeerAnswer::Vms { version: self.vms_version, vms: self.vms.to_vec() }
             }
@@ -341,7 +341,7 @@
     fn publish_routes(&mut self, now: Instant) {
         self.routes_dirty = false;
         let version = self.out.routes.borrow().version + 1;
-        let parts = routes::RouteSources {
+        let sources = routes::RouteSources {
             now,
             dc: self.identity.dc,
             regions: &self.identity.regions,
@@ -350,7 +350,7 @@
             membership: &self.membership,
             replicas: &self.replicas,
         };
-        let routes = Arc::new(routes::build(version, &parts));
+        let routes = Arc::new(routes::build(version, &sources));
         self.out.routes.send_if_modified(|it| {
             let unversioned = Routes { version: it.version, ..Routes::clone(&routes) };
             if **it == unversioned {
--- a/daisy-entry/src/control/append.rs
+++ b/daisy-entry/src/control/append.rs
@@ -55,7 +55,7 @@
     last_claim: AppendId,
     /// The reachability of the log that was last reported to the holder.
     reported_reachable: bool,
-    flushing: Vec<oneshot::Sender<()>>,
+    flush_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Appends {
@@ -66,7 +66,7 @@
             waiters: SortedMap::new(),
             last_claim: AppendId { sender: !sender, seq: 0 },
             reported_reachable: true,
-            flushing: Vec::new(),
+            flush_waiters: Vec::new(),
         }
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// Returns whether the log accepts appends, as far as is known.
-    pub fn reachable(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         self.queue.is_reachable()
     }
 
@@ -100,7 +100,7 @@
     /// While the log is unreachable no more records are accepted: the sender would be told that the
     /// change failed, and see it take effect an hour later.
     pub(super) fn submit(&mut self, record: Record, reply: oneshot::Sender<SubmitOutcome>) {
-        if !self.appends.reachable() {
+        if !self.appends.is_reachable() {
             let _ = reply.send(SubmitOutcome::NotAppended("the log does not accept appends"));
             return;
         }
@@ -155,7 +155,7 @@
     pub(super) fn flush(&mut self, now: Instant) {
         self.step_queue(now, Event::Tick, None);
         if self.appends.queue.backlog() == 0 {
-            for waiter in self.appends.flushing.drain(..) {
+            for waiter in self.appends.flush_waiters.drain(..) {
                 let _ = waiter.send(());
             }
         }
@@ -163,7 +163,7 @@
 
     /// Notifies `waiter` once all queued records are in the log.
     pub(super) fn notify_when_flushed(&mut self, waiter: oneshot::Sender<()>) {
-        self.appends.flushing.push(waiter);
+        self.appends.flush_waiters.push(waiter);
     }
 
     fn step_queue(&mut self, now: Instant, event: Event, outcomes: Option<&[RecordOutcome]>) {
--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -61,7 +61,7 @@
             self.driver.holder = Some(Holder::new(options(&self.identity, epoch)));
         }
         self.driver.suspended = false;
-        let reachable = self.appends.reachable();
+        let reachable = self.appends.is_reachable();
         self.drive_holder(now, Event::Log { reachable });
         let (state, vms) = (self.state.clone(), self.vms.clone());
         self.drive_holder(now, Event::Ledger(&state));
--- a/daisy-entry/src/control/input.rs
+++ b/daisy-entry/src/control/input.rs
@@ -76,10 +76,10 @@
         /// How the wait ended.
         update: WorkerUpdate,
     },
-    /// A question from a peer.
+    /// A query from a peer.
     PeerQuery {
-        /// The question.
-        question: PeerQuery,
+        /// The query.
+        query: PeerQuery,
         /// Receives the answer.
         reply: oneshot::Sender<PeerAnswer>,
     },
--- a/daisy-entry/src/control/restore.rs
+++ b/daisy-entry/src/control/restore.rs
@@ -80,8 +80,8 @@
         // The log drops records: a third of the retained ones may pass before the next snapshot.
         let retained = state.next.0.saturating_sub(self.first.0);
         let expiring = self.first > Offset(0) && entries * 3 >= retained * (3 - FALLBACK_THIRDS);
-        let is_own_turn = rank == 0 || entries * 3 >= retained * FALLBACK_THIRDS;
-        entries > 0 && (snapshot::is_due(&options, &since, rank) || (expiring && is_own_turn))
+        let is_writer = rank == 0 || entries * 3 >= retained * FALLBACK_THIRDS;
+        entries > 0 && (snapshot::is_due(&options, &since, rank) || (expiring && is_writer))
     }
 }
 
@@ -158,7 +158,7 @@
     ///
     /// Holders write snapshots; that of the data centre with the lowest number is the first writer.
     pub(super) fn write_snapshot(&mut self, now: Instant) {
-        if !matches!(self.membership.role(), Role::Holder(_)) || !self.appends.reachable() {
+        if !matches!(self.membership.role(), Role::Holder(_)) || !self.appends.is_reachable() {
             return;
         }
         let rank = u32::from(self.identity.dc.0);
--- a/daisy-entry/src/control/routes.rs
+++ b/daisy-entry/src/control/routes.rs
@@ -28,15 +28,15 @@
 }
 
 /// Builds the routes of version `version`.
-pub(crate) fn build(version: u64, parts: &RouteSources<'_>) -> Routes {
+pub(crate) fn build(version: u64, sources: &RouteSources<'_>) -> Routes {
     Routes {
         version,
-        dc: parts.dc,
-        regions: parts.regions.to_vec(),
-        live_entries: live_entries(parts.now, parts.dc, parts.membership),
-        listed_entries: listed_entries(parts),
-        services: services(parts),
-        policy: parts.state.policy.1.clone(),
+        dc: sources.dc,
+        regions: sources.regions.to_vec(),
+        live_entries: live_entries(sources.now, sources.dc, sources.membership),
+        listed_entries: listed_entries(sources),
+        services: services(sources),
+        policy: sources.state.policy.1.clone(),
     }
 }
 
@@ -59,9 +59,9 @@
 }
 
 /// Returns the entry VMs in the platform's list, and this one.
-fn listed_entries(parts: &RouteSources<'_>) -> Vec<(DcId, VmId)> {
-    let options = parts.membership.options();
-    let entries = parts.vms.iter().filter(|vm| vm.role == VmRole::Entry);
+fn listed_entries(sources: &RouteSources<'_>) -> Vec<(DcId, VmId)> {
+    let options = sources.membership.options();
+    let entries = sources.vms.iter().filter(|vm| vm.role == VmRole::Entry);
     let mut listed: Vec<(DcId, VmId)> = entries.map(|vm| (vm.dc, vm.id)).collect();
     listed.push((options.dc, options.vm));
     listed.sort_unstable();
@@ -69,9 +69,9 @@
     listed
 }
 
-fn services(parts: &RouteSources<'_>) -> SortedMap<Name, Service> {
+fn services(sources: &RouteSources<'_>) -> SortedMap<Name, Service> {
     let mut services = SortedMap::new();
-    for (id, job) in parts.state.jobs.iter() {
+    for (id, job) in sources.state.jobs.iter() {
         if job.spec.kind != JobKind::Service || job.cancelled {
             continue;
         }
@@ -83,12 +83,12 @@
         };
         services.insert(job.spec.name.clone(), service);
     }
-    for replica in parts.replicas.iter().flat_map(|(_, it)| it.all.iter()) {
-        let Some(name) = parts.state.jobs.get(replica.job).map(|job| &job.spec.name) else {
+    for replica in sources.replicas.iter().flat_map(|(_, it)| it.all.iter()) {
+        let Some(name) = sources.state.jobs.get(replica.job).map(|job| &job.spec.name) else {
             continue;
         };
         let Some(service) = services.get_mut(name) else { continue };
-        service.backends.extend(backend(parts, *replica));
+        service.backends.extend(backend(sources, *replica));
     }
     for (_, service) in services.iter_mut() {
         service.backends.sort_by_key(|it| it.vm);
@@ -97,10 +97,10 @@
     services
 }
 
-fn backend(parts: &RouteSources<'_>, replica: Replica) -> Option<Backend> {
-    let at = parts.vms.binary_search_by_key(&replica.vm, |it| it.id).ok()?;
-    let vm = &parts.vms[at];
-    let is_vm_leaving = vm.status == VmStatus::Leaving || parts.state.is_drained(&vm.name);
+fn backend(sources: &RouteSources<'_>, replica: Replica) -> Option<Backend> {
+    let at = sources.vms.binary_search_by_key(&replica.vm, |it| it.id).ok()?;
+    let vm = &sources.vms[at];
+    let is_vm_leaving = vm.status == VmStatus::Leaving || sources.state.is_drained(&vm.name);
     Some(Backend {
         vm: vm.id,
         dc: vm.dc,
--- a/daisy-entry/src/entry.rs
+++ b/daisy-entry/src/entry.rs
@@ -64,24 +64,24 @@
     let addresses = listeners.addresses()?;
     let (control, inputs) = mpsc::channel(control::INPUT_QUEUE);
     let (routes, follow_routes) = watch::channel(Arc::new(Routes::default()));
-    let parts = ProcessContext::new(settings, control.clone());
-    let proxy = parts.proxy(follow_routes);
+    let context = ProcessContext::new(settings, control.clone());
+    let proxy = context.proxy(follow_routes);
     let (metrics, mut registry) = Metrics::registered();
     proxy.register_metrics(&mut registry);
-    let (plan, follow_plan) = watch::channel(parts.first_plan());
+    let (plan, follow_plan) = watch::channel(context.first_plan());
     let (ready, follow_ready) = watch::channel(false);
-    let outputs = parts.outputs(plan, routes, ready, metrics.clone());
+    let outputs = context.outputs(plan, routes, ready, metrics.clone());
     let health = Arc::new(Health { ready: follow_ready, registry });
 
     let mut tasks = JoinSet::new();
-    tasks.spawn(parts.control_task(&proxy, outputs).run(inputs));
-    tasks.spawn(parts.reader(follow_plan).run());
-    tasks.spawn(parts.server(&proxy).run(listeners.peers));
-    tasks.spawn(operators::serve(Arc::new(parts.operators(metrics)), listeners.operators));
-    let period = parts.settings.timing.vm_list_interval;
-    tasks.spawn(vm_list::run(parts.platform, parts.links, period, control.clone()));
+    tasks.spawn(context.control_task(&proxy, outputs).run(inputs));
+    tasks.spawn(context.reader(follow_plan).run());
+    tasks.spawn(context.server(&proxy).run(listeners.peers));
+    tasks.spawn(operators::serve(Arc::new(context.operators(metrics)), listeners.operators));
+    let period = context.settings.timing.vm_list_interval;
+    tasks.spawn(vm_list::run(context.platform, context.links, period, control.clone()));
     let serving = tokio::spawn(serve_callers(proxy.clone(), listeners.callers, health));
-    log::info!("event=started vm={} callers={}", parts.settings.vm, addresses.callers);
+    log::info!("event=started vm={} callers={}", context.settings.vm, addresses.callers);
     Ok(Entry { addresses, control, proxy, serving, tasks })
 }
 
--- a/daisy-entry/src/operators/query.rs
+++ b/daisy-entry/src/operators/query.rs
@@ -35,7 +35,7 @@
     live.dcs = dcs;
     live.vms = vms.iter().map(|vm| (vm.id, vm.clone())).collect();
     let asked =
-        holders.iter().map(|vm| port.links.send_question(*vm, PeerQuery::LiveView, HOLDER_TIMEOUT));
+        holders.iter().map(|vm| port.links.send_query(*vm, PeerQuery::LiveView, HOLDER_TIMEOUT));
     for answer in join_all(asked).await {
         if let Some(PeerAnswer::LiveView(theirs)) = answer {
             merge(&mut live, *theirs);
--- a/daisy-entry/src/peers.rs
+++ b/daisy-entry/src/peers.rs
@@ -1,7 +1,7 @@
 //! Communication between entry VMs: h2 streams of the frames of `daisy_wire::peer`.
 //!
 //! `docs/PROTOCOL.md` describes three paths: `/v1/notices`, a long stream of heartbeats;
-//! `/v1/records`, the forwarded log; `/v1/question`, one question and its answer.
+//! `/v1/records`, the forwarded log; `/v1/question`, one query and its answer.
 
 mod link;
 mod links;
@@ -24,5 +24,5 @@
 const NOTICES: &str = "/v1/notices";
 /// The path of the stream of records.
 const RECORDS: &str = "/v1/records";
-/// The path of a question.
-const QUESTION: &str = "/v1/question";
+/// The path of a query.
+const QUERY: &str = "/v1/question";
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one peer, on which notices and questions are sent.
+//! The connection to one peer, on which notices and queries are sent.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,7 +23,7 @@
 use crate::{
     control::Replicas,
     peers::{
-        NOTICES, QUESTION, RECORDS, Traffic,
+        NOTICES, QUERY, RECORDS, Traffic,
         stream::{Receiver, Sender, StreamError},
     },
 };
@@ -32,7 +32,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long sending a notice may take; a peer that is paused accepts none.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the stream of a question is kept open; the asker has usually timed out before.
+/// How long the stream of a query is kept open; the asker has usually timed out before.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// The first pause before another connection attempt; doubled up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
@@ -56,8 +56,8 @@
 pub(crate) enum Command {
     /// Send the state to the peer.
     Update(PeerUpdate),
-    /// Send a question to the peer.
-    Ask(PeerQuery, oneshot::Sender<Option<PeerAnswer>>),
+    /// Send a query to the peer.
+    Query(PeerQuery, oneshot::Sender<Option<PeerAnswer>>),
     /// Read the log's records from the peer.
     Records(Offset, oneshot::Sender<Option<Records>>),
     /// Drop the connection: the peer does not seem to receive anything through it.
@@ -182,11 +182,11 @@
     async fn execute(&self, it: &mut Connection, command: Command) -> anyhow::Result<()> {
         match command {
             Command::Update(update) => Ok(timeout(NOTICE_TIMEOUT, it.send_update(update)).await??),
-            Command::Ask(question, reply) => {
+            Command::Query(query, reply) => {
                 let mut requests = it.ready().await?;
-                let (response, stream) = requests.send_request(self.request(QUESTION)?, false)?;
+                let (response, stream) = requests.send_request(self.request(QUERY)?, false)?;
                 let sender = Sender::new(stream);
-                tokio::spawn(exchange_question(sender, response, question, reply));
+                tokio::spawn(exchange_query(sender, response, query, reply));
                 Ok(())
             }
             Command::Records(from, reply) => {
@@ -233,14 +233,14 @@
     }
 }
 
-async fn exchange_question(
+async fn exchange_query(
     mut sender: Sender,
     response: client::ResponseFuture,
-    question: PeerQuery,
+    query: PeerQuery,
     reply: oneshot::Sender<Option<PeerAnswer>>,
 ) {
     let exchange = async {
-        sender.send(&PeerQueryWire::from(question), true).await?;
+        sender.send(&PeerQueryWire::from(query), true).await?;
         let mut receiver = Receiver::new(response.await?.into_body(), MAX_FRAME);
         Ok::<_, StreamError>(PeerAnswer::try_from(receiver.only::<PeerAnswerWire>().await?)?)
     };
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -77,15 +77,15 @@
         self.link(peer).is_some_and(|commands| commands.try_send(command).is_ok())
     }
 
-    /// Sends a question to `peer`; returns `None` if no answer arrives within `limit`.
-    pub async fn send_question(
+    /// Sends a query to `peer`; returns `None` if no answer arrives within `limit`.
+    pub async fn send_query(
         &self,
         peer: VmId,
-        question: PeerQuery,
+        query: PeerQuery,
         limit: Duration,
     ) -> Option<PeerAnswer> {
         let (reply, answer) = oneshot::channel();
-        if !self.send(peer, Command::Ask(question, reply)) {
+        if !self.send(peer, Command::Query(query, reply)) {
             return None;
         }
         timeout(limit, answer).await.ok()?.ok()?
@@ -133,7 +133,7 @@
         query: KeyQuery,
         timeout: Duration,
     ) -> Option<KeyAnswer> {
-        match self.links.send_question(peer, PeerQuery::Key(query), timeout).await? {
+        match self.links.send_query(peer, PeerQuery::Key(query), timeout).await? {
             PeerAnswer::Key(answer) => Some(answer),
             _ => None,
         }
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! The peers' port: notices, records and questions from other entry VMs.
+//! The peers' port: notices, records and queries from other entry VMs.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -32,7 +32,7 @@
     boundary::RequestSide,
     control::{Input, Replicas},
     peers::{
-        NOTICES, QUESTION, RECORDS, Tail, Traffic,
+        NOTICES, QUERY, RECORDS, Tail, Traffic,
         stream::{Receiver, Sender, StreamError},
         tail::Chunk,
     },
@@ -51,8 +51,8 @@
 const WINDOW: u32 = 1 << 20;
 /// How long the handshake of a new connection may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a question may take to arrive, and its answer to be found.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a query may take to arrive, and its answer to be found.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The addresses that may connect.
 #[derive(Debug, Clone)]
@@ -149,7 +149,7 @@
         match parts.uri.path() {
             NOTICES => self.serve_notices(from, receiver, respond).await,
             RECORDS => self.serve_records(receiver, respond).await,
-            QUESTION => self.serve_question(from, receiver, respond).await,
+            QUERY => self.serve_query(from, receiver, respond).await,
             other => {
                 reject(&mut respond, StatusCode::NOT_FOUND)?;
                 anyhow::bail!("unknown path {other:?}")
@@ -234,36 +234,35 @@
         encoded.await.context("stopping")
     }
 
-    async fn serve_question(
+    async fn serve_query(
         &self,
         from: VmId,
         mut receiver: Receiver,
         mut respond: SendResponse<Bytes>,
     ) -> anyhow::Result<()> {
-        let question = async {
+        let query = async {
             let wire = receiver.only::<PeerQueryWire>().await?;
             Ok::<_, StreamError>(PeerQuery::try_from(wire)?)
         };
-        let question =
-            match timeout(QUESTION_TIMEOUT, question).await.context("question timed out")? {
-                Ok(question) => question,
-                Err(e) => {
-                    reject(&mut respond, StatusCode::BAD_REQUEST)?;
-                    return Err(e.into());
-                }
-            };
-        let answer = timeout(QUESTION_TIMEOUT, self.answer(from, question)).await?;
+        let query = match timeout(QUERY_TIMEOUT, query).await.context("query timed out")? {
+            Ok(query) => query,
+            Err(e) => {
+                reject(&mut respond, StatusCode::BAD_REQUEST)?;
+                return Err(e.into());
+            }
+        };
+        let answer = timeout(QUERY_TIMEOUT, self.answer(from, query)).await?;
         let stream = respond.send_response(Response::new(()), false)?;
         let mut sender = Sender::new(stream);
         Ok(sender.send(&PeerAnswerWire::from(answer), true).await?)
     }
 
-    async fn answer(&self, from: VmId, question: PeerQuery) -> PeerAnswer {
-        if let PeerQuery::Key(query) = question {
-            return PeerAnswer::Key(self.requests.answer(from, query).await);
+    async fn answer(&self, from: VmId, query: PeerQuery) -> PeerAnswer {
+        if let PeerQuery::Key(key_query) = query {
+            return PeerAnswer::Key(self.requests.answer(from, key_query).await);
         }
         let (reply, answer) = oneshot::channel();
-        match self.control.send(Input::PeerQuery { question, reply }).await {
+        match self.control.send(Input::PeerQuery { query, reply }).await {
             Ok(()) => answer.await.unwrap_or(PeerAnswer::Unable),
             Err(_) => PeerAnswer::Unable,
         }
--- a/daisy-entry/src/proxy.rs
+++ b/daisy-entry/src/proxy.rs
@@ -143,7 +143,7 @@
 
     /// Waits for keyed requests whose callers have disconnected, then hands the keys over.
     async fn hand_over_all_keys(&self) {
-        let _ = self.core.keyed.acquire_many(MAX_KEYED_IN_PROGRESS).await;
+        let _ = self.core.keyed_permits.acquire_many(MAX_KEYED_IN_PROGRESS).await;
         let messages = lock(&self.core.keys).start_handover(self.core.clock.now());
         keyed::hand_over(&self.core, &self.peers, messages, keyed::LEAVE_HANDOVER_TIMEOUT).await;
     }
--- a/daisy-entry/src/proxy/answer.rs
+++ b/daisy-entry/src/proxy/answer.rs
@@ -10,7 +10,7 @@
 
 /// What is known of a request that got no answer from a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Outcome {
+pub(super) enum RequestOutcome {
     /// It provably did not run.
     NotRun,
     /// It may have run.
@@ -19,12 +19,12 @@
     Answered,
 }
 
-impl Outcome {
+impl RequestOutcome {
     fn as_str(self) -> &'static str {
         match self {
-            Outcome::NotRun => "not-run",
-            Outcome::Unknown => "outcome-unknown",
-            Outcome::Answered => ANSWERED,
+            RequestOutcome::NotRun => "not-run",
+            RequestOutcome::Unknown => "outcome-unknown",
+            RequestOutcome::Answered => ANSWERED,
         }
     }
 }
@@ -40,7 +40,7 @@
     /// The status.
     pub(super) status: StatusCode,
     /// What is known of the request.
-    pub(super) outcome: Outcome,
+    pub(super) outcome: RequestOutcome,
     /// A reason listed in `docs/PROTOCOL.md`, followed by the header's name where a header is
     /// invalid.
     pub(super) reason: String,
@@ -50,19 +50,23 @@
 
 impl Failure {
     /// Creates a failure without a retry time.
-    pub(super) fn new(status: StatusCode, outcome: Outcome, reason: &str) -> Failure {
+    pub(super) fn new(status: StatusCode, outcome: RequestOutcome, reason: &str) -> Failure {
         Failure { status, outcome, reason: reason.to_owned(), retry_after: None }
     }
 
     /// Creates a temporary rejection with a retry time.
-    pub(super) fn retryable(outcome: Outcome, reason: &str, retry_after: Duration) -> Failure {
+    pub(super) fn retryable(
+        outcome: RequestOutcome,
+        reason: &str,
+        retry_after: Duration,
+    ) -> Failure {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Failure { retry_after: Some(retry_after), ..Failure::new(status, outcome, reason) }
     }
 
     /// Creates the failure for a keyed request that is not run in this attempt.
     pub(super) fn from_key_denial(denial: KeyDenial, not_run: bool) -> Failure {
-        let outcome = if not_run { Outcome::NotRun } else { Outcome::Unknown };
+        let outcome = if not_run { RequestOutcome::NotRun } else { RequestOutcome::Unknown };
         let (status, reason) = match denial {
             KeyDenial::Unknown => (StatusCode::CONFLICT, "key-unknown"),
             KeyDenial::Running => (StatusCode::CONFLICT, "key-in-progress"),
@@ -79,7 +83,7 @@
     /// Converts the failure for a repeated attempt, where it proves nothing about earlier attempts:
     /// one of them may have run.
     pub(super) fn for_repeated_attempt(self) -> Failure {
-        Failure { outcome: Outcome::Unknown, ..self }
+        Failure { outcome: RequestOutcome::Unknown, ..self }
     }
 
     /// Returns the response for the caller.
@@ -105,14 +109,20 @@
         let Rejection { reason, retry_after } = rejection;
         match reason {
             RejectReason::UnknownService => {
-                Failure::new(StatusCode::NOT_FOUND, Outcome::NotRun, "unknown-service")
+                Failure::new(StatusCode::NOT_FOUND, RequestOutcome::NotRun, "unknown-service")
             }
             RejectReason::NoBackend => {
-                Failure::retryable(Outcome::NotRun, "no-backend", retry_after)
+                Failure::retryable(RequestOutcome::NotRun, "no-backend", retry_after)
+            }
+            RejectReason::Deadline => {
+                Failure::retryable(RequestOutcome::NotRun, "deadline", retry_after)
+            }
+            RejectReason::Overload => {
+                Failure::retryable(RequestOutcome::NotRun, "overload", retry_after)
+            }
+            RejectReason::Draining => {
+                Failure::retryable(RequestOutcome::NotRun, "draining", retry_after)
             }
-            RejectReason::Deadline => Failure::retryable(Outcome::NotRun, "deadline", retry_after),
-            RejectReason::Overload => Failure::retryable(Outcome::NotRun, "overload", retry_after),
-            RejectReason::Draining => Failure::retryable(Outcome::NotRun, "draining", retry_after),
         }
     }
 }
@@ -123,7 +133,7 @@
             HeadError::Method => StatusCode::METHOD_NOT_ALLOWED,
             _ => StatusCode::BAD_REQUEST,
         };
-        Failure::new(status, Outcome::NotRun, &err.to_string())
+        Failure::new(status, RequestOutcome::NotRun, &err.to_string())
     }
 }
 
@@ -136,7 +146,8 @@
             }
             _ => StatusCode::BAD_GATEWAY,
         };
-        let outcome = if err.proves_not_run() { Outcome::NotRun } else { Outcome::Unknown };
+        let outcome =
+            if err.proves_not_run() { RequestOutcome::NotRun } else { RequestOutcome::Unknown };
         Failure::new(status, outcome, err.as_str())
     }
 }
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -38,7 +38,7 @@
     pub(super) draining: AtomicBool,
     pub(super) keys: Mutex<KeyTable>,
     /// A permit for each keyed request in progress, which may outlive its caller's connection.
-    pub(super) keyed: Arc<Semaphore>,
+    pub(super) keyed_permits: Arc<Semaphore>,
     pub(super) metrics: RequestMetrics,
     /// Notified when a request is queued.
     pub(super) queued: Notify,
@@ -85,7 +85,7 @@
             options,
             clock,
             keys: Mutex::new(keys),
-            keyed: Arc::new(Semaphore::new(MAX_KEYED_IN_PROGRESS as usize)),
+            keyed_permits: Arc::new(Semaphore::new(MAX_KEYED_IN_PROGRESS as usize)),
             pool: Pool::default(),
             draining: AtomicBool::new(false),
             metrics: RequestMetrics::new(),
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -20,7 +20,7 @@
     body::{AnswerBody, RequestBody, Streamed},
     core::Core,
     guard::{AnswerGuard, TryGuard},
-    pool::{Lease, PoolError},
+    pool::{PoolError, PooledConnection},
 };
 
 /// Headers that apply to a single connection (RFC 9110, section 7.6.1).
@@ -134,7 +134,7 @@
     let sent = send(core, &target, forwarded, body);
     let at = core.clock.timer_at(forwarded.deadline);
     let result = tokio::time::timeout_at(at, sent).await.unwrap_or(Err(TryError::Deadline));
-    let (lease, response) = match result {
+    let (connection, response) = match result {
         Ok(answered) => answered,
         Err(err) => {
             let outcome = match err {
@@ -153,7 +153,7 @@
         guard.end(TryReport { outcome, ..report });
         return Err(err);
     }
-    Ok(forward_answer(response, AnswerGuard::new(guard, lease, report, forwarded.deadline)))
+    Ok(forward_answer(response, AnswerGuard::new(guard, connection, report, forwarded.deadline)))
 }
 
 async fn send(
@@ -161,9 +161,9 @@
     target: &Target,
     forwarded: &ForwardedRequest,
     body: RequestBody,
-) -> Result<(Lease, Response<Incoming>), TryError> {
-    let leased = core.pool.lease(target.address, target.connections).await;
-    let mut lease = leased.map_err(|err| {
+) -> Result<(PooledConnection, Response<Incoming>), TryError> {
+    let result = core.pool.acquire(target.address, target.connections).await;
+    let mut connection = result.map_err(|err| {
         log::debug!("event=no_connection vm={} error={err:?}", target.vm);
         match err {
             PoolError::Full { .. } => TryError::NoConnection,
@@ -178,8 +178,8 @@
         return Err(TryError::NotSent);
     }
     let req = forwarded.request(body, target, now);
-    match lease.tx.try_send_request(req).await {
-        Ok(response) => Ok((lease, response)),
+    match connection.tx.try_send_request(req).await {
+        Ok(response) => Ok((connection, response)),
         Err(err) => Err(classify_send_error(err, target)),
     }
 }
--- a/daisy-entry/src/proxy/guard.rs
+++ b/daisy-entry/src/proxy/guard.rs
@@ -11,7 +11,7 @@
 use daisy_routing::{TryId, TryOutcome, TryReport};
 use tokio::time::Sleep;
 
-use crate::proxy::{core::Core, pool::Lease};
+use crate::proxy::{core::Core, pool::PooledConnection};
 
 /// A try in progress; dropping it ends the try as cancelled.
 ///
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(super) struct AnswerGuard {
     guard: TryGuard,
-    lease: Option<Lease>,
+    connection: Option<PooledConnection>,
     report: TryReport,
     deadline: Instant,
     timer: Option<Pin<Box<Sleep>>>,
@@ -59,11 +59,11 @@
     /// complete.
     pub(super) fn new(
         guard: TryGuard,
-        lease: Lease,
+        connection: PooledConnection,
         report: TryReport,
         deadline: Instant,
     ) -> AnswerGuard {
-        AnswerGuard { guard, lease: Some(lease), report, deadline, timer: None }
+        AnswerGuard { guard, connection: Some(connection), report, deadline, timer: None }
     }
 
     /// Counts received bytes of the body.
@@ -73,8 +73,8 @@
 
     /// Ends the try after a complete body: the connection may carry another request.
     pub(super) fn complete(&mut self) {
-        if let Some(lease) = self.lease.take() {
-            lease.release();
+        if let Some(connection) = self.connection.take() {
+            connection.release();
         }
         self.guard.end(self.report);
     }
@@ -82,7 +82,7 @@
     /// Ends the try after a body that was cut off: the connection is closed, so that no remainder
     /// of it reaches a later request.
     pub(super) fn broken(&mut self) {
-        self.lease = None;
+        self.connection = None;
         self.guard.end(TryReport { outcome: TryOutcome::Broken, ..self.report });
     }
 
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -28,7 +28,7 @@
 /// How often the end of a claim is sent to a home that does not acknowledge it.
 const FINISH_TRIES: u32 = 5;
 /// The pause between those tries.
-const FINISH_PAUSE: Duration = Duration::from_millis(100);
+const RESEND_PAUSE: Duration = Duration::from_millis(100);
 /// How long keys are offered to a peer that has joined and does not acknowledge them: its link may
 /// come up later than its heartbeat, and a new home waits as long for the keys of the others.
 pub(super) const JOIN_HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -123,7 +123,7 @@
                 }
                 return;
             }
-            tokio::time::sleep(FINISH_PAUSE).await;
+            tokio::time::sleep(RESEND_PAUSE).await;
         }
         log::warn!(
             "event=claim_end_undelivered key_digest={:016x}",
@@ -229,8 +229,8 @@
         }
     }
     join_all(by_peer.into_iter().map(async |(peer, queries)| {
-        let taken = hand_over_to(core, peers, peer, queries, timeout).await;
-        log::info!("event=keys_handed_over peer={peer} taken={taken}");
+        let acknowledged = hand_over_to(core, peers, peer, queries, timeout).await;
+        log::info!("event=keys_handed_over peer={peer} taken={acknowledged}");
     }))
     .await;
 }
@@ -253,7 +253,7 @@
             if core.clock.now().since(started_at) >= timeout {
                 return false;
             }
-            tokio::time::sleep(FINISH_PAUSE).await;
+            tokio::time::sleep(RESEND_PAUSE).await;
         }
     }
     true
--- a/daisy-entry/src/proxy/pool.rs
+++ b/daisy-entry/src/proxy/pool.rs
@@ -70,16 +70,16 @@
 
 /// A connection in use by one request; dropping it closes the connection.
 #[derive(Debug)]
-pub(super) struct Lease {
+pub(super) struct PooledConnection {
     backend: Arc<BackendConnections>,
     /// Where requests are sent.
     pub(super) tx: SendRequest<RequestBody>,
 }
 
-impl Lease {
+impl PooledConnection {
     /// Returns the connection to the pool; only allowed after a complete answer.
     pub(super) fn release(self) {
-        let Lease { backend, tx } = self;
+        let PooledConnection { backend, tx } = self;
         if !tx.is_closed() {
             lock(&backend.state).idle.push(IdleConnection { tx });
         }
@@ -88,11 +88,15 @@
 
 impl Pool {
     /// Returns a connection to `address`, of which at most `limit` are open at a time.
-    pub(super) async fn lease(&self, address: SocketAddr, limit: u32) -> Result<Lease, PoolError> {
+    pub(super) async fn acquire(
+        &self,
+        address: SocketAddr,
+        limit: u32,
+    ) -> Result<PooledConnection, PoolError> {
         let backend = Arc::clone(lock(&self.backends).get_or_insert_with(address, Arc::default));
         while let Some(IdleConnection { mut tx }) = pop_idle(&backend) {
             if tx.ready().await.is_ok() {
-                return Ok(Lease { backend, tx });
+                return Ok(PooledConnection { backend, tx });
             }
         }
         let open =
@@ -106,7 +110,7 @@
             }
             drop(open);
         });
-        Ok(Lease { backend, tx })
+        Ok(PooledConnection { backend, tx })
     }
 
     /// Closes idle connections to backend servers for which `keep` returns false.
--- a/daisy-entry/src/proxy/request.rs
+++ b/daisy-entry/src/proxy/request.rs
@@ -13,7 +13,7 @@
 use crate::{
     boundary::PeerKeys,
     proxy::{
-        answer::{Failure, Outcome},
+        answer::{Failure, RequestOutcome},
         body::AnswerBody,
         core::{AdmissionResult, Core},
         forward::ForwardedRequest,
@@ -108,7 +108,7 @@
         let deadline = proxied.call.deadline;
         let Requests { core, peers } = self.clone();
         let keyed = KeyedRequest { core, peers, id, request_digest, key, deadline };
-        let permit = self.core.keyed.clone().acquire_owned().await;
+        let permit = self.core.keyed_permits.clone().acquire_owned().await;
         let task = tokio::spawn(async move {
             let answer = run_claimed(keyed, proxied).await;
             drop(permit);
@@ -116,7 +116,7 @@
         });
         task.await.unwrap_or_else(|_| {
             let status = StatusCode::INTERNAL_SERVER_ERROR;
-            Err(Failure::new(status, Outcome::Unknown, "internal"))
+            Err(Failure::new(status, RequestOutcome::Unknown, "internal"))
         })
     }
 }
@@ -139,7 +139,7 @@
     let result = match run_request(&keyed.core, proxied).await {
         Ok(response) => stored::store_answer(response).await.map_err(|err| {
             log::debug!("event=answer_cut_off error={err:?}");
-            Failure::new(StatusCode::BAD_GATEWAY, Outcome::Unknown, "answer-cut-off")
+            Failure::new(StatusCode::BAD_GATEWAY, RequestOutcome::Unknown, "answer-cut-off")
         }),
         Err(failure) => Err(failure),
     };
@@ -149,7 +149,7 @@
             Ok(response)
         }
         Err(failure) => {
-            let not_run = failure.outcome == Outcome::NotRun;
+            let not_run = failure.outcome == RequestOutcome::NotRun;
             let end = if not_run { ClaimEnd::NotRun } else { ClaimEnd::Unknown };
             keyed.finish(claim, end).await;
             Err(failure)
@@ -178,7 +178,9 @@
         AdmissionResult::Wait(waiting) => match waiting.decision().await {
             Some(QueueDecision::Send(target)) => Ok(target),
             Some(QueueDecision::Reject(_, rejection)) => Err(rejection.into()),
-            None => Err(Failure::retryable(Outcome::NotRun, "draining", core.retry_after(call))),
+            None => {
+                Err(Failure::retryable(RequestOutcome::NotRun, "draining", core.retry_after(call)))
+            }
         },
     }
 }
@@ -188,7 +190,11 @@
     let limit = core.options.limits.body_bytes;
     let hint = body.size_hint();
     if hint.lower() > limit {
-        return Err(Failure::new(StatusCode::PAYLOAD_TOO_LARGE, Outcome::NotRun, "body-too-large"));
+        return Err(Failure::new(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            RequestOutcome::NotRun,
+            "body-too-large",
+        ));
     }
     if hint.exact().is_none_or(|length| length > MAX_BUFFERED_BODY) {
         return Ok(Payload::Streamed { inner: body, limit });
@@ -200,8 +206,10 @@
     match tokio::time::timeout_at(at, body.collect()).await {
         Ok(Ok(whole)) => Ok(Payload::Buffered(whole.to_bytes())),
         Ok(Err(_)) => {
-            Err(Failure::new(StatusCode::BAD_REQUEST, Outcome::NotRun, "request-cut-off"))
+            Err(Failure::new(StatusCode::BAD_REQUEST, RequestOutcome::NotRun, "request-cut-off"))
+        }
+        Err(_) => {
+            Err(Failure::new(StatusCode::REQUEST_TIMEOUT, RequestOutcome::NotRun, "slow-request"))
         }
-        Err(_) => Err(Failure::new(StatusCode::REQUEST_TIMEOUT, Outcome::NotRun, "slow-request")),
     }
 }
--- a/daisy-entry/src/proxy/stored.rs
+++ b/daisy-entry/src/proxy/stored.rs
@@ -12,7 +12,7 @@
 use hyper::body::Body;
 
 use crate::proxy::{
-    answer::{ANSWERED, Failure, Outcome},
+    answer::{ANSWERED, Failure, RequestOutcome},
     body::{AnswerBody, BodyError},
 };
 
@@ -38,7 +38,11 @@
 /// Returns the answer of an earlier attempt, marked as replayed.
 pub(super) fn replay(stored: StoredAnswer) -> Result<Response<AnswerBody>, Failure> {
     let Some(body) = stored.body else {
-        return Err(Failure::new(StatusCode::CONFLICT, Outcome::Answered, "answer-not-kept"));
+        return Err(Failure::new(
+            StatusCode::CONFLICT,
+            RequestOutcome::Answered,
+            "answer-not-kept",
+        ));
     };
     let mut response = Response::new(AnswerBody::fixed(Bytes::from(body)));
     if let Ok(status) = StatusCode::from_u16(stored.status) {
--- a/daisy-entry/src/vm_list.rs
+++ b/daisy-entry/src/vm_list.rs
@@ -57,7 +57,7 @@
 /// has a newer list, so each time a peer is chosen at random.
 async fn list_from_peer(links: &Links, known: Option<u64>) -> Option<VmListing> {
     let peer = links.any_peer()?;
-    match links.send_question(peer, PeerQuery::Vms { known }, PEER_TIMEOUT).await? {
+    match links.send_query(peer, PeerQuery::Vms { known }, PEER_TIMEOUT).await? {
         PeerAnswer::Vms { version, vms } => {
             log::info!("event=vm_list_from_peer peer={peer} version={version}");
             Some(VmListing { version, vms })
