--- a/daisy-history/src/event.rs
+++ b/daisy-history/src/event.rs
@@ -50,8 +50,7 @@
     /// Its holder stopped it.
     Stopped,
     /// Its lease expired.
-    #[serde(rename = "lease-lapsed")]
-    LeaseExpired,
+    LeaseLapsed,
 }
 
 /// How an attempt of a call ended for its caller.
--- a/daisy-history/src/resume.rs
+++ b/daisy-history/src/resume.rs
@@ -83,7 +83,7 @@
                 self.resumed = None;
             }
             // The work since the checkpoint is lost, so the checkpoint may be resumed once more.
-            RunEnd::Failed | RunEnd::Stopped | RunEnd::LeaseExpired => {
+            RunEnd::Failed | RunEnd::Stopped | RunEnd::LeaseLapsed => {
                 if self.resumed.is_some_and(|(it, _)| it == run) {
                     self.resumed = None;
                 }
--- a/daisy-history/tests/checkers/one_place.rs
+++ b/daisy-history/tests/checkers/one_place.rs
@@ -30,7 +30,7 @@
 fn reports_an_incarnation_that_is_started_twice() {
     let bad = history(&[
         (1, "w1", started(run(1), None)),
-        (2, "w1", ended(1, RunEnd::LeaseExpired)),
+        (2, "w1", ended(1, RunEnd::LeaseLapsed)),
         (3, "w2", started(run(1), None)),
     ]);
 
@@ -52,7 +52,7 @@
 fn accepts_a_restart_at_the_instant_at_which_the_lease_expired() {
     let good = history(&[
         (1, "w1", started(run(1), None)),
-        (2, "w1", ended(1, RunEnd::LeaseExpired)),
+        (2, "w1", ended(1, RunEnd::LeaseLapsed)),
         (2, "w2", started(run(2), None)),
         (3, "w2", ended(2, RunEnd::Done)),
     ]);
--- a/daisy-history/tests/checkers/resume.rs
+++ b/daisy-history/tests/checkers/resume.rs
@@ -66,7 +66,7 @@
 fn accepts_a_second_resumption_after_the_work_of_the_first_was_lost() {
     let more = [
         (3, "w2", started(run(2), Some(TOKEN))),
-        (4, "w2", ended(2, RunEnd::LeaseExpired)),
+        (4, "w2", ended(2, RunEnd::LeaseLapsed)),
         (5, "w3", started(run(3), Some(TOKEN))),
         (6, "w3", ended(3, RunEnd::Done)),
     ];
--- a/daisy-standin/src/worker/state.rs
+++ b/daisy-standin/src/worker/state.rs
@@ -398,7 +398,7 @@
         Exit::Failed => Some(RunEnd::Failed),
         Exit::Checkpointed(token) => Some(RunEnd::Checkpointed(token)),
         Exit::Stopped => Some(RunEnd::Stopped),
-        Exit::LeaseExpired => Some(RunEnd::LeaseExpired),
+        Exit::LeaseExpired => Some(RunEnd::LeaseLapsed),
         Exit::Refused | Exit::Unknown => None,
     }
 }
