--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -311,8 +311,8 @@
     /// Guard: the holder resolves the outcome of tasks that its predecessor may have started
     /// without recording it only by a list that is recent enough. Without this confirmation an
     /// unchanged list would never be recent enough, and such tasks would stay blocked until the
-    /// list happened to change. A list from a peer, which may have read it long ago, does not
-    /// count.
+    /// list happened to change. A list from a peer does not confirm anything, because the peer may
+    /// have read it long ago.
     fn confirm_vm_list(&mut self, now: Instant) {
         let vms = Arc::clone(&self.vms);
         self.drive_holder(now, daisy_placement::Event::Vms(&vms));
--- a/daisy-entry/src/control/append.rs
+++ b/daisy-entry/src/control/append.rs
@@ -21,8 +21,8 @@
 ///
 /// Only holders append often: six of them add up to 40 appends a second, and the platform accepts a
 /// few hundred. At 50 ms the log itself was 2.2 KB a second at the peak of 62 starts a second
-/// (`daisy-measure ledger`), more than a node may spend on all of control. A first append after a
-/// pause is sent at once.
+/// (`daisy-measure ledger`), more than a node may use for all of its control traffic. The
+/// first append after a pause is sent at once.
 const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The outcome of a submitted record.
@@ -97,8 +97,8 @@
 
     /// Appends a record whose outcome is sent to `reply`.
     ///
-    /// While the log is unreachable no more records are accepted: the sender would be told that the
-    /// change failed, and see it take effect an hour later.
+    /// No records are accepted while the log is unreachable: the sender would get an error, but the
+    /// change could still take effect an hour later.
     pub(super) fn submit(&mut self, record: Record, reply: oneshot::Sender<SubmitOutcome>) {
         if !self.appends.is_reachable() {
             let _ = reply.send(SubmitOutcome::NotAppended("the log does not accept appends"));
@@ -116,9 +116,9 @@
 
     /// Appends a claim, once.
     ///
-    /// Guard: a claim that took effect long after it was decided would depose a healthy holder that
-    /// has taken over in between. It bypasses the queue, which would send it again until the end of
-    /// an outage; another claim requires a new decision.
+    /// Guard: a claim that took effect long after it was decided would replace a healthy holder
+    /// that has taken over in the meantime. Claims therefore bypass the queue, which would send
+    /// them again until the end of an outage. Another claim requires a new decision.
     pub(super) fn append_claim(&mut self) {
         self.appends.last_claim.seq += 1;
         let record = Record::Claim { dc: self.identity.dc, holder: self.identity.vm };
--- a/daisy-entry/src/control/publish.rs
+++ b/daisy-entry/src/control/publish.rs
@@ -36,9 +36,9 @@
 
     /// Resets the connection to a peer that sends no heartbeats.
     ///
-    /// Guard: a connection through a link that was cut may hang until TCP gives up, many minutes
-    /// after the link is back, and the peer would be unreachable for as long. The connection to
-    /// such a peer is reset every few seconds.
+    /// Guard: a connection through a link that was cut may stay blocked until TCP times out, many
+    /// minutes after the link is restored, and the peer would be unreachable for that time. The
+    /// connection to an unresponsive peer is therefore reset every few seconds.
     fn reset_if_unresponsive(&mut self, now: Instant, vm: VmId) {
         let options = self.membership.options();
         if self.membership.peers().is_alive(options, now, vm) {
@@ -52,8 +52,9 @@
         }
     }
 
-    /// Returns the replicas to send to a peer: the speaker of a data centre sends the own ones to
-    /// other data centres, and all of them to peers in its own.
+    /// Returns the replicas to send to a peer. Only the entry VM that represents its data centre
+    /// sends any: those of its own data centre to other data centres, and all that it knows to
+    /// peers in its own.
     fn replicas_for(&self, now: Instant, is_same_dc: bool) -> Vec<Arc<Replicas>> {
         if !self.membership.represents_dc(now) {
             return Vec::new();
--- a/daisy-entry/src/control/replicas.rs
+++ b/daisy-entry/src/control/replicas.rs
@@ -54,8 +54,8 @@
     let old = before.iter().flat_map(|it| it.all.iter());
     all.extend(old.filter(|it| never_answered.binary_search(&it.vm).is_ok()).copied());
     all.sort_unstable();
-    // A staying replica sorts before a leaving one and is kept: the server still serves the
-    // service.
+    // Of two entries for a backend server, the one that is not leaving sorts first and remains: the
+    // backend server still serves the service.
     all.dedup_by_key(|it| (it.job, it.vm));
     all
 }
--- a/daisy-entry/src/control/restore.rs
+++ b/daisy-entry/src/control/restore.rs
@@ -1,5 +1,5 @@
-//! Restores the state from what the log or a peer still has, and writes snapshots for later cold
-//! starts.
+//! Restores the state from the retained records of the log or from a peer, and writes snapshots for
+//! later cold starts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,8 +17,8 @@
 
 /// Size of one part of a snapshot, in bytes: half of the longest append.
 const PART_BYTES: usize = 512 << 10;
-/// The share of the retained records, in thirds, after which any holder writes a snapshot once the
-/// log drops records; the first writer writes after `3 - FALLBACK_THIRDS` thirds.
+/// The share of the retained records, in thirds, after which any holder writes a snapshot if the
+/// log drops records. The first writer already writes after `3 - FALLBACK_THIRDS` thirds.
 const FALLBACK_THIRDS: u64 = 2;
 
 /// Progress since the last complete snapshot.
@@ -77,7 +77,7 @@
         let since =
             SinceSnapshot { entries, bytes: self.bytes, age: now.since(self.first_seen_at) };
         let options = snapshot::Options::for_retention(retention);
-        // The log drops records: a third of the retained ones may pass before the next snapshot.
+        // If the log drops records, a snapshot is due after a third of the retained records.
         let retained = state.next.0.saturating_sub(self.first.0);
         let expiring = self.first > Offset(0) && entries * 3 >= retained * (3 - FALLBACK_THIRDS);
         let is_writer = rank == 0 || entries * 3 >= retained * FALLBACK_THIRDS;
@@ -132,8 +132,8 @@
 
     /// Replaces the state by `state`.
     ///
-    /// Guard: a restored or received state is adopted only if it is ahead of the own one; otherwise
-    /// an accepted configuration would be rolled back.
+    /// Guard: a restored or received state is adopted only if it is ahead of the current state;
+    /// otherwise an accepted configuration would be rolled back.
     fn adopt(&mut self, now: Instant, state: State) {
         if state.next <= self.state.next {
             return;
@@ -154,9 +154,10 @@
         (self.state.next, bytes)
     }
 
-    /// Appends a snapshot if one is due and it is the turn of this entry VM.
+    /// Appends a snapshot if one is due from this entry VM.
     ///
-    /// Holders write snapshots; that of the data centre with the lowest number is the first writer.
+    /// Holders write snapshots. The holder of the data centre with the lowest number is the first
+    /// writer.
     pub(super) fn write_snapshot(&mut self, now: Instant) {
         if !matches!(self.membership.role(), Role::Holder(_)) || !self.appends.is_reachable() {
             return;
--- a/daisy-entry/src/proxy.rs
+++ b/daisy-entry/src/proxy.rs
@@ -46,8 +46,9 @@
 /// Interval between checks of the queue for requests that can no longer finish in time.
 const QUEUE_TICK: Duration = Duration::from_millis(5);
 
-/// The same interval while no request waits: at 5 ms an idle entry VM spent one percent of a core
-/// on waking up. It is far below the gap by which a freeze of the process is detected.
+/// Interval between the checks while no request waits: at 5 ms an idle entry VM spent one percent
+/// of a core on waking up. It is much shorter than the gap by which a freeze of the process is
+/// detected.
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
 /// Interval between updates of the homes of keys from the routes.
--- a/daisy-entry/src/proxy/body.rs
+++ b/daisy-entry/src/proxy/body.rs
@@ -112,7 +112,7 @@
 }
 
 impl Streamed {
-    /// Streams `inner`; `guard` is told how it ended.
+    /// Streams `inner`, and reports to `guard` how it ended.
     pub(super) fn new(inner: Incoming, guard: AnswerGuard) -> Streamed {
         Streamed { inner, guard }
     }
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -23,7 +23,7 @@
     pool::{Pool, lock},
 };
 
-/// Memory for stored answers to repeated attempts, in bytes: a quarter of what control may use.
+/// Memory for stored answers to repeated attempts, in bytes: a quarter of the memory for control.
 const MAX_STORED_BYTES: usize = 64 << 20;
 
 /// The maximum number of concurrent keyed requests; each holds at most its short body.
@@ -54,7 +54,7 @@
     waiters: SortedMap<Ticket, oneshot::Sender<QueueDecision>>,
 }
 
-/// A request in the queue; dropping it gives up its place.
+/// A request in the router's queue; dropping it removes the request from the queue.
 #[derive(Debug)]
 pub(super) struct QueuedRequest<'a> {
     core: &'a Core,
@@ -62,7 +62,7 @@
     rx: oneshot::Receiver<QueueDecision>,
 }
 
-/// The result of offering a request to the router.
+/// The router's answer to a new request.
 #[derive(Debug)]
 pub(super) enum AdmissionResult<'a> {
     Send(Target),
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -95,7 +95,7 @@
 }
 
 impl ForwardedRequest {
-    /// Takes over the caller's head without hop-by-hop headers.
+    /// Creates the request from the caller's head, without hop-by-hop headers.
     pub(super) fn new(mut parts: Parts, id: u64, deadline: Instant) -> ForwardedRequest {
         strip_hop_by_hop(&mut parts.headers);
         parts.headers.remove(header::EXPECT);
@@ -184,7 +184,7 @@
     }
 }
 
-/// Only a request that hyper returns was certainly not written.
+/// Converts a send error: only a request that hyper returns was certainly not written.
 fn classify_send_error(mut err: TrySendError<Request<RequestBody>>, target: &Target) -> TryError {
     let unwritten = err.take_message().is_some();
     log::debug!("event=try_failed vm={} unwritten={unwritten} error={:?}", target.vm, err.error());
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -25,14 +25,15 @@
 /// The time beyond its deadline for which a request may be treated as running, to allow for the
 /// delay of messages to the home.
 const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
-/// How often the end of a claim is sent to a home that does not acknowledge it.
+/// Number of attempts to report the end of a claim to a home that does not acknowledge it.
 const FINISH_TRIES: u32 = 5;
-/// The pause between those tries.
+/// The pause before a message is sent again to an entry VM that has not acknowledged it.
 const RESEND_PAUSE: Duration = Duration::from_millis(100);
-/// How long keys are offered to a peer that has joined and does not acknowledge them: its link may
-/// come up later than its heartbeat, and a new home waits as long for the keys of the others.
+/// How long a handover message is sent again to a peer that has joined and does not acknowledge it.
+/// The link to the peer may be established after its first heartbeat; a new home waits equally long
+/// for the keys of the other homes.
 pub(super) const JOIN_HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The same in a planned stop, which must not wait for lost peers.
+/// The same limit in a planned stop, which must not wait for lost peers.
 pub(super) const LEAVE_HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the platform's log may take to record an intent.
 const INTENT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -237,9 +238,9 @@
 
 /// Hands keys over to one peer; returns whether it has acknowledged all messages.
 ///
-/// Guards against a last message that arrives without those before it: the peer would claim a
-/// complete history of keys that it does not have. A message is sent only after the previous one
-/// was acknowledged.
+/// A message is sent only after the previous one was acknowledged. Guards against a last message
+/// that arrives without the messages before it: the peer would treat its history as complete
+/// although it lacks the keys of these messages.
 async fn hand_over_to<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
--- a/daisy-entry/src/proxy/pool.rs
+++ b/daisy-entry/src/proxy/pool.rs
@@ -20,7 +20,7 @@
 /// Why no connection could be obtained; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PoolError {
-    /// As many connections are open as this entry VM may have.
+    /// This entry VM has reached its limit of connections to the backend server.
     #[error("all {limit} connections in use")]
     Full {
         /// The limit.
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -142,8 +142,8 @@
     }
 }
 
-/// Returns how long a poll waits: it is short while only the log can show that a holder still is
-/// one.
+/// Returns how long a poll waits. It is short while there are no peers, because then only the log
+/// can confirm that a holder still is the holder.
 pub(crate) fn poll_wait(holder_timeout: Duration, has_no_peers: bool) -> Duration {
     match has_no_peers {
         true => holder_timeout / 4,
--- a/daisy-ledger/src/append.rs
+++ b/daisy-ledger/src/append.rs
@@ -191,8 +191,8 @@
     /// Returns whether the log is believed to accept appends.
     ///
     /// Guard: the log is treated as unreachable only while an append is being retried. The loss of
-    /// an answer may be detected after the append was folded. If that alone made the log count as
-    /// unreachable, it would stay so for ever, since nothing is sent while it is unreachable.
+    /// an answer may be detected after the append was folded. If the loss alone made the log
+    /// unreachable, it would remain unreachable, since nothing is sent in this state.
     pub fn is_reachable(&self) -> bool {
         self.outstanding.as_ref().is_none_or(|it| !it.is_answer_lost)
     }
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Handles a folded append. It also counts as answered, because its answer may have been lost.
+    /// Handles a folded append. It is treated as answered, because its answer may have been lost.
     fn handle_folded(&mut self, id: AppendId, actions: &mut Vec<Action>) {
         if id.sender != self.options.sender {
             return;
--- a/daisy-ledger/src/change.rs
+++ b/daisy-ledger/src/change.rs
@@ -19,8 +19,8 @@
     pub const MAX_TEAMS: usize = 1_000;
     /// The most VMs drained at one time.
     pub const MAX_DRAINED: usize = 10_000;
-    /// The most entries of the audit trail. Changes of jobs and all other changes have half of it
-    /// each; one kind uses more only while the other kind has fewer entries than its half.
+    /// The most entries of the audit trail. Half of them are for changes of jobs and half for all
+    /// other changes; one kind exceeds its half only while the other kind does not use its own.
     ///
     /// With 8,600 jobs and 360 other changes a day (the users' size plan), that covers half a day
     /// of job changes and two weeks of the others. The trail is the largest part of a snapshot.
@@ -61,8 +61,8 @@
 
     /// Removes the oldest entries about jobs or the oldest other entries, whichever are more.
     ///
-    /// Otherwise thousands of jobs a day would displace the record of who drained a VM within a
-    /// day or two.
+    /// If the oldest entries of either kind were removed, thousands of job changes a day would
+    /// displace the record of who drained a VM within a day or two.
     fn trim_audit(&mut self) {
         let jobs = self.audit.iter().filter(|it| is_about_job(&it.change.command)).count();
         let drops_job_entries = jobs * 2 > self.audit.len();
@@ -239,7 +239,7 @@
         Ok(())
     }
 
-    /// Adds or ends tasks to match the declared number of tasks, which was `before`.
+    /// Adds or ends tasks to match the declared number of tasks; `before` is the previous number.
     fn resize(&mut self, id: JobId, before: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let declared = job.spec.tasks;
--- a/daisy-ledger/src/checkout.rs
+++ b/daisy-ledger/src/checkout.rs
@@ -95,8 +95,8 @@
         let job = self.jobs.get(id.job)?;
         let is_declared = !job.cancelled && id.index < job.spec.tasks;
         let task = self.checked_out_mut(dc, id)?;
-        // An incarnation recorded as placed has started: if it were returned, another data centre
-        // could start the task a second time.
+        // An incarnation recorded as placed has started. If its task were returned, another data
+        // centre could start the task a second time.
         if task.incarnation > task.ended {
             return None;
         }
@@ -122,7 +122,7 @@
 
     fn try_place(&mut self, dc: DcId, placement: &Placement) -> Option<()> {
         let task = self.checked_out_mut(dc, placement.task)?;
-        // Recorded late, after the incarnation has ended or a later one has started.
+        // The placement was recorded after its incarnation ended or a later one started.
         if placement.incarnation <= task.ended || placement.incarnation < task.incarnation {
             return None;
         }
--- a/daisy-ledger/src/intents.rs
+++ b/daisy-ledger/src/intents.rs
@@ -18,7 +18,8 @@
 /// The announced keys, limited in number; the oldest are removed first.
 ///
 /// Keys are evenly distributed digests, so an insertion into one sorted vector of all keys would
-/// move half of it on average. Several short vectors instead cost a search in each of them.
+/// move half of it on average. With several short vectors an insertion is cheap, and a lookup
+/// searches each of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Intents {
     chunks: VecDeque<SortedMap<u128, Intent>>,
@@ -27,7 +28,7 @@
 impl Intents {
     /// The number of keys of one sorted vector.
     const CHUNK_LEN: usize = 1_024;
-    /// The number of newest keys that are remembered at least.
+    /// The minimum number of newest keys that are remembered.
     ///
     /// A key is removed only after this many newer ones. At 200 announced requests a second, the
     /// whole budget of appends, that takes over five minutes; the retry window is two minutes.
--- a/daisy-ledger/src/jobs.rs
+++ b/daisy-ledger/src/jobs.rs
@@ -20,10 +20,10 @@
 }
 
 impl Jobs {
-    /// The most finished jobs kept; the job that finished first is removed first. That is about
-    /// five hours at 8,600 jobs a day (the users' size plan).
+    /// The most finished jobs that are stored; the job that finished first is removed first. The
+    /// limit is reached after about five hours at 8,600 jobs a day (the users' size plan).
     pub const MAX_FINISHED_JOBS: usize = 2_000;
-    /// The most tasks of all finished jobs that are kept.
+    /// The most tasks of all stored finished jobs together.
     pub const MAX_FINISHED_TASKS: usize = 25_000;
 
     /// Returns the job with the id `job`; `None` if there is none or it has been compacted away.
--- a/daisy-ledger/src/quota.rs
+++ b/daisy-ledger/src/quota.rs
@@ -17,8 +17,8 @@
     /// is exceeded.
     ///
     /// Batch work cannot use the share that the team's services need when all their tasks run. A
-    /// task of a service whose VM failed waits for its next start for a moment. If batch work
-    /// could use its share meanwhile, the service would lack capacity until that work ends.
+    /// service task whose VM failed does not run for a short time. If batch work could use its
+    /// share meanwhile, the service would lack capacity until the batch work ends.
     pub(crate) fn headroom(
         &mut self,
         state: &State,
--- a/daisy-ledger/src/record.rs
+++ b/daisy-ledger/src/record.rs
@@ -53,7 +53,8 @@
         /// The requested tasks.
         tasks: Vec<TaskId>,
     },
-    /// Returns checked-out tasks to the queue that never started under this or an earlier epoch.
+    /// Returns to the queue checked-out tasks that were never started under this or an earlier
+    /// epoch.
     Return {
         /// The data centre.
         dc: DcId,
@@ -115,7 +116,7 @@
         /// The size of a record of a few integers.
         const BASE: usize = 32;
         match self {
-            // The names and numbers of a job in addition to the text.
+            // 16 times the base covers the names and numbers of a job; the text is added.
             Record::Change(change) => 16 * BASE + change.text.len(),
             Record::Claim { .. } | Record::Release { .. } | Record::Intent { .. } => BASE,
             Record::Checkout { tasks, .. } | Record::Return { tasks, .. } => {
--- a/daisy-ledger/src/snapshot.rs
+++ b/daisy-ledger/src/snapshot.rs
@@ -103,7 +103,7 @@
 /// The limits after which a snapshot is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// The number of log entries after which a new snapshot is is_due, so that a process that starts
+    /// The number of log entries after which a new snapshot is due, so that a process that starts
     /// has few entries to fold after the snapshot.
     pub entries: u64,
     /// The number of bytes after which a new snapshot is due.
@@ -137,9 +137,9 @@
 /// Returns whether the process at position `rank`, from 0, among those that may write a snapshot
 /// should write one now.
 ///
-/// Each process waits an eighth longer than the one before it, so that usually only one writes,
-/// and another one does if the first is lost. Two snapshots at the same time do no harm: both are
-/// complete.
+/// Each process waits an eighth longer than the process of the next lower rank. Usually only the
+/// first process writes, and the next one does if the first is lost. Two snapshots at the same time
+/// do no harm: both are complete.
 pub fn is_due(options: &Options, since: &SinceSnapshot, rank: u32) -> bool {
     let eighths = u64::from(8 + rank.min(MAX_RANK));
     let entries = options.entries.saturating_mul(eighths) / 8;
@@ -148,6 +148,6 @@
     since.entries >= entries || since.bytes >= bytes || since.age >= age
 }
 
-/// The last rank that waits longer than the one before it. It waits 15/8 times the limit, so that
-/// the age of a third of the retention becomes five eighths of it.
+/// The highest rank that waits longer than the rank before it. It waits 15/8 times the limit, so
+/// that the age of a third of the retention becomes five eighths of it.
 const MAX_RANK: u32 = 7;
--- a/daisy-ledger/src/state.rs
+++ b/daisy-ledger/src/state.rs
@@ -108,7 +108,8 @@
     pub generation: Generation,
     /// The value of [`State::next`] after the last entry that changed the job or one of its tasks.
     ///
-    /// A reader that has seen the state at some `next` can skip jobs with a value up to that.
+    /// A reader that last saw the state when its `next` was `n` can skip jobs whose value is at
+    /// most `n`.
     pub modified_before: Offset,
 }
 
--- a/daisy-ledger/tests/snapshot.rs
+++ b/daisy-ledger/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! When snapshots are is_due, and which parts form a complete one.
+//! When snapshots are due, and which parts form a complete one.
 
 mod common;
 
--- a/daisy-membership/src/heartbeat_targets.rs
+++ b/daisy-membership/src/heartbeat_targets.rs
@@ -5,8 +5,8 @@
 use crate::{Action, Membership, Peer, Status};
 
 impl Membership {
-    /// Returns whether this entry VM represents its data centre towards the others. That is the
-    /// holder, or the live entry VM with the lowest id while there is no holder.
+    /// Returns whether this entry VM represents its data centre towards the other data centres. The
+    /// holder does or, while there is no live holder, the live candidate with the lowest id.
     pub fn represents_dc(&self, now: Instant) -> bool {
         let own = self.options.vm;
         match self.holder_state.holder_claim {
@@ -61,7 +61,7 @@
 
     /// Returns the peers to which a heartbeat is due.
     fn due_targets(&self, now: Instant) -> Vec<VmId> {
-        // A process that has just started sends at the full rate, so that peers learn of it.
+        // A process that has just started sends at the full rate, so that peers soon know of it.
         let is_holder = self.holder_state.own_epoch(&self.options).is_some();
         let at_full_rate = is_holder || self.status == Status::Starting;
         let local_period = self.options.local_period(at_full_rate, self.peers.local_count());
--- a/daisy-membership/src/holder.rs
+++ b/daisy-membership/src/holder.rs
@@ -1,4 +1,4 @@
-//! Which entry VM is the holder of the data centre, and when to claim it.
+//! Which entry VM is the holder of the data centre, and when to claim the data centre.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -13,7 +13,7 @@
     pub holder: VmId,
     /// The fencing token of the claim.
     pub epoch: Epoch,
-    /// Whether the holder has released the data centre.
+    /// Whether the claim was released.
     pub released: bool,
 }
 
@@ -26,8 +26,9 @@
     Holder(Epoch),
     /// Renews the leases of running tasks under this epoch, and starts nothing.
     ///
-    /// Taken by a holder that cannot confirm that it still is the holder, and, while the log does
-    /// not answer and so accepts no claim, by the first live peer after the holder has timed out.
+    /// A holder takes this role while it cannot confirm that it still is the holder. The first live
+    /// candidate takes it when the holder has timed out and the log does not answer, so that no
+    /// claim can be made.
     LeaseRenewer(Epoch),
 }
 
--- a/daisy-membership/src/membership.rs
+++ b/daisy-membership/src/membership.rs
@@ -27,7 +27,7 @@
     },
     /// The platform's log has answered a read or an append.
     LogAnswered {
-        /// When the read was sent.
+        /// When the read or the append was sent.
         sent_at: Instant,
         /// The end of the log, if the answer contained it.
         end: Option<Offset>,
@@ -47,7 +47,7 @@
     ClaimEnded,
     /// Reading records from this peer failed or made no progress.
     SourceFailed(VmId),
-    /// Time has passed; sent at least twice per heartbeat interval.
+    /// Time has passed; must occur at least twice per heartbeat interval.
     Tick,
     /// A planned stop begins.
     Stop,
@@ -208,9 +208,9 @@
 
     /// Restarts the timeouts of the holder and the peers if this process was paused.
     ///
-    /// Guard: a paused process receives nothing, so on waking it would treat the holder and every
-    /// peer as dead, and make a needless claim after each pause. The time of its own pause is
-    /// therefore not counted against them. Its own lease is not extended.
+    /// Guard: a paused process receives nothing. When it resumes, it would treat the holder and
+    /// every peer as dead, and make a needless claim after each pause. Their timeouts therefore do
+    /// not include the pause. The own lease of the process is not extended.
     fn detect_pause(&mut self, now: Instant) {
         let pause = now.since(self.last_step_at);
         self.last_step_at = now;
--- a/daisy-membership/src/options.rs
+++ b/daisy-membership/src/options.rs
@@ -58,8 +58,8 @@
         self.remote_period() * 3
     }
 
-    /// Returns how long a process that has just started waits for heartbeats of its peers before
-    /// it acts on what it knows of them.
+    /// Returns how long a process that has just started collects heartbeats of its peers before it
+    /// makes claims or accepts callers.
     pub fn discovery_time(&self) -> Duration {
         self.heartbeat_interval * 2
     }
--- a/daisy-membership/src/source.rs
+++ b/daisy-membership/src/source.rs
@@ -39,7 +39,7 @@
     pub log_answers: bool,
 }
 
-/// The selected source, and what is known against a source.
+/// The selected source, and the reasons for which a peer may be excluded as source.
 #[derive(Debug)]
 pub(crate) struct SourceSelector {
     source: RecordSource,
@@ -77,9 +77,10 @@
 
     /// Excludes the source if it makes no progress.
     ///
-    /// Guard: the reads of a parent may hang while it still sends heartbeats. All VMs below it
-    /// would then stay behind, and a new configuration would not come into force there. A VM that
-    /// makes no progress for the holder timeout while a live peer is ahead changes its source.
+    /// Guard: the reads of a parent may block while it still sends heartbeats. All VMs below it in
+    /// the tree would then stay behind, and a new configuration would not come into force there. A
+    /// VM that makes no progress for the holder timeout while a live peer is ahead changes its
+    /// source.
     fn detect_stall(&mut self, now: Instant, inputs: &SourceInputs<'_>) {
         let RecordSource::Peer(parent) = self.source else {
             self.behind_since = None;
--- a/daisy-model/src/worker.rs
+++ b/daisy-model/src/worker.rs
@@ -85,7 +85,7 @@
     pub incarnation: Incarnation,
     /// The size with which it was started.
     pub size: Resources,
-    /// Its share of processors, in thousandths.
+    /// The share of its processors that it may use, in thousandths.
     pub share: u32,
 }
 
--- a/daisy-routing/src/budget.rs
+++ b/daisy-routing/src/budget.rs
@@ -25,7 +25,7 @@
         self.tokens = (self.tokens + f64::from(share_per_mille) / 1_000.0).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes a retry; returns whether one was left.
+    /// Takes one retry from the budget; returns `false` if none is left.
     pub(crate) fn try_spend(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
@@ -34,7 +34,7 @@
         enough
     }
 
-    /// Returns a retry that was not made to the budget.
+    /// Puts back a retry that was taken from the budget but not made.
     pub(crate) fn refund(&mut self) {
         self.tokens = (self.tokens + 1.0).min(MAX_SAVED_RETRIES);
     }
--- a/daisy-routing/src/call.rs
+++ b/daisy-routing/src/call.rs
@@ -4,7 +4,7 @@
 
 use daisy_model::{Instant, Name, VmId};
 
-/// The urgency that a caller declares for its request; a later variant precedes an earlier one.
+/// The urgency that a caller declares for its request; later variants are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
     /// The request can wait until there is free capacity.
--- a/daisy-routing/src/key.rs
+++ b/daisy-routing/src/key.rs
@@ -50,10 +50,11 @@
     /// removed.
     First,
     /// A first attempt that also needs the confirmation of the other data centres. If it does not
-    /// run, the key is removed: the history of its home is incomplete, so that a remaining fence
-    /// would wrongly suggest that the home had confirmed it.
+    /// run, the key is removed. A fence must not remain: the history of the home is incomplete, and
+    /// a fence would wrongly suggest that the home has confirmed that the request did not run.
     Conditional,
-    /// A repeated attempt. If it does not run, the key becomes fenced, as it may have been before.
+    /// A repeated attempt. If it does not run, the key becomes fenced, whether or not it was fenced
+    /// before the claim.
     Repeated,
     /// One of the three kinds above, granted by an earlier home that did not say which. If it does
     /// not run, the state becomes unknown, which is safe for all three.
@@ -101,8 +102,9 @@
         /// A digest of the request's method and path, so that a key is not reused for another
         /// request.
         request_digest: u64,
-        /// Identifies the claim. If an answer is lost, the query is repeated with the same id. A
-        /// claim after [`KeyQuery::Finish`] has a new id, because the finish may arrive after it.
+        /// Identifies the claim. If the answer is lost, the query is repeated with the same id. A
+        /// claim that is made after a [`KeyQuery::Finish`] has a new id, because the finish message
+        /// may arrive after the claim.
         claim: ClaimId,
         /// Whether the caller declares that it has sent the request before.
         repeated: bool,
@@ -158,7 +160,7 @@
     Unknown,
     /// The key was already used for a different request.
     Mismatch,
-    /// The home stores as many keys as its limit allows; nothing was stored.
+    /// The home has reached its limit of stored keys; nothing was stored.
     Full,
     /// The queried entry VM is not the home of the key; nothing was stored.
     NotHome,
--- a/daisy-routing/src/key_step.rs
+++ b/daisy-routing/src/key_step.rs
@@ -26,7 +26,7 @@
     Running,
     /// The key was already used for a different request.
     Mismatch,
-    /// The home stores as many keys as its limit allows.
+    /// The home has reached its limit of stored keys.
     Full,
     /// The entry VM became the home only recently and does not grant claims yet.
     Settling,
@@ -37,9 +37,8 @@
 impl KeyDenial {
     /// Returns whether the caller's request is proven not to have run.
     ///
-    /// Prevents a caller from sending an order under a new key after it has already run: for a
-    /// repeated attempt, the outcome of this attempt proves nothing, because an earlier attempt may
-    /// have run.
+    /// Prevents a caller from sending a request under a new key although it has already run: a
+    /// repeated attempt that is denied proves nothing, because an earlier attempt may have run.
     pub fn proves_not_run(self, repeated: bool) -> bool {
         let not_run = matches!(
             self,
@@ -78,10 +77,10 @@
 /// confirmed that the request has not run there and never will. A data centre that does not answer
 /// may have run it.
 ///
-/// For a first attempt whose local home has an incomplete history, a fence that existed before is
-/// no such confirmation: a repeated attempt may have set that fence and then run in this data
-/// centre. If there is no other data centre, there is no confirmation for such a first attempt
-/// either.
+/// A first attempt gets here only if the history of its local home is incomplete. For it, a fence
+/// that existed before ([`KeyAnswer::AlreadyFenced`]) is not a confirmation: a repeated attempt may
+/// have set the fence and then run in this data centre. Without any other data centre, nothing
+/// confirms a first attempt, and it does not run.
 pub fn next_step_after_other_dcs(answers: Vec<Option<KeyAnswer>>, repeated: bool) -> KeyStep {
     if answers.is_empty() && !repeated {
         return KeyStep::Deny(KeyDenial::Unknown);
--- a/daisy-routing/src/keys.rs
+++ b/daisy-routing/src/keys.rs
@@ -83,8 +83,8 @@
         self.store.expire(now, self.retry_window);
     }
 
-    /// Returns the possible homes of `key` in the data centre `dc` as this entry VM sees it, the
-    /// likeliest first.
+    /// Returns the entry VMs of the data centre `dc` that may be the home of `key`, the likeliest
+    /// first, by the routes that this entry VM knows.
     pub fn candidate_homes(&self, dc: DcId, key: &KeyId) -> Vec<VmId> {
         self.membership.candidate_homes(dc, key)
     }
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Stops acting as a home; returns the handover messages with their recipients.
+    /// Stops acting as a home for a planned stop; returns the handover messages with their
+    /// recipients.
     pub fn start_handover(&mut self, now: Instant) -> Vec<(VmId, KeyQuery)> {
         self.leaving = true;
         self.membership.set_departed(self.me, true);
@@ -186,9 +187,9 @@
             return KeyAnswer::NotHome;
         }
         // Prevents a repeated attempt from running a second time because this home does not know of
-        // the first, which happens after the old home was killed, frozen or cut off. A fence at
-        // this home proves no more than its history does: another home may have granted the key
-        // since.
+        // the first attempt, which happens after the old home was killed, frozen or cut off. With
+        // an incomplete history, a fence at this home proves nothing either: another home may have
+        // granted the key since.
         let is_complete = self.history.is_complete(now, self.retry_window);
         if let Some(stored) = self.store.get_mut(&key) {
             return stored.claim(claimed, kind == ClaimKind::Repeated && is_complete);
@@ -211,8 +212,8 @@
         if !is_complete {
             return KeyAnswer::Unknown;
         }
-        // Prevents a first attempt that was delayed on its way here from running after the repeated
-        // one has run elsewhere.
+        // Prevents a delayed first attempt from running here after the repeated attempt has run
+        // elsewhere.
         let fenced = StoredKey { request_digest, stored_state: StoredState::Fenced, expires_at };
         self.insert_new(now, key, fenced, KeyAnswer::Fenced)
     }
@@ -261,16 +262,16 @@
         }
     }
 
-    /// Returns the keys of which `peer` may consider itself the home, in messages of bounded size,
-    /// to be sent one after another; the last one tells the peer that the handover is complete.
+    /// Returns the keys of which `peer` may consider itself the home, in messages of bounded size
+    /// that must be sent one after another. The last message marks the handover as complete.
     ///
-    /// Prevents an order from running twice because its new home, known here, is not yet known to
-    /// `peer`, which considers itself the home and treats its own history as complete: a joining
-    /// entry VM gets all keys for which it precedes this one, and in a planned stop every peer gets
-    /// all keys.
+    /// Prevents a request from running twice. `peer` may not know yet that a third entry VM is the
+    /// home of a key; it then considers itself the home and treats its own history as complete. A
+    /// joining entry VM therefore gets all keys for which it precedes this one, and in a planned
+    /// stop every peer gets all keys.
     ///
-    /// The keys also stay stored here until they expire: a home that joins later, and that this
-    /// entry VM learns of later, must still receive them.
+    /// The keys also stay stored here until they expire, because a home that joins later must still
+    /// receive them.
     fn handover_to(&self, now: Instant, peer: VmId) -> Vec<(VmId, KeyQuery)> {
         let mut messages = Vec::new();
         let mut keys = Vec::new();
--- a/daisy-routing/src/keys/history.rs
+++ b/daisy-routing/src/keys/history.rs
@@ -1,8 +1,8 @@
 //! Whether the history of a home is complete.
 //!
-//! A home that has not seen a key says so only if no other entry VM can have granted it within the
-//! retry window: this process has run all the time and was not frozen, and every other entry VM of
-//! the data centre is in contact or has handed its keys over.
+//! A home confirms that it has not seen a key only if no other entry VM can have granted the key
+//! within the retry window. That is so if this process has run for the whole window without a
+//! freeze, and every other entry VM of the data centre is reachable or has handed its keys over.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 
 use crate::keys::membership::Membership;
 
-/// A pause between two observations that is treated as a freeze. Far shorter than the time after
-/// which peers treat a silent entry VM as lost (2 s), so that they cannot have replaced this one
-/// unnoticed.
+/// A pause between two observations that is treated as a freeze. Much shorter than the time after
+/// which peers treat an unresponsive entry VM as lost (2 s), so that this process notices every
+/// freeze during which they may have replaced it.
 const MAX_OBSERVATION_GAP: Duration = Duration::from_millis(500);
 /// How long a new home waits for the keys of entry VMs that started earlier. Longer than peers need
 /// to learn of it from the VM list (about 1 s) and to treat it as missing (2 s).
@@ -108,8 +108,8 @@
         self.awaiting_handover.retain(|vm| listed.contains(vm));
         // Detects a partition within the data centre: the other side may have made another entry VM
         // the home, which continues to grant claims there. Also detects an entry VM that started
-        // earlier and died without a handover: what it had granted is known to nobody, including
-        // entry VMs that do not know of its death yet and treat their history as complete.
+        // earlier and died without a handover: no entry VM knows what it had granted, also not
+        // those that have not noticed its death yet and treat their history as complete.
         if any_lost || any_unlisted || any_member_missing || self.any_member_missing {
             self.record_gap(now);
         }
--- a/daisy-routing/src/keys/membership.rs
+++ b/daisy-routing/src/keys/membership.rs
@@ -7,7 +7,7 @@
 use crate::{KeyId, Routes, digest, weight};
 
 /// How long a listed entry VM that was never live may take to start. Shorter than the time for
-/// which it grants nothing on its own, with a margin for the delay of the VM list.
+/// which a new entry VM grants no claims on its own, with a margin for the delay of the VM list.
 const STARTUP_GRACE: Duration = Duration::from_secs(2);
 
 /// The entry VMs as this one sees them.
@@ -25,8 +25,8 @@
     vm_list_read: bool,
     /// Peers at the last update.
     last_peers: Vec<VmId>,
-    /// Listed entry VMs of the local data centre that were never live or are no longer live, with
-    /// the time since which they count as listed without being live.
+    /// Listed entry VMs of the local data centre that are not live, with the time since when. For
+    /// one that was live before, the time is earlier by the grace for starting.
     listed_not_live: SortedMap<VmId, Instant>,
     /// Data centres, each with the time since which it has had no entry VM.
     empty_since: SortedMap<DcId, Option<Instant>>,
@@ -131,9 +131,9 @@
 
     /// Records that `vm` of the local data centre has handed its keys over.
     ///
-    /// Prevents an order from running twice: a new entry VM that has received nothing from an older
-    /// one would otherwise consider itself the home of keys that the older one stores, and treat
-    /// its own history as complete for them.
+    /// Prevents a request from running twice: a new entry VM that has received nothing from an
+    /// older one would otherwise consider itself the home of keys that the older one stores, and
+    /// treat its own history of these keys as complete.
     pub(super) fn add_seen_by_handover(&mut self, vm: VmId) {
         let is_live = self.live.iter().any(|(_, other)| *other == vm);
         if !is_live && !self.seen_by_handover.contains(&vm) {
@@ -157,8 +157,8 @@
 
     /// Returns the other data centres that have entry VMs now or had any within `retry_window`.
     ///
-    /// Prevents a data centre whose entry VMs are all lost from being ignored: nobody knows what
-    /// ran there, and querying nobody must not be treated as a confirmation by everybody.
+    /// Prevents a data centre whose entry VMs are all lost from being ignored: it is unknown what
+    /// ran there, so that a data centre without an entry VM to query must not count as confirming.
     pub(super) fn other_dcs(&self, now: Instant, retry_window: Duration) -> Vec<DcId> {
         let recent = |since: &Option<Instant>| since.is_none_or(|at| now.since(at) < retry_window);
         let other_dcs =
--- a/daisy-routing/src/keys/store.rs
+++ b/daisy-routing/src/keys/store.rs
@@ -42,7 +42,8 @@
 }
 
 impl ClaimKind {
-    /// Returns the answer to a granted claim of this kind, also to a repeated query.
+    /// Returns the answer to a granted claim of this kind, for the first query and repetitions of
+    /// it.
     pub(super) fn grant_answer(self) -> KeyAnswer {
         match self {
             ClaimKind::First | ClaimKind::Repeated => KeyAnswer::Granted,
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Returns how certain the state is; of the states of two homes, the more certain one is used.
+    /// Returns a rank of how certain the state is; of two states of a key, the one with the higher
+    /// rank is used.
     fn certainty(&self) -> u8 {
         match self.stored_state {
             StoredState::Fenced => 0,
@@ -194,8 +196,8 @@
         has_capacity
     }
 
-    /// Stores a transferred key beside or in place of the existing state, also beyond the limit:
-    /// the old home may have removed it by now.
+    /// Merges a transferred key with the stored state, of which the more certain one remains. The
+    /// limit of keys does not apply, because the old home may have removed the key by now.
     pub(super) fn merge(&mut self, key: KeyId, mut stored: StoredKey) {
         match self.get_mut(&key) {
             Some(existing) if existing.certainty() >= stored.certainty() => {
--- a/daisy-routing/src/outcome.rs
+++ b/daisy-routing/src/outcome.rs
@@ -175,8 +175,8 @@
     }
 }
 
-/// Judges a cancelled try. Its request took at least `latency`, so that the try counts only against
-/// its backend server.
+/// Judges a cancelled try. Its answer would have taken at least `latency`, but how long is unknown.
+/// The try is therefore used only if it shows that the backend server is slower than the median.
 fn judge_cancelled(
     server: &mut Server,
     latency: Duration,
--- a/daisy-routing/src/queue.rs
+++ b/daisy-routing/src/queue.rs
@@ -38,9 +38,9 @@
 
 /// Waiting requests in the order in which they are served.
 ///
-/// Fair between callers by start-time fair queueing: each request of a caller gets the start tag
-/// after that of the caller's previous request, and a caller that was idle starts at the current
-/// virtual time.
+/// Callers are served fairly by start-time fair queueing: the start tag of a request is one higher
+/// than that of the caller's previous request, and a caller that was idle continues from the
+/// current virtual time.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     waiting: Vec<QueuedRequest>,
--- a/daisy-routing/src/router.rs
+++ b/daisy-routing/src/router.rs
@@ -180,8 +180,8 @@
     /// Rejects requests that can no longer finish in time and those that other requests have
     /// delayed for too long.
     ///
-    /// Prevents answers that arrive too late for their caller: a request is rejected as soon as its
-    /// turn cannot come in time, not only when its deadline has passed.
+    /// Prevents answers that arrive too late for their caller: a request is rejected as soon as it
+    /// can no longer be sent in time, not only when its deadline has passed.
     fn reject_overdue(
         &mut self,
         now: Instant,
--- a/daisy-routing/src/routes.rs
+++ b/daisy-routing/src/routes.rs
@@ -42,15 +42,16 @@
     pub version: u64,
     /// The data centre of this entry VM.
     pub dc: DcId,
-    /// The region of each data centre, indexed by [`DcId`]; data centres of the same region are
-    /// near.
+    /// The region of each data centre, indexed by [`DcId`]. Backend servers of the own region are
+    /// preferred to those of other regions.
     pub regions: Vec<u16>,
     /// Live entry VMs of all data centres, among which connections are divided; sorted.
     pub live_entries: Vec<(DcId, VmId)>,
     /// Entry VMs in the platform's VM list, whether they can be reached or not; sorted.
     ///
-    /// An entry VM that is listed but not among `live_entries` may still be serving requests behind a
-    /// partition, so that homes of keys treat their history as incomplete while there is one.
+    /// An entry VM that is listed but not among `live_entries` may still be serving requests behind
+    /// a partition. While there is such an entry VM, homes of keys treat their history as
+    /// incomplete.
     pub listed_entries: Vec<(DcId, VmId)>,
     /// Services by name.
     pub services: SortedMap<Name, Service>,
--- a/daisy-routing/src/server.rs
+++ b/daisy-routing/src/server.rs
@@ -9,8 +9,8 @@
     measure::LogMean,
 };
 
-/// Age beyond which the number of requests in progress reported by an answer is replaced by the
-/// numbers reported by peers.
+/// Age beyond which the number of requests in progress that an answer reported is no longer used,
+/// and the numbers reported by peers are used instead.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 /// Number of answers after which the latency of a backend server is compared with the median.
 const MIN_LATENCY_SAMPLES: u32 = 40;
@@ -80,8 +80,8 @@
         self.health.limit(adapted, now)
     }
 
-    /// Adapts the limit of requests in flight: increases it by one for every limit's worth of
-    /// answers and decreases it by a third for a refusal, between one and the number of slots.
+    /// Adapts the limit of requests in flight: an answer increases it by `1 / limit`, a refusal
+    /// decreases it by a third. It stays between one and the number of slots.
     pub(crate) fn adapt_limit(&mut self, refused: bool) {
         let changed = if refused { self.limit * 2.0 / 3.0 } else { self.limit + 1.0 / self.limit };
         self.limit = changed.clamp(1.0, f64::from(self.slots.max(1)));
--- a/daisy-routing/src/share.rs
+++ b/daisy-routing/src/share.rs
@@ -7,8 +7,8 @@
 
 use crate::digest::weight;
 
-/// While VMs are replaced, up to one entry VM in this many may be counted by some entry VMs and not
-/// by others.
+/// Up to one in this many entry VMs may be replaced at a time; some entry VMs count it then, others
+/// do not.
 const MAX_REPLACED_ONE_IN: u32 = 8;
 
 /// Returns how many of the `total` connections to a backend server each of `entries` entry VMs may
--- a/daisy-routing/src/slab.rs
+++ b/daisy-routing/src/slab.rs
@@ -23,8 +23,8 @@
 /// Tries in flight by [`TryId`].
 ///
 /// Prevents a try from being ended twice, once by its answer and once by the disconnection of its
-/// caller: the second end would free the slot of another request. The generation tells the two
-/// apart.
+/// caller: the second end would free the slot of another request. The generation in the id differs
+/// between a try and a later one in the same slot.
 #[derive(Debug, Default)]
 pub(crate) struct Tries {
     slots: Vec<Slot>,
--- a/daisy-routing/src/update.rs
+++ b/daisy-routing/src/update.rs
@@ -57,7 +57,7 @@
         self.region.set_rate(self.routes.policy.region_bytes / sharers, now);
     }
 
-    /// Replaces the backend servers; those that were known before keep their measurements.
+    /// Replaces the backend servers. Those that were already known keep their measurements.
     fn set_servers(&mut self, now: Instant, is_first: bool) {
         let mut backends: Vec<&Backend> =
             self.routes.services.iter().flat_map(|(_, service)| &service.backends).collect();
@@ -146,8 +146,8 @@
 /// new.
 ///
 /// Prevents a cold backend server from getting the load of a warm one, which shows as a burst of
-/// late answers after each replacement. A new router starts all of them at their full limit: its
-/// callers cannot wait for a ramp that serves no purpose.
+/// late answers after each replacement. A new router starts all of them at their full limit,
+/// because a slow start would only delay its callers.
 fn new_server(backend: &Backend, now: Instant, is_first: bool) -> Server {
     let health = if is_first {
         Health::default()
--- a/daisy-wire/src/worker.rs
+++ b/daisy-wire/src/worker.rs
@@ -252,7 +252,7 @@
     pub task: TaskJson,
     /// The size that it was started with.
     pub size: ResourcesJson,
-    /// Its share of its processors, in thousandths; 1000 is not throttled.
+    /// The share of its processors that it may use, in thousandths; 1000 is not throttled.
     pub share: u32,
 }
 
