--- a/daisy-entry/src/control/query_data.rs
+++ b/daisy-entry/src/control/query_data.rs
@@ -75,8 +75,8 @@
         let runs = matches!(task.status, TaskStatus::Running | TaskStatus::Ending);
         let Some(vm) = task.vm.filter(|_| runs) else { continue };
         // The last reason of a running task is usually that it runs.
-        let since = notes.last().map(|it| times.now.since(it.at)).unwrap_or_default();
-        let known = LiveTask { incarnation: task.incarnation, vm, share: task.share, since };
+        let run_time = notes.last().map(|it| times.now.since(it.at)).unwrap_or_default();
+        let known = LiveTask { incarnation: task.incarnation, vm, share: task.share, run_time };
         live.tasks.insert(task.task, known);
     }
     for worker in holder.workers() {
--- a/daisy-entry/src/metrics.rs
+++ b/daisy-entry/src/metrics.rs
@@ -42,7 +42,7 @@
             ("log_next_offset", "Offset of the next log record to fold", &it.next_offset),
             ("config_generation", "Generation of the configuration in force", &it.generation),
             ("holder", "1 while this entry VM holds its data centre", &it.holder),
-            ("peers_alive", "Other entry VMs heard of lately", &it.peers_alive),
+            ("peers_alive", "Other entry VMs that sent a heartbeat recently", &it.peers_alive),
             ("unsent_records", "Records that wait to be appended", &it.unsent),
         ];
         for (name, help, gauge) in gauges {
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -74,7 +74,7 @@
     /// Returns the next message, or `None` if the stream has ended or failed.
     pub async fn next(&mut self) -> Option<RecordStreamMessage> {
         match self.receiver.next::<RecordStreamMessageWire>().await {
-            Ok(Some(pushed)) => Some(pushed.into()),
+            Ok(Some(message)) => Some(message.into()),
             Ok(None) => None,
             Err(e) => {
                 log::debug!("event=records_stream_broken cause=\"{e}\"");
@@ -124,8 +124,8 @@
             }
             // Without a connection the command is dropped: heartbeats are soon out of date, and a
             // dropped reply sender tells the receiver that there is no answer.
-            let Some(it) = connection.as_mut() else { continue };
-            if let Err(e) = self.execute(it, command).await {
+            let Some(open) = connection.as_mut() else { continue };
+            if let Err(e) = self.execute(open, command).await {
                 log::debug!("event=peer_link_broken peer={} cause=\"{e}\"", self.peer);
                 connection = None;
             }
@@ -179,18 +179,20 @@
             .body(())
     }
 
-    async fn execute(&self, it: &mut Connection, command: Command) -> anyhow::Result<()> {
+    async fn execute(&self, connection: &mut Connection, command: Command) -> anyhow::Result<()> {
         match command {
-            Command::Update(update) => Ok(timeout(NOTICE_TIMEOUT, it.send_update(update)).await??),
+            Command::Update(update) => {
+                Ok(timeout(NOTICE_TIMEOUT, connection.send_update(update)).await??)
+            }
             Command::Query(query, reply) => {
-                let mut requests = it.ready().await?;
+                let mut requests = connection.ready().await?;
                 let (response, stream) = requests.send_request(self.request(QUERY)?, false)?;
                 let sender = Sender::new(stream);
                 tokio::spawn(exchange_query(sender, response, query, reply));
                 Ok(())
             }
             Command::Records(from, reply) => {
-                let mut requests = it.ready().await?;
+                let mut requests = connection.ready().await?;
                 let (response, stream) = requests.send_request(self.request(RECORDS)?, false)?;
                 let sender = Sender::new(stream);
                 tokio::spawn(open_records(sender, response, from, reply));
@@ -204,9 +206,8 @@
 impl Connection {
     /// Returns a handle that can open a new stream.
     ///
-    /// Guard: a peer that is paused answers nothing, and the limit of streams to it is reached.
-    /// Without a timeout the link would wait for a free stream, and so would the heartbeats queued
-    /// behind.
+    /// Guard: a paused peer answers nothing, so that the limit of streams to it is reached. Without
+    /// a timeout the link would wait for a free stream, and the queued heartbeats would wait too.
     async fn ready(&self) -> anyhow::Result<SendRequest<Bytes>> {
         Ok(timeout(NOTICE_TIMEOUT, self.requests.clone().ready()).await??)
     }
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug)]
-struct Shared {
+struct SharedLinks {
     own: VmId,
     addresses: SortedMap<VmId, SocketAddr>,
     open: SortedMap<VmId, OpenLink>,
@@ -46,14 +46,14 @@
 /// The links to all peers; clones share them.
 #[derive(Debug, Clone)]
 pub(crate) struct Links {
-    shared: Arc<Mutex<Shared>>,
+    shared: Arc<Mutex<SharedLinks>>,
     pub traffic: Traffic,
 }
 
 impl Links {
     /// Creates an empty set of links of the entry VM `own`.
     pub fn new(own: VmId) -> Links {
-        let shared = Shared { own, addresses: SortedMap::new(), open: SortedMap::new() };
+        let shared = SharedLinks { own, addresses: SortedMap::new(), open: SortedMap::new() };
         Links { shared: Arc::new(Mutex::new(shared)), traffic: Traffic::default() }
     }
 
@@ -113,7 +113,7 @@
         Some(commands)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Shared> {
+    fn lock(&self) -> MutexGuard<'_, SharedLinks> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -200,12 +200,12 @@
         let mut from = Offset(offset);
         let stream = respond.send_response(Response::new(()), false)?;
         let mut sender = Sender::new(stream);
-        let mut moved = self.tail.subscribe();
+        let mut fold_updates = self.tail.subscribe();
         loop {
-            moved.borrow_and_update();
-            let pushed = match self.tail.chunk(from) {
+            fold_updates.borrow_and_update();
+            let message = match self.tail.chunk(from) {
                 Chunk::Nothing => {
-                    if moved.changed().await.is_err() {
+                    if fold_updates.changed().await.is_err() {
                         sender.finish();
                         return Ok(());
                     }
@@ -224,7 +224,7 @@
                 }
             };
             // If the peer closes the stream, sending fails here and ends the task.
-            sender.send(&RecordStreamMessageWire::from(pushed), false).await?;
+            sender.send(&RecordStreamMessageWire::from(message), false).await?;
         }
     }
 
--- a/daisy-entry/src/proxy/serve.rs
+++ b/daisy-entry/src/proxy/serve.rs
@@ -41,7 +41,7 @@
 pub(super) async fn serve<K: PeerKeys<KeyQuery, KeyAnswer>>(
     requests: Requests<K>,
     listener: TcpListener,
-    own: Arc<Tree>,
+    own_routes: Arc<Tree>,
     mut stage: watch::Receiver<DrainStage>,
 ) {
     let limit = requests.core.options.limits.connections as usize;
@@ -67,7 +67,7 @@
             requests.clone(),
             stream,
             address.ip(),
-            Arc::clone(&own),
+            Arc::clone(&own_routes),
             stage.clone(),
         );
         tokio::spawn(async move {
@@ -89,7 +89,7 @@
     requests: Requests<K>,
     stream: TcpStream,
     address: IpAddr,
-    own: Arc<Tree>,
+    own_routes: Arc<Tree>,
     mut stage: watch::Receiver<DrainStage>,
 ) {
     if let Err(err) = stream.set_nodelay(true) {
@@ -102,7 +102,7 @@
         .header_read_timeout(limits.header_timeout)
         .max_header_size(limits.header_bytes as usize)
         .half_close(false);
-    let service = service_fn(|req| respond(&requests, &own, req, address));
+    let service = service_fn(|req| respond(&requests, &own_routes, req, address));
     let mut conn = pin!(builder.serve_connection(TokioIo::new(stream), service));
     let ended = tokio::select! {
         ended = conn.as_mut() => ended,
@@ -118,17 +118,18 @@
 
 async fn respond<K: PeerKeys<KeyQuery, KeyAnswer>>(
     requests: &Requests<K>,
-    own: &Arc<Tree>,
+    own_routes: &Arc<Tree>,
     req: Request<Incoming>,
     address: IpAddr,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let names_service = req.headers().contains_key(daisy_wire::headers::SERVICE);
-    let mut response = if !names_service && own.find(req.method(), req.uri().path()).is_some() {
-        let responder = Responder::new(Arc::clone(own), Some(address));
-        hyper::service::Service::call(&responder, req).await?.map(AnswerBody::Own)
-    } else {
-        requests.answer(req, address).await
-    };
+    let mut response =
+        if !names_service && own_routes.find(req.method(), req.uri().path()).is_some() {
+            let responder = Responder::new(Arc::clone(own_routes), Some(address));
+            hyper::service::Service::call(&responder, req).await?.map(AnswerBody::Own)
+        } else {
+            requests.answer(req, address).await
+        };
     if requests.core.is_draining() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/daisy-entry/src/proxy/tries.rs
+++ b/daisy-entry/src/proxy/tries.rs
@@ -67,7 +67,7 @@
             Err(err) => combined_error.map_or(err, |combined_error| combined_error.combine(err)),
         };
         combined_error = Some(err);
-        // Guards against an order that runs twice: a request that may have run is tried again only
+        // Guards against a request that runs twice: a request that may have run is tried again only
         // if it is idempotent.
         let safe = call.idempotent || err.proves_not_run();
         let next = if safe { core.retry(&call, &tried) } else { None };
@@ -76,8 +76,8 @@
     }
 }
 
-/// Makes one try, and a second one concurrently if the first takes longer than most; the slower one
-/// is dropped, which closes its connection.
+/// Makes a first try, and a concurrent second try if the first takes longer than most. The slower
+/// try is dropped, which closes its connection.
 async fn try_hedged(
     core: &Arc<Core>,
     call: &Call,
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -81,7 +81,7 @@
             Ok(Read::Expired(first)) => {
                 log::warn!("event=log_expired from={next} first={first}");
                 self.deliver(next, |ack| Input::LogExpired { first, ack }).await?;
-                // A cold start that fails starts over, but not in a tight loop.
+                // The pause after `false` keeps cold starts that fail from repeating in a tight loop.
                 Ok(false)
             }
             Err(e) => {
@@ -102,12 +102,12 @@
             return Ok(false);
         };
         loop {
-            let pushed = tokio::select! {
-                pushed = stream.next() => pushed,
+            let message = tokio::select! {
+                message = stream.next() => message,
                 Ok(()) = self.plan.changed() => return Ok(true),
             };
             let sent_at = self.clock.now();
-            match pushed {
+            match message {
                 Some(RecordStreamMessage::Records { first, bodies }) => {
                     let offsets = (first.0..).map(Offset);
                     let records = offsets.zip(bodies.into_iter().map(Into::into)).collect();
--- a/daisy-query/src/explain/effect.rs
+++ b/daisy-query/src/explain/effect.rs
@@ -56,7 +56,7 @@
     let Some((team, _)) = state.team(&spec.team) else { return };
     let startable =
         count_that_fit(spec.size, state.quota_headroom(team, spec.kind)).min(spec.tasks);
-    table.add_line("quota", format!("leaves room for {startable} of them now"));
+    table.add_line("quota", format!("allows {startable} of them to start now"));
 }
 
 /// Returns how many times `size` fits into `free`.
@@ -86,7 +86,7 @@
         table.add_line("tasks", format!("{} would be stopped", pluralize(stopped, "running task")));
     }
     if old_spec.size != new_spec.size {
-        let unchanged = count_tasks(old).out;
+        let unchanged = count_tasks(old).checked_out;
         let line = format!("{} would keep the old size", pluralize(unchanged, "running task"));
         table.add_line("tasks", line);
         capacity::add_lines(table, live, new_spec.size);
@@ -106,9 +106,9 @@
 
 fn cancel(table: &mut Table, before: &State, name: &Name) {
     let Some((_, job)) = before.jobs.by_name(name) else { return };
-    let TaskCounts { pending, out, .. } = count_tasks(job);
+    let TaskCounts { pending, checked_out, .. } = count_tasks(job);
     table.add_line("tasks", format!("{} would never start", pluralize(pending, "waiting task")));
-    table.add_line("tasks", format!("{} would be stopped", pluralize(out, "running task")));
+    table.add_line("tasks", format!("{} would be stopped", pluralize(checked_out, "running task")));
     table.add_line(
         "before",
         format!("last changed in {}", text::describe_generation(before, job.generation)),
@@ -172,18 +172,21 @@
         WorkClass::Priority(priority) => job.spec.priority == priority,
     });
     for job in covered {
-        let TaskCounts { pending, out, ended } = count_tasks(job);
+        let TaskCounts { pending, checked_out, ended } = count_tasks(job);
         sum.pending += pending;
-        sum.out += out;
+        sum.checked_out += checked_out;
         sum.ended += ended;
     }
     sum
 }
 
 fn pause(table: &mut Table, before: &State, class: WorkClass) {
-    let TaskCounts { pending, out, .. } = count_tasks_of_class(before, class);
+    let TaskCounts { pending, checked_out, .. } = count_tasks_of_class(before, class);
     table.add_line("tasks", format!("{} would go on waiting", pluralize(pending, "waiting task")));
-    table.add_line("tasks", format!("{} would go on running", pluralize(out, "running task")));
+    table.add_line(
+        "tasks",
+        format!("{} would go on running", pluralize(checked_out, "running task")),
+    );
 }
 
 fn resume(table: &mut Table, before: &State, class: WorkClass) {
--- a/daisy-query/src/live.rs
+++ b/daisy-query/src/live.rs
@@ -32,7 +32,7 @@
     /// Its share of processors in thousandths; 1000 is not throttled.
     pub share: u32,
     /// How long it has run.
-    pub since: Duration,
+    pub run_time: Duration,
 }
 
 /// A worker as its holder sees it.
--- a/daisy-query/src/show/work.rs
+++ b/daisy-query/src/show/work.rs
@@ -66,7 +66,7 @@
                 self.running.map_or(self.task.incarnation, |it| it.incarnation).to_string()
             }
             "share" => self.running.map_or_else(none, |it| it.share.to_string()),
-            "since" => self.running.map_or_else(none, |it| text::duration(it.since)),
+            "since" => self.running.map_or_else(none, |it| text::duration(it.run_time)),
             "cpu" => text::cpu(self.size()),
             "memory" => text::memory(self.size()),
             "accelerators" => self.size().accelerators.to_string(),
@@ -131,7 +131,7 @@
         "state" => job_state(job).to_owned(),
         "tasks" => spec.tasks.to_string(),
         "pending" => count_tasks(job).pending.to_string(),
-        "out" => count_tasks(job).out.to_string(),
+        "out" => count_tasks(job).checked_out.to_string(),
         "ended" => count_tasks(job).ended.to_string(),
         "cpu" => text::cpu(spec.size),
         "memory" => text::memory(spec.size),
@@ -154,7 +154,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct TaskCounts {
     pub(crate) pending: usize,
-    pub(crate) out: usize,
+    pub(crate) checked_out: usize,
     pub(crate) ended: usize,
 }
 
@@ -163,7 +163,7 @@
     for task in &job.tasks {
         match task.state {
             TaskState::Pending => counts.pending += 1,
-            TaskState::CheckedOut(_) => counts.out += 1,
+            TaskState::CheckedOut(_) => counts.checked_out += 1,
             TaskState::Ended(_) => counts.ended += 1,
         }
     }
--- a/daisy-query/src/text.rs
+++ b/daisy-query/src/text.rs
@@ -41,9 +41,10 @@
         Exit::Stopped => "it was stopped without a checkpoint",
         Exit::LeaseExpired => "its worker ended it because the lease lapsed",
         Exit::Refused => {
-            "it found no room for long and was refused, as its job allows; it never ran"
+            "no worker had capacity for it for a long time, so it was refused, as its job allows; \
+             it never ran"
         }
-        Exit::Unknown => "its worker is gone, and whether it did its work is unknown",
+        Exit::Unknown => "its worker is lost, and whether it did its work is unknown",
     }
 }
 
--- a/daisy-query/src/why/fleet.rs
+++ b/daisy-query/src/why/fleet.rs
@@ -46,9 +46,9 @@
 fn add_held_data_centres(table: &mut Table, state: &State, live: &LiveView, vm: VmId) {
     let held: Vec<(&DcId, &HolderClaim)> =
         state.holders.iter().filter(|(_, it)| it.holder == vm).collect();
-    for (dc, holding) in held {
-        let (dc, epoch) = (live.dc(*dc), holding.epoch);
-        let verb = if holding.released { "gave up" } else { "holds" };
+    for (dc, holder_claim) in held {
+        let (dc, epoch) = (live.dc(*dc), holder_claim.epoch);
+        let verb = if holder_claim.released { "released" } else { "holds" };
         table.add_line("ledger", format!("{verb} {dc} under epoch {epoch}"));
     }
 }
@@ -87,7 +87,7 @@
     let (generation, policy) = &state.policy;
     let budget = policy.retry_budget;
     let window = text::duration(policy.retry_window);
-    let line = format!("retries add at most {budget} thousandths; keys are kept for {window}");
+    let line = format!("retries add at most {budget} thousandths; keys are stored for {window}");
     table.add_line("policy", line);
     if generation.0 > 0 {
         table.add_line(
--- a/daisy-query/src/why/task.rs
+++ b/daisy-query/src/why/task.rs
@@ -18,7 +18,7 @@
     add_declaration(&mut table, state, job);
     if id.index >= job.spec.tasks {
         let tasks = job.spec.tasks;
-        table.add_line("declared", format!("the job was changed to {tasks} tasks: this one goes"));
+        table.add_line("declared", format!("the job was changed to {tasks} tasks: this one ends"));
     }
     add_ledger_state(&mut table, state, live, job, task);
     if task.state == TaskState::Pending {
@@ -44,8 +44,9 @@
     let (id, job) = state.jobs.by_name(name).ok_or_else(|| Error::Job(name.clone()))?;
     let mut table = Table::new(COLUMNS);
     add_declaration(&mut table, state, job);
-    let TaskCounts { pending, out, ended } = count_tasks(job);
-    let line = format!("job number {id}; tasks: {pending} waiting, {out} out, {ended} ended");
+    let TaskCounts { pending, checked_out, ended } = count_tasks(job);
+    let line =
+        format!("job number {id}; tasks: {pending} waiting, {checked_out} out, {ended} ended");
     table.add_line("ledger", line);
     if pending > 0 {
         add_limits(&mut table, state, job);
@@ -170,8 +171,8 @@
 
 fn add_running_task(table: &mut Table, live: &LiveView, running: &LiveTask) {
     let (vm, incarnation) = (live.vm(running.vm), running.incarnation);
-    let since = text::duration(running.since);
-    let mut line = format!("incarnation {incarnation} has run on {vm} for {since}");
+    let run_time = text::duration(running.run_time);
+    let mut line = format!("incarnation {incarnation} has run on {vm} for {run_time}");
     if running.share < 1_000 {
         line.push_str(&format!(", throttled to {} thousandths", running.share));
     }
--- a/daisy-query/tests/common/mod.rs
+++ b/daisy-query/tests/common/mod.rs
@@ -94,8 +94,8 @@
         self.append(Record::Checkout { dc, epoch, tasks: vec![task] });
         let placements = vec![Placement { task, incarnation, vm }];
         self.append(Record::Placed { dc, epoch, placements });
-        let since = Duration::from_secs(35);
-        self.live.tasks.insert(task, LiveTask { incarnation, vm, share: 400, since });
+        let run_time = Duration::from_secs(35);
+        self.live.tasks.insert(task, LiveTask { incarnation, vm, share: 400, run_time });
     }
 }
 
--- a/daisy-query/tests/explain.rs
+++ b/daisy-query/tests/explain.rs
@@ -34,7 +34,7 @@
         &[
             "would be accepted",
             "4 tasks would wait to start",
-            "leaves room for 1 of them now",
+            "allows 1 of them to start now",
             "a task fits on 3 of 3 known workers, on 3 now",
         ],
     );
--- a/daisy-query/tests/why.rs
+++ b/daisy-query/tests/why.rs
@@ -95,7 +95,7 @@
     assert_contains(
         &table,
         &[
-            "its worker is gone, and whether it did its work is unknown",
+            "its worker is lost, and whether it did its work is unknown",
             "not declared restartable, so it is not run again",
         ],
     );
--- a/daisy-wire/src/peer/key.rs
+++ b/daisy-wire/src/peer/key.rs
@@ -113,9 +113,9 @@
     Handover {
         /// The transferred keys.
         keys: Vec<TransferredKeyWire>,
-        /// Whether this is the last message of the transfer.
+        /// Whether this is the last message of the handover.
         last: bool,
-        /// Whether the sender's history is complete for the retention window.
+        /// Whether the sender's history is complete for the retry window.
         complete_in_window: bool,
         /// Whether the sender's history lacks only the time before its start.
         only_gap_is_before_start: bool,
--- a/daisy-wire/src/peer/live.rs
+++ b/daisy-wire/src/peer/live.rs
@@ -81,7 +81,7 @@
             incarnation: it.incarnation.0,
             vm: it.vm.0,
             share: it.share,
-            since_ms: u64::try_from(it.since.as_millis()).unwrap_or(u64::MAX),
+            since_ms: u64::try_from(it.run_time.as_millis()).unwrap_or(u64::MAX),
         };
         let worker = |(vm, it): (&VmId, &LiveWorker)| LiveWorkerWire {
             vm: vm.0,
@@ -102,8 +102,8 @@
     fn from(live: LiveViewWire) -> LiveView {
         let task = |it: LiveTaskWire| {
             let (incarnation, vm) = (Incarnation(it.incarnation), VmId(it.vm));
-            let since = Duration::from_millis(it.since_ms);
-            (task_from_wire(it.task), LiveTask { incarnation, vm, share: it.share, since })
+            let run_time = Duration::from_millis(it.since_ms);
+            (task_from_wire(it.task), LiveTask { incarnation, vm, share: it.share, run_time })
         };
         let worker = |it: LiveWorkerWire| {
             let (capacity, free) = (size_from_wire(it.capacity), size_from_wire(it.free));
--- a/daisy-wire/src/snapshot/state.rs
+++ b/daisy-wire/src/snapshot/state.rs
@@ -27,19 +27,19 @@
     next_job: u32,
     jobs: Vec<JobWire>,
     finished: Vec<u32>,
-    holders: Vec<HoldingWire>,
+    holders: Vec<HolderClaimWire>,
     drained: Vec<String>,
     paused: Vec<WorkClassWire>,
     policy_generation: u64,
     policy: PolicyWire,
-    audit: Vec<AuditWire>,
+    audit: Vec<AuditEntryWire>,
     audit_from_jobs: u64,
     audit_from_others: u64,
     senders: Vec<SenderWire>,
     intents: Vec<IntentWire>,
-    snapshot: Option<MarkWire>,
-    snapshots: Vec<PartialWire>,
-    counts: CountsWire,
+    snapshot: Option<CompleteSnapshotWire>,
+    snapshots: Vec<PartialSnapshotWire>,
+    counts: FoldCountersWire,
 }
 
 /// A team's name and its limit.
@@ -76,7 +76,7 @@
 }
 
 #[derive(Debug, Encode, Decode)]
-struct HoldingWire {
+struct HolderClaimWire {
     dc: u16,
     holder: u32,
     epoch: u64,
@@ -84,7 +84,7 @@
 }
 
 #[derive(Debug, Encode, Decode)]
-struct AuditWire {
+struct AuditEntryWire {
     offset: u64,
     change: ChangeWire,
     outcome: ChangeOutcomeWire,
@@ -112,13 +112,13 @@
 }
 
 #[derive(Debug, Encode, Decode)]
-struct MarkWire {
+struct CompleteSnapshotWire {
     through: u64,
     last: u64,
 }
 
 #[derive(Debug, Encode, Decode)]
-struct PartialWire {
+struct PartialSnapshotWire {
     sender: u64,
     through: u64,
     part: u32,
@@ -126,7 +126,7 @@
 }
 
 #[derive(Debug, Encode, Decode)]
-struct CountsWire {
+struct FoldCountersWire {
     repeated: u64,
     stale: u64,
     ignored: u64,
@@ -149,14 +149,14 @@
             paused: it.paused.iter().map(|&class| class.into()).collect(),
             policy_generation: it.policy.0.0,
             policy: (&it.policy.1).into(),
-            audit: it.audit.iter().map(AuditWire::from).collect(),
+            audit: it.audit.iter().map(AuditEntryWire::from).collect(),
             audit_from_jobs: it.audit_start.jobs.0,
             audit_from_others: it.audit_start.others.0,
             senders: it.senders.iter().map(SenderWire::from).collect(),
             intents: it.intents.iter().map(IntentWire::from).collect(),
-            snapshot: it.snapshot.map(MarkWire::from),
-            snapshots: it.snapshots.iter().map(PartialWire::from).collect(),
-            counts: CountsWire { repeated, stale, ignored, corrupt, refused },
+            snapshot: it.snapshot.map(CompleteSnapshotWire::from),
+            snapshots: it.snapshots.iter().map(PartialSnapshotWire::from).collect(),
+            counts: FoldCountersWire { repeated, stale, ignored, corrupt, refused },
         }
     }
 }
@@ -169,7 +169,7 @@
         let jobs = it.jobs.into_iter().map(|job| job_from(job, &mut teams));
         let jobs: Vec<(JobId, Job)> = jobs.collect::<Result<_, _>>()?;
         let finished = it.finished.into_iter().map(JobId);
-        let CountsWire { repeated, stale, ignored, corrupt, refused } = it.counts;
+        let FoldCountersWire { repeated, stale, ignored, corrupt, refused } = it.counts;
         Ok(State {
             next: Offset(it.next),
             generation: Generation(it.generation),
@@ -247,7 +247,7 @@
     Ok((JobId(it.id), job))
 }
 
-fn partials_from(wire: Vec<PartialWire>) -> Result<Vec<PartialSnapshot<()>>, WireError> {
+fn partials_from(wire: Vec<PartialSnapshotWire>) -> Result<Vec<PartialSnapshot<()>>, WireError> {
     wire.into_iter().map(PartialSnapshot::try_from).collect()
 }
 
@@ -311,23 +311,23 @@
     }
 }
 
-impl From<(DcId, HolderClaim)> for HoldingWire {
-    fn from((dc, it): (DcId, HolderClaim)) -> HoldingWire {
+impl From<(DcId, HolderClaim)> for HolderClaimWire {
+    fn from((dc, it): (DcId, HolderClaim)) -> HolderClaimWire {
         let HolderClaim { holder, epoch, released } = it;
-        HoldingWire { dc: dc.0, holder: holder.0, epoch: epoch.0, released }
+        HolderClaimWire { dc: dc.0, holder: holder.0, epoch: epoch.0, released }
     }
 }
 
-impl From<HoldingWire> for (DcId, HolderClaim) {
-    fn from(it: HoldingWire) -> (DcId, HolderClaim) {
-        let HoldingWire { dc, holder, epoch, released } = it;
+impl From<HolderClaimWire> for (DcId, HolderClaim) {
+    fn from(it: HolderClaimWire) -> (DcId, HolderClaim) {
+        let HolderClaimWire { dc, holder, epoch, released } = it;
         (DcId(dc), HolderClaim { holder: VmId(holder), epoch: Epoch(epoch), released })
     }
 }
 
-impl From<&AuditEntry> for AuditWire {
-    fn from(it: &AuditEntry) -> AuditWire {
-        AuditWire {
+impl From<&AuditEntry> for AuditEntryWire {
+    fn from(it: &AuditEntry) -> AuditEntryWire {
+        AuditEntryWire {
             offset: it.offset.0,
             change: (&it.change).into(),
             outcome: match &it.outcome {
@@ -338,10 +338,10 @@
     }
 }
 
-impl TryFrom<AuditWire> for AuditEntry {
+impl TryFrom<AuditEntryWire> for AuditEntry {
     type Error = WireError;
 
-    fn try_from(it: AuditWire) -> Result<AuditEntry, WireError> {
+    fn try_from(it: AuditEntryWire) -> Result<AuditEntry, WireError> {
         Ok(AuditEntry {
             offset: Offset(it.offset),
             change: Change::try_from(it.change)?,
@@ -381,30 +381,30 @@
     }
 }
 
-impl From<CompleteSnapshot> for MarkWire {
-    fn from(it: CompleteSnapshot) -> MarkWire {
-        MarkWire { through: it.through.0, last: it.last.0 }
+impl From<CompleteSnapshot> for CompleteSnapshotWire {
+    fn from(it: CompleteSnapshot) -> CompleteSnapshotWire {
+        CompleteSnapshotWire { through: it.through.0, last: it.last.0 }
     }
 }
 
-impl From<MarkWire> for CompleteSnapshot {
-    fn from(it: MarkWire) -> CompleteSnapshot {
+impl From<CompleteSnapshotWire> for CompleteSnapshot {
+    fn from(it: CompleteSnapshotWire) -> CompleteSnapshot {
         CompleteSnapshot { through: Offset(it.through), last: Offset(it.last) }
     }
 }
 
-impl From<&PartialSnapshot<()>> for PartialWire {
-    fn from(it: &PartialSnapshot<()>) -> PartialWire {
+impl From<&PartialSnapshot<()>> for PartialSnapshotWire {
+    fn from(it: &PartialSnapshot<()>) -> PartialSnapshotWire {
         let Part { sender, through, part, parts } = it.seen;
-        PartialWire { sender, through: through.0, part, parts }
+        PartialSnapshotWire { sender, through: through.0, part, parts }
     }
 }
 
-impl TryFrom<PartialWire> for PartialSnapshot<()> {
+impl TryFrom<PartialSnapshotWire> for PartialSnapshot<()> {
     type Error = WireError;
 
-    fn try_from(it: PartialWire) -> Result<PartialSnapshot<()>, WireError> {
-        let PartialWire { sender, through, part, parts } = it;
+    fn try_from(it: PartialSnapshotWire) -> Result<PartialSnapshot<()>, WireError> {
+        let PartialSnapshotWire { sender, through, part, parts } = it;
         if part >= parts {
             let reason = format!("part {part} of {parts} parts");
             return Err(WireError::Field { field: "part", reason });
