--- a/daisy-entry/src/boundary.rs
+++ b/daisy-entry/src/boundary.rs
@@ -27,15 +27,19 @@
     /// Records in the platform's log that the request with the digest `key` is about to run.
     ///
     /// Of several intents for one key the first in the log wins, whichever entry VM appended it.
-    fn announce_intent(&self, key: u128, timeout: Duration) -> impl Future<Output = Intent> + Send {
+    fn announce_intent(
+        &self,
+        key: u128,
+        timeout: Duration,
+    ) -> impl Future<Output = IntentOutcome> + Send {
         let _ = (key, timeout);
-        async { Intent::Unavailable }
+        async { IntentOutcome::Unavailable }
     }
 }
 
 /// The result of [`PeerKeys::announce_intent`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Intent {
+pub enum IntentOutcome {
     /// This intent is the first for its key: the request may run.
     Won,
     /// Another intent was first: the request may have run.
--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -32,7 +32,7 @@
     time::{MissedTickBehavior, interval, sleep},
 };
 
-use self::{append::Appends, fold::UndecodableEntry, holder::Driver, restore::Snapshots};
+use self::{append::Appends, fold::UndecodableEntry, holder::HolderDriver, restore::Snapshots};
 pub(crate) use self::{
     append::{Appended, SubmitOutcome},
     input::{Input, Page},
@@ -100,7 +100,7 @@
     vms: Arc<[Vm]>,
     vms_version: u64,
     appends: Appends,
-    driver: Driver,
+    holder_driver: HolderDriver,
     replicas: SortedMap<DcId, Arc<Replicas>>,
     snapshots: Snapshots,
     /// A cold start that has not reached the end of the log yet.
@@ -138,7 +138,7 @@
             vms: Arc::from([]),
             vms_version: 0,
             appends,
-            driver: Driver::default(),
+            holder_driver: HolderDriver::default(),
             replicas: SortedMap::new(),
             snapshots: Snapshots::new(clock.now()),
             restore: None,
@@ -324,7 +324,7 @@
             PeerQuery::Vms { known } if !self.vms.is_empty() && known < Some(self.vms_version) => {
                 PeerAnswer::Vms { version: self.vms_version, vms: self.vms.to_vec() }
             }
-            PeerQuery::LiveView => match self.live(now) {
+            PeerQuery::LiveView => match self.live_view(now) {
                 Some(live) => PeerAnswer::LiveView(Box::new(live)),
                 None => PeerAnswer::Unable,
             },
--- a/daisy-entry/src/control/holder.rs
+++ b/daisy-entry/src/control/holder.rs
@@ -16,7 +16,7 @@
 
 /// The holder or lease renewer, while this entry VM is one.
 #[derive(Debug, Default)]
-pub(super) struct Driver {
+pub(super) struct HolderDriver {
     holder: Option<Holder>,
     /// Whether the holder is suspended: without a proven lease it decides nothing.
     suspended: bool,
@@ -29,7 +29,7 @@
     pending_update_waits: SortedMap<VmId, ()>,
 }
 
-impl Driver {
+impl HolderDriver {
     /// Returns the holder, unless there is none or it is suspended.
     pub(super) fn active_holder(&mut self) -> Option<&mut Holder> {
         self.holder.as_mut().filter(|_| !self.suspended)
@@ -47,20 +47,20 @@
         let epoch = epoch.map_or("none".to_owned(), |it| it.to_string());
         log::info!("event=role dc={} role={name} epoch={epoch}", self.identity.dc);
         match role {
-            Role::Idle => self.driver = Driver::default(),
+            Role::Idle => self.holder_driver = HolderDriver::default(),
             Role::LeaseRenewer(epoch) => self.start_lease_renewer(now, epoch),
             Role::Holder(epoch) => self.start_or_resume_holder(now, epoch),
         }
     }
 
     fn start_or_resume_holder(&mut self, now: Instant, epoch: Epoch) {
-        self.driver.lease_renewer = None;
-        let resumed = self.driver.holder.as_ref().is_some_and(|it| it.epoch() == epoch);
+        self.holder_driver.lease_renewer = None;
+        let resumed = self.holder_driver.holder.as_ref().is_some_and(|it| it.epoch() == epoch);
         if !resumed {
-            self.driver = Driver::default();
-            self.driver.holder = Some(Holder::new(options(&self.identity, epoch)));
+            self.holder_driver = HolderDriver::default();
+            self.holder_driver.holder = Some(Holder::new(options(&self.identity, epoch)));
         }
-        self.driver.suspended = false;
+        self.holder_driver.suspended = false;
         let reachable = self.appends.is_reachable();
         self.drive_holder(now, Event::Log { reachable });
         let (state, vms) = (self.state.clone(), self.vms.clone());
@@ -70,22 +70,22 @@
             self.drive_holder(now, Event::Vms(&vms));
         }
         // The answers of those workers are out of date; the holder treats the calls as failed.
-        for vm in std::mem::take(&mut self.driver.answered_while_suspended) {
+        for vm in std::mem::take(&mut self.holder_driver.answered_while_suspended) {
             self.drive_holder(now, Event::CallFailed { vm, sent: true });
         }
     }
 
     fn start_lease_renewer(&mut self, now: Instant, epoch: Epoch) {
-        self.driver.suspended = true;
+        self.holder_driver.suspended = true;
         let lease_renewer = LeaseRenewer::new(options(&self.identity, epoch));
-        self.driver.lease_renewer = Some((epoch, lease_renewer));
+        self.holder_driver.lease_renewer = Some((epoch, lease_renewer));
         let vms = self.vms.clone();
         self.drive_lease_renewer(now, LeaseRenewerEvent::Vms(&vms));
     }
 
     /// Passes an event to the holder, if there is one, and executes the resulting actions.
     pub(super) fn drive_holder(&mut self, now: Instant, event: Event<'_>) {
-        let Some(holder) = self.driver.active_holder() else { return };
+        let Some(holder) = self.holder_driver.active_holder() else { return };
         let mut actions = Vec::new();
         holder.step(now, event, &mut actions);
         self.execute_for(CallIssuer::Holder, actions);
@@ -93,7 +93,7 @@
 
     /// Passes an event to the lease renewer, if there is one, and executes the resulting actions.
     pub(super) fn drive_lease_renewer(&mut self, now: Instant, event: LeaseRenewerEvent<'_>) {
-        let Some((_, lease_renewer)) = &mut self.driver.lease_renewer else { return };
+        let Some((_, lease_renewer)) = &mut self.holder_driver.lease_renewer else { return };
         let mut actions = Vec::new();
         lease_renewer.step(now, event, &mut actions);
         self.execute_for(CallIssuer::LeaseRenewer, actions);
@@ -104,7 +104,8 @@
             match action {
                 Action::Append(record) => self.append(record),
                 Action::Call { vm, call } => {
-                    let seen = self.driver.report_mergers.get(&vm).and_then(ReportMerger::seen);
+                    let seen =
+                        self.holder_driver.report_mergers.get(&vm).and_then(ReportMerger::seen);
                     worker_calls::spawn(self.call_target(vm), issuer, call, seen);
                 }
             }
@@ -123,7 +124,7 @@
         let outcome = outcome.and_then(|answer| self.complete_report(vm, answer));
         match issuer {
             CallIssuer::LeaseRenewer
-                if self.driver.lease_renewer.as_ref().is_some_and(|it| it.0 == epoch) =>
+                if self.holder_driver.lease_renewer.as_ref().is_some_and(|it| it.0 == epoch) =>
             {
                 let event = match outcome {
                     Ok(report) => LeaseRenewerEvent::Report { vm, epoch: report.epoch },
@@ -132,10 +133,10 @@
                 self.drive_lease_renewer(now, event);
             }
             CallIssuer::Holder
-                if self.driver.holder.as_ref().is_some_and(|it| it.epoch() == epoch) =>
+                if self.holder_driver.holder.as_ref().is_some_and(|it| it.epoch() == epoch) =>
             {
-                if self.driver.suspended {
-                    self.driver.answered_while_suspended.push(vm);
+                if self.holder_driver.suspended {
+                    self.holder_driver.answered_while_suspended.push(vm);
                 }
                 match &outcome {
                     Ok(report) => {
@@ -158,17 +159,19 @@
         vm: VmId,
         answer: WorkerAnswer,
     ) -> Result<WorkerReport, CallFailure> {
-        let report_merger = self.driver.report_mergers.get_or_insert_with(vm, ReportMerger::new);
+        let report_merger =
+            self.holder_driver.report_mergers.get_or_insert_with(vm, ReportMerger::new);
         report_merger.merge(&answer.orders, answer.report).ok_or(CallFailure { sent: true })
     }
 
     /// Starts a wait for a worker's next update, unless one is pending.
     fn wait_for_update(&mut self, vm: VmId, epoch: Epoch) {
-        let Some(seen) = self.driver.report_mergers.get(&vm).and_then(ReportMerger::seen) else {
+        let Some(seen) = self.holder_driver.report_mergers.get(&vm).and_then(ReportMerger::seen)
+        else {
             return;
         };
-        if !self.driver.pending_update_waits.contains_key(&vm) {
-            self.driver.pending_update_waits.insert(vm, ());
+        if !self.holder_driver.pending_update_waits.contains_key(&vm) {
+            self.holder_driver.pending_update_waits.insert(vm, ());
             worker_calls::wait_for_update(self.call_target(vm), epoch, seen);
         }
     }
@@ -182,10 +185,10 @@
         vm: VmId,
         update: WorkerUpdate,
     ) {
-        if self.driver.holder.as_ref().is_none_or(|it| it.epoch() != epoch) {
+        if self.holder_driver.holder.as_ref().is_none_or(|it| it.epoch() != epoch) {
             return;
         }
-        self.driver.pending_update_waits.remove(&vm);
+        self.holder_driver.pending_update_waits.remove(&vm);
         match update {
             WorkerUpdate::Available => self.drive_holder(now, Event::WorkerUpdate { vm }),
             WorkerUpdate::Unchanged => self.wait_for_update(vm, epoch),
--- a/daisy-entry/src/control/publish.rs
+++ b/daisy-entry/src/control/publish.rs
@@ -68,7 +68,7 @@
 
     /// Updates the replicas of the own data centre, if they have changed, for sending to peers.
     pub(super) fn publish_replicas(&mut self) {
-        let Some(holder) = self.driver.active_holder() else { return };
+        let Some(holder) = self.holder_driver.active_holder() else { return };
         let (dc, epoch) = (self.identity.dc, holder.epoch());
         let known = self.replicas.get(&dc);
         let all = replicas::of_holder(holder, known);
--- a/daisy-entry/src/control/query_data.rs
+++ b/daisy-entry/src/control/query_data.rs
@@ -28,7 +28,7 @@
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
     /// Returns the data from which an operator's query is answered.
     pub(super) fn query_data(&mut self, now: Instant) -> QueryData {
-        let own = self.live(now).unwrap_or_default();
+        let own = self.live_view(now).unwrap_or_default();
         let holders = self.state.holders.iter().filter(|(_, it)| !it.released);
         let holders = holders.map(|(_, it)| it.holder).filter(|vm| *vm != self.identity.vm);
         QueryData {
@@ -41,9 +41,9 @@
     }
 
     /// Returns what this entry VM knows as a holder, or `None` if it is not a holder.
-    pub(super) fn live(&mut self, now: Instant) -> Option<LiveView> {
+    pub(super) fn live_view(&mut self, now: Instant) -> Option<LiveView> {
         let wall_time = self.clock.wall_time();
-        let holder = self.driver.active_holder()?;
+        let holder = self.holder_driver.active_holder()?;
         Some(build_live(holder, &Times { now, wall_time }))
     }
 }
--- a/daisy-entry/src/control/ready.rs
+++ b/daisy-entry/src/control/ready.rs
@@ -7,13 +7,13 @@
 
 use crate::{boundary::RequestSide, control::Control};
 
-/// How long a process that is otherwise ready waits to learn where services run: several
-/// heartbeats. After that no entry VM in the data centre seems to know, and the process must become
-/// ready.
+/// How long a process that is otherwise ready waits for the backend servers of services: several
+/// heartbeats. After this time no entry VM in the data centre seems to know any, and the process
+/// must become ready without them.
 const REPLICAS_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
-    /// Handles whether the membership is ready for callers.
+    /// Handles a change of whether the membership is ready for callers.
     pub(super) fn set_ready(&mut self, now: Instant, ready: bool) {
         self.ready_since = ready.then_some(now);
         self.routes_dirty = true;
@@ -24,7 +24,7 @@
     /// membership alone decides.
     ///
     /// Guard: a new process that reported ready as soon as it had read the log would reject all
-    /// callers until a heartbeat tells it where services run; during a rolling restart callers
+    /// callers until a heartbeat brings the backend servers of services; during a rolling restart callers
     /// would see rejections at each step.
     pub(super) fn publish_readiness(&mut self, now: Instant) {
         let published = *self.out.ready.borrow();
--- a/daisy-entry/src/operators.rs
+++ b/daisy-entry/src/operators.rs
@@ -34,7 +34,7 @@
 /// connection no longer than this.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// State from which the port answers.
+/// State from which the operators' port answers.
 #[derive(Debug)]
 pub(crate) struct OperatorContext {
     pub tokens: Tokens,
@@ -45,11 +45,11 @@
 }
 
 /// Serves operators on `listener` until the task is aborted.
-pub(crate) async fn serve(port: Arc<OperatorContext>, listener: TcpListener) {
+pub(crate) async fn serve(context: Arc<OperatorContext>, listener: TcpListener) {
     let router = Router::new()
         .post("/v1/statements", post_statements)
         .get("/v1/status", get_status)
-        .with(State::new(port));
+        .with(State::new(context));
     let mut builder = Builder::new(TokioExecutor::new()).http1_only();
     builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
     if let Err(e) = Server::with_builder(listener, router, builder).await {
@@ -58,8 +58,8 @@
 }
 
 async fn post_statements(req: Request) -> Result<Response> {
-    let port = port(&req)?;
-    let Some(who) = port.tokens.try_find(req.headers()).cloned() else {
+    let context = operator_context(&req)?;
+    let Some(who) = context.tokens.try_find(req.headers()).cloned() else {
         log::warn!("event=statement_refused cause=token");
         return Ok(Reply::failed(StatusCode::UNAUTHORIZED, "operator token missing or unknown")
             .into_response());
@@ -71,24 +71,24 @@
         let cause = format!("the body is not UTF-8 text of at most {BODY_LIMIT} bytes");
         return Ok(Reply::failed(StatusCode::PAYLOAD_TOO_LARGE, &cause).into_response());
     };
-    let reply = statements::run(&port, who, &text).await;
-    port.metrics.statement(reply.status.is_success());
+    let reply = statements::run(&context, who, &text).await;
+    context.metrics.statement(reply.status.is_success());
     Ok(reply.into_response())
 }
 
 async fn get_status(req: Request) -> Result<Response> {
-    let port = port(&req)?;
+    let context = operator_context(&req)?;
     let (reply, status) = oneshot::channel();
-    let asked = port.control.send(Input::Status { reply }).await;
-    match (asked, status.await) {
+    let sent = context.control.send(Input::Status { reply }).await;
+    match (sent, status.await) {
         (Ok(()), Ok(status)) => Ok(json(StatusCode::OK, &status)),
         _ => Ok(Reply::failed(StatusCode::SERVICE_UNAVAILABLE, "stopping").into_response()),
     }
 }
 
-fn port(req: &Request) -> Result<Arc<OperatorContext>> {
-    let port = req.extensions().get::<Arc<OperatorContext>>().cloned();
-    port.ok_or_else(|| StateError::new::<Arc<OperatorContext>>().into())
+fn operator_context(req: &Request) -> Result<Arc<OperatorContext>> {
+    let context = req.extensions().get::<Arc<OperatorContext>>().cloned();
+    context.ok_or_else(|| StateError::new::<Arc<OperatorContext>>().into())
 }
 
 /// Returns a JSON response.
--- a/daisy-entry/src/operators/query.rs
+++ b/daisy-entry/src/operators/query.rs
@@ -25,18 +25,18 @@
 /// Data of a holder that does not answer is left out, and the answer shows this where it matters:
 /// `-` stands for an unknown value.
 pub(super) async fn answer_query(
-    port: &OperatorContext,
+    context: &OperatorContext,
     statement: &Statement,
 ) -> Option<StatementResultJson> {
     let (reply, query_data) = oneshot::channel();
-    port.control.send(Input::QueryData { reply }).await.ok()?;
+    context.control.send(Input::QueryData { reply }).await.ok()?;
     let QueryData { state, vms, dcs, own, holders } = query_data.await.ok()?;
     let mut live = own;
     live.dcs = dcs;
     live.vms = vms.iter().map(|vm| (vm.id, vm.clone())).collect();
-    let asked =
-        holders.iter().map(|vm| port.links.send_query(*vm, PeerQuery::LiveView, HOLDER_TIMEOUT));
-    for answer in join_all(asked).await {
+    let queries =
+        holders.iter().map(|vm| context.links.send_query(*vm, PeerQuery::LiveView, HOLDER_TIMEOUT));
+    for answer in join_all(queries).await {
         if let Some(PeerAnswer::LiveView(theirs)) = answer {
             merge(&mut live, *theirs);
         }
@@ -53,9 +53,12 @@
 /// Returns notes for an operator on a job that was just created.
 ///
 /// Without them a task that fits on no listed worker would wait for ever without an explanation.
-pub(super) async fn capacity_notes(port: &OperatorContext, spec: &JobSpec) -> Option<Vec<String>> {
+pub(super) async fn capacity_notes(
+    context: &OperatorContext,
+    spec: &JobSpec,
+) -> Option<Vec<String>> {
     let (reply, query_data) = oneshot::channel();
-    port.control.send(Input::QueryData { reply }).await.ok()?;
+    context.control.send(Input::QueryData { reply }).await.ok()?;
     let QueryData { vms, dcs, .. } = query_data.await.ok()?;
     let is_allowed = |vm: &&Vm| {
         let name = dcs.get(usize::from(vm.dc.0));
--- a/daisy-entry/src/operators/statements.rs
+++ b/daisy-entry/src/operators/statements.rs
@@ -22,7 +22,7 @@
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Runs the statements of `text`, and stops after the first that is not accepted.
-pub(super) async fn run(port: &OperatorContext, who: Name, text: &str) -> Reply {
+pub(super) async fn run(context: &OperatorContext, who: Name, text: &str) -> Reply {
     let statements = match daisy_language::parse_located(text) {
         Ok(statements) => statements,
         Err(findings) => {
@@ -36,9 +36,9 @@
         let source = text.get(span).unwrap_or_default().trim();
         let result = match statement {
             Statement::Change { command, condition } => {
-                submit_change(port, &who, source, command, condition).await
+                submit_change(context, &who, source, command, condition).await
             }
-            other => answer_query(port, &other).await,
+            other => answer_query(context, &other).await,
         };
         let Some(result) = result else {
             return Reply::failed(StatusCode::SERVICE_UNAVAILABLE, "stopping");
@@ -54,7 +54,7 @@
 
 /// Appends a change and waits until the fold has processed it.
 async fn submit_change(
-    port: &OperatorContext,
+    context: &OperatorContext,
     who: &Name,
     source: &str,
     command: Command,
@@ -64,15 +64,15 @@
         Command::Create(spec) => Some(spec.clone()),
         _ => None,
     };
-    let at = port.clock.wall_time();
+    let at = context.clock.wall_time();
     let change = Change { who: who.clone(), at, text: source.into(), command, condition };
     let (reply, outcome) = oneshot::channel();
     let record = Record::Change(change);
-    port.control.send(Input::Submit { record, reply }).await.ok()?;
+    context.control.send(Input::Submit { record, reply }).await.ok()?;
     let result = match timeout(OUTCOME_TIMEOUT, outcome).await {
         Ok(Ok(SubmitOutcome::Folded(RecordOutcome::Accepted(generation)))) => {
             let notes = match created {
-                Some(spec) => capacity_notes(port, &spec).await?,
+                Some(spec) => capacity_notes(context, &spec).await?,
                 None => Vec::new(),
             };
             StatementResultJson::Accepted { generation: generation.0, notes }
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::{
-    boundary::{Intent, PeerKeys},
+    boundary::{IntentOutcome, PeerKeys},
     control::{Input, SubmitOutcome},
     peers::{
         Command, Traffic,
@@ -139,17 +139,19 @@
         }
     }
 
-    async fn announce_intent(&self, key: u128, limit: Duration) -> Intent {
+    async fn announce_intent(&self, key: u128, limit: Duration) -> IntentOutcome {
         let (reply, outcome) = oneshot::channel();
         let record = Record::Intent { key, entry: self.own };
         if self.control.send(Input::Submit { record, reply }).await.is_err() {
-            return Intent::Unavailable;
+            return IntentOutcome::Unavailable;
         }
         match timeout(limit, outcome).await {
-            Ok(Ok(SubmitOutcome::Folded(RecordOutcome::Announced))) => Intent::Won,
-            Ok(Ok(SubmitOutcome::Folded(RecordOutcome::AlreadyAnnounced(_)))) => Intent::Lost,
+            Ok(Ok(SubmitOutcome::Folded(RecordOutcome::Announced))) => IntentOutcome::Won,
+            Ok(Ok(SubmitOutcome::Folded(RecordOutcome::AlreadyAnnounced(_)))) => {
+                IntentOutcome::Lost
+            }
             // Without the fold's outcome the record may still reach the log.
-            _ => Intent::Unavailable,
+            _ => IntentOutcome::Unavailable,
         }
     }
 }
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -11,7 +11,7 @@
 use futures::future::join_all;
 
 use crate::{
-    boundary::{Intent, PeerKeys},
+    boundary::{IntentOutcome, PeerKeys},
     proxy::{answer::Failure, core::Core, head::Key},
 };
 
@@ -171,9 +171,9 @@
         let intent =
             self.peers.announce_intent(intent_key(&self.id), left.min(INTENT_TIMEOUT)).await;
         match intent {
-            Intent::Won => KeyStep::Run,
-            Intent::Lost => KeyStep::Deny(KeyDenial::Unknown),
-            Intent::Unavailable => KeyStep::Deny(KeyDenial::Unreachable),
+            IntentOutcome::Won => KeyStep::Run,
+            IntentOutcome::Lost => KeyStep::Deny(KeyDenial::Unknown),
+            IntentOutcome::Unavailable => KeyStep::Deny(KeyDenial::Unreachable),
         }
     }
 
--- a/daisy-entry/tests/proxy/fixture.rs
+++ b/daisy-entry/tests/proxy/fixture.rs
@@ -10,7 +10,7 @@
 };
 
 use daisy_entry::{
-    boundary::{Intent, PeerKeys, RequestSide, RoutesWatch},
+    boundary::{IntentOutcome, PeerKeys, RequestSide, RoutesWatch},
     proxy::{Options, Proxy},
 };
 use daisy_model::{DcId, JobId, Name, Priority, SortedMap, VmId};
@@ -51,16 +51,16 @@
         Some(proxy.answer(self.own, query).await)
     }
 
-    async fn announce_intent(&self, key: u128, _: Duration) -> Intent {
+    async fn announce_intent(&self, key: u128, _: Duration) -> IntentOutcome {
         if self.log_down.load(Ordering::SeqCst) {
-            return Intent::Unavailable;
+            return IntentOutcome::Unavailable;
         }
         let mut intents = self.intents.lock().unwrap();
         if intents.contains(&key) {
-            return Intent::Lost;
+            return IntentOutcome::Lost;
         }
         intents.push(key);
-        Intent::Won
+        IntentOutcome::Won
     }
 }
 
--- a/daisy-routing/src/health.rs
+++ b/daisy-routing/src/health.rs
@@ -22,7 +22,7 @@
 
 /// Assessment of a backend server by one try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum TryAssessment {
     /// It answered as fast as the others.
     Good,
     /// It answered, but takes several times as long as the others.
@@ -94,13 +94,15 @@
     /// Returns the health after a try; `condition` describes the service of the backend server.
     pub(crate) fn after_try(
         self,
-        verdict: Verdict,
+        assessment: TryAssessment,
         condition: ServiceCondition,
         now: Instant,
     ) -> Health {
-        match (self, verdict) {
-            (Health::Ready { .. }, Verdict::Good) => Health::Ready { consecutive_failures: 0 },
-            (Health::Starting { since, .. }, Verdict::Good) => {
+        match (self, assessment) {
+            (Health::Ready { .. }, TryAssessment::Good) => {
+                Health::Ready { consecutive_failures: 0 }
+            }
+            (Health::Starting { since, .. }, TryAssessment::Good) => {
                 if now.since(since) >= SLOW_START_DURATION {
                     Health::Ready { consecutive_failures: 0 }
                 } else {
@@ -109,9 +111,9 @@
             }
             (Health::Ready { consecutive_failures }, _)
             | (Health::Starting { consecutive_failures, .. }, _) => {
-                self.after_bad_try(consecutive_failures, verdict, condition, now)
+                self.after_bad_try(consecutive_failures, assessment, condition, now)
             }
-            (Health::Quarantined { probe_interval, good_probes, .. }, Verdict::Good) => {
+            (Health::Quarantined { probe_interval, good_probes, .. }, TryAssessment::Good) => {
                 if good_probes + 1 >= RECOVERY_PROBES {
                     Health::Starting { since: now, consecutive_failures: 0 }
                 } else {
@@ -136,11 +138,11 @@
     fn after_bad_try(
         self,
         consecutive_failures: u32,
-        verdict: Verdict,
+        assessment: TryAssessment,
         condition: ServiceCondition,
         now: Instant,
     ) -> Health {
-        let consecutive_failures = if verdict == Verdict::Failed {
+        let consecutive_failures = if assessment == TryAssessment::Failed {
             consecutive_failures + 1
         } else {
             consecutive_failures
@@ -156,7 +158,7 @@
         // Prevents a service from losing all backend servers: a fault that all of them share, or
         // one of the network, would otherwise quarantine the last one too and reject every caller.
         if condition.may_quarantine
-            && (verdict == Verdict::Slow || consecutive_failures >= threshold)
+            && (assessment == TryAssessment::Slow || consecutive_failures >= threshold)
         {
             return Health::Quarantined {
                 probe_at: now + FIRST_PROBE_INTERVAL,
--- a/daisy-routing/src/outcome.rs
+++ b/daisy-routing/src/outcome.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     QueueDecision, Router, TryId,
-    health::{ServiceCondition, Verdict},
+    health::{ServiceCondition, TryAssessment},
     router::ESTIMATED_ANSWER_BYTES,
     server::Server,
     service::ServiceKey,
@@ -112,11 +112,11 @@
         if report.leaving {
             server.reported_leaving_at = Some(now);
         }
-        let Some(verdict) = judge(server, report.outcome, latency, median_log_latency) else {
+        let Some(assessment) = assess(server, report.outcome, latency, median_log_latency) else {
             return;
         };
         let before = server.health;
-        server.health = before.after_try(verdict, condition, now);
+        server.health = before.after_try(assessment, condition, now);
         if server.health.is_quarantined() && !before.is_quarantined() {
             server.mean_latency = Default::default();
         }
@@ -155,36 +155,37 @@
     }
 }
 
-fn judge(
+fn assess(
     server: &mut Server,
     outcome: TryOutcome,
     latency: Duration,
     median_log_latency: Option<f64>,
-) -> Option<Verdict> {
+) -> Option<TryAssessment> {
     match outcome {
         TryOutcome::Answered => {
             server.adapt_limit(false);
-            Some(server.judge(latency, median_log_latency))
+            Some(server.assess(latency, median_log_latency))
         }
         TryOutcome::Refused => {
             server.adapt_limit(true);
             None
         }
-        TryOutcome::NotSent | TryOutcome::Broken => Some(Verdict::Failed),
-        TryOutcome::Cancelled => judge_cancelled(server, latency, median_log_latency),
+        TryOutcome::NotSent | TryOutcome::Broken => Some(TryAssessment::Failed),
+        TryOutcome::Cancelled => assess_cancelled(server, latency, median_log_latency),
     }
 }
 
-/// Judges a cancelled try. Its answer would have taken at least `latency`, but how long is unknown.
-/// The try is therefore used only if it shows that the backend server is slower than the median.
-fn judge_cancelled(
+/// Assesses a cancelled try. Its answer would have taken at least `latency`, but how long is
+/// unknown. The try is therefore used only if it shows that the backend server is slower than the
+/// median.
+fn assess_cancelled(
     server: &mut Server,
     latency: Duration,
     median_log_latency: Option<f64>,
-) -> Option<Verdict> {
+) -> Option<TryAssessment> {
     let log = (latency.as_micros().max(1) as f64).ln();
     if median_log_latency.is_some_and(|median_log_latency| log > median_log_latency) {
-        Some(server.judge(latency, median_log_latency))
+        Some(server.assess(latency, median_log_latency))
     } else {
         None
     }
--- a/daisy-routing/src/server.rs
+++ b/daisy-routing/src/server.rs
@@ -5,7 +5,7 @@
 use daisy_model::{Instant, VmId};
 
 use crate::{
-    health::{Health, Verdict},
+    health::{Health, TryAssessment},
     measure::LogMean,
 };
 
@@ -93,20 +93,24 @@
         self.answer_in_flight = Some((now, reported.saturating_sub(self.own_in_flight)));
     }
 
-    /// Records an answer that took `latency` and judges the mean latency against the median, given
+    /// Records an answer that took `latency` and assesses the mean latency against the median, given
     /// as a logarithm of microseconds.
-    pub(crate) fn judge(&mut self, latency: Duration, median_log_latency: Option<f64>) -> Verdict {
+    pub(crate) fn assess(
+        &mut self,
+        latency: Duration,
+        median_log_latency: Option<f64>,
+    ) -> TryAssessment {
         let quarantined = self.health.is_quarantined();
         self.mean_latency.add(latency);
-        let Some(median_log_latency) = median_log_latency else { return Verdict::Good };
-        // A quarantined backend server is judged from its first probe on: its mean was reset when
+        let Some(median_log_latency) = median_log_latency else { return TryAssessment::Good };
+        // A quarantined backend server is assessed from its first probe on: its mean was reset when
         // it was quarantined.
         let enough = if quarantined { 1 } else { MIN_LATENCY_SAMPLES };
         let log = self.mean_latency.try_log_mean(enough);
         if log.is_some_and(|log| log - median_log_latency > SLOW_FACTOR.ln()) {
-            Verdict::Slow
+            TryAssessment::Slow
         } else {
-            Verdict::Good
+            TryAssessment::Good
         }
     }
 
