--- a/daisy-entry/src/control/ready.rs
+++ b/daisy-entry/src/control/ready.rs
@@ -24,8 +24,8 @@
     /// membership alone decides.
     ///
     /// Guard: a new process that reported ready as soon as it had read the log would reject all
-    /// callers until a heartbeat brings the backend servers of services; during a rolling restart callers
-    /// would see rejections at each step.
+    /// callers until a heartbeat brings the backend servers of services; during a rolling restart
+    /// callers would see rejections at each step.
     pub(super) fn publish_readiness(&mut self, now: Instant) {
         let published = *self.out.ready.borrow();
         let ready = self.ready_since.is_some_and(|since| {
--- a/daisy-query/src/show/fleet.rs
+++ b/daisy-query/src/show/fleet.rs
@@ -102,12 +102,12 @@
 }
 
 pub(crate) fn holders(state: &State, live: &LiveView, sink: Sink<'_>) {
-    for (&dc, holding) in state.holders.iter() {
+    for (&dc, holder_claim) in state.holders.iter() {
         sink(&|column| match column {
             "dc" => live.dc(dc),
-            "holder" => live.vm(holding.holder),
-            "epoch" => holding.epoch.to_string(),
-            "state" if holding.released => "released".to_owned(),
+            "holder" => live.vm(holder_claim.holder),
+            "epoch" => holder_claim.epoch.to_string(),
+            "state" if holder_claim.released => "released".to_owned(),
             "state" => "held".to_owned(),
             _ => none(),
         });
--- a/daisy-routing/src/keys.rs
+++ b/daisy-routing/src/keys.rs
@@ -43,7 +43,7 @@
 /// The keys of one entry VM.
 #[derive(Debug)]
 pub struct KeyTable {
-    me: VmId,
+    own_vm: VmId,
     retry_window: Duration,
     membership: Membership,
     history: History,
@@ -52,10 +52,10 @@
 }
 
 impl KeyTable {
-    /// Creates an empty table for the entry VM `me`, whose process starts at `now`.
-    pub fn new(me: VmId, limits: KeyLimits, now: Instant) -> KeyTable {
+    /// Creates an empty table for the entry VM `own_vm`, whose process starts at `now`.
+    pub fn new(own_vm: VmId, limits: KeyLimits, now: Instant) -> KeyTable {
         KeyTable {
-            me,
+            own_vm,
             retry_window: Routes::default().policy.retry_window,
             membership: Membership::default(),
             history: History::new(now),
@@ -71,8 +71,8 @@
     pub fn set_routes(&mut self, now: Instant, routes: &Routes) -> Vec<(VmId, KeyQuery)> {
         self.observe_time(now);
         self.retry_window = routes.policy.retry_window;
-        let joined = self.membership.update(now, self.me, routes);
-        self.history.update_members(now, self.me, &self.membership, &joined);
+        let joined = self.membership.update(now, self.own_vm, routes);
+        self.history.update_members(now, self.own_vm, &self.membership, &joined);
         joined.into_iter().flat_map(|peer| self.handover_to(now, peer)).collect()
     }
 
@@ -152,13 +152,13 @@
     /// recipients.
     pub fn start_handover(&mut self, now: Instant) -> Vec<(VmId, KeyQuery)> {
         self.leaving = true;
-        self.membership.set_departed(self.me, true);
-        let peers = self.membership.peers(self.me);
+        self.membership.set_departed(self.own_vm, true);
+        let peers = self.membership.peers(self.own_vm);
         peers.into_iter().flat_map(|peer| self.handover_to(now, peer)).collect()
     }
 
     fn is_home(&self, key: &KeyId) -> bool {
-        !self.leaving && self.membership.home(key) == Some(self.me)
+        !self.leaving && self.membership.home(key) == Some(self.own_vm)
     }
 
     /// Returns the kind of a new claim.
@@ -277,7 +277,7 @@
         let mut keys = Vec::new();
         let mut bytes = 0;
         for (key, stored) in self.store.iter() {
-            if !self.leaving && !outranks(key, peer, self.me) {
+            if !self.leaving && !outranks(key, peer, self.own_vm) {
                 continue;
             }
             bytes += stored.bytes();
--- a/daisy-routing/src/keys/history.rs
+++ b/daisy-routing/src/keys/history.rs
@@ -87,22 +87,22 @@
     pub(super) fn update_members(
         &mut self,
         now: Instant,
-        me: VmId,
+        own_vm: VmId,
         membership: &Membership,
         joined: &[VmId],
     ) {
-        let members = membership.peers(me);
+        let members = membership.peers(own_vm);
         if self.first_view_at.is_none() && membership.is_vm_list_read() {
             self.first_view_at = Some(now);
             // Entry VMs that saw this one before it had read the VM list may already have handed
             // over.
-            self.awaiting_handover = membership.listed(me);
+            self.awaiting_handover = membership.listed(own_vm);
             self.awaiting_handover.retain(|vm| !self.handover_sources.contains(vm));
         }
         let lost = |vm: &&VmId| !members.contains(vm) && !self.departed.contains(vm);
         let any_lost = self.last_members.iter().any(|vm| lost(&vm));
-        let any_member_missing = membership.is_member_missing(now, me);
-        let listed = membership.listed(me);
+        let any_member_missing = membership.is_member_missing(now, own_vm);
+        let listed = membership.listed(own_vm);
         self.handover_sources.retain(|vm| listed.contains(vm));
         let any_unlisted = self.awaiting_handover.iter().any(|vm| !listed.contains(vm));
         self.awaiting_handover.retain(|vm| listed.contains(vm));
--- a/daisy-routing/src/keys/membership.rs
+++ b/daisy-routing/src/keys/membership.rs
@@ -34,7 +34,7 @@
 
 impl Membership {
     /// Applies `routes`; returns the entry VMs of the local data centre that are new.
-    pub(super) fn update(&mut self, now: Instant, me: VmId, routes: &Routes) -> Vec<VmId> {
+    pub(super) fn update(&mut self, now: Instant, own_vm: VmId, routes: &Routes) -> Vec<VmId> {
         self.dc = routes.dc;
         self.live = routes.live_entries.clone();
         self.listed = routes.listed_entries.clone();
@@ -46,7 +46,7 @@
         self.update_listed_not_live(now);
         self.prune_seen_by_handover(now);
         self.update_empty_since(now, routes);
-        let peers = self.peers(me);
+        let peers = self.peers(own_vm);
         let before = std::mem::replace(&mut self.last_peers, peers.clone());
         peers.into_iter().filter(|peer| !before.contains(peer)).collect()
     }
@@ -86,17 +86,17 @@
         self.dc
     }
 
-    /// Returns the live entry VMs of the local data centre, without `me` and those that have
+    /// Returns the live entry VMs of the local data centre, without `own_vm` and those that have
     /// departed.
-    pub(super) fn peers(&self, me: VmId) -> Vec<VmId> {
-        self.members(self.dc).filter(|vm| *vm != me).collect()
+    pub(super) fn peers(&self, own_vm: VmId) -> Vec<VmId> {
+        self.members(self.dc).filter(|vm| *vm != own_vm).collect()
     }
 
     /// Returns the entry VMs of the local data centre that the platform lists, whether they answer
-    /// or not, without `me`.
-    pub(super) fn listed(&self, me: VmId) -> Vec<VmId> {
+    /// or not, without `own_vm`.
+    pub(super) fn listed(&self, own_vm: VmId) -> Vec<VmId> {
         let own = self.listed.iter().chain(&self.live).filter(|(dc, _)| *dc == self.dc);
-        let mut vms: Vec<VmId> = own.map(|(_, vm)| *vm).filter(|vm| *vm != me).collect();
+        let mut vms: Vec<VmId> = own.map(|(_, vm)| *vm).filter(|vm| *vm != own_vm).collect();
         vms.sort_unstable();
         vms.dedup();
         vms
@@ -104,9 +104,9 @@
 
     /// Returns whether a listed entry VM of the local data centre does not answer, although it did
     /// before or has had enough time to start.
-    pub(super) fn is_member_missing(&self, now: Instant, me: VmId) -> bool {
+    pub(super) fn is_member_missing(&self, now: Instant, own_vm: VmId) -> bool {
         let has_not_started = |(vm, since): (&VmId, &Instant)| {
-            *vm != me && !self.departed.contains(vm) && now.since(*since) >= STARTUP_GRACE
+            *vm != own_vm && !self.departed.contains(vm) && now.since(*since) >= STARTUP_GRACE
         };
         self.listed_not_live.iter().any(has_not_started)
     }
--- a/daisy-routing/src/outcome.rs
+++ b/daisy-routing/src/outcome.rs
@@ -63,7 +63,7 @@
     ) -> Vec<QueueDecision> {
         let Some(ended) = self.tries.try_remove(try_id) else { return Vec::new() };
         if ended.crosses_region {
-            self.region.spend(report.bytes.saturating_sub(ESTIMATED_ANSWER_BYTES));
+            self.region_budget.spend(report.bytes.saturating_sub(ESTIMATED_ANSWER_BYTES));
         }
         let latency = now.since(ended.started_at);
         self.record_for_service(now, ended.service, report.outcome, latency);
--- a/daisy-routing/src/router.rs
+++ b/daisy-routing/src/router.rs
@@ -38,31 +38,33 @@
 /// The router of one entry VM.
 #[derive(Debug)]
 pub struct Router {
-    pub(crate) me: VmId,
+    pub(crate) own_vm: VmId,
     pub(crate) routes: Routes,
     /// Backend servers, sorted by VM.
     pub(crate) servers: Vec<Server>,
     pub(crate) service_keys: SortedMap<Name, ServiceKey>,
     pub(crate) services: Arena<ServiceKey, ServiceState>,
-    pub(crate) peers: SortedMap<VmId, SortedMap<VmId, u32>>,
+    /// Requests in flight from each other entry VM, by backend server.
+    pub(crate) in_flight_by_peer: SortedMap<VmId, SortedMap<VmId, u32>>,
     pub(crate) tries: Tries,
-    pub(crate) region: ByteBudget,
+    /// Budget of the bytes that this entry VM may send over the region link.
+    pub(crate) region_budget: ByteBudget,
     pub(crate) queue: Queue,
     tickets: Tickets,
 }
 
 impl Router {
-    /// Creates a router without routes for the entry VM `me`.
-    pub fn new(me: VmId) -> Router {
+    /// Creates a router without routes for the entry VM `own_vm`.
+    pub fn new(own_vm: VmId) -> Router {
         Router {
-            me,
+            own_vm,
             routes: Routes::default(),
             servers: Vec::new(),
             service_keys: SortedMap::new(),
             services: Arena::new(),
-            peers: SortedMap::new(),
+            in_flight_by_peer: SortedMap::new(),
             tries: Tries::default(),
-            region: ByteBudget::new(0, Instant::default()),
+            region_budget: ByteBudget::new(0, Instant::default()),
             queue: Queue::default(),
             tickets: Tickets::default(),
         }
@@ -264,7 +266,7 @@
         server.own_in_flight += 1;
         let crosses_region = server.distance == Distance::OtherRegion;
         if crosses_region {
-            self.region.spend(call.bytes + ESTIMATED_ANSWER_BYTES);
+            self.region_budget.spend(call.bytes + ESTIMATED_ANSWER_BYTES);
         }
         if let Some(service) = self.services.get_mut(key) {
             service.in_flight += 1;
@@ -286,7 +288,7 @@
         let typical_latency =
             self.services.get(key).map_or(DEFAULT_RETRY_AFTER, ServiceState::typical_latency);
         let in_time = call.deadline.since(now) > typical_latency + REGION_ROUND_TRIP;
-        if in_time && self.region.allows(call.bytes + ESTIMATED_ANSWER_BYTES, now) {
+        if in_time && self.region_budget.allows(call.bytes + ESTIMATED_ANSWER_BYTES, now) {
             Distance::OtherRegion
         } else {
             Distance::SameRegion
--- a/daisy-routing/src/share.rs
+++ b/daisy-routing/src/share.rs
@@ -22,18 +22,18 @@
     (total / (entries + margin)).max(1)
 }
 
-/// Returns how many of the `total` slots of the backend server `server` are reserved for `me` among
-/// `entries`.
+/// Returns how many of the `total` slots of the backend server `server` are reserved for `own_vm`
+/// among `entries`.
 ///
 /// The remainder of the division goes to the entry VMs with the highest weights for the server, so
 /// that over many servers each of them gets its part.
-pub fn slots(total: u32, server: VmId, me: VmId, entries: &[VmId]) -> u32 {
+pub fn slots(total: u32, server: VmId, own_vm: VmId, entries: &[VmId]) -> u32 {
     let count = entries.len() as u32;
-    if !entries.contains(&me) {
+    if !entries.contains(&own_vm) {
         return 0;
     }
     let item = u64::from(server.0);
-    let mine = (weight(item, me.0), me);
+    let mine = (weight(item, own_vm.0), own_vm);
     let before = entries.iter().filter(|entry| (weight(item, entry.0), **entry) > mine).count();
     total / count + u32::from((before as u32) < total % count)
 }
--- a/daisy-routing/src/update.rs
+++ b/daisy-routing/src/update.rs
@@ -28,7 +28,7 @@
         self.set_servers(now, is_first);
         self.set_services();
         let live: Vec<VmId> = routes.live_entries.iter().map(|(_, vm)| *vm).collect();
-        self.peers.retain(|peer, _| live.contains(peer));
+        self.in_flight_by_peer.retain(|peer, _| live.contains(peer));
         self.update_peer_counts();
         self.refresh_medians();
         self.dispatch(now, rng)
@@ -42,7 +42,7 @@
         in_flight: &[(VmId, u32)],
         rng: &mut fastrand::Rng,
     ) -> Vec<QueueDecision> {
-        self.peers.insert(peer, in_flight.iter().copied().collect());
+        self.in_flight_by_peer.insert(peer, in_flight.iter().copied().collect());
         self.update_peer_counts();
         self.dispatch(now, rng)
     }
@@ -54,7 +54,7 @@
         let sharers =
             self.routes.live_entries.iter().filter(|(dc, _)| region(&self.routes, *dc) == mine);
         let sharers = sharers.count().max(1) as u64;
-        self.region.set_rate(self.routes.policy.region_bytes / sharers, now);
+        self.region_budget.set_rate(self.routes.policy.region_bytes / sharers, now);
     }
 
     /// Replaces the backend servers. Those that were already known keep their measurements.
@@ -89,7 +89,12 @@
             address: backend.address,
             slots: backend.slots,
             connections: share::connections(backend.connections, count),
-            own_slots: share::slots(backend.slots, backend.vm, self.me, &entries(Some(backend.dc))),
+            own_slots: share::slots(
+                backend.slots,
+                backend.vm,
+                self.own_vm,
+                &entries(Some(backend.dc)),
+            ),
             leaving_in_routes: backend.leaving,
             ..server
         }
@@ -131,7 +136,7 @@
 
     fn update_peer_counts(&mut self) {
         let mut sums: SortedMap<VmId, u32> = SortedMap::new();
-        for (_, in_flight) in self.peers.iter() {
+        for (_, in_flight) in self.in_flight_by_peer.iter() {
             for (vm, count) in in_flight.iter() {
                 *sums.get_or_insert_with(*vm, || 0) += count;
             }
