--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -81,7 +81,7 @@
             Ok(Read::Expired(first)) => {
                 log::warn!("event=log_expired from={next} first={first}");
                 self.deliver(next, |ack| Input::LogExpired { first, ack }).await?;
-                // The pause after `false` keeps cold starts that fail from repeating in a tight loop.
+                // The pause after `false` keeps failing cold starts from repeating in a tight loop.
                 Ok(false)
             }
             Err(e) => {
--- a/daisy-entry/src/vm_list.rs
+++ b/daisy-entry/src/vm_list.rs
@@ -52,9 +52,9 @@
 
 /// Returns a list newer than `known` from a random peer.
 ///
-/// Guard: an entry VM that is cut off from the platform, but not from its peers, would send requests
-/// to backend servers that have long been removed, and would not learn of new peers. It is unknown
-/// which peer has a newer list, so each time a peer is chosen at random.
+/// Guard: an entry VM that is cut off from the platform, but not from its peers, would send
+/// requests to backend servers that have long been removed, and would not learn of new peers. It is
+/// unknown which peer has a newer list, so each time a peer is chosen at random.
 async fn list_from_peer(links: &Links, known: Option<u64>) -> Option<VmListing> {
     let peer = links.any_peer()?;
     match links.send_query(peer, PeerQuery::Vms { known }, PEER_TIMEOUT).await? {
--- a/daisy-routing/src/server.rs
+++ b/daisy-routing/src/server.rs
@@ -93,8 +93,8 @@
         self.answer_in_flight = Some((now, reported.saturating_sub(self.own_in_flight)));
     }
 
-    /// Records an answer that took `latency` and compares the mean latency with the median, which is
-    /// given as a logarithm of microseconds.
+    /// Records an answer that took `latency` and compares the mean latency with the median, given
+    /// as a logarithm of microseconds.
     pub(crate) fn assess(
         &mut self,
         latency: Duration,
