--- a/daisy-entry/src/control.rs
+++ b/daisy-entry/src/control.rs
@@ -32,7 +32,7 @@
     time::{MissedTickBehavior, interval, sleep},
 };
 
-use self::{append::Appends, fold::UndecodableEntry, holder::Driver, restore::Snapshots};
+use self::{append::Appends, fold::UndecodableEntry, holder::HolderDriver, restore::Snapshots};
 pub(crate) use self::{
     append::{Appended, SubmitOutcome},
     input::{Input, Page},
@@ -100,7 +100,7 @@
     vms: Arc<[Vm]>,
     vms_version: u64,
     appends: Appends,
-    driver: Driver,
+    holder_driver: HolderDriver,
     replicas: SortedMap<DcId, Arc<Replicas>>,
     snapshots: Snapshots,
     /// A cold start that has not reached the end of the log yet.
@@ -138,7 +138,7 @@
             vms: Arc::from([]),
             vms_version: 0,
             appends,
-            driver: Driver::default(),
+            holder_driver: HolderDriver::default(),
             replicas: SortedMap::new(),
             snapshots: Snapshots::new(clock.now()),
             restore: None,
@@ -170,8 +170,9 @@
 
     /// Returns the time until the append queue must be checked again.
     fn time_until_wake(&self) -> Duration {
-        let wake = self.appends.wake();
-        wake.map_or(MAX_WAKE_INTERVAL, |at| at.since(self.clock.now()).min(MAX_WAKE_INTERVAL))
+        let next_step_at = self.appends.next_step_at();
+        next_step_at
+            .map_or(MAX_WAKE_INTERVAL, |at| at.since(self.clock.now()).min(MAX_WAKE_INTERVAL))
     }
 
     fn handle_input(&mut self, input: Input) {
@@ -199,9 +200,9 @@
             Input::PeerVms(listing) if listing.version <= self.vms_version => {}
             Input::PeerVms(listing) => self.update_vm_list(now, listing),
             Input::VmsUnchanged => self.confirm_vm_list(now),
-            Input::Heartbeat { beat, in_flight } => {
-                self.requests.peer_in_flight(beat.vm, in_flight);
-                self.step_membership(now, Event::Heartbeat(beat));
+            Input::Heartbeat { heartbeat, in_flight } => {
+                self.requests.peer_in_flight(heartbeat.vm, in_flight);
+                self.step_membership(now, Event::Heartbeat(heartbeat));
             }
             Input::Replicas(replicas) => self.handle_replicas(replicas),
             Input::WorkerCallEnded { issuer, epoch, vm, outcome } => {
@@ -210,8 +211,8 @@
             Input::WorkerUpdate { epoch, vm, update } => {
                 self.handle_worker_update(now, epoch, vm, update)
             }
-            Input::PeerQuery { question, reply } => {
-                let _ = reply.send(self.answer_peer(now, question));
+            Input::PeerQuery { query, reply } => {
+                let _ = reply.send(self.answer_peer(now, query));
             }
             Input::EncodeState { reply } => {
                 let _ = reply.send(self.encode());
@@ -310,20 +311,20 @@
     /// Guard: the holder resolves the outcome of tasks that its predecessor may have started
     /// without recording it only by a list that is recent enough. Without this confirmation an
     /// unchanged list would never be recent enough, and such tasks would stay blocked until the
-    /// list happened to change. A list from a peer, which may have read it long ago, does not
-    /// count.
+    /// list happened to change. A list from a peer does not confirm anything, because the peer may
+    /// have read it long ago.
     fn confirm_vm_list(&mut self, now: Instant) {
         let vms = Arc::clone(&self.vms);
         self.drive_holder(now, daisy_placement::Event::Vms(&vms));
         self.drive_lease_renewer(now, LeaseRenewerEvent::Vms(&vms));
     }
 
-    fn answer_peer(&mut self, now: Instant, question: PeerQuery) -> PeerAnswer {
-        match question {
+    fn answer_peer(&mut self, now: Instant, query: PeerQuery) -> PeerAnswer {
+        match query {
             PeerQuery::Vms { known } if !self.vms.is_empty() && known < Some(self.vms_version) => {
                 PeerAnswer::Vms { version: self.vms_version, vms: self.vms.to_vec() }
             }
-            PeerQuery::LiveView => match self.live(now) {
+            PeerQuery::LiveView => match self.live_view(now) {
                 Some(live) => PeerAnswer::LiveView(Box::new(live)),
                 None => PeerAnswer::Unable,
             },
@@ -333,14 +334,14 @@
 
     /// Returns whether an entry VM has become reachable or unreachable since routes were published.
     fn have_entries_changed(&self, now: Instant) -> bool {
-        let entries = routes::entries(now, self.identity.dc, &self.membership);
-        entries != self.out.routes.borrow().entries
+        let entries = routes::live_entries(now, self.identity.dc, &self.membership);
+        entries != self.out.routes.borrow().live_entries
     }
 
     fn publish_routes(&mut self, now: Instant) {
         self.routes_dirty = false;
         let version = self.out.routes.borrow().version + 1;
-        let parts = routes::RouteSources {
+        let sources = routes::RouteSources {
             now,
             dc: self.identity.dc,
             regions: &self.identity.regions,
@@ -349,7 +350,7 @@
             membership: &self.membership,
             replicas: &self.replicas,
         };
-        let routes = Arc::new(routes::build(version, &parts));
+        let routes = Arc::new(routes::build(version, &sources));
         self.out.routes.send_if_modified(|it| {
             let unversioned = Routes { version: it.version, ..Routes::clone(&routes) };
             if **it == unversioned {
@@ -364,7 +365,7 @@
         let options = self.membership.options();
         let alive = self.membership.peers().iter();
         let alive =
-            alive.filter(|(vm, _)| self.membership.peers().alive(options, now, *vm)).count();
+            alive.filter(|(vm, _)| self.membership.peers().is_alive(options, now, *vm)).count();
         let metrics = &self.out.metrics;
         metrics.next_offset.set(self.state.next.0 as i64);
         metrics.generation.set(self.state.generation.0 as i64);
--- a/daisy-entry/src/control/append.rs
+++ b/daisy-entry/src/control/append.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_ledger::{
-    AppendId, Batch, Outcome, Record,
+    AppendId, Batch, Record, RecordOutcome,
     append::{Action, Event, Options, Queue},
 };
 use daisy_membership::Event as MembershipEvent;
@@ -21,15 +21,15 @@
 ///
 /// Only holders append often: six of them add up to 40 appends a second, and the platform accepts a
 /// few hundred. At 50 ms the log itself was 2.2 KB a second at the peak of 62 starts a second
-/// (`daisy-measure ledger`), more than a node may spend on all of control. A first append after a
-/// pause is sent at once.
+/// (`daisy-measure ledger`), more than a node may use for all of its control traffic. The
+/// first append after a pause is sent at once.
 const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The outcome of a submitted record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum SubmitOutcome {
     /// The fold has processed the record.
-    Folded(Outcome),
+    Folded(RecordOutcome),
     /// The record is not in the log and will not be appended.
     NotAppended(&'static str),
 }
@@ -40,7 +40,7 @@
     /// The ID of the append.
     pub id: AppendId,
     /// When it was sent.
-    pub asked: Instant,
+    pub sent_at: Instant,
     /// The outcome of the attempt.
     pub outcome: AppendOutcome,
 }
@@ -55,7 +55,7 @@
     last_claim: AppendId,
     /// The reachability of the log that was last reported to the holder.
     reported_reachable: bool,
-    flushing: Vec<oneshot::Sender<()>>,
+    flush_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Appends {
@@ -66,7 +66,7 @@
             waiters: SortedMap::new(),
             last_claim: AppendId { sender: !sender, seq: 0 },
             reported_reachable: true,
-            flushing: Vec::new(),
+            flush_waiters: Vec::new(),
         }
     }
 
@@ -76,13 +76,13 @@
     }
 
     /// Returns whether the log accepts appends, as far as is known.
-    pub fn reachable(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         self.queue.is_reachable()
     }
 
     /// Returns when the queue must be checked next.
-    pub fn wake(&self) -> Option<Instant> {
-        self.queue.wake()
+    pub fn next_step_at(&self) -> Option<Instant> {
+        self.queue.next_step_at()
     }
 }
 
@@ -97,10 +97,10 @@
 
     /// Appends a record whose outcome is sent to `reply`.
     ///
-    /// While the log is unreachable no more records are accepted: the sender would be told that the
-    /// change failed, and see it take effect an hour later.
+    /// No records are accepted while the log is unreachable: the sender would get an error, but the
+    /// change could still take effect an hour later.
     pub(super) fn submit(&mut self, record: Record, reply: oneshot::Sender<SubmitOutcome>) {
-        if !self.appends.reachable() {
+        if !self.appends.is_reachable() {
             let _ = reply.send(SubmitOutcome::NotAppended("the log does not accept appends"));
             return;
         }
@@ -116,9 +116,9 @@
 
     /// Appends a claim, once.
     ///
-    /// Guard: a claim that took effect long after it was decided would depose a healthy holder that
-    /// has taken over in between. It bypasses the queue, which would send it again until the end of
-    /// an outage; another claim requires a new decision.
+    /// Guard: a claim that took effect long after it was decided would replace a healthy holder
+    /// that has taken over in the meantime. Claims therefore bypass the queue, which would send
+    /// them again until the end of an outage. Another claim requires a new decision.
     pub(super) fn append_claim(&mut self) {
         self.appends.last_claim.seq += 1;
         let record = Record::Claim { dc: self.identity.dc, holder: self.identity.vm };
@@ -128,10 +128,10 @@
 
     /// Handles the result of an append attempt.
     pub(super) fn handle_append_result(&mut self, now: Instant, appended: Appended) {
-        let Appended { id, asked, outcome } = appended;
+        let Appended { id, sent_at, outcome } = appended;
         self.out.metrics.append(matches!(outcome, AppendOutcome::Stored(_)));
         if matches!(outcome, AppendOutcome::Stored(_)) {
-            self.step_membership(now, MembershipEvent::Log { asked, end: None });
+            self.step_membership(now, MembershipEvent::LogAnswered { sent_at, end: None });
         }
         if id.sender == self.appends.last_claim.sender {
             self.step_membership(now, MembershipEvent::ClaimEnded);
@@ -147,7 +147,7 @@
     }
 
     /// Handles an append that the fold has reached; it may be one of this process.
-    pub(super) fn append_folded(&mut self, now: Instant, id: AppendId, outcomes: &[Outcome]) {
+    pub(super) fn append_folded(&mut self, now: Instant, id: AppendId, outcomes: &[RecordOutcome]) {
         self.step_queue(now, Event::Folded { id }, Some(outcomes));
     }
 
@@ -155,7 +155,7 @@
     pub(super) fn flush(&mut self, now: Instant) {
         self.step_queue(now, Event::Tick, None);
         if self.appends.queue.backlog() == 0 {
-            for waiter in self.appends.flushing.drain(..) {
+            for waiter in self.appends.flush_waiters.drain(..) {
                 let _ = waiter.send(());
             }
         }
@@ -163,10 +163,10 @@
 
     /// Notifies `waiter` once all queued records are in the log.
     pub(super) fn notify_when_flushed(&mut self, waiter: oneshot::Sender<()>) {
-        self.appends.flushing.push(waiter);
+        self.appends.flush_waiters.push(waiter);
     }
 
-    fn step_queue(&mut self, now: Instant, event: Event, outcomes: Option<&[Outcome]>) {
+    fn step_queue(&mut self, now: Instant, event: Event, outcomes: Option<&[RecordOutcome]>) {
         let mut actions = Vec::new();
         self.appends.queue.step(now, event, &mut actions);
         // Appends are folded in order: of those that are done, the last is the one that the fold
--- a/daisy-entry/src/control/publish.rs
+++ b/daisy-entry/src/control/publish.rs
@@ -27,7 +27,7 @@
         };
         in_flight.sort_unstable();
         let update = PeerUpdate {
-            beat: self.membership.heartbeat(now),
+            heartbeat: self.membership.heartbeat(now),
             in_flight: Arc::new(in_flight),
             replicas: self.replicas_for(now, is_same_dc),
         };
@@ -36,12 +36,12 @@
 
     /// Resets the connection to a peer that sends no heartbeats.
     ///
-    /// Guard: a connection through a link that was cut may hang until TCP gives up, many minutes
-    /// after the link is back, and the peer would be unreachable for as long. The connection to
-    /// such a peer is reset every few seconds.
+    /// Guard: a connection through a link that was cut may stay blocked until TCP times out, many
+    /// minutes after the link is restored, and the peer would be unreachable for that time. The
+    /// connection to an unresponsive peer is therefore reset every few seconds.
     fn reset_if_unresponsive(&mut self, now: Instant, vm: VmId) {
         let options = self.membership.options();
-        if self.membership.peers().alive(options, now, vm) {
+        if self.membership.peers().is_alive(options, now, vm) {
             self.last_resets.insert(vm, now);
             return;
         }
@@ -52,8 +52,9 @@
         }
     }
 
-    /// Returns the replicas to send to a peer: the speaker of a data centre sends the own ones to
-    /// other data centres, and all of them to peers in its own.
+    /// Returns the replicas to send to a peer. Only the entry VM that represents its data centre
+    /// sends any: those of its own data centre to other data centres, and all that it knows to
+    /// peers in its own.
     fn replicas_for(&self, now: Instant, is_same_dc: bool) -> Vec<Arc<Replicas>> {
         if !self.membership.represents_dc(now) {
             return Vec::new();
@@ -67,7 +68,7 @@
 
     /// Updates the replicas of the own data centre, if they have changed, for sending to peers.
     pub(super) fn publish_replicas(&mut self) {
-        let Some(holder) = self.driver.active_holder() else { return };
+        let Some(holder) = self.holder_driver.active_holder() else { return };
         let (dc, epoch) = (self.identity.dc, holder.epoch());
         let known = self.replicas.get(&dc);
         let all = replicas::of_holder(holder, known);
@@ -143,9 +144,9 @@
             vm: vm.0,
             dc: peer.dc.0,
             listed: peer.listed,
-            alive: peers.alive(options, now, vm),
-            next: peer.last.map(|last| last.next.0),
-            generation: peer.last.map(|last| last.generation),
+            alive: peers.is_alive(options, now, vm),
+            next: peer.last_heartbeat.map(|last| last.next.0),
+            generation: peer.last_heartbeat.map(|last| last.generation),
         };
         peers.iter().map(peer).collect()
     }
--- a/daisy-entry/src/control/query_data.rs
+++ b/daisy-entry/src/control/query_data.rs
@@ -28,7 +28,7 @@
 impl<R: RequestSide<KeyQuery, KeyAnswer>> Control<R> {
     /// Returns the data from which an operator's query is answered.
     pub(super) fn query_data(&mut self, now: Instant) -> QueryData {
-        let own = self.live(now).unwrap_or_default();
+        let own = self.live_view(now).unwrap_or_default();
         let holders = self.state.holders.iter().filter(|(_, it)| !it.released);
         let holders = holders.map(|(_, it)| it.holder).filter(|vm| *vm != self.identity.vm);
         QueryData {
@@ -41,9 +41,9 @@
     }
 
     /// Returns what this entry VM knows as a holder, or `None` if it is not a holder.
-    pub(super) fn live(&mut self, now: Instant) -> Option<LiveView> {
+    pub(super) fn live_view(&mut self, now: Instant) -> Option<LiveView> {
         let wall_time = self.clock.wall_time();
-        let holder = self.driver.active_holder()?;
+        let holder = self.holder_driver.active_holder()?;
         Some(build_live(holder, &Times { now, wall_time }))
     }
 }
@@ -75,8 +75,8 @@
         let runs = matches!(task.status, TaskStatus::Running | TaskStatus::Ending);
         let Some(vm) = task.vm.filter(|_| runs) else { continue };
         // The last reason of a running task is usually that it runs.
-        let since = notes.last().map(|it| times.now.since(it.at)).unwrap_or_default();
-        let known = LiveTask { incarnation: task.incarnation, vm, share: task.share, since };
+        let run_time = notes.last().map(|it| times.now.since(it.at)).unwrap_or_default();
+        let known = LiveTask { incarnation: task.incarnation, vm, share: task.share, run_time };
         live.tasks.insert(task.task, known);
     }
     for worker in holder.workers() {
@@ -87,7 +87,7 @@
             WorkerStatus::Open => WorkerState::Ready,
             WorkerStatus::Draining | WorkerStatus::Unlisted => WorkerState::Leaving,
             WorkerStatus::Quarantined => WorkerState::Quarantined,
-            WorkerStatus::NeverAnswered | WorkerStatus::Unresponsive => WorkerState::Silent,
+            WorkerStatus::NeverAnswered | WorkerStatus::Unresponsive => WorkerState::Unresponsive,
         };
         let known = LiveWorker {
             capacity: worker.capacity,
--- a/daisy-entry/src/peers/link.rs
+++ b/daisy-entry/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one peer, on which notices and questions are sent.
+//! The connection to one peer, on which notices and queries are sent.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,7 +23,7 @@
 use crate::{
     control::Replicas,
     peers::{
-        NOTICES, QUESTION, RECORDS, Traffic,
+        NOTICES, QUERY, RECORDS, Traffic,
         stream::{Receiver, Sender, StreamError},
     },
 };
@@ -32,7 +32,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long sending a notice may take; a peer that is paused accepts none.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the stream of a question is kept open; the asker has usually timed out before.
+/// How long the stream of a query is kept open; the asker has usually timed out before.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// The first pause before another connection attempt; doubled up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
@@ -44,7 +44,7 @@
 /// The state that is sent to a peer at a time.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerUpdate {
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
     /// Requests in flight by backend server, sorted.
     pub in_flight: Arc<Vec<(VmId, u32)>>,
     /// Replicas of services, by data centre.
@@ -56,8 +56,8 @@
 pub(crate) enum Command {
     /// Send the state to the peer.
     Update(PeerUpdate),
-    /// Send a question to the peer.
-    Ask(PeerQuery, oneshot::Sender<Option<PeerAnswer>>),
+    /// Send a query to the peer.
+    Query(PeerQuery, oneshot::Sender<Option<PeerAnswer>>),
     /// Read the log's records from the peer.
     Records(Offset, oneshot::Sender<Option<Records>>),
     /// Drop the connection: the peer does not seem to receive anything through it.
@@ -74,7 +74,7 @@
     /// Returns the next message, or `None` if the stream has ended or failed.
     pub async fn next(&mut self) -> Option<RecordStreamMessage> {
         match self.receiver.next::<RecordStreamMessageWire>().await {
-            Ok(Some(pushed)) => Some(pushed.into()),
+            Ok(Some(message)) => Some(message.into()),
             Ok(None) => None,
             Err(e) => {
                 log::debug!("event=records_stream_broken cause=\"{e}\"");
@@ -124,8 +124,8 @@
             }
             // Without a connection the command is dropped: heartbeats are soon out of date, and a
             // dropped reply sender tells the receiver that there is no answer.
-            let Some(it) = connection.as_mut() else { continue };
-            if let Err(e) = self.execute(it, command).await {
+            let Some(open) = connection.as_mut() else { continue };
+            if let Err(e) = self.execute(open, command).await {
                 log::debug!("event=peer_link_broken peer={} cause=\"{e}\"", self.peer);
                 connection = None;
             }
@@ -179,18 +179,20 @@
             .body(())
     }
 
-    async fn execute(&self, it: &mut Connection, command: Command) -> anyhow::Result<()> {
+    async fn execute(&self, connection: &mut Connection, command: Command) -> anyhow::Result<()> {
         match command {
-            Command::Update(update) => Ok(timeout(NOTICE_TIMEOUT, it.send_update(update)).await??),
-            Command::Ask(question, reply) => {
-                let mut requests = it.ready().await?;
-                let (response, stream) = requests.send_request(self.request(QUESTION)?, false)?;
+            Command::Update(update) => {
+                Ok(timeout(NOTICE_TIMEOUT, connection.send_update(update)).await??)
+            }
+            Command::Query(query, reply) => {
+                let mut requests = connection.ready().await?;
+                let (response, stream) = requests.send_request(self.request(QUERY)?, false)?;
                 let sender = Sender::new(stream);
-                tokio::spawn(exchange_question(sender, response, question, reply));
+                tokio::spawn(exchange_query(sender, response, query, reply));
                 Ok(())
             }
             Command::Records(from, reply) => {
-                let mut requests = it.ready().await?;
+                let mut requests = connection.ready().await?;
                 let (response, stream) = requests.send_request(self.request(RECORDS)?, false)?;
                 let sender = Sender::new(stream);
                 tokio::spawn(open_records(sender, response, from, reply));
@@ -204,9 +206,8 @@
 impl Connection {
     /// Returns a handle that can open a new stream.
     ///
-    /// Guard: a peer that is paused answers nothing, and the limit of streams to it is reached.
-    /// Without a timeout the link would wait for a free stream, and so would the heartbeats queued
-    /// behind.
+    /// Guard: a paused peer answers nothing, so that the limit of streams to it is reached. Without
+    /// a timeout the link would wait for a free stream, and the queued heartbeats would wait too.
     async fn ready(&self) -> anyhow::Result<SendRequest<Bytes>> {
         Ok(timeout(NOTICE_TIMEOUT, self.requests.clone().ready()).await??)
     }
@@ -225,21 +226,22 @@
         let full = self.in_flight.is_none();
         let known = self.in_flight.as_deref().map_or(&[][..], Vec::as_slice);
         let in_flight = changed_counts(known, &update.in_flight);
-        let notice = NoticeWire::from(&Notice::Heartbeat { beat: update.beat, full, in_flight });
+        let notice =
+            NoticeWire::from(&Notice::Heartbeat { heartbeat: update.heartbeat, full, in_flight });
         self.notices.send(&notice, false).await?;
         self.in_flight = Some(update.in_flight);
         Ok(())
     }
 }
 
-async fn exchange_question(
+async fn exchange_query(
     mut sender: Sender,
     response: client::ResponseFuture,
-    question: PeerQuery,
+    query: PeerQuery,
     reply: oneshot::Sender<Option<PeerAnswer>>,
 ) {
     let exchange = async {
-        sender.send(&PeerQueryWire::from(question), true).await?;
+        sender.send(&PeerQueryWire::from(query), true).await?;
         let mut receiver = Receiver::new(response.await?.into_body(), MAX_FRAME);
         Ok::<_, StreamError>(PeerAnswer::try_from(receiver.only::<PeerAnswerWire>().await?)?)
     };
--- a/daisy-entry/src/peers/links.rs
+++ b/daisy-entry/src/peers/links.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use daisy_ledger::{Outcome, Record};
+use daisy_ledger::{Record, RecordOutcome};
 use daisy_model::{Offset, SortedMap, VmId};
 use daisy_routing::{KeyAnswer, KeyQuery};
 use daisy_wire::peer::{PeerAnswer, PeerQuery};
@@ -16,7 +16,7 @@
 };
 
 use crate::{
-    boundary::{Intent, PeerKeys},
+    boundary::{IntentOutcome, PeerKeys},
     control::{Input, SubmitOutcome},
     peers::{
         Command, Traffic,
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug)]
-struct Shared {
+struct SharedLinks {
     own: VmId,
     addresses: SortedMap<VmId, SocketAddr>,
     open: SortedMap<VmId, OpenLink>,
@@ -46,14 +46,14 @@
 /// The links to all peers; clones share them.
 #[derive(Debug, Clone)]
 pub(crate) struct Links {
-    shared: Arc<Mutex<Shared>>,
+    shared: Arc<Mutex<SharedLinks>>,
     pub traffic: Traffic,
 }
 
 impl Links {
     /// Creates an empty set of links of the entry VM `own`.
     pub fn new(own: VmId) -> Links {
-        let shared = Shared { own, addresses: SortedMap::new(), open: SortedMap::new() };
+        let shared = SharedLinks { own, addresses: SortedMap::new(), open: SortedMap::new() };
         Links { shared: Arc::new(Mutex::new(shared)), traffic: Traffic::default() }
     }
 
@@ -77,15 +77,15 @@
         self.link(peer).is_some_and(|commands| commands.try_send(command).is_ok())
     }
 
-    /// Sends a question to `peer`; returns `None` if no answer arrives within `limit`.
-    pub async fn send_question(
+    /// Sends a query to `peer`; returns `None` if no answer arrives within `limit`.
+    pub async fn send_query(
         &self,
         peer: VmId,
-        question: PeerQuery,
+        query: PeerQuery,
         limit: Duration,
     ) -> Option<PeerAnswer> {
         let (reply, answer) = oneshot::channel();
-        if !self.send(peer, Command::Ask(question, reply)) {
+        if !self.send(peer, Command::Query(query, reply)) {
             return None;
         }
         timeout(limit, answer).await.ok()?.ok()?
@@ -113,7 +113,7 @@
         Some(commands)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Shared> {
+    fn lock(&self) -> MutexGuard<'_, SharedLinks> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -133,23 +133,25 @@
         query: KeyQuery,
         timeout: Duration,
     ) -> Option<KeyAnswer> {
-        match self.links.send_question(peer, PeerQuery::Key(query), timeout).await? {
+        match self.links.send_query(peer, PeerQuery::Key(query), timeout).await? {
             PeerAnswer::Key(answer) => Some(answer),
             _ => None,
         }
     }
 
-    async fn announce_intent(&self, key: u128, limit: Duration) -> Intent {
+    async fn announce_intent(&self, key: u128, limit: Duration) -> IntentOutcome {
         let (reply, outcome) = oneshot::channel();
         let record = Record::Intent { key, entry: self.own };
         if self.control.send(Input::Submit { record, reply }).await.is_err() {
-            return Intent::Unavailable;
+            return IntentOutcome::Unavailable;
         }
         match timeout(limit, outcome).await {
-            Ok(Ok(SubmitOutcome::Folded(Outcome::Announced))) => Intent::Won,
-            Ok(Ok(SubmitOutcome::Folded(Outcome::AlreadyAnnounced(_)))) => Intent::Lost,
+            Ok(Ok(SubmitOutcome::Folded(RecordOutcome::Announced))) => IntentOutcome::Won,
+            Ok(Ok(SubmitOutcome::Folded(RecordOutcome::AlreadyAnnounced(_)))) => {
+                IntentOutcome::Lost
+            }
             // Without the fold's outcome the record may still reach the log.
-            _ => Intent::Unavailable,
+            _ => IntentOutcome::Unavailable,
         }
     }
 }
--- a/daisy-entry/src/peers/serve.rs
+++ b/daisy-entry/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! The peers' port: notices, records and questions from other entry VMs.
+//! The peers' port: notices, records and queries from other entry VMs.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -32,7 +32,7 @@
     boundary::RequestSide,
     control::{Input, Replicas},
     peers::{
-        NOTICES, QUESTION, RECORDS, Tail, Traffic,
+        NOTICES, QUERY, RECORDS, Tail, Traffic,
         stream::{Receiver, Sender, StreamError},
         tail::Chunk,
     },
@@ -51,8 +51,8 @@
 const WINDOW: u32 = 1 << 20;
 /// How long the handshake of a new connection may take.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a question may take to arrive, and its answer to be found.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a query may take to arrive, and its answer to be found.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The addresses that may connect.
 #[derive(Debug, Clone)]
@@ -149,7 +149,7 @@
         match parts.uri.path() {
             NOTICES => self.serve_notices(from, receiver, respond).await,
             RECORDS => self.serve_records(receiver, respond).await,
-            QUESTION => self.serve_question(from, receiver, respond).await,
+            QUERY => self.serve_query(from, receiver, respond).await,
             other => {
                 reject(&mut respond, StatusCode::NOT_FOUND)?;
                 anyhow::bail!("unknown path {other:?}")
@@ -176,13 +176,13 @@
                 }
             };
             let input = match notice {
-                Notice::Heartbeat { beat, .. } if beat.vm != from => {
+                Notice::Heartbeat { heartbeat, .. } if heartbeat.vm != from => {
                     reject(&mut respond, StatusCode::BAD_REQUEST)?;
-                    anyhow::bail!("heartbeat of {} on the stream of {from}", beat.vm);
+                    anyhow::bail!("heartbeat of {} on the stream of {from}", heartbeat.vm);
                 }
-                Notice::Heartbeat { beat, full, in_flight } => {
+                Notice::Heartbeat { heartbeat, full, in_flight } => {
                     let in_flight = notice_state.in_flight(full, in_flight);
-                    Input::Heartbeat { beat, in_flight }
+                    Input::Heartbeat { heartbeat, in_flight }
                 }
                 Notice::Replicas(change) => Input::Replicas(notice_state.replicas(change)),
             };
@@ -200,12 +200,12 @@
         let mut from = Offset(offset);
         let stream = respond.send_response(Response::new(()), false)?;
         let mut sender = Sender::new(stream);
-        let mut moved = self.tail.subscribe();
+        let mut fold_updates = self.tail.subscribe();
         loop {
-            moved.borrow_and_update();
-            let pushed = match self.tail.chunk(from) {
+            fold_updates.borrow_and_update();
+            let message = match self.tail.chunk(from) {
                 Chunk::Nothing => {
-                    if moved.changed().await.is_err() {
+                    if fold_updates.changed().await.is_err() {
                         sender.finish();
                         return Ok(());
                     }
@@ -224,7 +224,7 @@
                 }
             };
             // If the peer closes the stream, sending fails here and ends the task.
-            sender.send(&RecordStreamMessageWire::from(pushed), false).await?;
+            sender.send(&RecordStreamMessageWire::from(message), false).await?;
         }
     }
 
@@ -234,36 +234,35 @@
         encoded.await.context("stopping")
     }
 
-    async fn serve_question(
+    async fn serve_query(
         &self,
         from: VmId,
         mut receiver: Receiver,
         mut respond: SendResponse<Bytes>,
     ) -> anyhow::Result<()> {
-        let question = async {
+        let query = async {
             let wire = receiver.only::<PeerQueryWire>().await?;
             Ok::<_, StreamError>(PeerQuery::try_from(wire)?)
         };
-        let question =
-            match timeout(QUESTION_TIMEOUT, question).await.context("question timed out")? {
-                Ok(question) => question,
-                Err(e) => {
-                    reject(&mut respond, StatusCode::BAD_REQUEST)?;
-                    return Err(e.into());
-                }
-            };
-        let answer = timeout(QUESTION_TIMEOUT, self.answer(from, question)).await?;
+        let query = match timeout(QUERY_TIMEOUT, query).await.context("query timed out")? {
+            Ok(query) => query,
+            Err(e) => {
+                reject(&mut respond, StatusCode::BAD_REQUEST)?;
+                return Err(e.into());
+            }
+        };
+        let answer = timeout(QUERY_TIMEOUT, self.answer(from, query)).await?;
         let stream = respond.send_response(Response::new(()), false)?;
         let mut sender = Sender::new(stream);
         Ok(sender.send(&PeerAnswerWire::from(answer), true).await?)
     }
 
-    async fn answer(&self, from: VmId, question: PeerQuery) -> PeerAnswer {
-        if let PeerQuery::Key(query) = question {
-            return PeerAnswer::Key(self.requests.answer(from, query).await);
+    async fn answer(&self, from: VmId, query: PeerQuery) -> PeerAnswer {
+        if let PeerQuery::Key(key_query) = query {
+            return PeerAnswer::Key(self.requests.answer(from, key_query).await);
         }
         let (reply, answer) = oneshot::channel();
-        match self.control.send(Input::PeerQuery { question, reply }).await {
+        match self.control.send(Input::PeerQuery { query, reply }).await {
             Ok(()) => answer.await.unwrap_or(PeerAnswer::Unable),
             Err(_) => PeerAnswer::Unable,
         }
--- a/daisy-entry/src/proxy.rs
+++ b/daisy-entry/src/proxy.rs
@@ -46,8 +46,9 @@
 /// Interval between checks of the queue for requests that can no longer finish in time.
 const QUEUE_TICK: Duration = Duration::from_millis(5);
 
-/// The same interval while no request waits: at 5 ms an idle entry VM spent one percent of a core
-/// on waking up. It is far below the gap by which a freeze of the process is detected.
+/// Interval between the checks while no request waits: at 5 ms an idle entry VM spent one percent
+/// of a core on waking up. It is much shorter than the gap by which a freeze of the process is
+/// detected.
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
 /// Interval between updates of the homes of keys from the routes.
@@ -143,8 +144,8 @@
 
     /// Waits for keyed requests whose callers have disconnected, then hands the keys over.
     async fn hand_over_all_keys(&self) {
-        let _ = self.core.keyed.acquire_many(MAX_KEYED_IN_PROGRESS).await;
-        let messages = lock(&self.core.keys).leave(self.core.clock.now());
+        let _ = self.core.keyed_permits.acquire_many(MAX_KEYED_IN_PROGRESS).await;
+        let messages = lock(&self.core.keys).start_handover(self.core.clock.now());
         keyed::hand_over(&self.core, &self.peers, messages, keyed::LEAVE_HANDOVER_TIMEOUT).await;
     }
 
--- a/daisy-entry/src/proxy/core.rs
+++ b/daisy-entry/src/proxy/core.rs
@@ -23,7 +23,7 @@
     pool::{Pool, lock},
 };
 
-/// Memory for stored answers to repeated attempts, in bytes: a quarter of what control may use.
+/// Memory for stored answers to repeated attempts, in bytes: a quarter of the memory for control.
 const MAX_STORED_BYTES: usize = 64 << 20;
 
 /// The maximum number of concurrent keyed requests; each holds at most its short body.
@@ -38,7 +38,7 @@
     pub(super) draining: AtomicBool,
     pub(super) keys: Mutex<KeyTable>,
     /// A permit for each keyed request in progress, which may outlive its caller's connection.
-    pub(super) keyed: Arc<Semaphore>,
+    pub(super) keyed_permits: Arc<Semaphore>,
     pub(super) metrics: RequestMetrics,
     /// Notified when a request is queued.
     pub(super) queued: Notify,
@@ -54,7 +54,7 @@
     waiters: SortedMap<Ticket, oneshot::Sender<QueueDecision>>,
 }
 
-/// A request in the queue; dropping it gives up its place.
+/// A request in the router's queue; dropping it removes the request from the queue.
 #[derive(Debug)]
 pub(super) struct QueuedRequest<'a> {
     core: &'a Core,
@@ -62,7 +62,7 @@
     rx: oneshot::Receiver<QueueDecision>,
 }
 
-/// The result of offering a request to the router.
+/// The router's answer to a new request.
 #[derive(Debug)]
 pub(super) enum AdmissionResult<'a> {
     Send(Target),
@@ -85,7 +85,7 @@
             options,
             clock,
             keys: Mutex::new(keys),
-            keyed: Arc::new(Semaphore::new(MAX_KEYED_IN_PROGRESS as usize)),
+            keyed_permits: Arc::new(Semaphore::new(MAX_KEYED_IN_PROGRESS as usize)),
             pool: Pool::default(),
             draining: AtomicBool::new(false),
             metrics: RequestMetrics::new(),
@@ -110,11 +110,11 @@
     }
 
     /// Requests a backend server from the router.
-    pub(super) fn offer(&self, call: &Call) -> AdmissionResult<'_> {
+    pub(super) fn admit(&self, call: &Call) -> AdmissionResult<'_> {
         let now = self.clock.now();
         let mut router_state = lock(&self.router_state);
         let RouterState { router, rng, waiters } = &mut *router_state;
-        match router.offer(now, call, rng) {
+        match router.admit(now, call, rng) {
             Admission::Send(target) => AdmissionResult::Send(target),
             Admission::Reject(rejection) => AdmissionResult::Reject(rejection),
             Admission::Wait(ticket) => {
--- a/daisy-entry/src/proxy/forward.rs
+++ b/daisy-entry/src/proxy/forward.rs
@@ -20,7 +20,7 @@
     body::{AnswerBody, RequestBody, Streamed},
     core::Core,
     guard::{AnswerGuard, TryGuard},
-    pool::{Lease, PoolError},
+    pool::{PoolError, PooledConnection},
 };
 
 /// Headers that apply to a single connection (RFC 9110, section 7.6.1).
@@ -95,7 +95,7 @@
 }
 
 impl ForwardedRequest {
-    /// Takes over the caller's head without hop-by-hop headers.
+    /// Creates the request from the caller's head, without hop-by-hop headers.
     pub(super) fn new(mut parts: Parts, id: u64, deadline: Instant) -> ForwardedRequest {
         strip_hop_by_hop(&mut parts.headers);
         parts.headers.remove(header::EXPECT);
@@ -134,25 +134,26 @@
     let sent = send(core, &target, forwarded, body);
     let at = core.clock.timer_at(forwarded.deadline);
     let result = tokio::time::timeout_at(at, sent).await.unwrap_or(Err(TryError::Deadline));
-    let (lease, response) = match result {
+    let (connection, response) = match result {
         Ok(answered) => answered,
         Err(err) => {
-            let end = match err {
+            let outcome = match err {
                 TryError::NotSent => TryOutcome::NotSent,
                 TryError::NoConnection => TryOutcome::Refused,
                 _ => TryOutcome::Broken,
             };
-            guard.end(TryReport::without_answer(end));
+            guard.end(TryReport::without_answer(outcome));
             return Err(err);
         }
     };
     let report = read_report(response.headers());
     if let Err(err) = validate_answer(&response, &forwarded.id) {
-        let end = if err == TryError::Refused { TryOutcome::Refused } else { TryOutcome::Broken };
-        guard.end(TryReport { end, ..report });
+        let outcome =
+            if err == TryError::Refused { TryOutcome::Refused } else { TryOutcome::Broken };
+        guard.end(TryReport { outcome, ..report });
         return Err(err);
     }
-    Ok(forward_answer(response, AnswerGuard::new(guard, lease, report, forwarded.deadline)))
+    Ok(forward_answer(response, AnswerGuard::new(guard, connection, report, forwarded.deadline)))
 }
 
 async fn send(
@@ -160,9 +161,9 @@
     target: &Target,
     forwarded: &ForwardedRequest,
     body: RequestBody,
-) -> Result<(Lease, Response<Incoming>), TryError> {
-    let leased = core.pool.lease(target.address, target.connections).await;
-    let mut lease = leased.map_err(|err| {
+) -> Result<(PooledConnection, Response<Incoming>), TryError> {
+    let result = core.pool.acquire(target.address, target.connections).await;
+    let mut connection = result.map_err(|err| {
         log::debug!("event=no_connection vm={} error={err:?}", target.vm);
         match err {
             PoolError::Full { .. } => TryError::NoConnection,
@@ -177,13 +178,13 @@
         return Err(TryError::NotSent);
     }
     let req = forwarded.request(body, target, now);
-    match lease.tx.try_send_request(req).await {
-        Ok(response) => Ok((lease, response)),
+    match connection.tx.try_send_request(req).await {
+        Ok(response) => Ok((connection, response)),
         Err(err) => Err(classify_send_error(err, target)),
     }
 }
 
-/// Only a request that hyper returns was certainly not written.
+/// Converts a send error: only a request that hyper returns was certainly not written.
 fn classify_send_error(mut err: TrySendError<Request<RequestBody>>, target: &Target) -> TryError {
     let unwritten = err.take_message().is_some();
     log::debug!("event=try_failed vm={} unwritten={unwritten} error={:?}", target.vm, err.error());
@@ -193,7 +194,7 @@
 fn read_report(map: &HeaderMap) -> TryReport {
     let text = |name| map.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
     TryReport {
-        end: TryOutcome::Answered,
+        outcome: TryOutcome::Answered,
         in_flight: text(headers::IN_FLIGHT).and_then(|text| text.parse().ok()),
         leaving: text(headers::LEAVING) == Some("1"),
         bytes: 0,
--- a/daisy-entry/src/proxy/keyed.rs
+++ b/daisy-entry/src/proxy/keyed.rs
@@ -11,7 +11,7 @@
 use futures::future::join_all;
 
 use crate::{
-    boundary::{Intent, PeerKeys},
+    boundary::{IntentOutcome, PeerKeys},
     proxy::{answer::Failure, core::Core, head::Key},
 };
 
@@ -25,14 +25,15 @@
 /// The time beyond its deadline for which a request may be treated as running, to allow for the
 /// delay of messages to the home.
 const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
-/// How often the end of a claim is sent to a home that does not acknowledge it.
+/// Number of attempts to report the end of a claim to a home that does not acknowledge it.
 const FINISH_TRIES: u32 = 5;
-/// The pause between those tries.
-const FINISH_PAUSE: Duration = Duration::from_millis(100);
-/// How long keys are offered to a peer that has joined and does not acknowledge them: its link may
-/// come up later than its heartbeat, and a new home waits as long for the keys of the others.
+/// The pause before a message is sent again to an entry VM that has not acknowledged it.
+const RESEND_PAUSE: Duration = Duration::from_millis(100);
+/// How long a handover message is sent again to a peer that has joined and does not acknowledge it.
+/// The link to the peer may be established after its first heartbeat; a new home waits equally long
+/// for the keys of the other homes.
 pub(super) const JOIN_HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The same in a planned stop, which must not wait for lost peers.
+/// The same limit in a planned stop, which must not wait for lost peers.
 pub(super) const LEAVE_HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the platform's log may take to record an intent.
 const INTENT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -89,14 +90,14 @@
                     return Ok(ClaimResult::Replay(answer));
                 }
                 KeyStep::QueryOtherDcs => KeyDenial::Unknown,
-                KeyStep::Stop(denial) | KeyStep::Wait(denial) if is_granted => {
+                KeyStep::Deny(denial) | KeyStep::Wait(denial) if is_granted => {
                     self.finish(claim, ClaimEnd::NotRun).await;
                     // A `Finish` message may overtake the next claim with the same ID and release
                     // it.
                     claim = Claim { id: ClaimId(self.core.random_id()), home: None };
                     denial
                 }
-                KeyStep::Stop(denial) | KeyStep::Wait(denial) => denial,
+                KeyStep::Deny(denial) | KeyStep::Wait(denial) => denial,
             };
             if !self.may_retry_claim(denial, started_at, pause) {
                 if denial == KeyDenial::Unreachable {
@@ -123,7 +124,7 @@
                 }
                 return;
             }
-            tokio::time::sleep(FINISH_PAUSE).await;
+            tokio::time::sleep(RESEND_PAUSE).await;
         }
         log::warn!(
             "event=claim_end_undelivered key_digest={:016x}",
@@ -170,9 +171,9 @@
         let intent =
             self.peers.announce_intent(intent_key(&self.id), left.min(INTENT_TIMEOUT)).await;
         match intent {
-            Intent::Won => KeyStep::Run,
-            Intent::Lost => KeyStep::Stop(KeyDenial::Unknown),
-            Intent::Unavailable => KeyStep::Stop(KeyDenial::Unreachable),
+            IntentOutcome::Won => KeyStep::Run,
+            IntentOutcome::Lost => KeyStep::Deny(KeyDenial::Unknown),
+            IntentOutcome::Unavailable => KeyStep::Deny(KeyDenial::Unreachable),
         }
     }
 
@@ -229,17 +230,17 @@
         }
     }
     join_all(by_peer.into_iter().map(async |(peer, queries)| {
-        let taken = hand_over_to(core, peers, peer, queries, timeout).await;
-        log::info!("event=keys_handed_over peer={peer} taken={taken}");
+        let acknowledged = hand_over_to(core, peers, peer, queries, timeout).await;
+        log::info!("event=keys_handed_over peer={peer} taken={acknowledged}");
     }))
     .await;
 }
 
 /// Hands keys over to one peer; returns whether it has acknowledged all messages.
 ///
-/// Guards against a last message that arrives without those before it: the peer would claim a
-/// complete history of keys that it does not have. A message is sent only after the previous one
-/// was acknowledged.
+/// A message is sent only after the previous one was acknowledged. Guards against a last message
+/// that arrives without the messages before it: the peer would treat its history as complete
+/// although it lacks the keys of these messages.
 async fn hand_over_to<K: PeerKeys<KeyQuery, KeyAnswer>>(
     core: &Core,
     peers: &K,
@@ -253,7 +254,7 @@
             if core.clock.now().since(started_at) >= timeout {
                 return false;
             }
-            tokio::time::sleep(FINISH_PAUSE).await;
+            tokio::time::sleep(RESEND_PAUSE).await;
         }
     }
     true
--- a/daisy-entry/src/reader.rs
+++ b/daisy-entry/src/reader.rs
@@ -70,18 +70,18 @@
 
     /// Reads the platform's log once; returns `false` if the read failed.
     async fn poll(&mut self, next: &mut Offset, wait: Duration) -> Result<bool, ControlStopped> {
-        let asked = self.clock.now();
+        let sent_at = self.clock.now();
         match self.platform.read(*next, wait).await {
             Ok(Read::Page(page)) => {
                 let bounds = Some((page.first, page.end));
-                let page = Page { asked, bounds, records: page.records };
+                let page = Page { sent_at, bounds, records: page.records };
                 self.deliver(next, |ack| Input::Page(page, ack)).await?;
                 Ok(true)
             }
             Ok(Read::Expired(first)) => {
                 log::warn!("event=log_expired from={next} first={first}");
                 self.deliver(next, |ack| Input::LogExpired { first, ack }).await?;
-                // A cold start that fails starts over, but not in a tight loop.
+                // The pause after `false` keeps failing cold starts from repeating in a tight loop.
                 Ok(false)
             }
             Err(e) => {
@@ -102,16 +102,16 @@
             return Ok(false);
         };
         loop {
-            let pushed = tokio::select! {
-                pushed = stream.next() => pushed,
+            let message = tokio::select! {
+                message = stream.next() => message,
                 Ok(()) = self.plan.changed() => return Ok(true),
             };
-            let asked = self.clock.now();
-            match pushed {
+            let sent_at = self.clock.now();
+            match message {
                 Some(RecordStreamMessage::Records { first, bodies }) => {
                     let offsets = (first.0..).map(Offset);
                     let records = offsets.zip(bodies.into_iter().map(Into::into)).collect();
-                    let page = Page { asked, bounds: None, records };
+                    let page = Page { sent_at, bounds: None, records };
                     self.deliver(next, |ack| Input::Page(page, ack)).await?;
                 }
                 Some(RecordStreamMessage::Snapshot { bytes, .. }) => {
@@ -142,8 +142,8 @@
     }
 }
 
-/// Returns how long a poll waits: it is short while only the log can show that a holder still is
-/// one.
+/// Returns how long a poll waits. It is short while there are no peers, because then only the log
+/// can confirm that a holder still is the holder.
 pub(crate) fn poll_wait(holder_timeout: Duration, has_no_peers: bool) -> Duration {
     match has_no_peers {
         true => holder_timeout / 4,
--- a/daisy-entry/tests/proxy/fixture.rs
+++ b/daisy-entry/tests/proxy/fixture.rs
@@ -10,7 +10,7 @@
 };
 
 use daisy_entry::{
-    boundary::{Intent, PeerKeys, RequestSide, RoutesWatch},
+    boundary::{IntentOutcome, PeerKeys, RequestSide, RoutesWatch},
     proxy::{Options, Proxy},
 };
 use daisy_model::{DcId, JobId, Name, Priority, SortedMap, VmId};
@@ -51,16 +51,16 @@
         Some(proxy.answer(self.own, query).await)
     }
 
-    async fn announce_intent(&self, key: u128, _: Duration) -> Intent {
+    async fn announce_intent(&self, key: u128, _: Duration) -> IntentOutcome {
         if self.log_down.load(Ordering::SeqCst) {
-            return Intent::Unavailable;
+            return IntentOutcome::Unavailable;
         }
         let mut intents = self.intents.lock().unwrap();
         if intents.contains(&key) {
-            return Intent::Lost;
+            return IntentOutcome::Lost;
         }
         intents.push(key);
-        Intent::Won
+        IntentOutcome::Won
     }
 }
 
@@ -85,7 +85,8 @@
 /// Starts such entry VMs that do not reach each other yet.
 pub async fn unconnected_pair(peers: &Peers, backends: &[SocketAddr]) -> [Entry<Peers>; 2] {
     let entries = vec![(DcId(0), VmId(1)), (DcId(0), VmId(2))];
-    let routes = Routes { entries: entries.clone(), listed: entries, ..routes_to(backends) };
+    let routes =
+        Routes { live_entries: entries.clone(), listed_entries: entries, ..routes_to(backends) };
     let first = serve(options(), routes.clone(), peers.for_entry(VmId(1))).await;
     let other = Options { vm: VmId(2), seed: 8, ..options() };
     let second = serve(other, routes, peers.for_entry(VmId(2))).await;
@@ -130,14 +131,15 @@
             leaving: false,
         })
         .collect();
-    let service = Service { job: JobId(0), priority: Priority::Critical, refuse: false, backends };
+    let service =
+        Service { job: JobId(0), priority: Priority::Critical, may_reject: false, backends };
     let entries = vec![(DcId(0), VmId(1))];
     Routes {
         version: 1,
         dc: DcId(0),
         regions: vec![0],
-        entries: entries.clone(),
-        listed: entries,
+        live_entries: entries.clone(),
+        listed_entries: entries,
         services: SortedMap::from_iter([(Name::new("quote").unwrap(), service)]),
         ..Routes::default()
     }
--- a/daisy-ledger/src/change.rs
+++ b/daisy-ledger/src/change.rs
@@ -6,8 +6,8 @@
 };
 
 use crate::{
-    AuditEntry, AuditStart, ChangeOutcome, Job, Outcome, Refusal, State, Subject, Task, TaskState,
-    Team,
+    AuditEntry, AuditStart, ChangeOutcome, Job, RecordOutcome, Refusal, State, Subject, Task,
+    TaskState, Team,
 };
 
 impl State {
@@ -19,8 +19,8 @@
     pub const MAX_TEAMS: usize = 1_000;
     /// The most VMs drained at one time.
     pub const MAX_DRAINED: usize = 10_000;
-    /// The most entries of the audit trail. Changes of jobs and all other changes have half of it
-    /// each; one kind uses more only while the other kind has fewer entries than its half.
+    /// The most entries of the audit trail. Half of them are for changes of jobs and half for all
+    /// other changes; one kind exceeds its half only while the other kind does not use its own.
     ///
     /// With 8,600 jobs and 360 other changes a day (the users' size plan), that covers half a day
     /// of job changes and two weeks of the others. The trail is the largest part of a snapshot.
@@ -30,25 +30,25 @@
     /// The number of entries removed at a time, so that trimming costs little per change.
     const AUDIT_TRIM_COUNT: usize = 1_000;
 
-    pub(crate) fn change(&mut self, offset: Offset, change: &Change) -> Outcome {
+    pub(crate) fn change(&mut self, offset: Offset, change: &Change) -> RecordOutcome {
         let generation = Generation(offset.0 + 1);
         let result = self.try_change(generation, change);
-        let (verdict, outcome) = match result {
+        let (change_outcome, outcome) = match result {
             Ok(()) => {
                 self.generation = generation;
-                (ChangeOutcome::Accepted(generation), Outcome::Accepted(generation))
+                (ChangeOutcome::Accepted(generation), RecordOutcome::Accepted(generation))
             }
             Err(refusal) => {
                 self.counts.refused += 1;
                 let cause = refusal.to_string().into_boxed_str();
-                (ChangeOutcome::Refused(cause), Outcome::Refused(refusal))
+                (ChangeOutcome::Refused(cause), RecordOutcome::Refused(refusal))
             }
         };
         let mut change = change.clone();
         if change.text.len() > State::MAX_STATEMENT_BYTES {
             change.text = "(too long)".into();
         }
-        self.audit(AuditEntry { offset, change, verdict });
+        self.audit(AuditEntry { offset, change, outcome: change_outcome });
         outcome
     }
 
@@ -61,8 +61,8 @@
 
     /// Removes the oldest entries about jobs or the oldest other entries, whichever are more.
     ///
-    /// Otherwise thousands of jobs a day would displace the record of who drained a VM within a
-    /// day or two.
+    /// If the oldest entries of either kind were removed, thousands of job changes a day would
+    /// displace the record of who drained a VM within a day or two.
     fn trim_audit(&mut self) {
         let jobs = self.audit.iter().filter(|it| is_about_job(&it.change.command)).count();
         let drops_job_entries = jobs * 2 > self.audit.len();
@@ -124,7 +124,7 @@
         let subject = Subject::of(command);
         let newer = self.audit.iter().rev().take_while(|it| it.offset.0 + 1 > seen.0);
         for entry in newer {
-            let ChangeOutcome::Accepted(generation) = entry.verdict else { continue };
+            let ChangeOutcome::Accepted(generation) = entry.outcome else { continue };
             if Subject::of(&entry.change.command) == subject {
                 return Err(Refusal::Conflict {
                     subject: subject.to_string().into(),
@@ -239,7 +239,7 @@
         Ok(())
     }
 
-    /// Adds or ends tasks to match the declared number of tasks, which was `before`.
+    /// Adds or ends tasks to match the declared number of tasks; `before` is the previous number.
     fn resize(&mut self, id: JobId, before: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let declared = job.spec.tasks;
--- a/daisy-ledger/src/checkout.rs
+++ b/daisy-ledger/src/checkout.rs
@@ -1,39 +1,40 @@
 //! Applies claims of data centres, and checkouts, returns, placements and exits of tasks.
 
-use daisy_model::{DcId, Ended, Epoch, Exit, JobId, JobKind, Offset, Resources, TaskId, VmId};
+use daisy_model::{DcId, Epoch, Exit, ExitReport, JobId, JobKind, Offset, Resources, TaskId, VmId};
 
 use crate::{
-    HolderClaim, Outcome, Owner, Placement, State, Task, TaskState, exit, quota::QuotaHeadroom,
+    HolderClaim, Owner, Placement, RecordOutcome, State, Task, TaskState, exit,
+    quota::QuotaHeadroom,
 };
 
 impl State {
     /// Applies a claim. Its epoch is its offset plus one, so that a later claim always fences an
     /// earlier one.
-    pub(crate) fn claim(&mut self, offset: Offset, dc: DcId, holder: VmId) -> Outcome {
+    pub(crate) fn claim(&mut self, offset: Offset, dc: DcId, holder: VmId) -> RecordOutcome {
         let epoch = Epoch(offset.0 + 1);
         // Two claims in one append would have the same epoch, and fencing could not distinguish
         // them: only the first takes effect.
         if self.holders.get(&dc).is_some_and(|it| it.epoch >= epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         self.holders.insert(dc, HolderClaim { holder, epoch, released: false });
-        Outcome::Claimed(epoch)
+        RecordOutcome::Claimed(epoch)
     }
 
-    pub(crate) fn release(&mut self, dc: DcId, epoch: Epoch) -> Outcome {
+    pub(crate) fn release(&mut self, dc: DcId, epoch: Epoch) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
-        if let Some(holding) = self.holders.get_mut(&dc) {
-            holding.released = true;
+        if let Some(holder_claim) = self.holders.get_mut(&dc) {
+            holder_claim.released = true;
         }
-        Outcome::Released
+        RecordOutcome::Released
     }
 
     /// Grants the tasks that are still pending, may run and fit the quota of their team.
-    pub(crate) fn checkout(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> Outcome {
+    pub(crate) fn checkout(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         let mut granted = Vec::new();
         let mut quota_headroom = QuotaHeadroom::default();
@@ -44,7 +45,7 @@
         }
         granted.sort_unstable();
         self.jobs.dequeue(&granted);
-        Outcome::Granted(granted)
+        RecordOutcome::Granted(granted)
     }
 
     fn try_grant(
@@ -76,21 +77,26 @@
         Some(())
     }
 
-    pub(crate) fn return_tasks(&mut self, dc: DcId, epoch: Epoch, tasks: &[TaskId]) -> Outcome {
+    pub(crate) fn return_tasks(
+        &mut self,
+        dc: DcId,
+        epoch: Epoch,
+        tasks: &[TaskId],
+    ) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         let effective_count =
             tasks.iter().filter(|&&task| self.try_return(dc, task).is_some()).count();
-        self.took_effect(effective_count, tasks.len())
+        self.count_ignored(effective_count, tasks.len())
     }
 
     fn try_return(&mut self, dc: DcId, id: TaskId) -> Option<()> {
         let job = self.jobs.get(id.job)?;
         let is_declared = !job.cancelled && id.index < job.spec.tasks;
         let task = self.checked_out_mut(dc, id)?;
-        // An incarnation recorded as placed has started: if it were returned, another data centre
-        // could start the task a second time.
+        // An incarnation recorded as placed has started. If its task were returned, another data
+        // centre could start the task a second time.
         if task.incarnation > task.ended {
             return None;
         }
@@ -100,18 +106,23 @@
         Some(())
     }
 
-    pub(crate) fn placed(&mut self, dc: DcId, epoch: Epoch, placements: &[Placement]) -> Outcome {
+    pub(crate) fn record_placements(
+        &mut self,
+        dc: DcId,
+        epoch: Epoch,
+        placements: &[Placement],
+    ) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         let effective_count =
             placements.iter().filter(|&it| self.try_place(dc, it).is_some()).count();
-        self.took_effect(effective_count, placements.len())
+        self.count_ignored(effective_count, placements.len())
     }
 
     fn try_place(&mut self, dc: DcId, placement: &Placement) -> Option<()> {
         let task = self.checked_out_mut(dc, placement.task)?;
-        // Recorded late, after the incarnation has ended or a later one has started.
+        // The placement was recorded after its incarnation ended or a later one started.
         if placement.incarnation <= task.ended || placement.incarnation < task.incarnation {
             return None;
         }
@@ -121,15 +132,20 @@
         Some(())
     }
 
-    pub(crate) fn ended(&mut self, dc: DcId, epoch: Epoch, exits: &[Ended]) -> Outcome {
+    pub(crate) fn record_exits(
+        &mut self,
+        dc: DcId,
+        epoch: Epoch,
+        exits: &[ExitReport],
+    ) -> RecordOutcome {
         if !self.is_epoch_in_force(dc, epoch) {
-            return self.stale();
+            return self.ignore_stale();
         }
         let effective_count = exits.iter().filter(|&it| self.try_end(dc, it).is_some()).count();
-        self.took_effect(effective_count, exits.len())
+        self.count_ignored(effective_count, exits.len())
     }
 
-    fn try_end(&mut self, dc: DcId, ended: &Ended) -> Option<()> {
+    fn try_end(&mut self, dc: DcId, ended: &ExitReport) -> Option<()> {
         let id = ended.task;
         let mut task = *self.checked_out_mut(dc, id)?;
         // A worker keeps an exit report until it is acknowledged, so two successive holders may
@@ -178,13 +194,13 @@
         }
     }
 
-    fn stale(&mut self) -> Outcome {
+    fn ignore_stale(&mut self) -> RecordOutcome {
         self.counts.stale += 1;
-        Outcome::Stale
+        RecordOutcome::Stale
     }
 
-    fn took_effect(&mut self, effective_count: usize, of: usize) -> Outcome {
-        self.counts.ignored += (of - effective_count) as u64;
-        Outcome::TookEffect(effective_count)
+    fn count_ignored(&mut self, effective_count: usize, total: usize) -> RecordOutcome {
+        self.counts.ignored += (total - effective_count) as u64;
+        RecordOutcome::TookEffect(effective_count)
     }
 }
--- a/daisy-ledger/src/snapshot.rs
+++ b/daisy-ledger/src/snapshot.rs
@@ -137,10 +137,10 @@
 /// Returns whether the process at position `rank`, from 0, among those that may write a snapshot
 /// should write one now.
 ///
-/// Each process waits an eighth longer than the one before it, so that usually only one writes,
-/// and another one does if the first is lost. Two snapshots at the same time do no harm: both are
-/// complete.
-pub fn due(options: &Options, since: &SinceSnapshot, rank: u32) -> bool {
+/// Each process waits an eighth longer than the process of the next lower rank. Usually only the
+/// first process writes, and the next one does if the first is lost. Two snapshots at the same time
+/// do no harm: both are complete.
+pub fn is_due(options: &Options, since: &SinceSnapshot, rank: u32) -> bool {
     let eighths = u64::from(8 + rank.min(MAX_RANK));
     let entries = options.entries.saturating_mul(eighths) / 8;
     let bytes = options.bytes.saturating_mul(eighths) / 8;
@@ -148,6 +148,6 @@
     since.entries >= entries || since.bytes >= bytes || since.age >= age
 }
 
-/// The last rank that waits longer than the one before it. It waits 15/8 times the limit, so that
-/// the age of a third of the retention becomes five eighths of it.
+/// The highest rank that waits longer than the rank before it. It waits 15/8 times the limit, so
+/// that the age of a third of the retention becomes five eighths of it.
 const MAX_RANK: u32 = 7;
--- a/daisy-ledger/src/state.rs
+++ b/daisy-ledger/src/state.rs
@@ -108,7 +108,8 @@
     pub generation: Generation,
     /// The value of [`State::next`] after the last entry that changed the job or one of its tasks.
     ///
-    /// A reader that has seen the state at some `next` can skip jobs with a value up to that.
+    /// A reader that last saw the state when its `next` was `n` can skip jobs whose value is at
+    /// most `n`.
     pub modified_before: Offset,
 }
 
@@ -129,7 +130,7 @@
     /// The change, with its operator, time and statement.
     pub change: Change,
     /// The outcome of the change.
-    pub verdict: ChangeOutcome,
+    pub outcome: ChangeOutcome,
 }
 
 /// The generations up to which changes may be missing from the audit trail.
--- a/daisy-measure/src/changeover.rs
+++ b/daisy-measure/src/changeover.rs
@@ -151,7 +151,7 @@
         let options = |at: u32| daisy_membership::Options {
             vm: VmId(FIRST_ENTRY + at),
             dc: DcId(0),
-            heartbeat: HEARTBEAT_INTERVAL,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             holder_timeout: HOLDER_TIMEOUT,
         };
         let entry =
@@ -258,12 +258,12 @@
         });
         let next = self.state.next;
         let generation = self.state.generation.0;
-        let asked = self.now - LOG_DELAY;
+        let sent_at = self.now - LOG_DELAY;
         let vms = self.vms.clone();
         for event in [
             daisy_membership::Event::Vms(&vms),
             daisy_membership::Event::Folded { next, generation, holder_claim },
-            daisy_membership::Event::Log { asked, end: Some(next) },
+            daisy_membership::Event::LogAnswered { sent_at, end: Some(next) },
             daisy_membership::Event::Tick,
         ] {
             self.step_membership(at, event);
--- a/daisy-measure/src/choose/policy.rs
+++ b/daisy-measure/src/choose/policy.rs
@@ -200,7 +200,7 @@
             idempotent: false,
             bytes: 200,
         };
-        match self.router.offer(now, &call, &mut self.rng) {
+        match self.router.admit(now, &call, &mut self.rng) {
             Admission::Send(target) => {
                 self.try_ids.insert(request, target.try_id);
                 Decision::Send(target.vm.0)
@@ -216,7 +216,7 @@
     fn answered(&mut self, now: Instant, request: u32, in_flight: u32) -> Vec<DecisionUpdate> {
         let Some(try_id) = self.try_ids.remove(&request) else { return Vec::new() };
         let report = TryReport {
-            end: TryOutcome::Answered,
+            outcome: TryOutcome::Answered,
             in_flight: Some(in_flight),
             leaving: false,
             bytes: 200,
@@ -261,13 +261,13 @@
             leaving: false,
         })
         .collect();
-    let state = Service { job: JobId(0), priority: Priority::Critical, refuse: true, backends };
+    let state = Service { job: JobId(0), priority: Priority::Critical, may_reject: true, backends };
     Routes {
         version: 1,
         dc: DcId(0),
         regions: vec![0],
-        entries: entries.clone(),
-        listed: entries,
+        live_entries: entries.clone(),
+        listed_entries: entries,
         services: SortedMap::from_iter([(service.clone(), state)]),
         ..Routes::default()
     }
--- a/daisy-measure/src/fleet/worker.rs
+++ b/daisy-measure/src/fleet/worker.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use daisy_model::{
-    Ended, Epoch, Exit, Incarnation, Instant, JobId, Order, OrderResult, Resources, Running,
-    SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
+    Epoch, Exit, ExitReport, Incarnation, Instant, JobId, Order, OrderResult, Resources,
+    RunningTask, SortedMap, TaskId, Usage, WorkerCall, WorkerReport,
 };
 use hdrhistogram::Histogram;
 
@@ -47,7 +47,7 @@
 struct Worker {
     capacity: Resources,
     tasks: Vec<Task>,
-    ended: Vec<Ended>,
+    ended: Vec<ExitReport>,
     samples: VecDeque<(Instant, Vec<Usage>)>,
     last_sample_at: Instant,
     lease_end: Instant,
@@ -200,7 +200,7 @@
         }
         for index in finished_indexes.into_iter().rev() {
             let Task { task, incarnation, .. } = worker.tasks.swap_remove(index);
-            worker.ended.push(Ended { task, incarnation, exit: Exit::Done });
+            worker.ended.push(ExitReport { task, incarnation, exit: Exit::Done });
             self.finished += 1;
         }
     }
@@ -258,7 +258,7 @@
             results = call.orders.iter().map(|order| self.carry_out_order(at, order)).collect();
         }
         let worker = &self.workers[at];
-        let running = worker.tasks.iter().map(|it| Running {
+        let running = worker.tasks.iter().map(|it| RunningTask {
             task: it.task,
             incarnation: it.incarnation,
             size: it.size,
@@ -315,7 +315,7 @@
     ) -> OrderResult {
         if !size.fits(self.free(at)) {
             self.starts_without_capacity += 1;
-            return OrderResult::NoRoom;
+            return OrderResult::NoCapacity;
         }
         let Some(profile) = self.profiles.get(&task.job).copied() else {
             return OrderResult::Failed;
@@ -342,7 +342,7 @@
             return OrderResult::Unknown;
         };
         let Task { incarnation, .. } = worker.tasks.swap_remove(index);
-        worker.ended.push(Ended { task, incarnation, exit });
+        worker.ended.push(ExitReport { task, incarnation, exit });
         OrderResult::Done
     }
 }
--- a/daisy-measure/src/ledger/holder_fleet.rs
+++ b/daisy-measure/src/ledger/holder_fleet.rs
@@ -3,11 +3,11 @@
 use std::{collections::VecDeque, time::Duration};
 
 use daisy_ledger::{
-    AppendId, Batch, Intents, Jobs, Outcome, Placement, Record, State, TaskState,
+    AppendId, Batch, Intents, Jobs, Placement, Record, RecordOutcome, State, TaskState,
     append::{Action, Event, Options, Queue},
 };
 use daisy_model::{
-    Change, Command, DcId, Ended, Epoch, Exit, Instant, JobId, JobKind, JobSpec, Name, Offset,
+    Change, Command, DcId, Epoch, Exit, ExitReport, Instant, JobId, JobKind, JobSpec, Name, Offset,
     Priority, Resources, TaskId, Tolerance, VmId, WallTime, WorkClass,
 };
 use hdrhistogram::Histogram;
@@ -56,7 +56,7 @@
     running: VecDeque<(TaskId, u32)>,
     /// Placements and exits to append in bulk.
     placements: Vec<Placement>,
-    exits: Vec<Ended>,
+    exits: Vec<ExitReport>,
 }
 
 /// All holders, the log and its fold.
@@ -138,7 +138,7 @@
         }
         for index in 0..self.holders.len() {
             let (dc, holder) = (self.holders[index].dc, VmId(index as u32));
-            if let Some(Outcome::Claimed(epoch)) = self.append(Record::Claim { dc, holder }) {
+            if let Some(RecordOutcome::Claimed(epoch)) = self.append(Record::Claim { dc, holder }) {
                 self.holders[index].epoch = epoch;
             }
         }
@@ -154,7 +154,7 @@
             let Holder { dc, epoch, .. } = self.holders[index];
             let granted_tasks =
                 match self.append(Record::Checkout { dc, epoch, tasks: tasks.to_vec() }) {
-                    Some(Outcome::Granted(tasks)) => tasks,
+                    Some(RecordOutcome::Granted(tasks)) => tasks,
                     _ => continue,
                 };
             let placements: Vec<Placement> =
@@ -218,7 +218,7 @@
         let holder = &mut self.holders[index];
         if let Some((task, incarnation)) = holder.running.pop_front() {
             let incarnation = daisy_model::Incarnation(incarnation);
-            holder.exits.push(Ended { task, incarnation, exit: Exit::Done });
+            holder.exits.push(ExitReport { task, incarnation, exit: Exit::Done });
         }
         let Some(task) = self.next_pending() else { return };
         self.holders[index].requested.push((task, self.now));
@@ -260,7 +260,7 @@
             }
             let id = batch.id;
             for outcome in self.fold(batch) {
-                if let Outcome::Granted(tasks) = outcome {
+                if let RecordOutcome::Granted(tasks) = outcome {
                     self.handle_grant(index, &tasks);
                 }
             }
@@ -347,13 +347,13 @@
     }
 
     /// Appends a record from an entry VM that is not a holder.
-    fn append(&mut self, record: Record) -> Option<Outcome> {
+    fn append(&mut self, record: Record) -> Option<RecordOutcome> {
         self.append_seq += 1;
         let id = AppendId { sender: 99, seq: self.append_seq };
         self.fold(Batch { id, records: vec![record] }).pop()
     }
 
-    fn fold(&mut self, batch: Batch) -> Vec<Outcome> {
+    fn fold(&mut self, batch: Batch) -> Vec<RecordOutcome> {
         let offset = self.state.next;
         let bytes = daisy_wire::log::encode(&batch).expect("shorter than the longest entry");
         self.entries.push((offset, bytes));
--- a/daisy-measure/src/proxy.rs
+++ b/daisy-measure/src/proxy.rs
@@ -161,7 +161,7 @@
     let state = Service {
         job: JobId(0),
         priority: Priority::Critical,
-        refuse: false,
+        may_reject: false,
         backends: vec![backend],
     };
     let entries = vec![(DcId(0), VmId(1))];
@@ -169,8 +169,8 @@
         version: 1,
         dc: DcId(0),
         regions: vec![0],
-        entries: entries.clone(),
-        listed: entries,
+        live_entries: entries.clone(),
+        listed_entries: entries,
         services: SortedMap::from_iter([(Name::new("quote").expect("a name"), state)]),
         ..Routes::default()
     }
--- a/daisy-measure/src/retries.rs
+++ b/daisy-measure/src/retries.rs
@@ -193,7 +193,7 @@
             return self.send(request, least_loaded, None);
         }
         let call = self.call(request);
-        match self.router.offer(self.now, &call, &mut self.rng) {
+        match self.router.admit(self.now, &call, &mut self.rng) {
             Admission::Send(target) => self.send_to(request, target),
             Admission::Wait(ticket) => {
                 self.queued.insert(ticket, request);
@@ -372,13 +372,13 @@
             leaving: false,
         })
         .collect();
-    let state = Service { job: JobId(0), priority: Priority::Critical, refuse: true, backends };
+    let state = Service { job: JobId(0), priority: Priority::Critical, may_reject: true, backends };
     Routes {
         version: 1,
         dc: DcId(0),
         regions: vec![0],
-        entries: entries.clone(),
-        listed: entries,
+        live_entries: entries.clone(),
+        listed_entries: entries,
         services: SortedMap::from_iter([(service(), state)]),
         ..Routes::default()
     }
--- a/daisy-membership/src/heartbeat_targets.rs
+++ b/daisy-membership/src/heartbeat_targets.rs
@@ -5,13 +5,13 @@
 use crate::{Action, Membership, Peer, Status};
 
 impl Membership {
-    /// Returns whether this entry VM represents its data centre towards the others. That is the
-    /// holder, or the live entry VM with the lowest id while there is no holder.
+    /// Returns whether this entry VM represents its data centre towards the other data centres. The
+    /// holder does or, while there is no live holder, the live candidate with the lowest id.
     pub fn represents_dc(&self, now: Instant) -> bool {
         let own = self.options.vm;
         match self.holder_state.holder_claim {
             Some(it) if it.holder == own => true,
-            Some(it) if !it.released && self.peers.alive(&self.options, now, it.holder) => false,
+            Some(it) if !it.released && self.peers.is_alive(&self.options, now, it.holder) => false,
             _ => self.rank(now) == 0,
         }
     }
@@ -19,7 +19,7 @@
     /// Returns the entry VM that represents another data centre: its holder if that is known and
     /// listed, else the listed entry VM with the lowest id.
     pub fn remote_representative(&self, dc: DcId) -> Option<VmId> {
-        let known = self.remote.iter().find(|(it, _)| *it == dc).map(|(_, vm)| *vm);
+        let known = self.remote_holders.iter().find(|(it, _)| *it == dc).map(|(_, vm)| *vm);
         let listed =
             || self.peers.iter().find(|(_, peer)| peer.dc == dc && peer.listed).map(|(vm, _)| vm);
         known.filter(|vm| self.peers.get(*vm).is_some_and(|peer| peer.listed)).or_else(listed)
@@ -48,7 +48,7 @@
             return;
         }
         self.seq = self.seq.wrapping_add(1);
-        self.next_heartbeat_at = now + self.options.heartbeat;
+        self.next_heartbeat_at = now + self.options.heartbeat_interval;
         let due_targets = self.due_targets(now);
         if !due_targets.is_empty() {
             self.holder_state.record_sent(now, self.seq);
@@ -61,14 +61,14 @@
 
     /// Returns the peers to which a heartbeat is due.
     fn due_targets(&self, now: Instant) -> Vec<VmId> {
-        // A process that has just started sends at the full rate, so that peers learn of it.
+        // A process that has just started sends at the full rate, so that peers soon know of it.
         let is_holder = self.holder_state.own_epoch(&self.options).is_some();
         let at_full_rate = is_holder || self.status == Status::Starting;
         let local_period = self.options.local_period(at_full_rate, self.peers.local_count());
         let remote = if self.represents_dc(now) { self.remote_targets() } else { Vec::new() };
         // A tick may come a little early or late; half a heartbeat interval of slack keeps the
         // rate.
-        let slack = self.options.heartbeat / 2;
+        let slack = self.options.heartbeat_interval / 2;
         let is_due = |(vm, peer): &(VmId, &Peer)| {
             let local = peer.dc == self.options.dc;
             let is_target = match local {
--- a/daisy-membership/src/readiness.rs
+++ b/daisy-membership/src/readiness.rs
@@ -25,15 +25,15 @@
         options: &Options,
         peers: &Peers,
         now: Instant,
-        started: Instant,
+        started_at: Instant,
         next: Offset,
     ) -> bool {
-        if !self.has_vm_list || now.since(started) < options.discovery_time() {
+        if !self.has_vm_list || now.since(started_at) < options.discovery_time() {
             return false;
         }
         let newest_ready_offset = peers
             .live_local_peers(options, now)
-            .filter_map(|(_, peer)| peer.last)
+            .filter_map(|(_, peer)| peer.last_heartbeat)
             .filter(|last| last.status == Status::Ready)
             .map(|last| last.next)
             .max();
--- a/daisy-membership/src/source.rs
+++ b/daisy-membership/src/source.rs
@@ -39,20 +39,20 @@
     pub log_answers: bool,
 }
 
-/// The selected source, and what is known against a source.
+/// The selected source, and the reasons for which a peer may be excluded as source.
 #[derive(Debug)]
 pub(crate) struct SourceSelector {
     source: RecordSource,
     /// A peer that made no progress, and until when it is not selected.
     excluded: Option<(VmId, Instant)>,
     /// Since when a live peer has been ahead of this process, and the own offset at that time.
-    behind: Option<(Instant, Offset)>,
+    behind_since: Option<(Instant, Offset)>,
 }
 
 impl SourceSelector {
     /// Returns the initial state, which reads from the log.
     pub fn new() -> SourceSelector {
-        SourceSelector { source: RecordSource::Log, excluded: None, behind: None }
+        SourceSelector { source: RecordSource::Log, excluded: None, behind_since: None }
     }
 
     /// Returns where records are read from.
@@ -77,27 +77,28 @@
 
     /// Excludes the source if it makes no progress.
     ///
-    /// Guard: the reads of a parent may hang while it still sends heartbeats. All VMs below it
-    /// would then stay behind, and a new configuration would not come into force there. A VM that
-    /// makes no progress for the holder timeout while a live peer is ahead changes its source.
+    /// Guard: the reads of a parent may block while it still sends heartbeats. All VMs below it in
+    /// the tree would then stay behind, and a new configuration would not come into force there. A
+    /// VM that makes no progress for the holder timeout while a live peer is ahead changes its
+    /// source.
     fn detect_stall(&mut self, now: Instant, inputs: &SourceInputs<'_>) {
         let RecordSource::Peer(parent) = self.source else {
-            self.behind = None;
+            self.behind_since = None;
             return;
         };
         let mut local = inputs.peers.live_local_peers(inputs.options, now);
-        if !local.any(|(_, peer)| peer.last.is_some_and(|last| last.next > inputs.next)) {
-            self.behind = None;
+        if !local.any(|(_, peer)| peer.last_heartbeat.is_some_and(|last| last.next > inputs.next)) {
+            self.behind_since = None;
             return;
         }
-        match self.behind {
+        match self.behind_since {
             Some((since, at)) if at == inputs.next => {
                 if now.since(since) >= inputs.options.holder_timeout {
-                    self.behind = None;
+                    self.behind_since = None;
                     self.exclude(now, inputs.options, parent);
                 }
             }
-            _ => self.behind = Some((now, inputs.next)),
+            _ => self.behind_since = Some((now, inputs.next)),
         }
     }
 }
@@ -118,7 +119,7 @@
         .peers
         .live_local_peers(inputs.options, now)
         .filter(|(vm, peer)| !peer.is_leaving() && Some(*vm) != excluded)
-        .filter_map(|(vm, peer)| peer.last.map(|last| (vm, last)))
+        .filter_map(|(vm, peer)| peer.last_heartbeat.map(|last| (vm, last)))
         .collect();
     let own_reading =
         if inputs.log_answers { RecordSource::Log } else { most_advanced(inputs, &candidates) };
--- a/daisy-placement/src/reason.rs
+++ b/daisy-placement/src/reason.rs
@@ -226,7 +226,7 @@
             }
             Reason::StartRejected { vm, result } => {
                 let what = match result {
-                    OrderResult::NoRoom => "had no room",
+                    OrderResult::NoCapacity => "had no room",
                     _ => "could not start it",
                 };
                 write!(f, "{vm} {what}")
@@ -277,7 +277,7 @@
             Exit::Failed => "an error of its own",
             Exit::Checkpointed(_) => "checkpointed, to be resumed",
             Exit::Stopped => "stopped",
-            Exit::LeaseLapsed => "its worker's lease lapsed",
+            Exit::LeaseExpired => "its worker's lease lapsed",
             Exit::Refused => "refused, for want of room",
             Exit::Unknown => "unknown, its worker is gone or lost it",
         })
--- a/daisy-query/src/show/fleet.rs
+++ b/daisy-query/src/show/fleet.rs
@@ -51,7 +51,7 @@
         Some(WorkerState::Ready) => "ready",
         Some(WorkerState::Leaving) => "leaving",
         Some(WorkerState::Quarantined) => "put-aside",
-        Some(WorkerState::Silent) => "silent",
+        Some(WorkerState::Unresponsive) => "silent",
         None => "not-seen",
     }
 }
@@ -102,12 +102,12 @@
 }
 
 pub(crate) fn holders(state: &State, live: &LiveView, sink: Sink<'_>) {
-    for (&dc, holding) in state.holders.iter() {
+    for (&dc, holder_claim) in state.holders.iter() {
         sink(&|column| match column {
             "dc" => live.dc(dc),
-            "holder" => live.vm(holding.holder),
-            "epoch" => holding.epoch.to_string(),
-            "state" if holding.released => "released".to_owned(),
+            "holder" => live.vm(holder_claim.holder),
+            "epoch" => holder_claim.epoch.to_string(),
+            "state" if holder_claim.released => "released".to_owned(),
             "state" => "held".to_owned(),
             _ => none(),
         });
--- a/daisy-query/tests/why.rs
+++ b/daisy-query/tests/why.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use daisy_ledger::Record;
-use daisy_model::{DcId, Ended, Exit, Incarnation, VmId, WallTime};
+use daisy_model::{DcId, Exit, ExitReport, Incarnation, VmId, WallTime};
 use daisy_query::{Error, Reason, Subject, WorkerState, run};
 
 use crate::common::{Fixture, assert_contains, parse_one, render_task};
@@ -62,7 +62,7 @@
     let epoch = fixture.claim(0, 2);
     let taken_over = fixture.query("why task renders/0");
     let exit = Exit::Checkpointed(77);
-    let ended = Ended { task: render_task(0), incarnation: Incarnation(1), exit };
+    let ended = ExitReport { task: render_task(0), incarnation: Incarnation(1), exit };
     fixture.append(Record::Ended { dc: DcId(0), epoch, exits: vec![ended] });
     let evicted = fixture.query("why task renders/0");
     assert_contains(&taken_over, &["entry-2 took braga over under epoch 7"]);
@@ -75,7 +75,7 @@
 fn a_task_on_a_worker_that_does_not_answer_is_blocked() {
     let mut fixture = Fixture::with_running_task();
     fixture.live.tasks.remove(&render_task(0));
-    fixture.live.workers.get_mut(&VmId(12)).expect("a worker").state = WorkerState::Silent;
+    fixture.live.workers.get_mut(&VmId(12)).expect("a worker").state = WorkerState::Unresponsive;
     let blocked = fixture.query("show tasks where state = blocked");
     assert_eq!(blocked.rows.len(), 1);
     assert_contains(
@@ -88,13 +88,14 @@
 fn a_task_with_an_unknown_outcome_is_not_run_again() {
     let mut fixture = Fixture::with_running_task();
     let epoch = fixture.claim(0, 1);
-    let ended = Ended { task: render_task(0), incarnation: Incarnation(1), exit: Exit::Unknown };
+    let ended =
+        ExitReport { task: render_task(0), incarnation: Incarnation(1), exit: Exit::Unknown };
     fixture.append(Record::Ended { dc: DcId(0), epoch, exits: vec![ended] });
     let table = fixture.query("why task renders/0");
     assert_contains(
         &table,
         &[
-            "its worker is gone, and whether it did its work is unknown",
+            "its worker is lost, and whether it did its work is unknown",
             "not declared restartable, so it is not run again",
         ],
     );
@@ -106,7 +107,7 @@
     fixture.execute("ana", "drain vm worker-12");
     fixture.execute("ana", "publish policy retry-budget=50");
     let silent = fixture.live.workers.get_mut(&VmId(12)).expect("a worker");
-    silent.state = WorkerState::Silent;
+    silent.state = WorkerState::Unresponsive;
     add_decision(
         &mut fixture,
         Subject::RequestClass("stock/keyed".into()),
--- a/daisy-routing/src/keys.rs
+++ b/daisy-routing/src/keys.rs
@@ -43,7 +43,7 @@
 /// The keys of one entry VM.
 #[derive(Debug)]
 pub struct KeyTable {
-    me: VmId,
+    own_vm: VmId,
     retry_window: Duration,
     membership: Membership,
     history: History,
@@ -52,10 +52,10 @@
 }
 
 impl KeyTable {
-    /// Creates an empty table for the entry VM `me`, whose process starts at `now`.
-    pub fn new(me: VmId, limits: KeyLimits, now: Instant) -> KeyTable {
+    /// Creates an empty table for the entry VM `own_vm`, whose process starts at `now`.
+    pub fn new(own_vm: VmId, limits: KeyLimits, now: Instant) -> KeyTable {
         KeyTable {
-            me,
+            own_vm,
             retry_window: Routes::default().policy.retry_window,
             membership: Membership::default(),
             history: History::new(now),
@@ -71,8 +71,8 @@
     pub fn set_routes(&mut self, now: Instant, routes: &Routes) -> Vec<(VmId, KeyQuery)> {
         self.observe_time(now);
         self.retry_window = routes.policy.retry_window;
-        let joined = self.membership.update(now, self.me, routes);
-        self.history.update_members(now, self.me, &self.membership, &joined);
+        let joined = self.membership.update(now, self.own_vm, routes);
+        self.history.update_members(now, self.own_vm, &self.membership, &joined);
         joined.into_iter().flat_map(|peer| self.handover_to(now, peer)).collect()
     }
 
@@ -83,8 +83,8 @@
         self.store.expire(now, self.retry_window);
     }
 
-    /// Returns the possible homes of `key` in the data centre `dc` as this entry VM sees it, the
-    /// likeliest first.
+    /// Returns the entry VMs of the data centre `dc` that may be the home of `key`, the likeliest
+    /// first, by the routes that this entry VM knows.
     pub fn candidate_homes(&self, dc: DcId, key: &KeyId) -> Vec<VmId> {
         self.membership.candidate_homes(dc, key)
     }
@@ -148,16 +148,17 @@
         }
     }
 
-    /// Stops acting as a home; returns the handover messages with their recipients.
-    pub fn leave(&mut self, now: Instant) -> Vec<(VmId, KeyQuery)> {
+    /// Stops acting as a home for a planned stop; returns the handover messages with their
+    /// recipients.
+    pub fn start_handover(&mut self, now: Instant) -> Vec<(VmId, KeyQuery)> {
         self.leaving = true;
-        self.membership.set_departed(self.me, true);
-        let peers = self.membership.peers(self.me);
+        self.membership.set_departed(self.own_vm, true);
+        let peers = self.membership.peers(self.own_vm);
         peers.into_iter().flat_map(|peer| self.handover_to(now, peer)).collect()
     }
 
     fn is_home(&self, key: &KeyId) -> bool {
-        !self.leaving && self.membership.home(key) == Some(self.me)
+        !self.leaving && self.membership.home(key) == Some(self.own_vm)
     }
 
     /// Returns the kind of a new claim.
@@ -186,9 +187,9 @@
             return KeyAnswer::NotHome;
         }
         // Prevents a repeated attempt from running a second time because this home does not know of
-        // the first, which happens after the old home was killed, frozen or cut off. A fence at
-        // this home proves no more than its history does: another home may have granted the key
-        // since.
+        // the first attempt, which happens after the old home was killed, frozen or cut off. With
+        // an incomplete history, a fence at this home proves nothing either: another home may have
+        // granted the key since.
         let is_complete = self.history.is_complete(now, self.retry_window);
         if let Some(stored) = self.store.get_mut(&key) {
             return stored.claim(claimed, kind == ClaimKind::Repeated && is_complete);
@@ -211,8 +212,8 @@
         if !is_complete {
             return KeyAnswer::Unknown;
         }
-        // Prevents a first attempt that was delayed on its way here from running after the repeated
-        // one has run elsewhere.
+        // Prevents a delayed first attempt from running here after the repeated attempt has run
+        // elsewhere.
         let fenced = StoredKey { request_digest, stored_state: StoredState::Fenced, expires_at };
         self.insert_new(now, key, fenced, KeyAnswer::Fenced)
     }
@@ -250,8 +251,8 @@
     }
 
     fn merge_transferred(&mut self, now: Instant, keys: Vec<TransferredKey>) {
-        for handed in keys {
-            let TransferredKey { key, request_digest, state, remaining_retention } = handed;
+        for transferred in keys {
+            let TransferredKey { key, request_digest, state, remaining_retention } = transferred;
             let stored = StoredKey {
                 request_digest,
                 stored_state: StoredState::from(state),
@@ -261,22 +262,22 @@
         }
     }
 
-    /// Returns the keys of which `peer` may consider itself the home, in messages of bounded size,
-    /// to be sent one after another; the last one tells the peer that the handover is complete.
+    /// Returns the keys of which `peer` may consider itself the home, in messages of bounded size
+    /// that must be sent one after another. The last message marks the handover as complete.
     ///
-    /// Prevents an order from running twice because its new home, known here, is not yet known to
-    /// `peer`, which considers itself the home and treats its own history as complete: a joining
-    /// entry VM gets all keys for which it precedes this one, and in a planned stop every peer gets
-    /// all keys.
+    /// Prevents a request from running twice. `peer` may not know yet that a third entry VM is the
+    /// home of a key; it then considers itself the home and treats its own history as complete. A
+    /// joining entry VM therefore gets all keys for which it precedes this one, and in a planned
+    /// stop every peer gets all keys.
     ///
-    /// The keys also stay stored here until they expire: a home that joins later, and that this
-    /// entry VM learns of later, must still receive them.
+    /// The keys also stay stored here until they expire, because a home that joins later must still
+    /// receive them.
     fn handover_to(&self, now: Instant, peer: VmId) -> Vec<(VmId, KeyQuery)> {
         let mut messages = Vec::new();
         let mut keys = Vec::new();
         let mut bytes = 0;
         for (key, stored) in self.store.iter() {
-            if !self.leaving && !outranks(key, peer, self.me) {
+            if !self.leaving && !outranks(key, peer, self.own_vm) {
                 continue;
             }
             bytes += stored.bytes();
--- a/daisy-routing/src/keys/membership.rs
+++ b/daisy-routing/src/keys/membership.rs
@@ -7,7 +7,7 @@
 use crate::{KeyId, Routes, digest, weight};
 
 /// How long a listed entry VM that was never live may take to start. Shorter than the time for
-/// which it grants nothing on its own, with a margin for the delay of the VM list.
+/// which a new entry VM grants no claims on its own, with a margin for the delay of the VM list.
 const STARTUP_GRACE: Duration = Duration::from_secs(2);
 
 /// The entry VMs as this one sees them.
@@ -25,8 +25,8 @@
     vm_list_read: bool,
     /// Peers at the last update.
     last_peers: Vec<VmId>,
-    /// Listed entry VMs of the local data centre that were never live or are no longer live, with
-    /// the time since which they count as listed without being live.
+    /// Listed entry VMs of the local data centre that are not live, with the time since when. For
+    /// one that was live before, the time is earlier by the grace for starting.
     listed_not_live: SortedMap<VmId, Instant>,
     /// Data centres, each with the time since which it has had no entry VM.
     empty_since: SortedMap<DcId, Option<Instant>>,
@@ -34,10 +34,10 @@
 
 impl Membership {
     /// Applies `routes`; returns the entry VMs of the local data centre that are new.
-    pub(super) fn update(&mut self, now: Instant, me: VmId, routes: &Routes) -> Vec<VmId> {
+    pub(super) fn update(&mut self, now: Instant, own_vm: VmId, routes: &Routes) -> Vec<VmId> {
         self.dc = routes.dc;
-        self.live = routes.entries.clone();
-        self.listed = routes.listed.clone();
+        self.live = routes.live_entries.clone();
+        self.listed = routes.listed_entries.clone();
         let (live, listed) = (&self.live, &self.listed);
         self.departed.retain(|vm| live.iter().chain(listed).any(|(_, known)| known == vm));
         // Backend servers are known only from the VM list.
@@ -46,7 +46,7 @@
         self.update_listed_not_live(now);
         self.prune_seen_by_handover(now);
         self.update_empty_since(now, routes);
-        let peers = self.peers(me);
+        let peers = self.peers(own_vm);
         let before = std::mem::replace(&mut self.last_peers, peers.clone());
         peers.into_iter().filter(|peer| !before.contains(peer)).collect()
     }
@@ -86,17 +86,17 @@
         self.dc
     }
 
-    /// Returns the live entry VMs of the local data centre, without `me` and those that have
+    /// Returns the live entry VMs of the local data centre, without `own_vm` and those that have
     /// departed.
-    pub(super) fn peers(&self, me: VmId) -> Vec<VmId> {
-        self.members(self.dc).filter(|vm| *vm != me).collect()
+    pub(super) fn peers(&self, own_vm: VmId) -> Vec<VmId> {
+        self.members(self.dc).filter(|vm| *vm != own_vm).collect()
     }
 
     /// Returns the entry VMs of the local data centre that the platform lists, whether they answer
-    /// or not, without `me`.
-    pub(super) fn listed(&self, me: VmId) -> Vec<VmId> {
+    /// or not, without `own_vm`.
+    pub(super) fn listed(&self, own_vm: VmId) -> Vec<VmId> {
         let own = self.listed.iter().chain(&self.live).filter(|(dc, _)| *dc == self.dc);
-        let mut vms: Vec<VmId> = own.map(|(_, vm)| *vm).filter(|vm| *vm != me).collect();
+        let mut vms: Vec<VmId> = own.map(|(_, vm)| *vm).filter(|vm| *vm != own_vm).collect();
         vms.sort_unstable();
         vms.dedup();
         vms
@@ -104,9 +104,9 @@
 
     /// Returns whether a listed entry VM of the local data centre does not answer, although it did
     /// before or has had enough time to start.
-    pub(super) fn is_member_missing(&self, now: Instant, me: VmId) -> bool {
+    pub(super) fn is_member_missing(&self, now: Instant, own_vm: VmId) -> bool {
         let has_not_started = |(vm, since): (&VmId, &Instant)| {
-            *vm != me && !self.departed.contains(vm) && now.since(*since) >= STARTUP_GRACE
+            *vm != own_vm && !self.departed.contains(vm) && now.since(*since) >= STARTUP_GRACE
         };
         self.listed_not_live.iter().any(has_not_started)
     }
@@ -131,9 +131,9 @@
 
     /// Records that `vm` of the local data centre has handed its keys over.
     ///
-    /// Prevents an order from running twice: a new entry VM that has received nothing from an older
-    /// one would otherwise consider itself the home of keys that the older one stores, and treat
-    /// its own history as complete for them.
+    /// Prevents a request from running twice: a new entry VM that has received nothing from an
+    /// older one would otherwise consider itself the home of keys that the older one stores, and
+    /// treat its own history of these keys as complete.
     pub(super) fn add_seen_by_handover(&mut self, vm: VmId) {
         let is_live = self.live.iter().any(|(_, other)| *other == vm);
         if !is_live && !self.seen_by_handover.contains(&vm) {
@@ -157,8 +157,8 @@
 
     /// Returns the other data centres that have entry VMs now or had any within `retry_window`.
     ///
-    /// Prevents a data centre whose entry VMs are all lost from being ignored: nobody knows what
-    /// ran there, and querying nobody must not be treated as a confirmation by everybody.
+    /// Prevents a data centre whose entry VMs are all lost from being ignored: it is unknown what
+    /// ran there, so that a data centre without an entry VM to query must not count as confirming.
     pub(super) fn other_dcs(&self, now: Instant, retry_window: Duration) -> Vec<DcId> {
         let recent = |since: &Option<Instant>| since.is_none_or(|at| now.since(at) < retry_window);
         let other_dcs =
--- a/daisy-routing/src/router.rs
+++ b/daisy-routing/src/router.rs
@@ -38,44 +38,46 @@
 /// The router of one entry VM.
 #[derive(Debug)]
 pub struct Router {
-    pub(crate) me: VmId,
+    pub(crate) own_vm: VmId,
     pub(crate) routes: Routes,
     /// Backend servers, sorted by VM.
     pub(crate) servers: Vec<Server>,
     pub(crate) service_keys: SortedMap<Name, ServiceKey>,
     pub(crate) services: Arena<ServiceKey, ServiceState>,
-    pub(crate) peers: SortedMap<VmId, SortedMap<VmId, u32>>,
+    /// Requests in flight from each other entry VM, by backend server.
+    pub(crate) in_flight_by_peer: SortedMap<VmId, SortedMap<VmId, u32>>,
     pub(crate) tries: Tries,
-    pub(crate) region: ByteBudget,
+    /// Budget of the bytes that this entry VM may send over the region link.
+    pub(crate) region_budget: ByteBudget,
     pub(crate) queue: Queue,
     tickets: Tickets,
 }
 
 impl Router {
-    /// Creates a router without routes for the entry VM `me`.
-    pub fn new(me: VmId) -> Router {
+    /// Creates a router without routes for the entry VM `own_vm`.
+    pub fn new(own_vm: VmId) -> Router {
         Router {
-            me,
+            own_vm,
             routes: Routes::default(),
             servers: Vec::new(),
             service_keys: SortedMap::new(),
             services: Arena::new(),
-            peers: SortedMap::new(),
+            in_flight_by_peer: SortedMap::new(),
             tries: Tries::default(),
-            region: ByteBudget::new(0, Instant::default()),
+            region_budget: ByteBudget::new(0, Instant::default()),
             queue: Queue::default(),
             tickets: Tickets::default(),
         }
     }
 
     /// Decides whether a new request is sent, queued or rejected.
-    pub fn offer(&mut self, now: Instant, call: &Call, rng: &mut fastrand::Rng) -> Admission {
+    pub fn admit(&mut self, now: Instant, call: &Call, rng: &mut fastrand::Rng) -> Admission {
         let Some(key) = self.find_service(&call.service) else {
             return reject(RejectReason::UnknownService, DEFAULT_RETRY_AFTER);
         };
         let max_distance = self.max_distance(now, key, call);
         if let Some(service) = self.services.get_mut(key) {
-            service.offers.add(now);
+            service.arrivals.add(now);
         }
         let Some(service) = self.services.get(key) else {
             return reject(RejectReason::UnknownService, DEFAULT_RETRY_AFTER);
@@ -180,8 +182,8 @@
     /// Rejects requests that can no longer finish in time and those that other requests have
     /// delayed for too long.
     ///
-    /// Prevents answers that arrive too late for their caller: a request is rejected as soon as its
-    /// turn cannot come in time, not only when its deadline has passed.
+    /// Prevents answers that arrive too late for their caller: a request is rejected as soon as it
+    /// can no longer be sent in time, not only when its deadline has passed.
     fn reject_overdue(
         &mut self,
         now: Instant,
@@ -199,7 +201,7 @@
                     &mut counts.last_mut().expect("pushed above").1
                 }
             };
-            match self.give_up_reason(now, waiting, *ahead) {
+            match self.overdue_reason(now, waiting, *ahead) {
                 Some(reason) => {
                     let waiting = self.queue.remove(index);
                     let retry_after = self.retry_after_of(now, key, rng);
@@ -216,7 +218,7 @@
         }
     }
 
-    fn give_up_reason(
+    fn overdue_reason(
         &self,
         now: Instant,
         waiting: &QueuedRequest,
@@ -262,9 +264,9 @@
         let ticket = ticket.unwrap_or_else(|| self.tickets.draw());
         let server = &mut self.servers[position as usize];
         server.own_in_flight += 1;
-        let crosses_region = server.distance == Distance::Far;
+        let crosses_region = server.distance == Distance::OtherRegion;
         if crosses_region {
-            self.region.spend(call.bytes + ESTIMATED_ANSWER_BYTES);
+            self.region_budget.spend(call.bytes + ESTIMATED_ANSWER_BYTES);
         }
         if let Some(service) = self.services.get_mut(key) {
             service.in_flight += 1;
@@ -286,10 +288,10 @@
         let typical_latency =
             self.services.get(key).map_or(DEFAULT_RETRY_AFTER, ServiceState::typical_latency);
         let in_time = call.deadline.since(now) > typical_latency + REGION_ROUND_TRIP;
-        if in_time && self.region.allows(call.bytes + ESTIMATED_ANSWER_BYTES, now) {
-            Distance::Far
+        if in_time && self.region_budget.allows(call.bytes + ESTIMATED_ANSWER_BYTES, now) {
+            Distance::OtherRegion
         } else {
-            Distance::Near
+            Distance::SameRegion
         }
     }
 
--- a/daisy-routing/src/server.rs
+++ b/daisy-routing/src/server.rs
@@ -5,12 +5,12 @@
 use daisy_model::{Instant, VmId};
 
 use crate::{
-    health::{Health, Verdict},
+    health::{Health, TryAssessment},
     measure::LogMean,
 };
 
-/// Age beyond which the number of requests in progress reported by an answer is replaced by the
-/// numbers reported by peers.
+/// Age beyond which the number of requests in progress that an answer reported is no longer used,
+/// and the numbers reported by peers are used instead.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 /// Number of answers after which the latency of a backend server is compared with the median.
 const MIN_LATENCY_SAMPLES: u32 = 40;
@@ -23,11 +23,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     /// In the local data centre.
-    Own,
+    SameDc,
     /// In another data centre of the local region: 1 ms one way in the users' networks.
-    Near,
+    SameRegion,
     /// In another region: 12 ms one way, over the narrow region link.
-    Far,
+    OtherRegion,
 }
 
 /// A backend server as the router sees it.
@@ -61,8 +61,9 @@
 impl Server {
     /// Returns whether the backend server is leaving and gets no new requests.
     pub(crate) fn is_leaving(&self, now: Instant) -> bool {
-        let said = self.reported_leaving_at.is_some_and(|at| now.since(at) < LEAVING_REPORT_TTL);
-        self.leaving_in_routes || said
+        let reported_leaving =
+            self.reported_leaving_at.is_some_and(|at| now.since(at) < LEAVING_REPORT_TTL);
+        self.leaving_in_routes || reported_leaving
     }
 
     /// Returns the probable number of requests in flight from other entry VMs.
@@ -79,8 +80,8 @@
         self.health.limit(adapted, now)
     }
 
-    /// Adapts the limit of requests in flight: increases it by one for every limit's worth of
-    /// answers and decreases it by a third for a refusal, between one and the number of slots.
+    /// Adapts the limit of requests in flight: an answer increases it by `1 / limit`, a refusal
+    /// decreases it by a third. It stays between one and the number of slots.
     pub(crate) fn adapt_limit(&mut self, refused: bool) {
         let changed = if refused { self.limit * 2.0 / 3.0 } else { self.limit + 1.0 / self.limit };
         self.limit = changed.clamp(1.0, f64::from(self.slots.max(1)));
@@ -92,20 +93,24 @@
         self.answer_in_flight = Some((now, reported.saturating_sub(self.own_in_flight)));
     }
 
-    /// Records an answer that took `latency` and judges the mean latency against the median, given
+    /// Records an answer that took `latency` and compares the mean latency with the median, given
     /// as a logarithm of microseconds.
-    pub(crate) fn judge(&mut self, latency: Duration, median_log_latency: Option<f64>) -> Verdict {
+    pub(crate) fn assess(
+        &mut self,
+        latency: Duration,
+        median_log_latency: Option<f64>,
+    ) -> TryAssessment {
         let quarantined = self.health.is_quarantined();
         self.mean_latency.add(latency);
-        let Some(median_log_latency) = median_log_latency else { return Verdict::Good };
-        // A quarantined backend server is judged from its first probe on: its mean was reset when
+        let Some(median_log_latency) = median_log_latency else { return TryAssessment::Good };
+        // A quarantined backend server is assessed from its first probe on: its mean was reset when
         // it was quarantined.
         let enough = if quarantined { 1 } else { MIN_LATENCY_SAMPLES };
         let log = self.mean_latency.try_log_mean(enough);
         if log.is_some_and(|log| log - median_log_latency > SLOW_FACTOR.ln()) {
-            Verdict::Slow
+            TryAssessment::Slow
         } else {
-            Verdict::Good
+            TryAssessment::Good
         }
     }
 
--- a/daisy-routing/src/update.rs
+++ b/daisy-routing/src/update.rs
@@ -27,8 +27,8 @@
         self.set_region_budget(now);
         self.set_servers(now, is_first);
         self.set_services();
-        let live: Vec<VmId> = routes.entries.iter().map(|(_, vm)| *vm).collect();
-        self.peers.retain(|peer, _| live.contains(peer));
+        let live: Vec<VmId> = routes.live_entries.iter().map(|(_, vm)| *vm).collect();
+        self.in_flight_by_peer.retain(|peer, _| live.contains(peer));
         self.update_peer_counts();
         self.refresh_medians();
         self.dispatch(now, rng)
@@ -42,7 +42,7 @@
         in_flight: &[(VmId, u32)],
         rng: &mut fastrand::Rng,
     ) -> Vec<QueueDecision> {
-        self.peers.insert(peer, in_flight.iter().copied().collect());
+        self.in_flight_by_peer.insert(peer, in_flight.iter().copied().collect());
         self.update_peer_counts();
         self.dispatch(now, rng)
     }
@@ -52,12 +52,12 @@
     fn set_region_budget(&mut self, now: Instant) {
         let mine = region(&self.routes, self.routes.dc);
         let sharers =
-            self.routes.entries.iter().filter(|(dc, _)| region(&self.routes, *dc) == mine);
+            self.routes.live_entries.iter().filter(|(dc, _)| region(&self.routes, *dc) == mine);
         let sharers = sharers.count().max(1) as u64;
-        self.region.set_rate(self.routes.policy.region_bytes / sharers, now);
+        self.region_budget.set_rate(self.routes.policy.region_bytes / sharers, now);
     }
 
-    /// Replaces the backend servers; those that were known before keep their measurements.
+    /// Replaces the backend servers. Those that were already known keep their measurements.
     fn set_servers(&mut self, now: Instant, is_first: bool) {
         let mut backends: Vec<&Backend> =
             self.routes.services.iter().flat_map(|(_, service)| &service.backends).collect();
@@ -79,7 +79,8 @@
     /// Returns `server` with the attributes that the current routes give it.
     fn with_route(&self, server: Server, backend: &Backend) -> Server {
         let entries = |dc: Option<DcId>| -> Vec<VmId> {
-            let of = self.routes.entries.iter().filter(|(at, _)| dc.is_none_or(|dc| dc == *at));
+            let of =
+                self.routes.live_entries.iter().filter(|(at, _)| dc.is_none_or(|dc| dc == *at));
             of.map(|(_, vm)| *vm).collect()
         };
         let count = entries(None).len() as u32;
@@ -88,7 +89,12 @@
             address: backend.address,
             slots: backend.slots,
             connections: share::connections(backend.connections, count),
-            own_slots: share::slots(backend.slots, backend.vm, self.me, &entries(Some(backend.dc))),
+            own_slots: share::slots(
+                backend.slots,
+                backend.vm,
+                self.own_vm,
+                &entries(Some(backend.dc)),
+            ),
             leaving_in_routes: backend.leaving,
             ..server
         }
@@ -130,7 +136,7 @@
 
     fn update_peer_counts(&mut self) {
         let mut sums: SortedMap<VmId, u32> = SortedMap::new();
-        for (_, in_flight) in self.peers.iter() {
+        for (_, in_flight) in self.in_flight_by_peer.iter() {
             for (vm, count) in in_flight.iter() {
                 *sums.get_or_insert_with(*vm, || 0) += count;
             }
@@ -145,8 +151,8 @@
 /// new.
 ///
 /// Prevents a cold backend server from getting the load of a warm one, which shows as a burst of
-/// late answers after each replacement. A new router starts all of them at their full limit: its
-/// callers cannot wait for a ramp that serves no purpose.
+/// late answers after each replacement. A new router starts all of them at their full limit,
+/// because a slow start would only delay its callers.
 fn new_server(backend: &Backend, now: Instant, is_first: bool) -> Server {
     let health = if is_first {
         Health::default()
@@ -155,7 +161,7 @@
     };
     Server {
         vm: backend.vm,
-        distance: Distance::Own,
+        distance: Distance::SameDc,
         address: backend.address,
         slots: backend.slots,
         connections: 1,
@@ -173,11 +179,11 @@
 
 fn distance(routes: &Routes, dc: DcId) -> Distance {
     if dc == routes.dc {
-        Distance::Own
+        Distance::SameDc
     } else if region(routes, dc) == region(routes, routes.dc) {
-        Distance::Near
+        Distance::SameRegion
     } else {
-        Distance::Far
+        Distance::OtherRegion
     }
 }
 
--- a/daisy-routing/tests/keys/simulation.rs
+++ b/daisy-routing/tests/keys/simulation.rs
@@ -168,7 +168,7 @@
         let now = self.now;
         let node = self.node(vm);
         node.leaving = true;
-        let handovers = node.table.leave(now);
+        let handovers = node.table.start_handover(now);
         self.send_all(vm, handovers);
     }
 
@@ -458,15 +458,15 @@
     let service = Service {
         job: JobId(0),
         priority: Priority::Critical,
-        refuse: false,
+        may_reject: false,
         backends: vec![backend],
     };
     Routes {
         version: 1,
         dc,
         regions: vec![0, 0, 1],
-        entries,
-        listed,
+        live_entries: entries,
+        listed_entries: listed,
         services: SortedMap::from_iter([(Name::new("quote").unwrap(), service)]),
         policy: Policy { retry_window: WINDOW, ..Policy::default() },
     }
--- a/daisy-standin/tests/worker.rs
+++ b/daisy-standin/tests/worker.rs
@@ -79,7 +79,7 @@
     let order = Order::Start { task: TASK, incarnation: FIRST, size, checkpoint: None };
     let report = worker.call(at(0), call(1, vec![order]), NO_FAULTS);
 
-    assert_eq!(report.results, [OrderResult::NoRoom]);
+    assert_eq!(report.results, [OrderResult::NoCapacity]);
     assert!(report.running.is_empty());
 }
 
@@ -92,7 +92,7 @@
     let report = worker.call(at(30_000), call(1, vec![]), NO_FAULTS);
 
     assert!(report.running.is_empty());
-    assert_eq!(report.ended[0].exit, Exit::LeaseLapsed);
+    assert_eq!(report.ended[0].exit, Exit::LeaseExpired);
     let events = worker.take_events();
     let ended =
         events.iter().find(|(_, kind)| matches!(kind, EventKind::TaskEnded { .. })).unwrap();
--- a/daisy-wire/src/report_merger.rs
+++ b/daisy-wire/src/report_merger.rs
@@ -6,7 +6,8 @@
 //! [`ReportMerger`] creates.
 
 use daisy_model::{
-    Ended, Incarnation, Order, OrderResult, Resources, Running, SortedMap, TaskId, WorkerReport,
+    ExitReport, Incarnation, Order, OrderResult, Resources, RunningTask, SortedMap, TaskId,
+    WorkerReport,
 };
 
 use crate::worker::{ReportJson, ReportVersionJson};
@@ -16,8 +17,8 @@
 pub struct ReportMerger {
     seen: Option<ReportVersionJson>,
     capacity: Resources,
-    running: SortedMap<(TaskId, Incarnation), Running>,
-    ended: SortedMap<(TaskId, Incarnation), Ended>,
+    running: SortedMap<(TaskId, Incarnation), RunningTask>,
+    ended: SortedMap<(TaskId, Incarnation), ExitReport>,
 }
 
 impl ReportMerger {
@@ -35,7 +36,7 @@
     ///
     /// Returns `None` if the report's changes do not follow the last version seen, for example
     /// because the worker's agent has restarted. The next call then requests a full report.
-    pub fn take(&mut self, orders: &[Order], report: ReportJson) -> Option<WorkerReport> {
+    pub fn merge(&mut self, orders: &[Order], report: ReportJson) -> Option<WorkerReport> {
         let (now, since) = (report.now, report.since);
         let report = WorkerReport::from(report);
         if !report.accepted {
--- a/daisy-wire/src/worker.rs
+++ b/daisy-wire/src/worker.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use daisy_model::{
-    Ended, Epoch, Exit, Incarnation, JobId, Order, OrderResult, Running, TaskId, Usage, WorkerCall,
-    WorkerReport,
+    Epoch, Exit, ExitReport, Incarnation, JobId, Order, OrderResult, RunningTask, TaskId, Usage,
+    WorkerCall, WorkerReport,
 };
 use serde::{Deserialize, Serialize};
 
@@ -187,7 +187,8 @@
     /// Carried out.
     Done,
     /// Not enough free capacity; nothing was started.
-    NoRoom,
+    #[serde(rename = "no-room")]
+    NoCapacity,
     /// The worker does not know the incarnation.
     Unknown,
     /// The task could not be started.
@@ -207,7 +208,8 @@
     /// The task was stopped without a checkpoint.
     Stopped,
     /// The worker ended the task because its lease expired.
-    LeaseLapsed,
+    #[serde(rename = "lease-lapsed")]
+    LeaseExpired,
     /// It is not known how the task ended.
     Unknown,
     /// The task never ran. Only holders record this; workers do not report it.
@@ -221,7 +223,7 @@
             Exit::Failed => ExitJson::Failed,
             Exit::Checkpointed(token) => ExitJson::Checkpointed(token),
             Exit::Stopped => ExitJson::Stopped,
-            Exit::LeaseLapsed => ExitJson::LeaseLapsed,
+            Exit::LeaseExpired => ExitJson::LeaseExpired,
             Exit::Unknown => ExitJson::Unknown,
             Exit::Refused => ExitJson::Refused,
         }
@@ -235,7 +237,7 @@
             ExitJson::Failed => Exit::Failed,
             ExitJson::Checkpointed(token) => Exit::Checkpointed(token),
             ExitJson::Stopped => Exit::Stopped,
-            ExitJson::LeaseLapsed => Exit::LeaseLapsed,
+            ExitJson::LeaseExpired => Exit::LeaseExpired,
             ExitJson::Unknown => Exit::Unknown,
             ExitJson::Refused => Exit::Refused,
         }
@@ -244,19 +246,19 @@
 
 /// A running task.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct RunningJson {
+pub struct RunningTaskJson {
     /// The task and its incarnation.
     #[serde(flatten)]
     pub task: TaskJson,
     /// The size that it was started with.
     pub size: ResourcesJson,
-    /// Its share of its processors, in thousandths; 1000 is not throttled.
+    /// The share of its processors that it may use, in thousandths; 1000 is not throttled.
     pub share: u32,
 }
 
 /// An exit report.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct EndedJson {
+pub struct ExitReportJson {
     /// The task and its incarnation.
     #[serde(flatten)]
     pub task: TaskJson,
@@ -299,10 +301,10 @@
     pub results: Vec<OrderResultJson>,
     /// The running tasks, or those that have changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub running: Vec<RunningJson>,
+    pub running: Vec<RunningTaskJson>,
     /// The exit reports that are not acknowledged yet, or the new ones.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub ended: Vec<EndedJson>,
+    pub ended: Vec<ExitReportJson>,
     /// The measured usage of tasks, or those values that have changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub usage: Vec<UsageJson>,
@@ -341,7 +343,7 @@
 fn result_to_json(it: OrderResult) -> OrderResultJson {
     match it {
         OrderResult::Done => OrderResultJson::Done,
-        OrderResult::NoRoom => OrderResultJson::NoRoom,
+        OrderResult::NoCapacity => OrderResultJson::NoCapacity,
         OrderResult::Unknown => OrderResultJson::Unknown,
         OrderResult::Failed => OrderResultJson::Failed,
     }
@@ -350,30 +352,30 @@
 fn result_from_json(it: OrderResultJson) -> OrderResult {
     match it {
         OrderResultJson::Done => OrderResult::Done,
-        OrderResultJson::NoRoom => OrderResult::NoRoom,
+        OrderResultJson::NoCapacity => OrderResult::NoCapacity,
         OrderResultJson::Unknown => OrderResult::Unknown,
         OrderResultJson::Failed => OrderResult::Failed,
     }
 }
 
-fn running_to_json(it: Running) -> RunningJson {
-    let Running { task, incarnation, size, share } = it;
-    RunningJson { task: TaskJson::new(task, incarnation), size: size.into(), share }
+fn running_to_json(it: RunningTask) -> RunningTaskJson {
+    let RunningTask { task, incarnation, size, share } = it;
+    RunningTaskJson { task: TaskJson::new(task, incarnation), size: size.into(), share }
 }
 
-fn running_from_json(it: RunningJson) -> Running {
-    let RunningJson { task, size, share } = it;
-    Running { task: task.task(), incarnation: task.incarnation(), size: size.into(), share }
+fn running_from_json(it: RunningTaskJson) -> RunningTask {
+    let RunningTaskJson { task, size, share } = it;
+    RunningTask { task: task.task(), incarnation: task.incarnation(), size: size.into(), share }
 }
 
-fn ended_to_json(it: Ended) -> EndedJson {
-    let Ended { task, incarnation, exit } = it;
-    EndedJson { task: TaskJson::new(task, incarnation), exit: exit.into() }
+fn ended_to_json(it: ExitReport) -> ExitReportJson {
+    let ExitReport { task, incarnation, exit } = it;
+    ExitReportJson { task: TaskJson::new(task, incarnation), exit: exit.into() }
 }
 
-fn ended_from_json(it: EndedJson) -> Ended {
-    let EndedJson { task, exit } = it;
-    Ended { task: task.task(), incarnation: task.incarnation(), exit: exit.into() }
+fn ended_from_json(it: ExitReportJson) -> ExitReport {
+    let ExitReportJson { task, exit } = it;
+    ExitReport { task: task.task(), incarnation: task.incarnation(), exit: exit.into() }
 }
 
 fn usage_to_json(it: Usage) -> UsageJson {
--- a/daisy-wire/tests/peer.rs
+++ b/daisy-wire/tests/peer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_membership::{Evidence, Heartbeat, Status};
+use daisy_membership::{Heartbeat, HolderEvidence, Status};
 use daisy_model::{DcId, Epoch, JobId, Name, Offset, VmId};
 use daisy_routing::{ClaimId, KeyId, KeyQuery};
 use daisy_wire::{
@@ -17,7 +17,7 @@
 const LIMIT: usize = 1 << 20;
 
 fn heartbeat() -> Notice {
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         vm: VmId(7),
         dc: DcId(2),
         seq: 90,
@@ -25,9 +25,9 @@
         generation: 12,
         status: Status::Leaving,
         reads_log: true,
-        evidence: Some(Evidence { epoch: Epoch(11), seq: 3 }),
+        evidence: Some(HolderEvidence { epoch: Epoch(11), seq: 3 }),
     };
-    Notice::Heartbeat { beat, full: false, in_flight: vec![(VmId(101), 8), (VmId(102), 0)] }
+    Notice::Heartbeat { heartbeat, full: false, in_flight: vec![(VmId(101), 8), (VmId(102), 0)] }
 }
 
 fn replicas(added: Vec<Replica>) -> Notice {
