--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -9,7 +9,7 @@
 };
 
 use daisy_model::{Instant, SortedMap};
-use daisy_platform::{Guard, Store, StoreError, Topic};
+use daisy_platform::{Guard, LogClient, LogError, Topic};
 use daisy_workflow::{LogHealth, SendDecision, ShardId};
 use tokio::{
     sync::{Notify, mpsc, oneshot},
@@ -35,8 +35,8 @@
     maybe_stored: bool,
     /// Set by the first of the two: the task that sends the record, or the caller whose deadline
     /// has passed. The other one then leaves the record alone.
-    is_taken: Arc<AtomicBool>,
-    tx: oneshot::Sender<Result<(), StoreError>>,
+    is_sent_or_expired: Arc<AtomicBool>,
+    tx: oneshot::Sender<Result<(), LogError>>,
 }
 
 /// Passes records to the task that appends them in batches.
@@ -48,7 +48,7 @@
 
 impl Appender {
     /// Starts the task that appends the records.
-    pub fn start(store: Store, shared: Shared) -> Appender {
+    pub fn start(store: LogClient, shared: Shared) -> Appender {
         /// The most requests that wait for an append; more than a small VM has connections.
         const MAX_WAITING: usize = 4_096;
         let (tx, rx) = mpsc::channel(MAX_WAITING);
@@ -82,9 +82,9 @@
         value: Vec<u8>,
         maybe_stored: bool,
         deadline: Deadline,
-    ) -> Result<(), StoreError> {
+    ) -> Result<(), LogError> {
         let (tx, rx) = oneshot::channel();
-        let is_taken = Arc::new(AtomicBool::new(false));
+        let is_sent_or_expired = Arc::new(AtomicBool::new(false));
         let since = clock::now();
         let record = WaitingRecord {
             shard,
@@ -92,21 +92,19 @@
             value,
             since,
             maybe_stored,
-            is_taken: is_taken.clone(),
+            is_sent_or_expired: is_sent_or_expired.clone(),
             tx,
         };
         if self.tx.try_send(record).is_err() {
-            return Err(StoreError::NoEffect("too many records wait to be appended".to_owned()));
+            return Err(LogError::NoEffect("too many records wait to be appended".to_owned()));
         }
         match timeout_at(deadline, rx).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => Err(StoreError::OutcomeUnknown("the process is stopping".to_owned())),
-            Err(_) if !is_taken.swap(true, Ordering::AcqRel) => {
-                Err(StoreError::NoEffect("the record was not sent before the deadline".to_owned()))
-            }
-            Err(_) => {
-                Err(StoreError::OutcomeUnknown("the caller's deadline has passed".to_owned()))
+            Ok(Err(_)) => Err(LogError::OutcomeUnknown("the process is stopping".to_owned())),
+            Err(_) if !is_sent_or_expired.swap(true, Ordering::AcqRel) => {
+                Err(LogError::NoEffect("the record was not sent before the deadline".to_owned()))
             }
+            Err(_) => Err(LogError::OutcomeUnknown("the caller's deadline has passed".to_owned())),
         }
     }
 }
@@ -115,7 +113,7 @@
 /// others do, so the health is kept for each shard.
 #[derive(Debug, Clone)]
 struct LogState {
-    store: Store,
+    store: LogClient,
     shared: Shared,
     partition_health: Arc<Mutex<SortedMap<ShardId, LogHealth>>>,
     /// Notified when the health of a partition has changed.
@@ -168,7 +166,7 @@
             let log = self.clone();
             tokio::spawn(async move {
                 let end = log.store.end(Topic::Jobs(shard.0), timeout).await;
-                if !matches!(end, Err(StoreError::OutcomeUnknown(_))) {
+                if !matches!(end, Err(LogError::OutcomeUnknown(_))) {
                     let now = clock::now();
                     log.with_health(now, shard, |it| it.read_answered(now));
                     log.health_changed.notify_one();
@@ -177,9 +175,9 @@
         }
     }
 
-    fn append_ended(&self, shard: ShardId, began: Instant, outcome: &Result<(), StoreError>) {
+    fn append_ended(&self, shard: ShardId, began: Instant, outcome: &Result<(), LogError>) {
         let now = clock::now();
-        let answered = !matches!(outcome, Err(StoreError::OutcomeUnknown(_)));
+        let answered = !matches!(outcome, Err(LogError::OutcomeUnknown(_)));
         self.with_health(now, shard, |it| it.append_ended(now, began, answered));
         self.health_changed.notify_one();
     }
@@ -229,7 +227,7 @@
     for it in waiting.extract_if(.., should_reject) {
         let cause = "the log does not answer, and the record was not sent";
         // Sending fails if the caller has stopped waiting, and then needs no answer.
-        let _ = it.tx.send(Err(StoreError::NoEffect(cause.to_owned())));
+        let _ = it.tx.send(Err(LogError::NoEffect(cause.to_owned())));
     }
 }
 
@@ -253,7 +251,7 @@
         is_chosen
     };
     // Records whose caller has stopped waiting are not sent.
-    let is_awaited = |it: &WaitingRecord| !it.is_taken.swap(true, Ordering::AcqRel);
+    let is_awaited = |it: &WaitingRecord| !it.is_sent_or_expired.swap(true, Ordering::AcqRel);
     let batch: Vec<WaitingRecord> = waiting.extract_if(.., is_chosen).filter(is_awaited).collect();
     if batch.is_empty() {
         return None;
@@ -263,11 +261,11 @@
 }
 
 async fn append_batch(
-    store: &Store,
+    store: &LogClient,
     shard: ShardId,
     batch: Vec<WaitingRecord>,
     timeout: Duration,
-) -> Result<(), StoreError> {
+) -> Result<(), LogError> {
     let mut records = Vec::with_capacity(batch.len());
     let mut senders = Vec::with_capacity(batch.len());
     for WaitingRecord { key, value, tx, .. } in batch {
--- a/daisy-node/src/callers.rs
+++ b/daisy-node/src/callers.rs
@@ -95,7 +95,7 @@
     let began = Instant::now();
     let (parts, mut body) = req.into_parts();
     let answer = answer(&parts, &mut body, &submissions, began).await;
-    let is_read_whole = skip_rest(body).await;
+    let is_body_consumed = skip_rest(body).await;
     metrics.count_request(&parts.method, answer.status, began.elapsed());
     let mut res = Response::new(Full::new(Bytes::from(answer.body)));
     *res.status_mut() = answer.status;
@@ -104,7 +104,7 @@
     if let Some(after) = answer.retry_after {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(after.as_secs()));
     }
-    if !is_read_whole || submissions.shared.lock().stopping {
+    if !is_body_consumed || submissions.shared.lock().stopping {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     res
--- a/daisy-node/src/elect.rs
+++ b/daisy-node/src/elect.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use daisy_model::Instant;
-use daisy_platform::{Guard, NodeSettings, Store, StoreError, Topic};
+use daisy_platform::{Guard, LogClient, LogError, NodeSettings, Topic};
 use daisy_workflow::{
     Candidate, Claim, Election, ElectionDecision, FoldEffect, Ledger, Record, RecordError, ShardId,
     encode,
@@ -16,7 +16,7 @@
 
 use crate::{
     clock,
-    follow::{CALL_TIMEOUT, Read, Tail},
+    follow::{CALL_TIMEOUT, Read, TopicReader},
     jobs::{self, decode_all},
     metrics::Metrics,
     own::Ownership,
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct ElectionContext {
     pub settings: NodeSettings,
-    pub store: Store,
+    pub store: LogClient,
     pub shared: Shared,
     pub metrics: Metrics,
     /// A number that identifies the process, drawn at random at its start.
@@ -80,14 +80,14 @@
     claim_interrupted_at: Instant,
     /// What the last claim had read when it stopped because the log did not answer, and when that
     /// was.
-    unfinished: Option<(Instant, ShardReader)>,
+    unfinished_claim: Option<(Instant, ShardReader)>,
 }
 
 /// Reads the shard's log for a claim, and folds it into a ledger.
 struct ShardReader {
     ledger: Ledger,
-    jobs: Tail,
-    progress: Tail,
+    jobs: TopicReader,
+    progress: TopicReader,
     /// Whether some records of the progress have a newer format than this build can read.
     has_newer_records: bool,
 }
@@ -158,7 +158,7 @@
     /// The epoch of the claim before this one.
     previous_epoch: u64,
     ledger: Ledger,
-    jobs: Tail,
+    jobs: TopicReader,
     predecessors_expired: bool,
 }
 
@@ -174,13 +174,14 @@
             ended_epoch: 0,
             slow_until: Instant::default(),
             claim_interrupted_at: Instant::default(),
-            unfinished: None,
+            unfinished_claim: None,
         }
     }
 
     async fn run(mut self) {
         while !*self.context.stop.borrow() {
-            self.unfinished.take_if(|(at, _)| clock::now().since(*at) > UNFINISHED_CLAIM_RETENTION);
+            self.unfinished_claim
+                .take_if(|(at, _)| clock::now().since(*at) > UNFINISHED_CLAIM_RETENTION);
             match self.decide() {
                 ElectionDecision::Claim => {
                     self.context.shared.lock().begin_claim();
@@ -284,7 +285,7 @@
             }
             let last_claim = reader.ledger.owner();
             let own_claim =
-                last_claim.filter(|it| self.is_mine(it) && Some(it.epoch) == claimed_epoch);
+                last_claim.filter(|it| self.is_own_claim(it) && Some(it.epoch) == claimed_epoch);
             if let Some(Claim { epoch, predecessors_expired, .. }) = own_claim.cloned() {
                 if !reader.read_all_jobs().await {
                     return self.keep_unfinished(reader);
@@ -338,7 +339,7 @@
         let read = || {
             Box::pin(async {
                 match store.read(Topic::States, from, Duration::ZERO, CALL_TIMEOUT).await {
-                    Ok(_) | Err(StoreError::Expired(_)) => Ok(()),
+                    Ok(_) | Err(LogError::RecordsDropped(_)) => Ok(()),
                     Err(e) => Err(e),
                 }
             })
@@ -353,11 +354,11 @@
     /// one.
     fn resume_or_begin_reading(&mut self) -> ShardReader {
         let (shard, store) = (self.shard.0, &self.context.store);
-        let unfinished = self.unfinished.take().map(|(_, it)| it);
-        unfinished.unwrap_or_else(|| ShardReader {
+        let unfinished_claim = self.unfinished_claim.take().map(|(_, it)| it);
+        unfinished_claim.unwrap_or_else(|| ShardReader {
             ledger: Ledger::default(),
-            jobs: Tail::new(store.clone(), Topic::Jobs(shard)),
-            progress: Tail::new(store.clone(), Topic::Progress(shard)),
+            jobs: TopicReader::new(store.clone(), Topic::Jobs(shard)),
+            progress: TopicReader::new(store.clone(), Topic::Progress(shard)),
             has_newer_records: false,
         })
     }
@@ -367,7 +368,7 @@
     fn keep_unfinished(&mut self, reader: ShardReader) -> Option<WonClaim> {
         let is_gapless = !reader.jobs.has_gap() && !reader.progress.has_gap();
         self.claim_interrupted_at = clock::now();
-        self.unfinished = is_gapless.then_some((self.claim_interrupted_at, reader));
+        self.unfinished_claim = is_gapless.then_some((self.claim_interrupted_at, reader));
         None
     }
 
@@ -380,7 +381,7 @@
         let topic = Topic::Progress(shard);
         match self.context.store.append(topic, &[record], guard, CALL_TIMEOUT).await {
             Ok(_) => log::info!("event=claimed shard={shard} epoch={epoch}"),
-            Err(StoreError::EndMismatch | StoreError::Fenced) => {
+            Err(LogError::EndMismatch | LogError::Fenced) => {
                 log::info!(
                     "event=claim_lost shard={shard} epoch={epoch} cause=\"another append came first\""
                 );
@@ -392,7 +393,7 @@
         Some(epoch)
     }
 
-    fn is_mine(&self, claim: &Claim) -> bool {
+    fn is_own_claim(&self, claim: &Claim) -> bool {
         claim.vm == self.context.settings.vm && claim.process == self.context.process
     }
 
--- a/daisy-node/src/follow.rs
+++ b/daisy-node/src/follow.rs
@@ -2,7 +2,7 @@
 
 use std::{pin::pin, time::Duration};
 
-use daisy_platform::{NewestPage, Store, StoreError, StoredRecord, Topic};
+use daisy_platform::{LogClient, LogError, NewestPage, StoredRecord, Topic};
 use daisy_workflow::LargeReadTimeout;
 use tokio::time::{sleep, timeout};
 
@@ -25,8 +25,8 @@
 /// A reader of a topic. Its first read returns the newest record of each key, later reads the
 /// records appended since.
 #[derive(Debug)]
-pub(crate) struct Tail {
-    store: Store,
+pub(crate) struct TopicReader {
+    store: LogClient,
     topic: Topic,
     /// The offset at which the next read continues; `None` before the first read and after the log
     /// has dropped records that were not read.
@@ -35,7 +35,7 @@
     /// The number of failed calls since the last successful one.
     failures: u32,
     /// The pages of the newest records that have been read so far.
-    newest_pages: Option<NewestPage>,
+    newest_so_far: Option<NewestPage>,
     newest_timeout: LargeReadTimeout,
 }
 
@@ -49,16 +49,16 @@
     pub at_end: bool,
 }
 
-impl Tail {
+impl TopicReader {
     /// Returns a reader of `topic` that has not read anything.
-    pub fn new(store: Store, topic: Topic) -> Tail {
-        Tail {
+    pub fn new(store: LogClient, topic: Topic) -> TopicReader {
+        TopicReader {
             store,
             topic,
             next: None,
             has_gap: false,
             failures: 0,
-            newest_pages: None,
+            newest_so_far: None,
             newest_timeout: LargeReadTimeout::default(),
         }
     }
@@ -100,7 +100,7 @@
                 Some(read)
             }
             Err(e) => {
-                if let StoreError::Expired(first) = &e {
+                if let LogError::RecordsDropped(first) = &e {
                     log::warn!("event=log_gap topic={:?} first={first}", self.topic);
                     self.next = None;
                     self.has_gap = true;
@@ -124,11 +124,11 @@
 
     /// Reads the newest record of each key. After a failure, the next call continues after the
     /// pages already read.
-    async fn read_newest(&mut self, answer_timeout: Duration) -> Result<Read, StoreError> {
+    async fn read_newest(&mut self, answer_timeout: Duration) -> Result<Read, LogError> {
         loop {
             let page = self.read_newest_page(answer_timeout).await?;
-            let pages = match &mut self.newest_pages {
-                None => self.newest_pages.insert(page),
+            let pages = match &mut self.newest_so_far {
+                None => self.newest_so_far.insert(page),
                 Some(it) => {
                     // `end` stays that of the first page: a record appended after it may belong to
                     // a page that was already read, and must be read again from there.
@@ -140,20 +140,17 @@
             if !pages.has_more {
                 let records = std::mem::take(&mut pages.records);
                 self.next = Some(pages.end);
-                self.newest_pages = None;
+                self.newest_so_far = None;
                 return Ok(Read { records, at_end: true });
             }
         }
     }
 
-    async fn read_newest_page(
-        &mut self,
-        answer_timeout: Duration,
-    ) -> Result<NewestPage, StoreError> {
+    async fn read_newest_page(&mut self, answer_timeout: Duration) -> Result<NewestPage, LogError> {
         let answer_timeout =
             if self.newest_timeout.has_timed_out() { CALL_TIMEOUT } else { answer_timeout };
         let after =
-            self.newest_pages.as_ref().and_then(|it| it.records.last()).map(|it| it.key.as_str());
+            self.newest_so_far.as_ref().and_then(|it| it.records.last()).map(|it| it.key.as_str());
         let mut call = pin!(self.store.newest(self.topic, after, LargeReadTimeout::TIMEOUT_MAX));
         let began = clock::now();
         self.newest_timeout.begin(began, answer_timeout, self.store.answered_calls());
@@ -165,6 +162,6 @@
             }
         }
         let elapsed_ms = clock::now().since(began).as_millis();
-        Err(StoreError::OutcomeUnknown(format!("timed out after {elapsed_ms} ms")))
+        Err(LogError::OutcomeUnknown(format!("timed out after {elapsed_ms} ms")))
     }
 }
--- a/daisy-node/src/jobs.rs
+++ b/daisy-node/src/jobs.rs
@@ -10,7 +10,7 @@
     time::sleep,
 };
 
-use crate::{clock, follow::Tail};
+use crate::{clock, follow::TopicReader};
 
 /// How long a read waits for a record. This limits how far the owner may be behind the log when it
 /// reports that it has caught up.
@@ -45,12 +45,12 @@
 /// Sends new records to the owner until the owner has ended. `caught_up_at` gets the time at which
 /// the topic was last read to its end.
 pub(crate) async fn follow_jobs(
-    mut tail: Tail,
+    mut reader: TopicReader,
     events: mpsc::UnboundedSender<Event>,
     caught_up_at: watch::Sender<Instant>,
 ) {
     while !events.is_closed() {
-        let Some(read) = tail.try_read(READ_WAIT).await else { continue };
+        let Some(read) = reader.try_read(READ_WAIT).await else { continue };
         for record in decode_all("jobs", &read.records) {
             if events.send(Event::Record(record)).is_err() {
                 return;
--- a/daisy-node/src/node.rs
+++ b/daisy-node/src/node.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use daisy_http::Http;
-use daisy_platform::{NodeSettings, Store, Topic, parse_queue_config, parse_settings};
+use daisy_platform::{LogClient, NodeSettings, Topic, parse_queue_config, parse_settings};
 use tokio::{
     signal::unix::{Signal, SignalKind, signal},
     sync::watch,
@@ -15,7 +15,7 @@
     append::Appender,
     callers,
     elect::{self, ElectionContext},
-    follow::Tail,
+    follow::TopicReader,
     metrics::Metrics,
     readiness,
     shared::Shared,
@@ -44,7 +44,7 @@
     let settings = read_settings(path)?;
     let shared = Shared::default();
     let metrics = Metrics::new();
-    let store = Store::new(Http::new(None), settings.store_address);
+    let store = LogClient::new(Http::new(None), settings.store_address);
     let (stop_serving, serving_stop) = watch::channel(false);
     let process = fastrand::u64(1..);
 
@@ -117,10 +117,10 @@
     }
 }
 
-async fn follow_configuration(store: Store, shared: Shared) {
-    let mut tail = Tail::new(store, Topic::Operators);
+async fn follow_configuration(store: LogClient, shared: Shared) {
+    let mut reader = TopicReader::new(store, Topic::Operators);
     loop {
-        let Some(read) = tail.try_read(READ_WAIT).await else { continue };
+        let Some(read) = reader.try_read(READ_WAIT).await else { continue };
         for it in read.records {
             match parse_queue_config(&it.key, &it.value) {
                 Some(Ok(queues)) => shared.lock().apply_configuration(queues),
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -26,7 +26,7 @@
     calls::Calls,
     follow::{follow_measurements, follow_workers},
 };
-use crate::{clock, elect::ElectionContext, follow::Tail, jobs::follow_jobs};
+use crate::{clock, elect::ElectionContext, follow::TopicReader, jobs::follow_jobs};
 
 /// The lease of a worker: how long its tasks go on without a renewal.
 ///
@@ -41,7 +41,7 @@
 const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(24);
 /// The interval at which owners append their interference measurements and read those of other
 /// shards: twice the time that a worker's report covers.
-const SHARE_INTERVAL: Duration = Duration::from_millis(1_000);
+const MEASUREMENTS_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The ownership of a shard in one epoch.
 pub(crate) struct Ownership {
@@ -99,7 +99,7 @@
 
 impl Ownership {
     /// Runs the owner until another owner takes over or this process releases the shard.
-    pub async fn run(self, ledger: Ledger, jobs: Tail) -> EndCause {
+    pub async fn run(self, ledger: Ledger, jobs: TopicReader) -> EndCause {
         let (events, rx) = mpsc::unbounded_channel();
         let now = clock::now();
         let owner = self.start_owner(now, ledger, &events);
@@ -129,16 +129,16 @@
             },
             owner,
             append_outcomes,
-            appending: false,
-            appended_at: now,
-            progress_seq: 1,
+            is_appending_progress: false,
+            progress_append_began: now,
+            next_progress_seq: 1,
             state_publisher: StatePublisher::new(now, self.shard, self.published_states.clone()),
-            publishing: false,
-            states_seq: 0,
+            is_appending_states: false,
+            next_states_seq: 0,
             jobs_read_at,
-            shared_at: now,
+            measurements_shared_at: now,
             tick_delay: TickDelay::new(now, TICK_INTERVAL),
-            reported_at: now,
+            summary_logged_at: now,
             unconfirmed_runs: Vec::new(),
             ownership: self,
         };
@@ -183,23 +183,23 @@
     owner: Owner,
     append_outcomes: mpsc::Sender<AppendOutcome>,
     /// Whether an append of progress is under way.
-    appending: bool,
+    is_appending_progress: bool,
     /// When the last append of progress began.
-    appended_at: Instant,
+    progress_append_began: Instant,
     /// The sequence number of the next append of progress in this epoch.
-    progress_seq: u64,
+    next_progress_seq: u64,
     state_publisher: StatePublisher,
     /// Whether an append of states is under way.
-    publishing: bool,
+    is_appending_states: bool,
     /// The sequence number of the next append of states in this epoch.
-    states_seq: u64,
+    next_states_seq: u64,
     /// When the submissions were last read to their end.
     jobs_read_at: watch::Receiver<Instant>,
     /// When interference measurements were last shared with other owners.
-    shared_at: Instant,
+    measurements_shared_at: Instant,
     tick_delay: TickDelay,
     /// When the summary was last logged.
-    reported_at: Instant,
+    summary_logged_at: Instant,
     /// The runs whose outcome was unconfirmed at the last report.
     unconfirmed_runs: Vec<UnconfirmedRun>,
 }
@@ -219,11 +219,11 @@
         let mut stop = self.ownership.context.stop.clone();
         let mut batch = Vec::new();
         loop {
-            let has_pending_records = !self.appending && self.owner.has_batch()
-                || !self.publishing && self.state_publisher.has_pending_states();
+            let has_pending_records = !self.is_appending_progress && self.owner.has_batch()
+                || !self.is_appending_states && self.state_publisher.has_pending_states();
             tokio::select! {
                 it = outcomes.recv() => {
-                    if !self.handle_append(it) {
+                    if !self.handle_append_outcome(it) {
                         return EndCause::FencedByLog;
                     }
                 }
@@ -248,7 +248,7 @@
                     return self.release(outcomes, EndCause::Stopping).await;
                 }
             }
-            self.report();
+            self.log_summary();
             if self.carry_out_actions() {
                 return EndCause::FencedByWorker;
             }
@@ -279,13 +279,13 @@
     }
 
     /// Logs a summary of the shard's jobs and workers once a second.
-    fn report(&mut self) {
+    fn log_summary(&mut self) {
         const INTERVAL: Duration = Duration::from_secs(1);
         let now = clock::now();
-        if now.since(self.reported_at) < INTERVAL {
+        if now.since(self.summary_logged_at) < INTERVAL {
             return;
         }
-        self.reported_at = now;
+        self.summary_logged_at = now;
         let summary = self.owner.summary(now);
         log::info!(
             "event=owner_state shard={} epoch={} jobs={} waiting={} waiting_lasting={} \
@@ -311,7 +311,7 @@
             summary.unconfirmed_runs,
             summary.unconfirmed_for.as_millis()
         );
-        self.report_unconfirmed_runs(now);
+        self.log_unconfirmed_runs(now);
         if let Some(it) = self.owner.longest_waiting_task(now) {
             log::info!(
                 "event=longest_wait id={} task={} shard={} waited_ms={} cpu={} memory_mib={} \
@@ -338,7 +338,7 @@
     }
 
     /// Logs each run of a long-running task whose outcome is unconfirmed, once for each cause.
-    fn report_unconfirmed_runs(&mut self, now: Instant) {
+    fn log_unconfirmed_runs(&mut self, now: Instant) {
         let unconfirmed_runs = self.owner.unconfirmed_runs(now);
         for it in &unconfirmed_runs {
             let is_reported = |earlier: &UnconfirmedRun| {
@@ -370,14 +370,15 @@
     /// Appends the owner's pending progress, unless an append is under way or too recent.
     fn append_progress(&mut self) {
         let now = clock::now();
-        if self.appending || now.since(self.appended_at) < MIN_APPEND_INTERVAL {
+        if self.is_appending_progress || now.since(self.progress_append_began) < MIN_APPEND_INTERVAL
+        {
             return;
         }
         let Some(batch) = self.owner.try_batch(now) else { return };
-        self.appending = true;
-        self.appended_at = now;
-        let guard = self.guard(self.progress_seq);
-        self.progress_seq += 1;
+        self.is_appending_progress = true;
+        self.progress_append_began = now;
+        let guard = self.guard(self.next_progress_seq);
+        self.next_progress_seq += 1;
         self.spawn_append(
             Topic::Progress(self.ownership.shard.0),
             batch.records,
@@ -392,7 +393,7 @@
         for (id, state) in self.owner.take_states() {
             self.state_publisher.add(id, state);
         }
-        if self.publishing {
+        if self.is_appending_states {
             return;
         }
         let now = clock::now();
@@ -406,10 +407,10 @@
     /// again, as its measurements are repeated later.
     fn share_measurements(&mut self) {
         let now = clock::now();
-        if now.since(self.shared_at) < SHARE_INTERVAL {
+        if now.since(self.measurements_shared_at) < MEASUREMENTS_INTERVAL {
             return;
         }
-        self.shared_at = now;
+        self.measurements_shared_at = now;
         let sums = self.owner.take_interference_sums();
         let Ownership { context, shard, .. } = &self.ownership;
         let shards = context.shared.lock().directory.layout().map_or(1, |it| it.shards);
@@ -429,9 +430,9 @@
     }
 
     fn append_states(&mut self, records: Vec<Record>) {
-        self.publishing = true;
-        let guard = self.guard(self.states_seq);
-        self.states_seq += 1;
+        self.is_appending_states = true;
+        let guard = self.guard(self.next_states_seq);
+        self.next_states_seq += 1;
         self.spawn_append(Topic::States, records, guard, AppendOutcome::States(clock::now()));
     }
 
@@ -478,14 +479,14 @@
     }
 
     /// Handles the outcome of an append; returns false if this owner is fenced.
-    fn handle_append(&mut self, outcome: Option<AppendOutcome>) -> bool {
+    fn handle_append_outcome(&mut self, outcome: Option<AppendOutcome>) -> bool {
         let event = match outcome {
             Some(AppendOutcome::Progress) => {
-                self.appending = false;
+                self.is_appending_progress = false;
                 Event::Appended
             }
             Some(AppendOutcome::States(sent_at)) => {
-                self.publishing = false;
+                self.is_appending_states = false;
                 Event::HeartbeatStored { sent_at }
             }
             Some(AppendOutcome::Fenced) | None => return false,
@@ -525,9 +526,9 @@
         mut outcomes: mpsc::Receiver<AppendOutcome>,
         cause: EndCause,
     ) -> EndCause {
-        while self.appending || self.publishing {
+        while self.is_appending_progress || self.is_appending_states {
             let it = outcomes.recv().await;
-            if !self.handle_append(it) {
+            if !self.handle_append_outcome(it) {
                 return EndCause::FencedByLog;
             }
         }
--- a/daisy-node/src/own/append.rs
+++ b/daisy-node/src/own/append.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use daisy_platform::{Guard, Store, StoreError, Topic};
+use daisy_platform::{Guard, LogClient, LogError, Topic};
 use daisy_workflow::{Record, encode};
 use tokio::time::sleep;
 
@@ -21,7 +21,7 @@
 /// Appends records, and retries until the log has them or a higher epoch has been seen. The
 /// sequence number in `guard` ensures that a repeated append has no second effect.
 pub(super) async fn append(
-    store: &Store,
+    store: &LogClient,
     topic: Topic,
     records: &[Record],
     guard: Guard,
@@ -37,7 +37,7 @@
                 }
                 return Ok(());
             }
-            Err(StoreError::Fenced | StoreError::EndMismatch) => return Err(Fenced),
+            Err(LogError::Fenced | LogError::EndMismatch) => return Err(Fenced),
             Err(e) => {
                 failures += 1;
                 if failures == 1 {
--- a/daisy-node/src/own/calls.rs
+++ b/daisy-node/src/own/calls.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use daisy_platform::{HoldError, HoldOrder, WorkerCalls};
+use daisy_platform::{LeaseRenewal, RenewalError, WorkerCalls};
 use daisy_workflow::{
     Action, Event, OrderReply, Start, StopCause, TaskId, Worker, WorkerId, WorkerKey,
 };
@@ -38,7 +38,7 @@
         tokio::spawn(async move {
             let event = match action {
                 Action::Renew { deadline_ms, cursor, wait, .. } => {
-                    this.hold(&to, HoldOrder { deadline_ms, cursor, wait }).await
+                    this.renew_lease(&to, LeaseRenewal { deadline_ms, cursor, wait }).await
                 }
                 Action::Start(_, start) => this.start(&to, &start).await,
                 Action::Stop(_, task, run, cause) => this.stop(&to, task, run, cause).await,
@@ -50,11 +50,11 @@
         });
     }
 
-    async fn hold(&self, to: &CallTarget, order: HoldOrder) -> Event {
-        match self.calls.hold(&to.id, to.address, order, ORDER_TIMEOUT).await {
+    async fn renew_lease(&self, to: &CallTarget, order: LeaseRenewal) -> Event {
+        match self.calls.renew_lease(&to.id, to.address, order, ORDER_TIMEOUT).await {
             Ok(answer) => Event::RenewalAnswered(to.key, Some(answer)),
-            Err(HoldError::Fenced) => Event::Fenced(to.key),
-            Err(HoldError::NoUsableAnswer(cause)) => {
+            Err(RenewalError::Fenced) => Event::Fenced(to.key),
+            Err(RenewalError::NoUsableAnswer(cause)) => {
                 log::debug!("event=hold_failed worker={} cause=\"{cause}\"", to.id);
                 Event::RenewalAnswered(to.key, None)
             }
--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -4,19 +4,19 @@
 use std::{sync::Arc, time::Duration};
 
 use daisy_model::SortedMap;
-use daisy_platform::{Store, Topic, parse_worker};
+use daisy_platform::{LogClient, Topic, parse_worker};
 use daisy_workflow::{Event, Record, ShardId, WorkerListing};
 use tokio::{sync::mpsc, time::sleep};
 
-use super::SHARE_INTERVAL;
-use crate::{follow::Tail, jobs::decode_all, shared::Shared};
+use super::MEASUREMENTS_INTERVAL;
+use crate::{follow::TopicReader, jobs::decode_all, shared::Shared};
 
 /// The interval at which the list of workers is read.
 const LIST_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Sends the interference measurements of other shards' owners to the owner.
 pub(super) async fn follow_measurements(
-    store: Store,
+    store: LogClient,
     shared: Shared,
     shard: ShardId,
     events: mpsc::UnboundedSender<Event>,
@@ -24,10 +24,10 @@
     if shared.lock().directory.layout().is_none_or(|it| it.shards < 2) {
         return;
     }
-    let mut tail = Tail::new(store, Topic::Observed);
+    let mut reader = TopicReader::new(store, Topic::Observed);
     while !events.is_closed() {
-        sleep(SHARE_INTERVAL).await;
-        let Some(read) = tail.try_read(Duration::ZERO).await else { continue };
+        sleep(MEASUREMENTS_INTERVAL).await;
+        let Some(read) = reader.try_read(Duration::ZERO).await else { continue };
         for record in decode_all("observed", &read.records) {
             if let Record::InterferenceSums(from, sums) = record
                 && from != shard
@@ -42,19 +42,19 @@
 /// Sends the workers of the owner's shard in the platform's list to the owner whenever they change;
 /// if a read finds no change, says so.
 pub(super) async fn follow_workers(
-    store: Store,
+    store: LogClient,
     shared: Shared,
     shard: ShardId,
     events: mpsc::UnboundedSender<Event>,
 ) {
     let layout = shared.lock().directory.layout();
     let is_in_shard = |id: &str| layout.is_some_and(|it| it.shard_of_worker(&id.into()) == shard);
-    let mut tail = Tail::new(store, Topic::Workers);
+    let mut reader = TopicReader::new(store, Topic::Workers);
     let mut listings: SortedMap<String, Arc<WorkerListing>> = SortedMap::new();
     let mut unreadable = SortedMap::new();
     while !events.is_closed() {
-        let is_first_read = tail.next().is_none();
-        let Some(read) = tail.try_read(Duration::ZERO).await else { continue };
+        let is_first_read = reader.next().is_none();
+        let Some(read) = reader.try_read(Duration::ZERO).await else { continue };
         if is_first_read {
             listings = SortedMap::new();
         }
--- a/daisy-node/src/states.rs
+++ b/daisy-node/src/states.rs
@@ -3,13 +3,13 @@
 
 use std::time::Duration;
 
-use daisy_platform::{Guard, Store, StoreError, Topic, parse_worker};
+use daisy_platform::{Guard, LogClient, LogError, Topic, parse_worker};
 use daisy_workflow::{Layout, Record, decode, encode};
 use tokio::time::sleep;
 
 use crate::{
     clock,
-    follow::{CALL_TIMEOUT, Read, Tail},
+    follow::{CALL_TIMEOUT, Read, TopicReader},
     shared::{NodeState, Shared},
 };
 
@@ -23,11 +23,11 @@
 const MAX_READ_PAUSE: Duration = Duration::from_millis(200);
 
 /// Follows the topic of states.
-pub(crate) async fn follow_states(store: Store, shared: Shared) {
-    let mut tail = Tail::new(store, Topic::States);
+pub(crate) async fn follow_states(store: LogClient, shared: Shared) {
+    let mut reader = TopicReader::new(store, Topic::States);
     loop {
-        let is_first_read = tail.next().is_none();
-        let Some(read) = tail.try_read(READ_WAIT).await else {
+        let is_first_read = reader.next().is_none();
+        let Some(read) = reader.try_read(READ_WAIT).await else {
             shared.lock().states_reachability.read_failed();
             continue;
         };
@@ -38,7 +38,7 @@
                 node.directory.restart_reading();
             }
             fold_states(&mut node, &read);
-            if let Some(end) = tail.next().filter(|_| read.at_end) {
+            if let Some(end) = reader.next().filter(|_| read.at_end) {
                 node.states_caught_up = Some((clock::now(), end));
                 node.directory.mark_caught_up(clock::now());
             }
@@ -77,14 +77,14 @@
 
 /// Chooses the shard layout of a system that has none, by the number of workers once that has
 /// stopped changing. If several VMs choose a layout, the record that is appended first applies.
-pub(crate) async fn choose_layout(store: Store, shared: Shared, partitions: u16) {
+pub(crate) async fn choose_layout(store: LogClient, shared: Shared, partitions: u16) {
     /// The interval of the counts. Workers that start together are listed within a second.
     const COUNT_INTERVAL: Duration = Duration::from_millis(600);
     /// After this time the layout follows the last count, even if that is 0 or still changes; for
     /// no workers it is that of the smallest system.
     const STABLE_COUNT_TIMEOUT: Duration = Duration::from_secs(8);
     let began = clock::now();
-    let mut list = Tail::new(store.clone(), Topic::Workers);
+    let mut list = TopicReader::new(store.clone(), Topic::Workers);
     let mut previous_count = 0;
     loop {
         let end = {
@@ -110,16 +110,16 @@
 
 /// Returns the number of workers with valid records in the platform's list; `None` if the list
 /// could not be read.
-async fn count_workers(list: &mut Tail) -> Option<usize> {
+async fn count_workers(list: &mut TopicReader) -> Option<usize> {
     let read = list.try_read_newest().await?;
     Some(read.records.iter().filter(|it| parse_worker(&it.key, &it.value).is_ok()).count())
 }
 
-async fn append_layout(store: &Store, layout: Layout, workers: usize, end: u64) {
+async fn append_layout(store: &LogClient, layout: Layout, workers: usize, end: u64) {
     let record = encode(&Record::Layout(layout));
     match store.append(Topic::States, &[record], Guard::AtEnd(end), CALL_TIMEOUT).await {
         Ok(_) => log::info!("event=laid_out shards={} workers={workers}", layout.shards),
-        Err(StoreError::EndMismatch) => {}
+        Err(LogError::EndMismatch) => {}
         Err(e) => log::warn!("event=layout_failed cause=\"{e}\""),
     }
 }
--- a/daisy-node/src/submit.rs
+++ b/daisy-node/src/submit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use daisy_platform::{StoreError, encode_job_state, encode_pending_jobs, parse_submission};
+use daisy_platform::{LogError, encode_job_state, encode_pending_jobs, parse_submission};
 use daisy_workflow::{JobId, Queue, Record, encode};
 use http::{Method, StatusCode};
 use tokio::time::{Instant, sleep};
@@ -171,7 +171,7 @@
                     log::info!("event={event} id={id} outcome=stored tries={tries}{size_fields}");
                     return Answer::new(StatusCode::OK, b"{}".to_vec());
                 }
-                Err(e) if !maybe_stored && matches!(e, StoreError::NoEffect(_)) => {
+                Err(e) if !maybe_stored && matches!(e, LogError::NoEffect(_)) => {
                     log::warn!(
                         "event={event} id={id} outcome=rejected tries={tries} cause=\"{e}\""
                     );
--- a/src/account/job.rs
+++ b/src/account/job.rs
@@ -13,7 +13,7 @@
     /// owner had not noticed yet that they could start.
     Waiting,
     /// Tasks ran at a reduced pace.
-    HeldBack,
+    Throttled,
     /// Tasks ran whose work was lost because they were stopped, failed or lost with their worker.
     Lost,
     /// Only one task ran, of a step with several tasks.
@@ -27,7 +27,7 @@
     pub const ALL: [Cause; 6] = [
         Cause::FirstStart,
         Cause::Waiting,
-        Cause::HeldBack,
+        Cause::Throttled,
         Cause::Lost,
         Cause::LastTask,
         Cause::Work,
@@ -38,7 +38,7 @@
         match self {
             Cause::FirstStart => "first_start",
             Cause::Waiting => "waiting",
-            Cause::HeldBack => "held_back",
+            Cause::Throttled => "held_back",
             Cause::Lost => "lost",
             Cause::LastTask => "last_task",
             Cause::Work => "work",
@@ -191,7 +191,7 @@
             let pace = run.pace(at);
             match (cause, run.is_work_saved) {
                 (Cause::Lost, is_saved) => f64::from(u8::from(!is_saved)),
-                (Cause::HeldBack, true) => 1.0 - pace,
+                (Cause::Throttled, true) => 1.0 - pace,
                 (Cause::LastTask, true) if is_last => pace,
                 (Cause::Work, true) if !is_last => pace,
                 _ => 0.0,
