--- a/daisy-node/src/append.rs
+++ b/daisy-node/src/append.rs
@@ -1,4 +1,4 @@
-//! Group commit of submissions and cancellations.
+//! Appends callers' submissions and cancellations to the log in batches.
 
 use std::{
     sync::{
@@ -30,11 +30,11 @@
     shard: ShardId,
     key: String,
     value: Vec<u8>,
-    since: Instant,
+    queued_at: Instant,
     /// Whether the record was sent before without an answer, and may be stored already.
     maybe_stored: bool,
-    /// Set by the first of the two: the task that sends the record, or the caller whose deadline
-    /// has passed. The other one then leaves the record alone.
+    /// Set when the record is taken to be sent or when its caller's deadline passes, whichever
+    /// comes first. If the deadline comes first, the record is not sent.
     is_sent_or_expired: Arc<AtomicBool>,
     tx: oneshot::Sender<Result<(), LogError>>,
 }
@@ -48,12 +48,12 @@
 
 impl Appender {
     /// Starts the task that appends the records.
-    pub fn start(store: LogClient, shared: Shared) -> Appender {
+    pub fn start(log_client: LogClient, shared: Shared) -> Appender {
         /// The most requests that wait for an append; more than a small VM has connections.
         const MAX_WAITING: usize = 4_096;
         let (tx, rx) = mpsc::channel(MAX_WAITING);
         let log = LogState {
-            store,
+            log_client,
             shared,
             partition_health: Arc::default(),
             health_changed: Arc::default(),
@@ -85,12 +85,12 @@
     ) -> Result<(), LogError> {
         let (tx, rx) = oneshot::channel();
         let is_sent_or_expired = Arc::new(AtomicBool::new(false));
-        let since = clock::now();
+        let queued_at = clock::now();
         let record = WaitingRecord {
             shard,
             key,
             value,
-            since,
+            queued_at,
             maybe_stored,
             is_sent_or_expired: is_sent_or_expired.clone(),
             tx,
@@ -109,11 +109,11 @@
     }
 }
 
-/// The log and how it answers, shared between appends. Some of its partitions may not answer while
-/// others do, so the health is kept for each shard.
+/// The log's client and the health of the log's partitions, shared between appends. Some partitions
+/// may not answer while others do, so there is one health for each shard.
 #[derive(Debug, Clone)]
 struct LogState {
-    store: LogClient,
+    log_client: LogClient,
     shared: Shared,
     partition_health: Arc<Mutex<SortedMap<ShardId, LogHealth>>>,
     /// Notified when the health of a partition has changed.
@@ -121,8 +121,8 @@
 }
 
 impl LogState {
-    /// Calls `f` with the health of the partition of `shard`, after passing it the reads of the
-    /// topic of states up to `now`.
+    /// Calls `f` with the health of the partition of `shard`, after passing it the last answered
+    /// read of the topic of states and the last recovery of these reads, both up to `now`.
     fn with_health<T>(
         &self,
         now: Instant,
@@ -154,8 +154,8 @@
         partitions.iter().any(|(_, it)| it.has_unconfirmed_append())
     }
 
-    /// Checks whether the partition of `shard` answers, if that is not known and no probe was sent
-    /// just before. Sends two calls at the same time, as one answer may be lost.
+    /// Probes the partition of `shard` if it is not known to answer and the last probe was not sent
+    /// just before. A probe is two calls at the same time, as one answer may be lost.
     fn probe_if_due(&self, now: Instant, shard: ShardId) {
         let probe_timeout = self.with_health(now, shard, |it| {
             let timeout = it.try_probe(now);
@@ -165,8 +165,8 @@
         for _ in 0..2 {
             let log = self.clone();
             tokio::spawn(async move {
-                let end = log.store.end(Topic::Jobs(shard.0), timeout).await;
-                if !matches!(end, Err(LogError::OutcomeUnknown(_))) {
+                let outcome = log.log_client.end_offset(Topic::Jobs(shard.0), timeout).await;
+                if !matches!(outcome, Err(LogError::OutcomeUnknown(_))) {
                     let now = clock::now();
                     log.with_health(now, shard, |it| it.read_answered(now));
                     log.health_changed.notify_one();
@@ -175,6 +175,7 @@
         }
     }
 
+    /// Updates the health of the partition of `shard` with the outcome of an append.
     fn append_ended(&self, shard: ShardId, began: Instant, outcome: &Result<(), LogError>) {
         let now = clock::now();
         let answered = !matches!(outcome, Err(LogError::OutcomeUnknown(_)));
@@ -183,6 +184,7 @@
     }
 }
 
+/// Appends the records that arrive, until the channel is closed.
 async fn run(mut rx: mpsc::Receiver<WaitingRecord>, log: LogState) {
     let mut waiting: Vec<WaitingRecord> = Vec::new();
     loop {
@@ -210,29 +212,29 @@
             };
             let log = log.clone();
             tokio::spawn(async move {
-                let outcome = append_batch(&log.store, shard, batch, timeout).await;
+                let outcome = append_batch(&log.log_client, shard, batch, timeout).await;
                 log.append_ended(shard, now, &outcome);
             });
         }
     }
 }
 
-/// Rejects the records that were never sent and should not be sent any more, as their partition
-/// does not answer.
+/// Rejects the records that were never sent and, as their partition does not answer, should not be
+/// sent any more.
 fn reject_unsent(now: Instant, log: &LogState, waiting: &mut Vec<WaitingRecord>) {
     let should_reject = |it: &mut WaitingRecord| {
         !it.maybe_stored
-            && log.with_health(now, it.shard, |health| health.should_reject(now, it.since))
+            && log.with_health(now, it.shard, |health| health.should_reject(now, it.queued_at))
     };
     for it in waiting.extract_if(.., should_reject) {
         let cause = "the log does not answer, and the record was not sent";
-        // Sending fails if the caller has stopped waiting, and then needs no answer.
+        // Sending fails if the caller has stopped waiting; it then needs no answer.
         let _ = it.tx.send(Err(LogError::NoEffect(cause.to_owned())));
     }
 }
 
-/// Takes the records to append next to the partition of `shard` out of `waiting`; returns them with
-/// the append's timeout, or `None` if nothing is to be appended now.
+/// Removes from `waiting` the records of the next append to the partition of `shard`. Returns them
+/// with the append's timeout, or `None` if nothing should be appended now.
 fn try_batch(
     now: Instant,
     log: &LogState,
@@ -261,7 +263,7 @@
 }
 
 async fn append_batch(
-    store: &LogClient,
+    log_client: &LogClient,
     shard: ShardId,
     batch: Vec<WaitingRecord>,
     timeout: Duration,
@@ -272,10 +274,11 @@
         records.push((key, value));
         senders.push(tx);
     }
-    let outcome = store.append(Topic::Jobs(shard.0), &records, Guard::Unconditional, timeout).await;
+    let outcome =
+        log_client.append(Topic::Jobs(shard.0), &records, Guard::Unconditional, timeout).await;
     let outcome = outcome.map(|_| ());
     for tx in senders {
-        // Sending fails if the caller has stopped waiting, and then needs no answer.
+        // Sending fails if the caller has stopped waiting; it then needs no answer.
         let _ = tx.send(outcome.clone());
     }
     outcome
--- a/daisy-node/src/callers.rs
+++ b/daisy-node/src/callers.rs
@@ -27,8 +27,9 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a request may take if neither its caller nor its queue sets a limit.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How much of the rest of a request body is read once its answer is known, and for how long.
+/// The most bytes of the rest of a request body that are read once the answer is known.
 const MAX_SKIPPED_BYTES: usize = 4 << 20;
+/// The longest time for which that rest is read.
 const SKIP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Serves callers until `stop` is true, then finishes the requests that have arrived.
@@ -104,7 +105,7 @@
     if let Some(after) = answer.retry_after {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(after.as_secs()));
     }
-    if !is_body_consumed || submissions.shared.lock().stopping {
+    if !is_body_consumed || submissions.shared.lock().is_stopping {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     res
@@ -168,8 +169,8 @@
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-/// Returns how long the caller waits for its answer: the shorter of the limits of its header and of
-/// its queue.
+/// Returns how long the caller waits for its answer: the shorter of the limits in its header and in
+/// its queue's configuration.
 fn request_timeout(headers: &HeaderMap, timeout_ms: u64) -> Duration {
     let from_caller =
         headers.get(DEADLINE_HEADER).and_then(|it| it.to_str().ok()?.parse::<u64>().ok());
--- a/daisy-node/src/clock.rs
+++ b/daisy-node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clocks; `daisy-workflow` gets the time as an argument.
+//! The process's clocks. `daisy-workflow` reads no clock: it gets the time as an argument.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/daisy-node/src/elect.rs
+++ b/daisy-node/src/elect.rs
@@ -28,17 +28,18 @@
 /// How much longer than others a process waits before a claim if it recently released a shard
 /// because it was too slow.
 const SLOW_VM_CLAIM_DELAY: Duration = Duration::from_millis(2_500);
-/// How long such a process delays its claims: a VM that is slowed down remains so for some seconds.
+/// How long after that release the process delays its claims: a VM that is slowed down remains so
+/// for some seconds.
 const SLOW_VM_PERIOD: Duration = Duration::from_secs(10);
-/// How long the records that an unfinished claim has read are kept for the next claim, which
-/// follows immediately if no other VM owns the shard by then.
+/// How long the records that an unfinished claim has read are retained for the next claim. The next
+/// claim follows immediately if no other VM owns the shard by then.
 const UNFINISHED_CLAIM_RETENTION: Duration = Duration::from_secs(10);
 
 /// What a process needs to claim and own shards.
 #[derive(Debug, Clone)]
 pub(crate) struct ElectionContext {
     pub settings: NodeSettings,
-    pub store: LogClient,
+    pub log_client: LogClient,
     pub shared: Shared,
     pub metrics: Metrics,
     /// A number that identifies the process, drawn at random at its start.
@@ -70,7 +71,8 @@
     shard: ShardId,
     shards: u16,
     election: Election,
-    /// How long a call to the log takes.
+    /// How long the reads at the start of the last claim took, as an estimate of the round-trip
+    /// time to the log.
     rtt: Duration,
     /// The last epoch in which this process owned the shard; that ownership has ended.
     ended_epoch: u64,
@@ -78,17 +80,17 @@
     slow_until: Instant,
     /// When a claim last stopped because the log did not answer.
     claim_interrupted_at: Instant,
-    /// What the last claim had read when it stopped because the log did not answer, and when that
-    /// was.
+    /// The reader of the last claim that stopped because the log did not answer, and when the claim
+    /// stopped.
     unfinished_claim: Option<(Instant, ShardReader)>,
 }
 
-/// Reads the shard's log for a claim, and folds it into a ledger.
+/// Reads the shard's submissions and progress for a claim, and folds them into a ledger.
 struct ShardReader {
     ledger: Ledger,
     jobs: TopicReader,
     progress: TopicReader,
-    /// Whether some records of the progress have a newer format than this build can read.
+    /// Whether the progress has records in a newer format than this build can read.
     has_newer_records: bool,
 }
 
@@ -98,6 +100,7 @@
     has_claim: bool,
     /// Whether it contained a record other than a claim.
     has_progress: bool,
+    /// Whether the log had no records after those read.
     at_end: bool,
 }
 
@@ -112,9 +115,9 @@
     /// Reads the shard's submissions to their end after a claim was won; returns whether the log
     /// answered.
     ///
-    /// From the claim on no other process records progress, so this reads all jobs that have any.
-    /// If a worker listed the end of a run of an unknown job, that end would be acknowledged and
-    /// lost.
+    /// After the claim no other process appends progress, so the submissions of all jobs that have
+    /// progress are read. If one were missing, and a worker listed the end of a run of that job,
+    /// the end would be acknowledged and lost.
     async fn read_all_jobs(&mut self) -> bool {
         loop {
             match self.read_jobs().await {
@@ -125,6 +128,7 @@
         }
     }
 
+    /// Folds submissions into the ledger; returns whether their end was reached.
     fn fold_jobs(&mut self, read: &Read) -> bool {
         for record in decode_all("jobs", &read.records) {
             self.ledger.fold(record);
@@ -201,8 +205,8 @@
     fn decide(&mut self) -> ElectionDecision {
         let now = clock::now();
         let node = self.context.shared.lock();
-        // A claim needs a configuration and current heartbeats; without them there is no basis for
-        // it.
+        // A claim requires a configuration, and reads of the heartbeats that are recent enough to
+        // show the loss of the owner.
         let can_detect_loss = node.is_up_to_date()
             && node.states_reachability.can_detect_lost_owner(now, self.claim_interrupted_at);
         if node.queues.is_none() || !can_detect_loss {
@@ -212,12 +216,13 @@
         if let Some(received) = received {
             self.election.heartbeat_received(received.at);
         }
-        // While the log does not answer, no owner can publish a heartbeat. If the owners were taken
-        // for lost when the log recovers, all would be replaced at the same moment, and by the same
-        // few VMs.
+        // While the log does not answer, no owner can publish a heartbeat. If the owners were
+        // treated as lost when the log recovers, all of them would be replaced at the same moment,
+        // and by the same few VMs.
         self.election.heartbeat_received(node.states_reachability.recovered_at());
-        // A claim of this process whose ownership has ended is treated as nobody's.
-        let newest = received.map(|it| match it.heartbeat.claim.epoch <= self.ended_epoch {
+        // If this process made the newest claim and its ownership has ended, no process owns the
+        // shard. The election then gets the claim without its VM and process.
+        let newest_claim = received.map(|it| match it.heartbeat.claim.epoch <= self.ended_epoch {
             true => Claim { vm: String::new(), process: 0, ..it.heartbeat.claim.clone() },
             false => it.heartbeat.claim.clone(),
         });
@@ -230,14 +235,15 @@
         };
         let slow_delay = if now < self.slow_until { SLOW_VM_CLAIM_DELAY } else { Duration::ZERO };
         self.election.set_claim_delay(candidate.claim_delay() + slow_delay);
-        self.election.decision(now, newest.as_ref(), self.rtt)
+        self.election.decision(now, newest_claim.as_ref(), self.rtt)
     }
 
-    /// Reads the whole log of the shard, then claims the shard. Only the log shows whether the
-    /// claim was won: its answer may be lost, or may refer to another process's claim with the same
-    /// epoch.
+    /// Reads the whole log of the shard, then claims the shard. Only reading the log again shows
+    /// whether the claim was won: its answer may be lost, or may refer to another process's claim
+    /// with the same epoch.
     async fn claim(&mut self) -> Option<WonClaim> {
-        /// Records that are appended between a read and the claim make another read necessary.
+        /// The most reads of the progress in one claim. The result of the claim must be read, and
+        /// records that are appended between a read and the claim make another read necessary.
         const MAX_TRIES: u32 = 4;
         let mut reader = self.resume_or_begin_reading();
         let began = clock::now();
@@ -249,8 +255,8 @@
         let jobs = jobs.map(|it| reader.fold_jobs(&it));
         let mut progress = progress.map(|it| reader.fold_progress(&it));
         if !can_read_heartbeats {
-            // As when the whole log does not answer, the timeout restarts: the owner counts as lost
-            // only after a time in which its heartbeats could have been read.
+            // As when the whole log does not answer, the timeout restarts: the owner is treated
+            // as lost only after a time in which its heartbeats could have been read.
             self.election.heartbeat_received(clock::now());
         }
         if jobs.is_none() || progress.is_none() || !can_read_heartbeats {
@@ -311,7 +317,7 @@
                 self.election.heartbeat_received(clock::now());
                 return self.keep_unfinished(reader);
             }
-            // The read may have taken long enough for the process to be told to stop.
+            // The process may have begun its planned stop during the read.
             if *self.context.stop.borrow() {
                 return None;
             }
@@ -325,8 +331,8 @@
         None
     }
 
-    /// Returns whether heartbeats of the owner could be read until now without a break. If only the
-    /// partition of states does not answer, owners keep running while nobody receives their
+    /// Returns whether the owner's heartbeats could be read without interruption until now. If only
+    /// the partition of states does not answer, owners keep running, but no process receives their
     /// heartbeats.
     async fn can_read_heartbeats(&self) -> bool {
         /// Longer than a read's wait for a record and the pause after the read.
@@ -335,10 +341,10 @@
             return false;
         };
         let began = clock::now();
-        let store = &self.context.store;
+        let log_client = &self.context.log_client;
         let read = || {
             Box::pin(async {
-                match store.read(Topic::States, from, Duration::ZERO, CALL_TIMEOUT).await {
+                match log_client.read(Topic::States, from, Duration::ZERO, CALL_TIMEOUT).await {
                     Ok(_) | Err(LogError::RecordsDropped(_)) => Ok(()),
                     Err(e) => Err(e),
                 }
@@ -353,18 +359,18 @@
     /// Returns the reader of an earlier claim that stopped because the log did not answer, or a new
     /// one.
     fn resume_or_begin_reading(&mut self) -> ShardReader {
-        let (shard, store) = (self.shard.0, &self.context.store);
+        let (shard, log_client) = (self.shard.0, &self.context.log_client);
         let unfinished_claim = self.unfinished_claim.take().map(|(_, it)| it);
         unfinished_claim.unwrap_or_else(|| ShardReader {
             ledger: Ledger::default(),
-            jobs: TopicReader::new(store.clone(), Topic::Jobs(shard)),
-            progress: TopicReader::new(store.clone(), Topic::Progress(shard)),
+            jobs: TopicReader::new(log_client.clone(), Topic::Jobs(shard)),
+            progress: TopicReader::new(log_client.clone(), Topic::Progress(shard)),
             has_newer_records: false,
         })
     }
 
-    /// Ends a claim that could not be completed. Keeps what it has read for the next claim, unless
-    /// records are missing from it.
+    /// Ends a claim that could not be completed. Retains its reader for the next claim, unless the
+    /// reader has missed records that the log has dropped.
     fn keep_unfinished(&mut self, reader: ShardReader) -> Option<WonClaim> {
         let is_gapless = !reader.jobs.has_gap() && !reader.progress.has_gap();
         self.claim_interrupted_at = clock::now();
@@ -379,7 +385,7 @@
         let record = encode(&Record::Claim(self.election.claim(epoch, predecessors_expired)));
         let guard = Guard::Claim { shard, at, epoch };
         let topic = Topic::Progress(shard);
-        match self.context.store.append(topic, &[record], guard, CALL_TIMEOUT).await {
+        match self.context.log_client.append(topic, &[record], guard, CALL_TIMEOUT).await {
             Ok(_) => log::info!("event=claimed shard={shard} epoch={epoch}"),
             Err(LogError::EndMismatch | LogError::Fenced) => {
                 log::info!(
@@ -393,6 +399,7 @@
         Some(epoch)
     }
 
+    /// Returns whether this process made the claim.
     fn is_own_claim(&self, claim: &Claim) -> bool {
         claim.vm == self.context.settings.vm && claim.process == self.context.process
     }
@@ -400,8 +407,9 @@
     /// Returns whether no owner before the next one can still renew leases: the last owner has
     /// certainly ended, and so have all owners before it.
     ///
-    /// Without the second condition, an owner that cannot reach the log could go on renewing leases
-    /// while its successor starts and ends, and its tasks would be started a second time elsewhere.
+    /// Without the condition on the earlier owners, an owner that cannot reach the log could go on
+    /// renewing leases while its successor starts and ends, and its tasks would be started a second
+    /// time elsewhere.
     fn are_predecessors_expired(&self, last_claim: Option<&Claim>) -> bool {
         let Some(last) = last_claim else { return true };
         let node = self.context.shared.lock();
@@ -410,6 +418,7 @@
         (last.released || last.vm == self.context.settings.vm) && last.predecessors_expired
     }
 
+    /// Runs the ownership of a claim that was won, until it ends.
     async fn own(&mut self, won: WonClaim) {
         let WonClaim { epoch, claimed_at, previous_epoch, ledger, jobs, predecessors_expired } =
             won;
--- a/daisy-node/src/follow.rs
+++ b/daisy-node/src/follow.rs
@@ -8,8 +8,8 @@
 
 use crate::clock;
 
-/// How long a call to the platform may take, in addition to the time that the call asks the
-/// platform to wait.
+/// How long a call to the platform may take, not counting the time for which the call requests to
+/// wait for records.
 ///
 /// The platform usually answers in 4 ms, and takes up to 60 times as long when it is slow.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
@@ -26,7 +26,7 @@
 /// records appended since.
 #[derive(Debug)]
 pub(crate) struct TopicReader {
-    store: LogClient,
+    log_client: LogClient,
     topic: Topic,
     /// The offset at which the next read continues; `None` before the first read and after the log
     /// has dropped records that were not read.
@@ -34,12 +34,12 @@
     has_gap: bool,
     /// The number of failed calls since the last successful one.
     failures: u32,
-    /// The pages of the newest records that have been read so far.
+    /// The newest records that have been read so far, while more pages of them follow.
     newest_so_far: Option<NewestPage>,
     newest_timeout: LargeReadTimeout,
 }
 
-/// The result of a read.
+/// The records that a read returned.
 #[derive(Debug)]
 pub(crate) struct Read {
     /// The records in the order of their offsets; the newest records of each key in the order of
@@ -51,9 +51,9 @@
 
 impl TopicReader {
     /// Returns a reader of `topic` that has not read anything.
-    pub fn new(store: LogClient, topic: Topic) -> TopicReader {
+    pub fn new(log_client: LogClient, topic: Topic) -> TopicReader {
         TopicReader {
-            store,
+            log_client,
             topic,
             next: None,
             has_gap: false,
@@ -68,8 +68,8 @@
         self.next
     }
 
-    /// Returns whether the log has dropped records that were not read, so that the next read does
-    /// not continue from the earlier ones.
+    /// Returns whether the log has ever dropped records before this reader read them, so that the
+    /// records read do not follow each other without a gap.
     pub fn has_gap(&self) -> bool {
         self.has_gap
     }
@@ -85,7 +85,7 @@
         let outcome = match self.next {
             None => self.read_newest(timeout).await,
             Some(from) => {
-                let page = self.store.read(self.topic, from, wait, timeout).await;
+                let page = self.log_client.read(self.topic, from, wait, timeout).await;
                 page.map(|it| {
                     self.next = Some(it.next);
                     Read { records: it.records, at_end: it.next >= it.end }
@@ -151,11 +151,12 @@
             if self.newest_timeout.has_timed_out() { CALL_TIMEOUT } else { answer_timeout };
         let after =
             self.newest_so_far.as_ref().and_then(|it| it.records.last()).map(|it| it.key.as_str());
-        let mut call = pin!(self.store.newest(self.topic, after, LargeReadTimeout::TIMEOUT_MAX));
+        let mut call =
+            pin!(self.log_client.read_newest(self.topic, after, LargeReadTimeout::TIMEOUT_MAX));
         let began = clock::now();
-        self.newest_timeout.begin(began, answer_timeout, self.store.answered_calls());
+        self.newest_timeout.begin(began, answer_timeout, self.log_client.answered_calls());
         while let Some(wait) =
-            self.newest_timeout.try_wait(clock::now(), self.store.answered_calls())
+            self.newest_timeout.try_wait(clock::now(), self.log_client.answered_calls())
         {
             if let Ok(it) = timeout(wait, &mut call).await {
                 return it;
--- a/daisy-node/src/jobs.rs
+++ b/daisy-node/src/jobs.rs
@@ -19,8 +19,8 @@
 /// pause.
 const READ_PAUSE: Duration = Duration::from_millis(4);
 
-/// Decodes records of a topic. Records that cannot be decoded are logged and left out, and so are
-/// empty ones.
+/// Decodes records of a topic. Skips empty records, and logs and skips records that cannot be
+/// decoded.
 pub(crate) fn decode_all<'a>(
     topic: &'a str,
     records: &'a [StoredRecord],
@@ -28,8 +28,8 @@
     records.iter().filter(|it| !it.value.is_empty()).filter_map(|it| decode_record(topic, it).ok())
 }
 
-/// Decodes a record. If that fails, logs the error and returns it, except for an owner's record:
-/// that becomes an unreadable claim.
+/// Decodes a record. If that fails, logs the error and returns it; for an owner's record, returns
+/// an unreadable claim instead of the error.
 pub(crate) fn decode_record(topic: &str, it: &StoredRecord) -> Result<Record, RecordError> {
     decode(&it.key, &it.value).or_else(|e| {
         log::warn!("event=record_unreadable topic={topic} offset={} cause=\"{e}\"", it.offset);
@@ -42,8 +42,8 @@
     })
 }
 
-/// Sends new records to the owner until the owner has ended. `caught_up_at` gets the time at which
-/// the topic was last read to its end.
+/// Sends new records to the owner until the owner has ended. Sets `caught_up_at` to the current
+/// time whenever the topic has been read to its end.
 pub(crate) async fn follow_jobs(
     mut reader: TopicReader,
     events: mpsc::UnboundedSender<Event>,
--- a/daisy-node/src/node.rs
+++ b/daisy-node/src/node.rs
@@ -1,4 +1,4 @@
-//! The life of an entry VM's process, from its start to its planned stop.
+//! Runs an entry VM's process from its start to its planned stop.
 
 use std::{path::Path, time::Duration};
 
@@ -26,12 +26,12 @@
 /// How long a planned stop still accepts connections after the VM reports that it is not ready. The
 /// load balancer checks every second and removes a VM after two failed checks.
 const BALANCER_REMOVAL_TIME: Duration = Duration::from_millis(2_600);
-/// How long before the end of the grace period of a planned stop the process gives up open
+/// How long before the end of a planned stop's grace period the process stops waiting for open
 /// requests.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 /// How long a read of the configuration waits for a record.
 const READ_WAIT: Duration = Duration::from_millis(1_000);
-/// The pause between reads as long as there is no configuration.
+/// The pause between reads until a configuration has been read.
 const CONFIGURATION_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Runs an entry VM with the settings file at `path`, until SIGTERM and the planned stop that
@@ -44,7 +44,7 @@
     let settings = read_settings(path)?;
     let shared = Shared::default();
     let metrics = Metrics::new();
-    let store = LogClient::new(Http::new(None), settings.store_address);
+    let log_client = LogClient::new(Http::new(None), settings.store_address);
     let (stop_serving, serving_stop) = watch::channel(false);
     let process = fastrand::u64(1..);
 
@@ -52,13 +52,13 @@
     let readiness_listener = callers::listen(settings.readiness_address).await?;
     let submissions = Submissions {
         shared: shared.clone(),
-        appender: Appender::start(store.clone(), shared.clone()),
+        appender: Appender::start(log_client.clone(), shared.clone()),
     };
     tokio::spawn(readiness::serve(readiness_listener, shared.clone(), metrics.clone()));
-    tokio::spawn(follow_configuration(store.clone(), shared.clone()));
-    tokio::spawn(follow_states(store.clone(), shared.clone()));
-    tokio::spawn(choose_layout(store.clone(), shared.clone(), settings.partitions));
-    let serving = tokio::spawn(callers::serve(
+    tokio::spawn(follow_configuration(log_client.clone(), shared.clone()));
+    tokio::spawn(follow_states(log_client.clone(), shared.clone()));
+    tokio::spawn(choose_layout(log_client.clone(), shared.clone(), settings.partitions));
+    let serving_task = tokio::spawn(callers::serve(
         caller_listener,
         submissions,
         metrics.clone(),
@@ -67,30 +67,30 @@
     let (stop_owning, owning_stop) = watch::channel(false);
     let context = ElectionContext {
         settings: settings.clone(),
-        store,
+        log_client,
         shared: shared.clone(),
         metrics,
         process,
         stop: owning_stop,
     };
-    let electing = tokio::spawn(elect::run(context));
+    let election_task = tokio::spawn(elect::run(context));
     log::info!("event=started vm={} process={process:016x}", settings.vm);
 
     wait_for_stop(path).await?;
     log::info!("event=stopping vm={}", settings.vm);
-    shared.lock().stopping = true;
+    shared.lock().is_stopping = true;
     // The VM releases its shards first, so that other VMs take them over while it still serves
     // callers.
     stop_owning.send_replace(true);
     sleep(BALANCER_REMOVAL_TIME).await;
     stop_serving.send_replace(true);
     let remaining = settings.grace.saturating_sub(BALANCER_REMOVAL_TIME + STOP_MARGIN);
-    if timeout(remaining, serving).await.is_err() {
+    if timeout(remaining, serving_task).await.is_err() {
         log::warn!(
             "event=stop_cut_short cause=\"requests were still open at the end of the grace period\""
         );
     }
-    electing.abort();
+    election_task.abort();
     log::info!("event=stopped vm={}", settings.vm);
     Ok(())
 }
@@ -101,8 +101,8 @@
     Ok(parse_settings(&text)?)
 }
 
-/// Waits for SIGTERM. On SIGHUP the settings file is read and checked, but the settings of the
-/// start remain in force.
+/// Waits for SIGTERM. On SIGHUP the settings file is read and checked, but the settings that were
+/// read at the start remain in force.
 async fn wait_for_stop(path: &Path) -> anyhow::Result<()> {
     let mut term = signal(SignalKind::terminate()).context("waiting for SIGTERM")?;
     let mut hup: Signal = signal(SignalKind::hangup()).context("waiting for SIGHUP")?;
@@ -117,8 +117,8 @@
     }
 }
 
-async fn follow_configuration(store: LogClient, shared: Shared) {
-    let mut reader = TopicReader::new(store, Topic::Operators);
+async fn follow_configuration(log_client: LogClient, shared: Shared) {
+    let mut reader = TopicReader::new(log_client, Topic::Operators);
     loop {
         let Some(read) = reader.try_read(READ_WAIT).await else { continue };
         for it in read.records {
--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -32,7 +32,7 @@
 ///
 /// It must cover a change of the owner (1.4 s without a heartbeat, a claim, and a call to every
 /// worker) after a renewal that was 1.5 s ago. It should be short, as the tasks of a lost worker
-/// wait this long for their next start.
+/// are started again only after this time.
 const LEASE: Duration = Duration::from_millis(5_000);
 /// The interval of the owner's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -60,13 +60,13 @@
 /// Why an ownership ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndCause {
-    /// The log has seen a higher epoch.
+    /// The log has accepted an append with a higher epoch.
     FencedByLog,
-    /// A worker has seen a higher epoch.
+    /// A worker has received a call with a higher epoch.
     FencedByWorker,
     /// The process has begun its planned stop.
     Stopping,
-    /// The process runs with such delays that another VM would do better.
+    /// The process's ticks are delayed so much that another VM should own the shard.
     TooSlow,
 }
 
@@ -93,7 +93,7 @@
     Progress,
     /// States or a heartbeat were appended; they were first sent at this time.
     States(Instant),
-    /// A higher epoch has been seen.
+    /// The log has accepted an append with a higher epoch.
     Fenced,
 }
 
@@ -103,18 +103,18 @@
         let (events, rx) = mpsc::unbounded_channel();
         let now = clock::now();
         let owner = self.start_owner(now, ledger, &events);
-        let store = self.context.store.clone();
+        let log_client = self.context.log_client.clone();
         let (jobs_read_tx, jobs_read_at) = watch::channel(now);
         let readers = [
             tokio::spawn(follow_workers(
-                store,
+                log_client,
                 self.context.shared.clone(),
                 self.shard,
                 events.clone(),
             )),
             tokio::spawn(follow_jobs(jobs, events.clone(), jobs_read_tx)),
             tokio::spawn(follow_measurements(
-                self.context.store.clone(),
+                self.context.log_client.clone(),
                 self.context.shared.clone(),
                 self.shard,
                 events.clone(),
@@ -123,7 +123,7 @@
         let (append_outcomes, outcomes) = mpsc::channel(2);
         let mut running = RunningOwner {
             calls: Calls {
-                calls: WorkerCalls::new(Http::new(None), self.epoch),
+                client: WorkerCalls::new(Http::new(None), self.epoch),
                 events,
                 metrics: self.context.metrics.clone(),
             },
@@ -139,10 +139,10 @@
             measurements_shared_at: now,
             tick_delay: TickDelay::new(now, TICK_INTERVAL),
             summary_logged_at: now,
-            unconfirmed_runs: Vec::new(),
+            logged_unconfirmed_runs: Vec::new(),
             ownership: self,
         };
-        let cause = running.serve(rx, outcomes).await;
+        let cause = running.run(rx, outcomes).await;
         readers.iter().for_each(|it| it.abort());
         let Ownership { context, shard, .. } = &running.ownership;
         context.shared.lock().unregister_owner(*shard);
@@ -198,14 +198,15 @@
     /// When interference measurements were last shared with other owners.
     measurements_shared_at: Instant,
     tick_delay: TickDelay,
-    /// When the summary was last logged.
+    /// When a summary was last logged.
     summary_logged_at: Instant,
-    /// The runs whose outcome was unconfirmed at the last report.
-    unconfirmed_runs: Vec<UnconfirmedRun>,
+    /// The runs whose outcome was unconfirmed when a summary was last logged.
+    logged_unconfirmed_runs: Vec<UnconfirmedRun>,
 }
 
 impl RunningOwner {
-    async fn serve(
+    /// Handles events and the outcomes of appends until the ownership ends; returns the cause.
+    async fn run(
         &mut self,
         mut events: mpsc::UnboundedReceiver<Event>,
         mut outcomes: mpsc::Receiver<AppendOutcome>,
@@ -266,7 +267,7 @@
             match action {
                 Action::StepDown => step_down = true,
                 Action::Note(note) => {
-                    notes::write(&note, self.ownership.shard, &self.ownership.context.metrics);
+                    notes::log_note(&note, self.ownership.shard, &self.ownership.context.metrics);
                 }
                 Action::Forward(shard, record) => self.forward(shard, record),
                 Action::Renew { worker, .. }
@@ -341,10 +342,10 @@
     fn log_unconfirmed_runs(&mut self, now: Instant) {
         let unconfirmed_runs = self.owner.unconfirmed_runs(now);
         for it in &unconfirmed_runs {
-            let is_reported = |earlier: &UnconfirmedRun| {
+            let is_logged = |earlier: &UnconfirmedRun| {
                 (earlier.task, earlier.run, earlier.cause) == (it.task, it.run, it.cause)
             };
-            if self.unconfirmed_runs.iter().any(is_reported) {
+            if self.logged_unconfirmed_runs.iter().any(is_logged) {
                 continue;
             }
             log::info!(
@@ -358,7 +359,7 @@
                 it.cause.description()
             );
         }
-        self.unconfirmed_runs = unconfirmed_runs;
+        self.logged_unconfirmed_runs = unconfirmed_runs;
     }
 
     fn call_worker(&self, key: WorkerKey, action: Action) {
@@ -418,11 +419,11 @@
             return;
         }
         let record = encode(&Record::InterferenceSums(*shard, sums));
-        let store = context.store.clone();
+        let log_client = context.log_client.clone();
         tokio::spawn(async move {
             let records = [record];
             let append =
-                store.append(Topic::Observed, &records, Guard::Unconditional, APPEND_TIMEOUT);
+                log_client.append(Topic::Observed, &records, Guard::Unconditional, APPEND_TIMEOUT);
             if let Err(e) = append.await {
                 log::debug!("event=log_lost topic=Observed cause=\"{e}\"");
             }
@@ -465,12 +466,18 @@
         Guard::Sequence { shard: self.ownership.shard.0, epoch: self.ownership.epoch, seq }
     }
 
-    fn spawn_append(&self, topic: Topic, records: Vec<Record>, guard: Guard, done: AppendOutcome) {
-        let store = self.ownership.context.store.clone();
+    fn spawn_append(
+        &self,
+        topic: Topic,
+        records: Vec<Record>,
+        guard: Guard,
+        on_success: AppendOutcome,
+    ) {
+        let log_client = self.ownership.context.log_client.clone();
         let append_outcomes = self.append_outcomes.clone();
         tokio::spawn(async move {
-            let outcome = match append(&store, topic, &records, guard).await {
-                Ok(()) => done,
+            let outcome = match append(&log_client, topic, &records, guard).await {
+                Ok(()) => on_success,
                 Err(Fenced) => AppendOutcome::Fenced,
             };
             // Sending fails once the owner has stepped down, and the outcome no longer matters.
@@ -495,9 +502,9 @@
         true
     }
 
-    /// Delegates a job, or its cancellation, to another shard, unless that shard has already
-    /// published the job's state. The append continues after this owner has stepped down, as the
-    /// decision remains in force.
+    /// Appends a record of a job to another shard's submissions, unless it delegates a job whose
+    /// state that shard has already published. The append continues after this owner has stepped
+    /// down, as its decision remains in force.
     fn forward(&self, to: ShardId, record: Record) {
         let context = &self.ownership.context;
         if let Record::Submitted(id, _) = &record
@@ -505,12 +512,12 @@
         {
             return;
         }
-        let store = context.store.clone();
+        let log_client = context.log_client.clone();
         let shared = context.shared.clone();
         tokio::spawn(async move {
             // This append carries no epoch, so it cannot be fenced.
             let topic = Topic::Jobs(to.0);
-            if append(&store, topic, std::slice::from_ref(&record), Guard::Unconditional)
+            if append(&log_client, topic, std::slice::from_ref(&record), Guard::Unconditional)
                 .await
                 .is_ok()
             {
@@ -546,6 +553,6 @@
 
 /// Waits until the process is to stop.
 async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
-    // An error means that the sender is gone, which is a stop as well.
+    // An error means that the sender has been dropped, which is treated as a stop.
     let _ = stop.wait_for(|it| *it).await;
 }
--- a/daisy-node/src/own/append.rs
+++ b/daisy-node/src/own/append.rs
@@ -1,5 +1,5 @@
-//! Appends an owner's records, and retries until the log has them or another process owns the
-//! shard.
+//! Appends an owner's records, and retries until the log has stored them or another process owns
+//! the shard.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 /// The pause before a failed append is sent again.
 const APPEND_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// A higher epoch has been seen.
+/// The log rejected an append because it has accepted one with a higher epoch.
 pub(super) struct Fenced;
 
-/// Appends records, and retries until the log has them or a higher epoch has been seen. The
-/// sequence number in `guard` ensures that a repeated append has no second effect.
+/// Appends records, and retries until the log has stored them or rejects them because of a higher
+/// epoch. A sequence number in `guard` ensures that a repeated append has no second effect.
 pub(super) async fn append(
-    store: &LogClient,
+    log_client: &LogClient,
     topic: Topic,
     records: &[Record],
     guard: Guard,
@@ -30,7 +30,7 @@
     let mut failures = 0;
     loop {
         let timeout = if failures % 2 == 1 { SHORT_APPEND_TIMEOUT } else { APPEND_TIMEOUT };
-        match store.append(topic, &encoded, guard, timeout).await {
+        match log_client.append(topic, &encoded, guard, timeout).await {
             Ok(_) => {
                 if failures > 0 {
                     log::info!("event=log_regained topic={topic:?}");
--- a/daisy-node/src/own/calls.rs
+++ b/daisy-node/src/own/calls.rs
@@ -17,7 +17,7 @@
 /// Makes an owner's calls to workers.
 #[derive(Clone)]
 pub(super) struct Calls {
-    pub calls: WorkerCalls,
+    pub client: WorkerCalls,
     pub events: mpsc::UnboundedSender<Event>,
     pub metrics: Metrics,
 }
@@ -31,7 +31,8 @@
 }
 
 impl Calls {
-    /// Begins the call that `action` requires; `worker` is the worker that the action names.
+    /// Begins the call that `action` requires, in a task of its own. `worker` is the worker that
+    /// the action names.
     pub fn begin(&self, key: WorkerKey, worker: &Worker, action: Action) {
         let to = CallTarget { key, id: worker.id.clone(), address: worker.address };
         let this = self.clone();
@@ -51,7 +52,7 @@
     }
 
     async fn renew_lease(&self, to: &CallTarget, order: LeaseRenewal) -> Event {
-        match self.calls.renew_lease(&to.id, to.address, order, ORDER_TIMEOUT).await {
+        match self.client.renew_lease(&to.id, to.address, order, ORDER_TIMEOUT).await {
             Ok(answer) => Event::RenewalAnswered(to.key, Some(answer)),
             Err(RenewalError::Fenced) => Event::Fenced(to.key),
             Err(RenewalError::NoUsableAnswer(cause)) => {
@@ -62,7 +63,7 @@
     }
 
     async fn start(&self, to: &CallTarget, start: &Start) -> Event {
-        let reply = self.calls.start(&to.id, to.address, start, ORDER_TIMEOUT).await;
+        let reply = self.client.start(&to.id, to.address, start, ORDER_TIMEOUT).await;
         let outcome = reply_label(reply);
         let (task, run, worker) = (start.task, start.run, &to.id);
         log::info!(
@@ -74,7 +75,7 @@
     }
 
     async fn stop(&self, to: &CallTarget, task: TaskId, run: u32, cause: StopCause) -> Event {
-        let reply = self.calls.stop(&to.id, to.address, task, run, ORDER_TIMEOUT).await;
+        let reply = self.client.stop(&to.id, to.address, task, run, ORDER_TIMEOUT).await;
         log::info!(
             "event=stop id={} task={task} run={run} worker={} outcome={} cause=\"{}\"",
             task.job,
@@ -87,7 +88,7 @@
 
     async fn pace(&self, to: &CallTarget, task: TaskId, run: u32, percent: u8) -> Event {
         let order = (task, run, percent);
-        let reply = self.calls.pace(&to.id, to.address, order, ORDER_TIMEOUT).await;
+        let reply = self.client.pace(&to.id, to.address, order, ORDER_TIMEOUT).await;
         log::info!(
             "event=pace id={} task={task} run={run} worker={} percent={percent} outcome={}",
             task.job,
--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -16,7 +16,7 @@
 
 /// Sends the interference measurements of other shards' owners to the owner.
 pub(super) async fn follow_measurements(
-    store: LogClient,
+    log_client: LogClient,
     shared: Shared,
     shard: ShardId,
     events: mpsc::UnboundedSender<Event>,
@@ -24,7 +24,7 @@
     if shared.lock().directory.layout().is_none_or(|it| it.shards < 2) {
         return;
     }
-    let mut reader = TopicReader::new(store, Topic::Observed);
+    let mut reader = TopicReader::new(log_client, Topic::Observed);
     while !events.is_closed() {
         sleep(MEASUREMENTS_INTERVAL).await;
         let Some(read) = reader.try_read(Duration::ZERO).await else { continue };
@@ -39,19 +39,19 @@
     }
 }
 
-/// Sends the workers of the owner's shard in the platform's list to the owner whenever they change;
-/// if a read finds no change, says so.
+/// Reads the platform's list of workers. Sends the owner all listed workers of its shard after a
+/// read that finds a change in them, and [`Event::ListUnchanged`] after any other read.
 pub(super) async fn follow_workers(
-    store: LogClient,
+    log_client: LogClient,
     shared: Shared,
     shard: ShardId,
     events: mpsc::UnboundedSender<Event>,
 ) {
     let layout = shared.lock().directory.layout();
     let is_in_shard = |id: &str| layout.is_some_and(|it| it.shard_of_worker(&id.into()) == shard);
-    let mut reader = TopicReader::new(store, Topic::Workers);
+    let mut reader = TopicReader::new(log_client, Topic::Workers);
     let mut listings: SortedMap<String, Arc<WorkerListing>> = SortedMap::new();
-    let mut unreadable = SortedMap::new();
+    let mut logged_unreadable = SortedMap::new();
     while !events.is_closed() {
         let is_first_read = reader.next().is_none();
         let Some(read) = reader.try_read(Duration::ZERO).await else { continue };
@@ -70,7 +70,7 @@
                 }
                 Err(cause) => {
                     listings.remove(&it.key);
-                    if unreadable.insert(it.key.clone(), ()).is_none() {
+                    if logged_unreadable.insert(it.key.clone(), ()).is_none() {
                         log::warn!("event=worker_unreadable worker={:?} cause=\"{cause}\"", it.key);
                     }
                 }
--- a/daisy-node/src/own/notes.rs
+++ b/daisy-node/src/own/notes.rs
@@ -1,11 +1,11 @@
-//! Writes the owner's decisions to the process's log and counts them.
+//! Logs the owner's decisions and counts them in the metrics.
 
 use daisy_workflow::{Note, Outcome, ShardId};
 
 use crate::metrics::Metrics;
 
 /// Logs a decision of the owner of `shard`, and counts it in the metrics.
-pub(super) fn write(note: &Note, shard: ShardId, metrics: &Metrics) {
+pub(super) fn log_note(note: &Note, shard: ShardId, metrics: &Metrics) {
     match note {
         Note::JobEnded { job, outcome, kind, age, objective } => {
             log::info!(
--- a/daisy-node/src/readiness.rs
+++ b/daisy-node/src/readiness.rs
@@ -60,5 +60,5 @@
 fn is_ready(shared: &Shared) -> bool {
     let node = shared.lock();
     let has_layout = node.directory.layout().is_some();
-    !node.stopping && node.queues.is_some() && has_layout && node.is_up_to_date()
+    !node.is_stopping && node.queues.is_some() && has_layout && node.is_up_to_date()
 }
--- a/daisy-node/src/shared.rs
+++ b/daisy-node/src/shared.rs
@@ -13,7 +13,7 @@
 
 use crate::clock;
 
-/// How long a job that this process stored is treated as known while its owner has not published
+/// How long a job that this process stored is treated as queued while its owner has not published
 /// its state: as long as a change of the owner may take.
 const ACCEPTED_JOB_RETENTION: Duration = Duration::from_secs(10);
 
@@ -26,7 +26,7 @@
     pub queues: Option<Arc<QueueConfig>>,
     /// The time at which the topic of states was last read to its end, and the offset of that end.
     pub states_caught_up: Option<(Instant, u64)>,
-    /// How the log has answered reads of that topic.
+    /// The reachability of the log, judged by the reads of the topic of states.
     pub states_reachability: LogReachability,
     /// The number of claims that this process has begun and not ended.
     claims_in_progress: u32,
@@ -35,7 +35,7 @@
     /// The event channels of the owners of the shards that this process owns.
     owner_events: SortedMap<ShardId, mpsc::UnboundedSender<Event>>,
     /// Whether a planned stop has begun.
-    pub stopping: bool,
+    pub is_stopping: bool,
 }
 
 /// The state of this process, shared between its tasks.
@@ -66,7 +66,8 @@
         self.send_to_owner(layout.shard_of_job(id), record);
     }
 
-    /// Sends a record of a job in the log of `shard` to the shard's owner, if that is this process.
+    /// Sends a record that was appended to the jobs of `shard` to the shard's owner, if this
+    /// process runs that owner.
     pub fn send_to_owner(&mut self, shard: ShardId, record: Record) {
         if let Some(tx) = self.owner_events.get(&shard)
             && tx.send(Event::Record(record)).is_err()
@@ -76,7 +77,7 @@
     }
 
     /// Returns the state of a job, if this process knows it.
-    pub fn state(&self, id: JobId) -> Option<JobState> {
+    pub fn job_state(&self, id: JobId) -> Option<JobState> {
         let queued = self.accepted_jobs.get(&id).map(|_| JobState::Queued);
         self.directory.state(id).map(|it| it.state).or(queued)
     }
@@ -114,9 +115,9 @@
 
     /// Returns the number of shards that this process owns or is claiming.
     ///
-    /// Several shards may lose their owners at the same moment. If shards counted only once their
-    /// claims are won, the nearest large VM would claim each as if it were its first, and would own
-    /// all of them: more than it has connections and processor time for.
+    /// Several shards may lose their owners at the same moment. If a shard were counted only once
+    /// its claim is won, the nearest large VM would claim each of them as if it were its first
+    /// shard, and would own all of them: more than it has connections and processor time for.
     pub fn owned_or_claimed(&self) -> u32 {
         self.owner_events.len() as u32 + self.claims_in_progress
     }
--- a/daisy-node/src/states.rs
+++ b/daisy-node/src/states.rs
@@ -15,16 +15,18 @@
 
 /// How long a read waits for a record.
 const READ_WAIT: Duration = Duration::from_millis(1_000);
-/// The pause between reads, so that one read returns several records, as each call costs money. It
-/// grows with the number of shards: with more shards, records are appended more often and more VMs
-/// read them.
+/// The fixed part of the pause between reads. The pause lets one read return several records, as
+/// each call costs money. It grows with the number of shards: with more shards, records are
+/// appended more often and more VMs read them.
 const READ_PAUSE: Duration = Duration::from_millis(40);
+/// The part of the pause for each shard.
 const READ_PAUSE_PER_SHARD: Duration = Duration::from_millis(32);
+/// The longest pause between reads.
 const MAX_READ_PAUSE: Duration = Duration::from_millis(200);
 
 /// Follows the topic of states.
-pub(crate) async fn follow_states(store: LogClient, shared: Shared) {
-    let mut reader = TopicReader::new(store, Topic::States);
+pub(crate) async fn follow_states(log_client: LogClient, shared: Shared) {
+    let mut reader = TopicReader::new(log_client, Topic::States);
     loop {
         let is_first_read = reader.next().is_none();
         let Some(read) = reader.try_read(READ_WAIT).await else {
@@ -64,7 +66,7 @@
             }
             Ok(Record::Layout(layout)) => node.directory.set_layout(layout),
             Ok(_) => log::warn!(
-                "event=record_unreadable topic=states offset={} cause=\"it belongs in another topic\"",
+                "event=record_unreadable topic=states offset={} cause=\"a record of this kind belongs in another topic\"",
                 it.offset
             ),
             Err(e) => log::warn!(
@@ -75,16 +77,18 @@
     }
 }
 
-/// Chooses the shard layout of a system that has none, by the number of workers once that has
-/// stopped changing. If several VMs choose a layout, the record that is appended first applies.
-pub(crate) async fn choose_layout(store: LogClient, shared: Shared, partitions: u16) {
-    /// The interval of the counts. Workers that start together are listed within a second.
+/// Chooses the shard layout of a system that has none, by the number of listed workers once that
+/// number has stopped changing. If several VMs choose a layout, the record that is appended first
+/// applies.
+pub(crate) async fn choose_layout(log_client: LogClient, shared: Shared, partitions: u16) {
+    /// The interval at which workers are counted. Workers that start together are listed within a
+    /// second.
     const COUNT_INTERVAL: Duration = Duration::from_millis(600);
-    /// After this time the layout follows the last count, even if that is 0 or still changes; for
-    /// no workers it is that of the smallest system.
+    /// The time after which the layout is chosen by the last count, even if that is 0 or still
+    /// changes. A count of 0 gives the layout of the smallest system.
     const STABLE_COUNT_TIMEOUT: Duration = Duration::from_secs(8);
     let began = clock::now();
-    let mut list = TopicReader::new(store.clone(), Topic::Workers);
+    let mut list = TopicReader::new(log_client.clone(), Topic::Workers);
     let mut previous_count = 0;
     loop {
         let end = {
@@ -102,7 +106,8 @@
         };
         previous_count = workers;
         if is_stable || clock::now().since(began) > STABLE_COUNT_TIMEOUT {
-            append_layout(&store, Layout::for_workers(workers, partitions), workers, end).await;
+            append_layout(&log_client, Layout::for_workers(workers, partitions), workers, end)
+                .await;
         }
         sleep(COUNT_INTERVAL).await;
     }
@@ -115,9 +120,9 @@
     Some(read.records.iter().filter(|it| parse_worker(&it.key, &it.value).is_ok()).count())
 }
 
-async fn append_layout(store: &LogClient, layout: Layout, workers: usize, end: u64) {
+async fn append_layout(log_client: &LogClient, layout: Layout, workers: usize, end: u64) {
     let record = encode(&Record::Layout(layout));
-    match store.append(Topic::States, &[record], Guard::AtEnd(end), CALL_TIMEOUT).await {
+    match log_client.append(Topic::States, &[record], Guard::AtEnd(end), CALL_TIMEOUT).await {
         Ok(_) => log::info!("event=laid_out shards={} workers={workers}", layout.shards),
         Err(LogError::EndMismatch) => {}
         Err(e) => log::warn!("event=layout_failed cause=\"{e}\""),
--- a/daisy-node/src/submit.rs
+++ b/daisy-node/src/submit.rs
@@ -81,7 +81,7 @@
     }
 
     async fn submit(&self, id: JobId, queue: &Queue, body: &[u8], deadline: Instant) -> Answer {
-        if self.shared.lock().state(id).is_some() {
+        if self.shared.lock().job_state(id).is_some() {
             log::info!("event=submitted id={id} outcome=known");
             return Answer::new(StatusCode::OK, b"{}".to_vec());
         }
@@ -103,52 +103,55 @@
         self.append(id, "submitted", record, deadline).await
     }
 
-    /// Stores a cancellation, whether the job is known here or not. The job may be stored without
-    /// its state being published yet, or its append may still be under way; it never runs in either
-    /// case.
+    /// Stores a cancellation, even if this process does not know the job. The job may be stored
+    /// without its state being published yet, or the append of its submission may still be under
+    /// way; the job never runs in either case.
     async fn cancel(&self, id: JobId, deadline: Instant) -> Answer {
         self.append(id, "cancelled", Record::Cancelled(id), deadline).await
     }
 
     async fn query_state(&self, id: JobId) -> Answer {
-        match self.find_job(id).await {
-            Found::Yes => {
-                let state = self.shared.lock().state(id);
+        match self.check_existence(id).await {
+            Existence::Exists => {
+                let state = self.shared.lock().job_state(id);
                 let Some(state) = state else {
                     return Answer::error(StatusCode::GONE, "no such job");
                 };
                 Answer::new(StatusCode::OK, encode_job_state(state))
             }
-            Found::No => Answer::error(StatusCode::GONE, "no such job"),
-            Found::Unknown => Answer::retry_later("the states of jobs are not known at present"),
+            Existence::DoesNotExist => Answer::error(StatusCode::GONE, "no such job"),
+            Existence::Unknown => {
+                Answer::retry_later("the states of jobs are not known at present")
+            }
         }
     }
 
-    /// Returns whether a job exists. The state of a job that another VM has just accepted may not
-    /// be published yet, so an unknown job is looked up several times.
-    async fn find_job(&self, id: JobId) -> Found {
+    /// Checks whether a job exists. The state of a job that another VM has just accepted may not
+    /// be published yet, so an unknown job is looked up several times before the answer.
+    async fn check_existence(&self, id: JobId) -> Existence {
         /// The owner reads a submission within some 20 ms and publishes its state within 40 ms
         /// more, and this VM reads that within 200 ms.
         const LOOKUP_INTERVAL: Duration = Duration::from_millis(110);
         const LOOKUPS: u32 = 4;
         for _ in 0..LOOKUPS {
-            if self.shared.lock().state(id).is_some() {
-                return Found::Yes;
+            if self.shared.lock().job_state(id).is_some() {
+                return Existence::Exists;
             }
             sleep(LOOKUP_INTERVAL).await;
         }
         let node = self.shared.lock();
-        match node.state(id) {
-            Some(_) => Found::Yes,
-            None if node.is_absence_certain(id) => Found::No,
-            None => Found::Unknown,
+        match node.job_state(id) {
+            Some(_) => Existence::Exists,
+            None if node.is_absence_certain(id) => Existence::DoesNotExist,
+            None => Existence::Unknown,
         }
     }
 
     /// Appends a record to the log of the job's shard, and answers with the outcome. Appending a
     /// record twice has no second effect.
     async fn append(&self, id: JobId, event: &str, record: Record, deadline: Instant) -> Answer {
-        /// The time before the deadline that is left for the answer to reach the caller.
+        /// How long before the caller's deadline the tries end, so that the answer still reaches
+        /// the caller in time.
         const ANSWER_MARGIN: Duration = Duration::from_millis(60);
         /// The pause after a try whose outcome is unknown.
         const RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -183,9 +186,8 @@
                 }
                 Err(e) => {
                     maybe_stored = true;
-                    // While this VM gets no answer from the log, another VM may reach it. So the
-                    // caller learns at once that the outcome is unknown, and can retry there with
-                    // the same id.
+                    // The log may still answer another VM. So the caller learns at once that the
+                    // outcome is unknown, and can retry at that VM with the same id.
                     let is_unresponsive = tries > 1 && self.appender.is_unresponsive(shard);
                     if is_unresponsive || Instant::now() + RETRY_PAUSE >= deadline {
                         log::warn!(
@@ -215,7 +217,7 @@
     }
 }
 
-/// Returns after which time a caller should retry while the log does not answer. The log stays
+/// Returns the time after which a caller should retry while the log does not answer. The log stays
 /// unresponsive for seconds, and most callers retry only a handful of times. Half of the callers
 /// get a second more than the others.
 fn retry_delay(id: JobId) -> Duration {
@@ -223,10 +225,10 @@
     MIN_DELAY + Duration::from_secs(id.0 % 2)
 }
 
-/// The result of a search for a job.
-enum Found {
-    Yes,
-    No,
-    /// The log has not been read recently enough to tell.
+/// Whether a job exists.
+enum Existence {
+    Exists,
+    DoesNotExist,
+    /// The states of jobs have not been read recently enough to be certain.
     Unknown,
 }
