--- a/src/account/job.rs
+++ b/src/account/job.rs
@@ -1,4 +1,4 @@
-//! The course of one job, from its log lines.
+//! The history of one job, from its log lines.
 
 use daisy_model::SortedMap;
 
@@ -14,7 +14,7 @@
     Waiting,
     /// Tasks ran at a reduced pace.
     Throttled,
-    /// Tasks ran whose work was lost because they were stopped, failed or lost with their worker.
+    /// Tasks ran whose work was not saved: they were stopped, failed, or lost with their worker.
     Lost,
     /// Only one task ran, of a step with several tasks.
     LastTask,
@@ -59,7 +59,7 @@
     pace_orders: Vec<(f64, f64)>,
 }
 
-/// What the log lines say about one job; times are in seconds since midnight (UTC).
+/// The history of one job; times are in seconds since midnight (UTC).
 #[derive(Debug, Default)]
 pub struct Job {
     accepted: Option<f64>,
@@ -83,7 +83,7 @@
                 self.kind = self.kind.take().or(line.value("kind").map(str::to_owned));
                 self.work_ms = line.number("work_ms").unwrap_or_default();
             }
-            "start" if line.has_outcome("start", "done") => self.start(now, line),
+            "start" if line.has_outcome("start", "done") => self.start_run(now, line),
             "run_ended" | "run_lost" => self.end_run(now, line),
             "pace" if line.has_outcome("pace", "done") => {
                 if let (Some(run), Some(percent)) =
@@ -110,7 +110,7 @@
         self.runs.get_mut(&Job::run_key(line)?)
     }
 
-    fn start(&mut self, now: f64, line: &LogLine) {
+    fn start_run(&mut self, now: f64, line: &LogLine) {
         let Some(key) = Job::run_key(line) else { return };
         let step = key.0.rsplit_once('.').map_or(String::new(), |(step, _)| step.to_owned());
         let run =
@@ -162,7 +162,8 @@
             .sum()
     }
 
-    /// Returns the intervals of the job's latency within which nothing changes.
+    /// Divides the job's latency into intervals within which no run starts, ends or changes its
+    /// pace.
     fn intervals(&self) -> Vec<(f64, f64)> {
         let (Some(from), Some(until)) = (self.accepted, self.ended) else { return Vec::new() };
         let mut times = vec![from, until];
--- a/src/args.rs
+++ b/src/args.rs
@@ -11,7 +11,7 @@
 /// Scheduler for latency-critical services and batch work on the same VMs.
 #[derive(Debug, FromArgs)]
 pub struct Args {
-    /// what to do
+    /// the subcommand to run
     #[argh(subcommand)]
     pub command: Command,
 }
@@ -40,11 +40,12 @@
     Trace(Trace),
 }
 
-/// Print where the time of jobs went, by kind of job and cause, from several processes' logs.
+/// Print how much of the jobs' latency is due to which cause, by kind of job, from several
+/// processes' logs.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "account")]
 pub struct Account {
-    /// how many of the latest jobs are listed with their main cause (default 5)
+    /// how many of the jobs that exceeded their objective the most are listed (default 5)
     #[argh(option, default = "5")]
     pub worst: usize,
     /// the processes' logs
@@ -61,7 +62,7 @@
     pub file: PathBuf,
 }
 
-/// Send statements to an entry VM and print what came of them.
+/// Send statements to an entry VM and print their results.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "ctl")]
 pub struct Ctl {
@@ -71,7 +72,7 @@
     /// the operator's token; DAISYSHIFT_TOKEN in the environment if not given
     #[argh(option)]
     pub token: Option<String>,
-    /// print the answer's JSON as it came
+    /// print the answer's JSON unchanged
     #[argh(switch)]
     pub json: bool,
     /// the statements; "-" reads them from standard input
@@ -79,7 +80,7 @@
     pub statements: String,
 }
 
-/// Run the whole path on loopback with embedded stand-ins, and check what came of it.
+/// Run the whole system on loopback with embedded stand-ins, and check the results.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub struct Demo {
@@ -112,7 +113,7 @@
     pub log_level: daisy_settings::LogLevel,
 }
 
-/// Print the lines of several processes' logs about one request, in order, and what they come to.
+/// Print the lines of several processes' logs about one request in order of time, and a summary.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "trace")]
 pub struct Trace {
--- a/src/args/standin.rs
+++ b/src/args/standin.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "standin")]
 pub struct Standin {
-    /// which
+    /// the kind of stand-in
     #[argh(subcommand)]
     pub kind: StandinKind,
 }
@@ -40,10 +40,10 @@
     /// milliseconds that the VM list lags behind (default 500)
     #[argh(option, default = "500")]
     pub vm_lag_ms: u64,
-    /// records kept (default 1000000)
+    /// records that the log retains (default 1000000)
     #[argh(option, default = "1_000_000")]
     pub keep_records: usize,
-    /// appends taken a second (default 300)
+    /// appends accepted per second (default 300)
     #[argh(option, default = "300")]
     pub appends: u32,
     /// file for the history, written at the end
@@ -58,19 +58,19 @@
     /// its name in the history
     #[argh(option)]
     pub name: String,
-    /// where it listens for its holder
+    /// where it listens for calls from the holder of its data centre
     #[argh(option)]
     pub control: SocketAddr,
     /// where its backend server listens; none without it
     #[argh(option)]
     pub backend: Option<SocketAddr>,
-    /// thousandths of a core that it holds (default 16000)
+    /// capacity in thousandths of a core (default 16000)
     #[argh(option, default = "16_000")]
     pub cpu_milli: u32,
-    /// memory that it holds, in MiB (default 61440)
+    /// memory capacity in MiB (default 61440)
     #[argh(option, default = "61_440")]
     pub memory_mib: u32,
-    /// accelerators that it holds (default 0)
+    /// number of accelerators (default 0)
     #[argh(option, default = "0")]
     pub accelerators: u32,
     /// milliseconds that a batch task runs (default 300)
@@ -115,7 +115,7 @@
     /// its name in the history
     #[argh(option)]
     pub name: String,
-    /// where it takes its fault switches
+    /// where it listens for changes of its fault switches
     #[argh(option)]
     pub control: SocketAddr,
     /// LISTEN=TO: an address to listen on and the one it forwards to; may be repeated
@@ -126,7 +126,7 @@
     pub history: Option<PathBuf>,
 }
 
-/// Make requests at a fixed rate, whatever became of the ones before, and check every answer.
+/// Make requests at a fixed rate, without waiting for earlier answers, and check every answer.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "load")]
 pub struct Load {
@@ -154,13 +154,13 @@
     /// critical, normal or low
     #[argh(option)]
     pub priority: Option<String>,
-    /// milliseconds of work asked of the backend server
+    /// milliseconds of work that each request takes at the backend server
     #[argh(option)]
     pub service_ms: Option<u64>,
-    /// bytes of an answer asked for (default 256)
+    /// bytes of each requested answer (default 256)
     #[argh(option, default = "256")]
     pub answer_bytes: usize,
-    /// number of the first call, for loads side by side (default 0)
+    /// number of the first call, for several loads at the same time (default 0)
     #[argh(option, default = "0")]
     pub first_call: u64,
     /// seeds keys and which requests bear one (default 1)
--- a/src/log_lines.rs
+++ b/src/log_lines.rs
@@ -3,7 +3,7 @@
 /// A log line about an event.
 #[derive(Debug, Clone)]
 pub struct LogLine {
-    /// The time at which the line was written, as in RFC 3339, in UTC.
+    /// The time at which the line was written, in RFC 3339 format and UTC.
     pub time: String,
     /// The part of the line from `event=` on.
     pub event: String,
--- a/src/logging/queue.rs
+++ b/src/logging/queue.rs
@@ -7,10 +7,10 @@
     time::{Duration, Instant},
 };
 
-/// Maximum number of lines in the queue: a busy owner logs these in some two seconds.
+/// Maximum number of lines in the queue: a busy owner logs this many in some two seconds.
 const QUEUED_LINES_MAX: usize = 2_048;
-/// Maximum number of lines about the same event within one [`COUNT_PERIOD`]. An owner of the
-/// present sizes starts up to 400 tasks a second.
+/// Maximum number of lines about the same event within one [`COUNT_PERIOD`]. At the
+/// present size of shards, an owner starts up to 400 tasks a second.
 const LINES_PER_EVENT_MAX: u32 = 500;
 /// The period for which the lines of each event are counted.
 const COUNT_PERIOD: Duration = Duration::from_secs(1);
@@ -34,7 +34,7 @@
 }
 
 impl LineQueue {
-    /// Starts the thread that writes to `out`.
+    /// Starts the thread that writes the queued lines to `out`.
     ///
     /// # Errors
     ///
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,4 +1,4 @@
-//! `daisyshift standin` and `daisyshift load`: turns the arguments into the stand-ins' options.
+//! `daisyshift standin` and `daisyshift load`: converts the arguments into the stand-ins' options.
 
 use std::{net::SocketAddr, path::Path, process::ExitCode, time::Duration};
 
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -34,12 +34,13 @@
         |name: &str, outcome: &str| lines.iter().filter(|it| it.has_outcome(name, outcome)).count();
     let mut findings = Vec::new();
     if let Some(it) = lines.iter().find(|it| it.has_outcome("submitted", "rejected")) {
-        let cause = it.value("cause").unwrap_or("not said");
+        let cause = it.value("cause").unwrap_or("no cause given");
         findings.push(format!("rejected without an effect: {cause}"));
     }
     if let Some(it) = lines.iter().find(|it| it.has_outcome("submitted", "unknown")) {
-        let cause = it.value("cause").unwrap_or("not said");
-        findings.push(format!("its caller was told that the outcome is unknown: {cause}"));
+        let cause = it.value("cause").unwrap_or("no cause given");
+        findings
+            .push(format!("the caller received the answer that the outcome is unknown: {cause}"));
     }
     if let Some(it) = lines.iter().find(|it| it.has_outcome("submitted", "stored")) {
         findings.push(format!("stored at {}", it.time));
@@ -50,22 +51,22 @@
             "task {} was lost with {}: {}",
             task.unwrap_or("?"),
             worker.unwrap_or("?"),
-            it.value("cause").unwrap_or("not said")
+            it.value("cause").unwrap_or("no cause given")
         ));
     }
     for it in lines.iter().filter(|it| it.name() == "handed_over") {
         findings.push(format!(
-            "task {} was handed from shard {} to {}: {}",
+            "task {} was transferred from shard {} to {}: {}",
             it.value("task").unwrap_or("?"),
             it.value("shard").unwrap_or("?"),
             it.value("to").unwrap_or("?"),
-            it.value("cause").unwrap_or("not said")
+            it.value("cause").unwrap_or("no cause given")
         ));
     }
     for (outcome, description) in [
         ("failed", "runs failed"),
-        ("stopped", "runs were stopped and started anew"),
-        ("lapsed", "runs ended with their lease"),
+        ("stopped", "runs were stopped and started again"),
+        ("lapsed", "runs ended because their lease expired"),
     ] {
         let count = count("run_ended", outcome);
         if count > 0 {
@@ -74,7 +75,7 @@
     }
     let unanswered = count("start", "unknown");
     if unanswered > 0 {
-        findings.push(format!("{unanswered} orders to start got no answer"));
+        findings.push(format!("{unanswered} orders to start a task got no answer"));
     }
     for cause in causes(lines, "stop") {
         findings.push(format!("stopped: {cause}"));
@@ -88,7 +89,7 @@
             it.value("outcome").unwrap_or("?"),
             it.value("age_ms").unwrap_or("?")
         )),
-        None => findings.push("its end is not in these lines".to_owned()),
+        None => findings.push("these lines do not show its end".to_owned()),
     }
     findings
 }
