--- a/daisy-node/src/own/follow.rs
+++ b/daisy-node/src/own/follow.rs
@@ -39,8 +39,9 @@
     }
 }
 
-/// Reads the platform's list of workers. Sends the owner all listed workers of its shard after a
-/// read that finds a change in them, and [`Event::ListUnchanged`] after any other read.
+/// Reads the platform's list of workers. Sends the owner all listed workers of its shard after the
+/// first read and after each read that finds a change in them; after any other read, sends
+/// [`Event::ListUnchanged`].
 pub(super) async fn follow_workers(
     log_client: LogClient,
     shared: Shared,
