--- a/src/args.rs
+++ b/src/args.rs
@@ -45,7 +45,8 @@
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "account")]
 pub struct Account {
-    /// how many of the jobs that exceeded their objective the most are listed (default 5)
+    /// how many of the jobs that exceeded their objective the most are listed with their main cause
+    /// (default 5)
     #[argh(option, default = "5")]
     pub worst: usize,
     /// the processes' logs
