--- a/daisy-node/src/own.rs
+++ b/daisy-node/src/own.rs
@@ -26,13 +26,13 @@
     calls::Calls,
     follow::{follow_measurements, follow_workers},
 };
-use crate::{clock, elect::ElectionContext, follow::Tail, jobs::follow_jobs};
+use crate::{clock, elect::ElectionContext, follow::TopicReader, jobs::follow_jobs};
 
 /// The lease of a worker: how long its tasks go on without a renewal.
 ///
 /// It must cover a change of the owner (1.4 s without a heartbeat, a claim, and a call to every
 /// worker) after a renewal that was 1.5 s ago. It should be short, as the tasks of a lost worker
-/// wait this long for their next start.
+/// are started again only after this time.
 const LEASE: Duration = Duration::from_millis(5_000);
 /// The interval of the owner's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -41,7 +41,7 @@
 const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(24);
 /// The interval at which owners append their interference measurements and read those of other
 /// shards: twice the time that a worker's report covers.
-const SHARE_INTERVAL: Duration = Duration::from_millis(1_000);
+const MEASUREMENTS_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The ownership of a shard in one epoch.
 pub(crate) struct Ownership {
@@ -60,13 +60,13 @@
 /// Why an ownership ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndCause {
-    /// The log has seen a higher epoch.
+    /// The log has accepted an append with a higher epoch.
     FencedByLog,
-    /// A worker has seen a higher epoch.
+    /// A worker has received a call with a higher epoch.
     FencedByWorker,
     /// The process has begun its planned stop.
     Stopping,
-    /// The process runs with such delays that another VM would do better.
+    /// The process's ticks are delayed so much that another VM should own the shard.
     TooSlow,
 }
 
@@ -93,28 +93,28 @@
     Progress,
     /// States or a heartbeat were appended; they were first sent at this time.
     States(Instant),
-    /// A higher epoch has been seen.
+    /// The log has accepted an append with a higher epoch.
     Fenced,
 }
 
 impl Ownership {
     /// Runs the owner until another owner takes over or this process releases the shard.
-    pub async fn run(self, ledger: Ledger, jobs: Tail) -> EndCause {
+    pub async fn run(self, ledger: Ledger, jobs: TopicReader) -> EndCause {
         let (events, rx) = mpsc::unbounded_channel();
         let now = clock::now();
         let owner = self.start_owner(now, ledger, &events);
-        let store = self.context.store.clone();
+        let log_client = self.context.log_client.clone();
         let (jobs_read_tx, jobs_read_at) = watch::channel(now);
         let readers = [
             tokio::spawn(follow_workers(
-                store,
+                log_client,
                 self.context.shared.clone(),
                 self.shard,
                 events.clone(),
             )),
             tokio::spawn(follow_jobs(jobs, events.clone(), jobs_read_tx)),
             tokio::spawn(follow_measurements(
-                self.context.store.clone(),
+                self.context.log_client.clone(),
                 self.context.shared.clone(),
                 self.shard,
                 events.clone(),
@@ -123,26 +123,26 @@
         let (append_outcomes, outcomes) = mpsc::channel(2);
         let mut running = RunningOwner {
             calls: Calls {
-                calls: WorkerCalls::new(Http::new(None), self.epoch),
+                client: WorkerCalls::new(Http::new(None), self.epoch),
                 events,
                 metrics: self.context.metrics.clone(),
             },
             owner,
             append_outcomes,
-            appending: false,
-            appended_at: now,
-            progress_seq: 1,
+            is_appending_progress: false,
+            progress_append_began: now,
+            next_progress_seq: 1,
             state_publisher: StatePublisher::new(now, self.shard, self.published_states.clone()),
-            publishing: false,
-            states_seq: 0,
+            is_appending_states: false,
+            next_states_seq: 0,
             jobs_read_at,
-            shared_at: now,
+            measurements_shared_at: now,
             tick_delay: TickDelay::new(now, TICK_INTERVAL),
-            reported_at: now,
-            unconfirmed_runs: Vec::new(),
+            summary_logged_at: now,
+            logged_unconfirmed_runs: Vec::new(),
             ownership: self,
         };
-        let cause = running.serve(rx, outcomes).await;
+        let cause = running.run(rx, outcomes).await;
         readers.iter().for_each(|it| it.abort());
         let Ownership { context, shard, .. } = &running.ownership;
         context.shared.lock().unregister_owner(*shard);
@@ -183,29 +183,30 @@
     owner: Owner,
     append_outcomes: mpsc::Sender<AppendOutcome>,
     /// Whether an append of progress is under way.
-    appending: bool,
+    is_appending_progress: bool,
     /// When the last append of progress began.
-    appended_at: Instant,
+    progress_append_began: Instant,
     /// The sequence number of the next append of progress in this epoch.
-    progress_seq: u64,
+    next_progress_seq: u64,
     state_publisher: StatePublisher,
     /// Whether an append of states is under way.
-    publishing: bool,
+    is_appending_states: bool,
     /// The sequence number of the next append of states in this epoch.
-    states_seq: u64,
+    next_states_seq: u64,
     /// When the submissions were last read to their end.
     jobs_read_at: watch::Receiver<Instant>,
     /// When interference measurements were last shared with other owners.
-    shared_at: Instant,
+    measurements_shared_at: Instant,
     tick_delay: TickDelay,
-    /// When the summary was last logged.
-    reported_at: Instant,
-    /// The runs whose outcome was unconfirmed at the last report.
-    unconfirmed_runs: Vec<UnconfirmedRun>,
+    /// When a summary was last logged.
+    summary_logged_at: Instant,
+    /// The runs whose outcome was unconfirmed when a summary was last logged.
+    logged_unconfirmed_runs: Vec<UnconfirmedRun>,
 }
 
 impl RunningOwner {
-    async fn serve(
+    /// Handles events and the outcomes of appends until the ownership ends; returns the cause.
+    async fn run(
         &mut self,
         mut events: mpsc::UnboundedReceiver<Event>,
         mut outcomes: mpsc::Receiver<AppendOutcome>,
@@ -219,11 +220,11 @@
         let mut stop = self.ownership.context.stop.clone();
         let mut batch = Vec::new();
         loop {
-            let has_pending_records = !self.appending && self.owner.has_batch()
-                || !self.publishing && self.state_publisher.has_pending_states();
+            let has_pending_records = !self.is_appending_progress && self.owner.has_batch()
+                || !self.is_appending_states && self.state_publisher.has_pending_states();
             tokio::select! {
                 it = outcomes.recv() => {
-                    if !self.handle_append(it) {
+                    if !self.handle_append_outcome(it) {
                         return EndCause::FencedByLog;
                     }
                 }
@@ -248,7 +249,7 @@
                     return self.release(outcomes, EndCause::Stopping).await;
                 }
             }
-            self.report();
+            self.log_summary();
             if self.carry_out_actions() {
                 return EndCause::FencedByWorker;
             }
@@ -266,7 +267,7 @@
             match action {
                 Action::StepDown => step_down = true,
                 Action::Note(note) => {
-                    notes::write(&note, self.ownership.shard, &self.ownership.context.metrics);
+                    notes::log_note(&note, self.ownership.shard, &self.ownership.context.metrics);
                 }
                 Action::Forward(shard, record) => self.forward(shard, record),
                 Action::Renew { worker, .. }
@@ -279,13 +280,13 @@
     }
 
     /// Logs a summary of the shard's jobs and workers once a second.
-    fn report(&mut self) {
+    fn log_summary(&mut self) {
         const INTERVAL: Duration = Duration::from_secs(1);
         let now = clock::now();
-        if now.since(self.reported_at) < INTERVAL {
+        if now.since(self.summary_logged_at) < INTERVAL {
             return;
         }
-        self.reported_at = now;
+        self.summary_logged_at = now;
         let summary = self.owner.summary(now);
         log::info!(
             "event=owner_state shard={} epoch={} jobs={} waiting={} waiting_lasting={} \
@@ -311,7 +312,7 @@
             summary.unconfirmed_runs,
             summary.unconfirmed_for.as_millis()
         );
-        self.report_unconfirmed_runs(now);
+        self.log_unconfirmed_runs(now);
         if let Some(it) = self.owner.longest_waiting_task(now) {
             log::info!(
                 "event=longest_wait id={} task={} shard={} waited_ms={} cpu={} memory_mib={} \
@@ -338,13 +339,13 @@
     }
 
     /// Logs each run of a long-running task whose outcome is unconfirmed, once for each cause.
-    fn report_unconfirmed_runs(&mut self, now: Instant) {
+    fn log_unconfirmed_runs(&mut self, now: Instant) {
         let unconfirmed_runs = self.owner.unconfirmed_runs(now);
         for it in &unconfirmed_runs {
-            let is_reported = |earlier: &UnconfirmedRun| {
+            let is_logged = |earlier: &UnconfirmedRun| {
                 (earlier.task, earlier.run, earlier.cause) == (it.task, it.run, it.cause)
             };
-            if self.unconfirmed_runs.iter().any(is_reported) {
+            if self.logged_unconfirmed_runs.iter().any(is_logged) {
                 continue;
             }
             log::info!(
@@ -358,7 +359,7 @@
                 it.cause.description()
             );
         }
-        self.unconfirmed_runs = unconfirmed_runs;
+        self.logged_unconfirmed_runs = unconfirmed_runs;
     }
 
     fn call_worker(&self, key: WorkerKey, action: Action) {
@@ -370,14 +371,15 @@
     /// Appends the owner's pending progress, unless an append is under way or too recent.
     fn append_progress(&mut self) {
         let now = clock::now();
-        if self.appending || now.since(self.appended_at) < MIN_APPEND_INTERVAL {
+        if self.is_appending_progress || now.since(self.progress_append_began) < MIN_APPEND_INTERVAL
+        {
             return;
         }
         let Some(batch) = self.owner.try_batch(now) else { return };
-        self.appending = true;
-        self.appended_at = now;
-        let guard = self.guard(self.progress_seq);
-        self.progress_seq += 1;
+        self.is_appending_progress = true;
+        self.progress_append_began = now;
+        let guard = self.guard(self.next_progress_seq);
+        self.next_progress_seq += 1;
         self.spawn_append(
             Topic::Progress(self.ownership.shard.0),
             batch.records,
@@ -392,7 +394,7 @@
         for (id, state) in self.owner.take_states() {
             self.state_publisher.add(id, state);
         }
-        if self.publishing {
+        if self.is_appending_states {
             return;
         }
         let now = clock::now();
@@ -406,10 +408,10 @@
     /// again, as its measurements are repeated later.
     fn share_measurements(&mut self) {
         let now = clock::now();
-        if now.since(self.shared_at) < SHARE_INTERVAL {
+        if now.since(self.measurements_shared_at) < MEASUREMENTS_INTERVAL {
             return;
         }
-        self.shared_at = now;
+        self.measurements_shared_at = now;
         let sums = self.owner.take_interference_sums();
         let Ownership { context, shard, .. } = &self.ownership;
         let shards = context.shared.lock().directory.layout().map_or(1, |it| it.shards);
@@ -417,11 +419,11 @@
             return;
         }
         let record = encode(&Record::InterferenceSums(*shard, sums));
-        let store = context.store.clone();
+        let log_client = context.log_client.clone();
         tokio::spawn(async move {
             let records = [record];
             let append =
-                store.append(Topic::Observed, &records, Guard::Unconditional, APPEND_TIMEOUT);
+                log_client.append(Topic::Observed, &records, Guard::Unconditional, APPEND_TIMEOUT);
             if let Err(e) = append.await {
                 log::debug!("event=log_lost topic=Observed cause=\"{e}\"");
             }
@@ -429,9 +431,9 @@
     }
 
     fn append_states(&mut self, records: Vec<Record>) {
-        self.publishing = true;
-        let guard = self.guard(self.states_seq);
-        self.states_seq += 1;
+        self.is_appending_states = true;
+        let guard = self.guard(self.next_states_seq);
+        self.next_states_seq += 1;
         self.spawn_append(Topic::States, records, guard, AppendOutcome::States(clock::now()));
     }
 
@@ -464,12 +466,18 @@
         Guard::Sequence { shard: self.ownership.shard.0, epoch: self.ownership.epoch, seq }
     }
 
-    fn spawn_append(&self, topic: Topic, records: Vec<Record>, guard: Guard, done: AppendOutcome) {
-        let store = self.ownership.context.store.clone();
+    fn spawn_append(
+        &self,
+        topic: Topic,
+        records: Vec<Record>,
+        guard: Guard,
+        on_success: AppendOutcome,
+    ) {
+        let log_client = self.ownership.context.log_client.clone();
         let append_outcomes = self.append_outcomes.clone();
         tokio::spawn(async move {
-            let outcome = match append(&store, topic, &records, guard).await {
-                Ok(()) => done,
+            let outcome = match append(&log_client, topic, &records, guard).await {
+                Ok(()) => on_success,
                 Err(Fenced) => AppendOutcome::Fenced,
             };
             // Sending fails once the owner has stepped down, and the outcome no longer matters.
@@ -478,14 +486,14 @@
     }
 
     /// Handles the outcome of an append; returns false if this owner is fenced.
-    fn handle_append(&mut self, outcome: Option<AppendOutcome>) -> bool {
+    fn handle_append_outcome(&mut self, outcome: Option<AppendOutcome>) -> bool {
         let event = match outcome {
             Some(AppendOutcome::Progress) => {
-                self.appending = false;
+                self.is_appending_progress = false;
                 Event::Appended
             }
             Some(AppendOutcome::States(sent_at)) => {
-                self.publishing = false;
+                self.is_appending_states = false;
                 Event::HeartbeatStored { sent_at }
             }
             Some(AppendOutcome::Fenced) | None => return false,
@@ -494,9 +502,9 @@
         true
     }
 
-    /// Delegates a job, or its cancellation, to another shard, unless that shard has already
-    /// published the job's state. The append continues after this owner has stepped down, as the
-    /// decision remains in force.
+    /// Appends a record of a job to another shard's submissions, unless it delegates a job whose
+    /// state that shard has already published. The append continues after this owner has stepped
+    /// down, as its decision remains in force.
     fn forward(&self, to: ShardId, record: Record) {
         let context = &self.ownership.context;
         if let Record::Submitted(id, _) = &record
@@ -504,12 +512,12 @@
         {
             return;
         }
-        let store = context.store.clone();
+        let log_client = context.log_client.clone();
         let shared = context.shared.clone();
         tokio::spawn(async move {
             // This append carries no epoch, so it cannot be fenced.
             let topic = Topic::Jobs(to.0);
-            if append(&store, topic, std::slice::from_ref(&record), Guard::Unconditional)
+            if append(&log_client, topic, std::slice::from_ref(&record), Guard::Unconditional)
                 .await
                 .is_ok()
             {
@@ -525,9 +533,9 @@
         mut outcomes: mpsc::Receiver<AppendOutcome>,
         cause: EndCause,
     ) -> EndCause {
-        while self.appending || self.publishing {
+        while self.is_appending_progress || self.is_appending_states {
             let it = outcomes.recv().await;
-            if !self.handle_append(it) {
+            if !self.handle_append_outcome(it) {
                 return EndCause::FencedByLog;
             }
         }
@@ -545,6 +553,6 @@
 
 /// Waits until the process is to stop.
 async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
-    // An error means that the sender is gone, which is a stop as well.
+    // An error means that the sender has been dropped, which is treated as a stop.
     let _ = stop.wait_for(|it| *it).await;
 }
